--- /dev/null
+++ b/policy/golden_test.go
@@ -0,0 +1,143 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// goldenSettings are the settings that a day starts from; each day changes some, and figures that no two days share come
+// from its seed.
+func goldenSettings(seed int64) Settings {
+	odd := float64(seed%7) / 10
+	return Settings{Seed: seed, Ordinal: 1, Hosts: 3, Zone: "zone0", Cancel: true, MaxDispatch: 3, Resolution: 2 * ms,
+		AskWithin: 8 * time.Second, MaxPause: 900 * ms, KeyRest: 250 * ms, UsualUnits: 2 + odd, MarksRepeat: true,
+		ColdFrom: 0.2 + odd/10, ColdFor: 6 * time.Second, ColdUnits: 40 + 10*odd, FallMultiple: 1.8, FallAfter: 900 * ms,
+		QueueTypes: []QueueType{
+			{Name: "read", ServiceTarget: 180 * ms, CommandTimeout: time.Second, Importance: 1 + odd, LateShare: 0.4},
+			{Name: "bulk", ServiceTarget: 900 * ms, CommandTimeout: 3 * time.Second, Importance: 0.6, LateShare: 0.7},
+			{Name: "put", ServiceTarget: 250 * ms, CommandTimeout: 1500 * ms, Importance: 2, LateShare: 0.3, Semantics: Tagged,
+				Group: "cell", Window: 800 * ms},
+			{Name: "zoned", ServiceTarget: 300 * ms, CommandTimeout: 1200 * ms, Importance: 1.5, Semantics: Tagged, Group: "zone",
+				Window: 700 * ms, LateShare: 0.5},
+			{Name: "free", ServiceTarget: 300 * ms, CommandTimeout: 1200 * ms, Importance: 1.2, Semantics: Tagged, Group: "all",
+				Window: 600 * ms},
+			{Name: "once", ServiceTarget: 400 * ms, CommandTimeout: 1600 * ms, Importance: 3, Semantics: NonRetryable},
+			{Name: "row", ServiceTarget: 350 * ms, CommandTimeout: 1400 * ms, Importance: 1, LateShare: 0.2, InOrder: true}},
+		Plans: []Plan{{Name: "gold", Nominal: 60, Reservation: 40 + 10*odd, Weight: 3, Importance: 1},
+			{Name: "plain", Nominal: 50, Weight: 1, Importance: 1},
+			{Name: "capped", Nominal: 30, Limit: 30, Depth: 90, Slack: 12, Weight: 2, Importance: 1}}}
+}
+
+func withHealthChecks(s *Settings) { s.Probe, s.Peers = true, true }
+
+func plainSettings(*Settings) {}
+
+const sec = time.Second
+
+// goldenDays: each day's story says which rules it is there to reach.
+var goldenDays = []goldenDay{
+	{name: "quiet", seed: 11, tune: func(s *Settings) { s.Hosts = 1 },
+		story:  "Few requests, no fault: demand, divvy, tags, a limit that widens with low latency; one gateway alone.",
+		load:   load{length: 25 * sec, perSecond: 60, endpoints: 4, shards: 2, objects: 40},
+		digest: "8bb300d2b5e62ad0e5e02ac0"},
+	{name: "overload", seed: 12, tune: func(s *Settings) { s.MarksRepeat = false },
+		story: "More than the endpoints can do, clients that come again: load shedding, Retry-After, requests that will miss their " +
+			"objective, first tries remembered.",
+		load:   load{length: 20 * sec, perSecond: 320, endpoints: 5, shards: 2, objects: 60, repeats: 0.8, anyShard: 0.1},
+		digest: "c2f84a6fd97c30f78fa8e1a2"},
+	{name: "marked repeats", seed: 13, tune: plainSettings,
+		story:  "The same with clients that mark what they repeat.",
+		load:   load{length: 15 * sec, perSecond: 260, endpoints: 4, shards: 2, objects: 25, repeats: 0.9, impatient: 0.3},
+		digest: "9ce2d357643072cbbc3cfd58"},
+	{name: "slow endpoints", seed: 14, tune: plainSettings,
+		story: "A third of the endpoints is nine times slower for a while: the limit narrows, pacing opens and closes, what was " +
+			"overtaken is taken for lost, without health checks.",
+		load:   load{length: 24 * sec, perSecond: 150, endpoints: 6, shards: 2, objects: 80, repeats: 0.5, reportsUsage: true},
+		faults: []fault{{slow, 0.34, 4 * sec, 14 * sec}, {losing, 0.5, 15 * sec, 21 * sec}},
+		digest: "48400166fd708732b43d196a"},
+	{name: "health checks", seed: 15, tune: withHealthChecks,
+		story: "Full, hanging and slow endpoints with health checks and gossip: consecutive failures, ejection, who checks for all, " +
+			"the way back.",
+		load:   load{length: 26 * sec, perSecond: 170, endpoints: 6, shards: 3, objects: 80, repeats: 0.5, reportsUsage: true},
+		faults: []fault{{full, 0.34, 3 * sec, 9 * sec}, {hanging, 0.2, 7 * sec, 13 * sec}, {slow, 0.5, 15 * sec, 20 * sec}, {losing, 0.5, 18 * sec, 24 * sec}},
+		digest: "8392f1b4e9133a5ccc2852c6"},
+	{name: "outliers", seed: 16, tune: plainSettings,
+		story:  "Connections refused, reset, errors that come fast, full endpoints: what counts as a failure, what only once in a row.",
+		load:   load{length: 24 * sec, perSecond: 140, endpoints: 6, shards: 2, objects: 60, repeats: 0.6},
+		faults: []fault{{unreachable, 0.3, 2 * sec, 6 * sec}, {resetting, 0.5, 7 * sec, 12 * sec}, {erring, 0.5, 12 * sec, 17 * sec}, {full, 0.5, 17 * sec, 22 * sec}},
+		digest: "817bc8e8b333dafcf54b240c"},
+	{name: "slow start", seed: 17, tune: plainSettings,
+		story: "Endpoints restart and are replaced, some starts are put right later: the budget while they warm up, a list that " +
+			"takes away what is gone.",
+		load:   load{length: 26 * sec, perSecond: 160, endpoints: 6, shards: 2, objects: 60, lateBoots: true, repeats: 0.4},
+		faults: []fault{{restarting, 0.34, 3 * sec, 5 * sec}, {draining, 0.5, 8 * sec, 11 * sec}, {restarting, 0.67, 15 * sec, 16 * sec}, {vanishing, 0.5, 20 * sec, 21 * sec}},
+		digest: "ed2ba9915855d3d9e6e29897"},
+	{name: "retry budget", seed: 18, tune: func(s *Settings) {
+		s.Budgeted, s.BudgetFree, s.BudgetShare, s.BudgetSpan, s.MaxDispatch = true, 3, 0.1, 2*sec, 4
+	},
+		story:  "Errors under a retry budget: retries wait for it, also after what is called off as lost.",
+		load:   load{length: 22 * sec, perSecond: 150, endpoints: 5, shards: 1, objects: 60, repeats: 0.3},
+		faults: []fault{{erring, 0.6, 3 * sec, 9 * sec}, {losing, 0.6, 10 * sec, 15 * sec}, {resetting, 0.6, 15 * sec, 20 * sec}},
+		digest: "7aafb11460e43dc81c4c77bb"},
+	{name: "ordered keys", seed: 19, tune: func(s *Settings) { s.KeyRest = 400 * ms },
+		story:  "Few objects, so that ordered requests wait in line, with outcomes after which a key rests.",
+		load:   load{length: 20 * sec, perSecond: 140, endpoints: 4, shards: 1, objects: 4, leaves: 0.1},
+		faults: []fault{{resetting, 0.5, 3 * sec, 8 * sec}, {hanging, 0.25, 9 * sec, 14 * sec}},
+		digest: "6b2356c008e177b093df89ba"},
+	{name: "membership", seed: 20, tune: func(s *Settings) { s.Hosts = 5 },
+		story:  "A gateway starts while all endpoints warm up, others come and go: parts of limits, reservations and slow-start budgets.",
+		load:   load{length: 26 * sec, perSecond: 130, endpoints: 5, shards: 2, objects: 60, membership: true, reportsUsage: true, warming: true},
+		faults: []fault{{restarting, 0.4, 4 * sec, 5 * sec}, {restarting, 0.4, 13 * sec, 14 * sec}, {slow, 0.4, 18 * sec, 22 * sec}},
+		digest: "cde1edfa2e73538cc925e921"},
+	{name: "list down", seed: 21, tune: func(s *Settings) { s.Asks = true; s.AskWithin = 5 * sec },
+		story:  "The list is asked for and fails for a while: backoff with jitter; drains come when it is back.",
+		load:   load{length: 24 * sec, perSecond: 110, endpoints: 4, shards: 2, objects: 60, leaves: 0.2},
+		faults: []fault{{listDown, 0.1, 2 * sec, 12 * sec}, {draining, 0.5, 9 * sec, 15 * sec}, {hanging, 0.5, 17 * sec, 21 * sec}},
+		digest: "fc3ec8355817a13a860a41d8"},
+	{name: "streams", seed: 22, tune: func(s *Settings) { withHealthChecks(s); s.Ordinal = 0 },
+		story:  "Streaming answers, clients that leave, short time-outs, requests for any endpoint: what is called off and what stays.",
+		load:   load{length: 22 * sec, perSecond: 170, endpoints: 5, shards: 3, objects: 50, streams: 0.4, leaves: 0.3, impatient: 0.3, anyShard: 0.3},
+		faults: []fault{{slow, 0.4, 4 * sec, 9 * sec}, {erring, 0.4, 11 * sec, 16 * sec}, {hanging, 0.2, 15 * sec, 20 * sec}},
+		digest: "70bb322cd76de6ad226e4f58"},
+	{name: "no cancel", seed: 23, tune: func(s *Settings) { s.Cancel = false; s.Hosts = 8; s.MaxPause = 0 },
+		story:  "Attempts can't be called off, clients get no Retry-After, eight gateways share few endpoints.",
+		load:   load{length: 22 * sec, perSecond: 90, endpoints: 3, shards: 1, objects: 40, leaves: 0.1, repeats: 0.4},
+		faults: []fault{{hanging, 0.34, 3 * sec, 8 * sec}, {losing, 1, 9 * sec, 14 * sec}, {slow, 0.67, 15 * sec, 19 * sec}},
+		digest: "b9ee751a3f47726f0b930238"},
+	{name: "many gateways", seed: 24, tune: func(s *Settings) { withHealthChecks(s); s.Hosts = 60; s.Ordinal = 2 },
+		story: "Each gateway has one place at each endpoint and sees little traffic: pacing from its own rate, limits of one, " +
+			"ejection told by others.",
+		load:   load{length: 30 * sec, perSecond: 40, endpoints: 8, shards: 2, objects: 100, reportsUsage: true, repeats: 0.5},
+		faults: []fault{{slow, 0.3, 3 * sec, 12 * sec}, {full, 0.3, 13 * sec, 20 * sec}, {restarting, 0.3, 21 * sec, 22 * sec}},
+		digest: "a0a38f3fcb7b39117543e12e"},
+	{name: "nothing open", seed: 25, tune: func(s *Settings) { s.BudgetFree = 9 },
+		story:  "For some seconds every endpoint drains, then others take their place; some requests name an unknown plan.",
+		load:   load{length: 20 * sec, perSecond: 120, endpoints: 4, shards: 2, objects: 50, unknown: 0.02, repeats: 0.3, lateBoots: true},
+		faults: []fault{{draining, 1, 5 * sec, 9 * sec}, {vanishing, 0.5, 14 * sec, 15 * sec}},
+		digest: "40fe5a00d72c42ef314e5639"},
+}
+
+// The decisions of the module stay what they were in the landed version a32f63c, on which these digests were recorded
+// (amd64: a compiler that fuses floating-point operations may round otherwise). A digest that differs is a decision that
+// changed: a change that is meant says so in its commit and records the digests anew.
+func TestGoldenDecisions(t *testing.T) {
+	for _, day := range goldenDays {
+		t.Run(day.name, func(t *testing.T) {
+			t.Parallel()
+			got, calls := play(day)
+			t.Logf("%s: %v", day.story, calls)
+			if got != day.digest {
+				t.Errorf("digest of the decisions %s, want %s", got, day.digest)
+			}
+		})
+	}
+}
+
+// TestGoldenDriverRepeats: the driver itself brings no chance of its own, or a digest would say nothing.
+func TestGoldenDriverRepeats(t *testing.T) {
+	first, _ := play(goldenDays[0])
+	second, _ := play(goldenDays[0])
+	if first != second {
+		t.Errorf("two runs of one day differ: %s and %s", first, second)
+	}
+}
