--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"weirhaven/client"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/object/api"
 	"weirhaven/internal/object/gate"
 	"weirhaven/internal/object/index"
@@ -29,14 +29,14 @@
 type memory struct{ data sync.Map }
 
 func (m *memory) Cells(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
-func (m *memory) Gone(*hostloop.Task)                  {}
-func (m *memory) Take(t *hostloop.Task) bool {
+func (m *memory) Gone(*engine.Task)                    {}
+func (m *memory) Take(t *engine.Task) bool {
 	if t.QueueType == "put" {
 		m.data.Store(t.Object, bytes.Clone(t.Body))
 	}
 	b, _ := m.data.Load(t.Object)
 	body, _ := b.([]byte)
-	go t.Answer(hostloop.Answer{How: hostloop.Completed, Body: body})
+	go t.Answer(engine.Answer{How: engine.Completed, Body: body})
 	return true
 }
 
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Rules names the seven rules, from 1.
@@ -59,20 +59,20 @@
 }
 
 type command struct {
-	asked  *wpb.Seen
+	asked  *pb.Seen
 	host   host
-	queue  *wpb.QueueType
-	ends   []*wpb.Seen // ANSWERED, UNANSWERED
-	given  *wpb.Seen
+	queue  *pb.QueueType
+	ends   []*pb.Seen // ANSWERED, UNANSWERED
+	given  *pb.Seen
 	tries  []*dispatch
-	traces []*wpb.Seen
+	traces []*pb.Seen
 }
 
 type dispatch struct {
-	reached *wpb.Seen
-	replied *wpb.Seen
-	off     *wpb.Seen // called off, or cut
-	torn    bool      // its connection was reset right after its answer was written: it may not have arrived
+	reached *pb.Seen
+	replied *pb.Seen
+	off     *pb.Seen // called off, or cut
+	torn    bool     // its connection was reset right after its answer was written: it may not have arrived
 }
 
 type host struct{ no, incarnation uint32 }
@@ -85,21 +85,21 @@
 }
 
 type auditor struct {
-	h        *wpb.Header
-	seen     []*wpb.Seen
+	h        *pb.Header
+	seen     []*pb.Seen
 	blur     time.Duration
 	v        *Verdict
 	commands map[uint64]*command
 	order    []*command
-	downs    map[host]*wpb.Seen
+	downs    map[host]*pb.Seen
 	listed   map[host]map[string][]listing
 	pressure float64 // most on a cold brick, over what pushes it over
 }
 
 // Judge reads a whole record.
-func Judge(h *wpb.Header, seen []*wpb.Seen) *Verdict {
+func Judge(h *pb.Header, seen []*pb.Seen) *Verdict {
 	a := &auditor{h: h, seen: slices.Clone(seen), blur: time.Duration(h.Blur), v: &Verdict{},
-		commands: map[uint64]*command{}, downs: map[host]*wpb.Seen{}, listed: map[host]map[string][]listing{}}
+		commands: map[uint64]*command{}, downs: map[host]*pb.Seen{}, listed: map[host]map[string][]listing{}}
 	sort.SliceStable(a.seen, func(i, j int) bool { return a.seen[i].At < a.seen[j].At })
 	a.gather()
 	for _, c := range a.order {
@@ -115,9 +115,9 @@
 	return a.v
 }
 
-func at(s *wpb.Seen) time.Duration { return time.Duration(s.At) }
+func at(s *pb.Seen) time.Duration { return time.Duration(s.At) }
 
-func (a *auditor) breach(rule int, when time.Duration, trace []*wpb.Seen, format string, args ...any) {
+func (a *auditor) breach(rule int, when time.Duration, trace []*pb.Seen, format string, args ...any) {
 	a.v.Breaches[rule]++
 	if first := a.v.First[rule]; first != nil && first.At <= when {
 		return
@@ -130,17 +130,17 @@
 }
 
 // Line spells one thing seen.
-func Line(s *wpb.Seen) string {
+func Line(s *pb.Seen) string {
 	t := fmt.Sprintf("%9.3f ms  %-10s", time.Duration(s.At).Seconds()*1000, s.What)
 	if s.Command != 0 {
 		t += fmt.Sprintf(" command %d", s.Command)
 	}
 	switch s.What {
-	case wpb.Seen_REACHED, wpb.Seen_REPLIED, wpb.Seen_CALLED_OFF, wpb.Seen_EFFECT:
+	case pb.Seen_REACHED, pb.Seen_REPLIED, pb.Seen_CALLED_OFF, pb.Seen_EFFECT:
 		t += fmt.Sprintf(".%d at %s", s.Dispatch, s.Brick)
-	case wpb.Seen_ASKED, wpb.Seen_ANSWERED, wpb.Seen_UNANSWERED, wpb.Seen_GIVEN_UP, wpb.Seen_HOST_UP, wpb.Seen_HOST_DOWN:
+	case pb.Seen_ASKED, pb.Seen_ANSWERED, pb.Seen_UNANSWERED, pb.Seen_GIVEN_UP, pb.Seen_HOST_UP, pb.Seen_HOST_DOWN:
 		t += fmt.Sprintf(" host %d", s.Host)
-	case wpb.Seen_LISTED:
+	case pb.Seen_LISTED:
 		t += fmt.Sprintf(" %s to host %d", s.Brick, s.Host)
 	default:
 		t += " " + s.Brick
@@ -172,31 +172,31 @@
 		}
 		on := place{s.Brick, s.Connection}
 		switch s.What {
-		case wpb.Seen_ASKED:
+		case pb.Seen_ASKED:
 			if int(s.QueueType) >= len(a.h.QueueType) {
 				continue
 			}
-			c = &command{asked: s, host: host{s.Host, s.Incarnation}, queue: a.h.QueueType[s.QueueType], traces: []*wpb.Seen{s}}
+			c = &command{asked: s, host: host{s.Host, s.Incarnation}, queue: a.h.QueueType[s.QueueType], traces: []*pb.Seen{s}}
 			a.commands[s.Command] = c
 			a.order = append(a.order, c)
-		case wpb.Seen_ANSWERED, wpb.Seen_UNANSWERED:
+		case pb.Seen_ANSWERED, pb.Seen_UNANSWERED:
 			if c != nil {
 				c.ends = append(c.ends, s)
 			}
-		case wpb.Seen_GIVEN_UP:
+		case pb.Seen_GIVEN_UP:
 			if c != nil {
 				c.given = s
 			}
-		case wpb.Seen_REACHED:
+		case pb.Seen_REACHED:
 			if c != nil {
 				d := &dispatch{reached: s}
 				c.tries = append(c.tries, d)
 				out[on] = append(out[on], d)
 			}
-		case wpb.Seen_REPLIED, wpb.Seen_CALLED_OFF:
+		case pb.Seen_REPLIED, pb.Seen_CALLED_OFF:
 			for i, d := range out[on] {
 				if d.reached.Command == s.Command && d.reached.Dispatch == s.Dispatch {
-					if s.What == wpb.Seen_REPLIED {
+					if s.What == pb.Seen_REPLIED {
 						d.replied = s
 						if late[on] = append(late[on], d); len(late[on]) > 64 {
 							late[on] = late[on][1:]
@@ -208,7 +208,7 @@
 					break
 				}
 			}
-		case wpb.Seen_CUT:
+		case pb.Seen_CUT:
 			for _, d := range out[on] {
 				d.off = s
 			}
@@ -217,7 +217,7 @@
 			}
 			delete(out, on)
 			delete(late, on)
-		case wpb.Seen_BRICK_DOWN, wpb.Seen_BRICK_FELL:
+		case pb.Seen_BRICK_DOWN, pb.Seen_BRICK_FELL:
 			for k, ds := range out {
 				if k.brick == s.Brick {
 					for _, d := range ds {
@@ -226,9 +226,9 @@
 					delete(out, k)
 				}
 			}
-		case wpb.Seen_HOST_DOWN:
+		case pb.Seen_HOST_DOWN:
 			a.downs[host{s.Host, s.Incarnation}] = s
-		case wpb.Seen_LISTED:
+		case pb.Seen_LISTED:
 			h := host{s.Host, s.Incarnation}
 			if a.listed[h] == nil {
 				a.listed[h] = map[string][]listing{}
@@ -250,9 +250,9 @@
 	due := at(c.asked) + time.Duration(c.asked.Timeout) + settings.Duration(a.h.Fleet.AnswerSlack, 0)
 	down := a.downs[c.host]
 	answers := 0
-	var first *wpb.Seen
+	var first *pb.Seen
 	for _, e := range c.ends {
-		if e.What == wpb.Seen_ANSWERED {
+		if e.What == pb.Seen_ANSWERED {
 			answers++
 		}
 		if first == nil {
@@ -262,7 +262,7 @@
 	switch {
 	case answers > 1:
 		a.breach(1, at(c.ends[1]), c.traces, "command %d got %d final answers", c.asked.Command, answers)
-	case answers == 1 && first.What == wpb.Seen_ANSWERED && at(first) > due+a.blur:
+	case answers == 1 && first.What == pb.Seen_ANSWERED && at(first) > due+a.blur:
 		a.breach(1, at(first), c.traces, "the answer of command %d came %v after its command timeout", c.asked.Command,
 			at(first)-due)
 	case answers == 0 && first == nil:
@@ -276,7 +276,7 @@
 		}
 	}
 	end := due
-	if first != nil && first.What == wpb.Seen_ANSWERED {
+	if first != nil && first.What == pb.Seen_ANSWERED {
 		end = min(end, at(first))
 	}
 	for _, d := range c.tries {
@@ -284,7 +284,7 @@
 			a.breach(1, at(d.reached), c.traces, "command %d was sent to %s %v after its end", c.asked.Command,
 				d.reached.Brick, at(d.reached)-end)
 		}
-		if first != nil && d.replied != nil && !d.torn && d.replied.How == "DONE" && first.What == wpb.Seen_ANSWERED &&
+		if first != nil && d.replied != nil && !d.torn && d.replied.How == "DONE" && first.What == pb.Seen_ANSWERED &&
 			at(first) > at(d.replied)+5*a.blur {
 			a.breach(1, at(first), c.traces, "the answer of command %d was held back for %v", c.asked.Command,
 				at(first)-at(d.replied))
@@ -311,11 +311,11 @@
 				continue
 			}
 			switch q.Semantics {
-			case wpb.Semantics_NON_RETRYABLE:
+			case pb.Semantics_NON_RETRYABLE:
 				a.breach(2, now, c.traces, "non-retryable command %d was sent again though it may have run", c.asked.Command)
-			case wpb.Semantics_TAGGED:
-				out := q.Group == wpb.Group_ZONE && e.reached.Zone != d.reached.Zone ||
-					q.Group == wpb.Group_CELL && e.reached.Cell != d.reached.Cell
+			case pb.Semantics_TAGGED:
+				out := q.Group == pb.Group_ZONE && e.reached.Zone != d.reached.Zone ||
+					q.Group == pb.Group_CELL && e.reached.Cell != d.reached.Cell
 				if out || now > at(e.reached)+settings.Duration(q.TagWindow, 0)+a.blur {
 					a.breach(2, now, c.traces, "tagged command %d was sent again where its tag is not known", c.asked.Command)
 				}
@@ -323,23 +323,23 @@
 		}
 	}
 	for _, e := range c.ends {
-		if e.What != wpb.Seen_ANSWERED || e.How != "BUSY" {
+		if e.What != pb.Seen_ANSWERED || e.How != "BUSY" {
 			continue
 		}
 		for _, d := range c.tries {
 			if at(d.reached) < at(e) && d.mayHaveRun(at(e)) &&
-				(q.Semantics == wpb.Semantics_NON_RETRYABLE || q.Semantics == wpb.Semantics_TAGGED && q.Group != wpb.Group_ALL) {
+				(q.Semantics == pb.Semantics_NON_RETRYABLE || q.Semantics == pb.Semantics_TAGGED && q.Group != pb.Group_ALL) {
 				a.breach(2, at(e), c.traces, "command %d was busy-replied though it may have run", c.asked.Command)
 			}
 		}
 	}
 	effects := 0
 	for _, s := range c.traces {
-		if s.What == wpb.Seen_EFFECT {
+		if s.What == pb.Seen_EFFECT {
 			effects++
 		}
 	}
-	if effects > 1 && q.Semantics == wpb.Semantics_NON_RETRYABLE {
+	if effects > 1 && q.Semantics == pb.Semantics_NON_RETRYABLE {
 		a.breach(2, at(c.asked), c.traces, "non-retryable command %d changed data %d times", c.asked.Command, effects)
 	}
 }
@@ -373,15 +373,15 @@
 func (a *auditor) cold() {
 	span, multiple := settings.Duration(a.h.Fleet.FallAfter, 0), a.h.Fleet.FallMultiple
 	type push struct {
-		s    *wpb.Seen
+		s    *pb.Seen
 		told bool
 	}
-	ups, recent := map[string]*wpb.Seen{}, map[string][]push{}
+	ups, recent := map[string]*pb.Seen{}, map[string][]push{}
 	for _, s := range a.seen {
 		switch s.What {
-		case wpb.Seen_BRICK_UP:
+		case pb.Seen_BRICK_UP:
 			ups[s.Brick], recent[s.Brick] = s, nil
-		case wpb.Seen_REACHED:
+		case pb.Seen_REACHED:
 			up := ups[s.Brick]
 			if up == nil || up.ColdFor == 0 || span == 0 {
 				continue
@@ -409,7 +409,7 @@
 			can := up.Capacity * (up.ColdFrom + (1-up.ColdFrom)*age.Seconds()/time.Duration(up.ColdFor).Seconds())
 			a.pressure = max(a.pressure, sum/(multiple*can*span.Seconds()))
 			if sum > multiple*can*span.Seconds() && known >= sum*2/3 {
-				var trace []*wpb.Seen
+				var trace []*pb.Seen
 				for _, x := range p[max(0, len(p)-12):] {
 					trace = append(trace, x.s)
 				}
@@ -482,16 +482,16 @@
 		return
 	}
 	span := settings.Duration(b.Span, 0)
-	taken, further := map[host][]*wpb.Seen{}, map[host][]*wpb.Seen{}
+	taken, further := map[host][]*pb.Seen{}, map[host][]*pb.Seen{}
 	for _, s := range a.seen {
 		c := a.commands[s.Command]
 		if c == nil {
 			continue
 		}
 		switch {
-		case s.What == wpb.Seen_ASKED && s.How == "":
+		case s.What == pb.Seen_ASKED && s.How == "":
 			taken[c.host] = append(taken[c.host], s)
-		case s.What == wpb.Seen_REACHED && s.Dispatch > 0:
+		case s.What == pb.Seen_REACHED && s.Dispatch > 0:
 			f := append(further[c.host], s)
 			for len(f) > 0 && at(f[0]) < at(s)-span+a.blur {
 				f = f[1:]
@@ -515,12 +515,12 @@
 	type store struct {
 		level float64
 		at    time.Duration
-		last  []*wpb.Seen
+		last  []*pb.Seen
 	}
 	stores, counted := map[string]*store{}, map[uint64]bool{}
 	for _, s := range a.seen {
 		c := a.commands[s.Command]
-		if s.What != wpb.Seen_REACHED || c == nil || counted[s.Command] || int(c.asked.Plan) >= len(a.h.Plan) {
+		if s.What != pb.Seen_REACHED || c == nil || counted[s.Command] || int(c.asked.Plan) >= len(a.h.Plan) {
 			continue
 		}
 		counted[s.Command] = true
@@ -569,7 +569,7 @@
 			f = c
 			first[c.asked.First] = f
 		}
-		if len(c.ends) == 0 || c.ends[0].What != wpb.Seen_ANSWERED {
+		if len(c.ends) == 0 || c.ends[0].What != pb.Seen_ANSWERED {
 			if c.asked.How == "" {
 				n.Unanswered++
 			}
@@ -630,9 +630,9 @@
 
 // Opening tells how a day begins: the time from the first command to the first completed one, the service of what was first asked
 // within a span, and the most that a cold brick was sent within the rule's span, as a part of what pushes it over.
-func Opening(h *wpb.Header, seen []*wpb.Seen, span time.Duration) (first time.Duration, part, pressure float64) {
+func Opening(h *pb.Header, seen []*pb.Seen, span time.Duration) (first time.Duration, part, pressure float64) {
 	a := &auditor{h: h, seen: slices.Clone(seen), blur: time.Duration(h.Blur), v: &Verdict{}, commands: map[uint64]*command{},
-		downs: map[host]*wpb.Seen{}, listed: map[host]map[string][]listing{}}
+		downs: map[host]*pb.Seen{}, listed: map[host]map[string][]listing{}}
 	sort.SliceStable(a.seen, func(i, j int) bool { return a.seen[i].At < a.seen[j].At })
 	a.gather()
 	a.cold()
@@ -643,7 +643,7 @@
 	begin := at(a.order[0].asked)
 	first = -1
 	for _, s := range a.seen {
-		if s.What == wpb.Seen_ANSWERED && s.How == "DONE" {
+		if s.What == pb.Seen_ANSWERED && s.How == "DONE" {
 			first = at(s) - begin
 			break
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -5,61 +5,61 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 const ms = int64(time.Millisecond)
 
-func header() *wpb.Header {
-	return &wpb.Header{Blur: 5 * ms, Hosts: 2,
-		Fleet: &wpb.Fleet{AnswerSlack: "10ms", DrainGrace: "100ms", FallMultiple: 2, FallAfter: "1s", KeyRest: "200ms",
-			Budget: &wpb.Budget{Free: 1, Share: 0.5, Span: "1s"}},
-		QueueType: []*wpb.QueueType{
+func header() *pb.Header {
+	return &pb.Header{Blur: 5 * ms, Hosts: 2,
+		Fleet: &pb.Fleet{AnswerSlack: "10ms", DrainGrace: "100ms", FallMultiple: 2, FallAfter: "1s", KeyRest: "200ms",
+			Budget: &pb.Budget{Free: 1, Share: 0.5, Span: "1s"}},
+		QueueType: []*pb.QueueType{
 			{Name: "read", ServiceTarget: "100ms", Importance: 1, LateShare: 0.5},
-			{Name: "post", ServiceTarget: "100ms", Importance: 1, Semantics: wpb.Semantics_NON_RETRYABLE},
-			{Name: "tag", ServiceTarget: "100ms", Importance: 1, Semantics: wpb.Semantics_TAGGED, Group: wpb.Group_CELL, TagWindow: "300ms"},
+			{Name: "post", ServiceTarget: "100ms", Importance: 1, Semantics: pb.Semantics_NON_RETRYABLE},
+			{Name: "tag", ServiceTarget: "100ms", Importance: 1, Semantics: pb.Semantics_TAGGED, Group: pb.Group_CELL, TagWindow: "300ms"},
 			{Name: "row", ServiceTarget: "100ms", Importance: 1, InOrder: true}},
-		Plan: []*wpb.Plan{{Name: "plain", Importance: 1}, {Name: "capped", Importance: 1, Limit: 10, Depth: 10, Slack: 2}}}
+		Plan: []*pb.Plan{{Name: "plain", Importance: 1}, {Name: "capped", Importance: 1, Limit: 10, Depth: 10, Slack: 2}}}
 }
 
 // The lines of a record, short: t in ms, command c.
-func asked(t int64, c uint64, queue uint32) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_ASKED, Command: c, First: c, QueueType: queue, Units: 4, Object: "k", Volume: "v",
+func asked(t int64, c uint64, queue uint32) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_ASKED, Command: c, First: c, QueueType: queue, Units: 4, Object: "k", Volume: "v",
 		Timeout: 500 * ms, Incarnation: 1}
 }
-func answer(t int64, c uint64, how string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_ANSWERED, Command: c, How: how}
+func answer(t int64, c uint64, how string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_ANSWERED, Command: c, How: how}
 }
-func unanswered(t int64, c uint64, how string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_UNANSWERED, Command: c, How: how}
+func unanswered(t int64, c uint64, how string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_UNANSWERED, Command: c, How: how}
 }
-func reached(t int64, c uint64, n uint32, brick string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_REACHED, Command: c, Dispatch: n, Brick: brick, Cell: int32(brick[0]), Units: 4, Work: 0.1}
+func reached(t int64, c uint64, n uint32, brick string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_REACHED, Command: c, Dispatch: n, Brick: brick, Cell: int32(brick[0]), Units: 4, Work: 0.1}
 }
-func replied(t int64, c uint64, n uint32, brick, how string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_REPLIED, Command: c, Dispatch: n, Brick: brick, How: how}
+func replied(t int64, c uint64, n uint32, brick, how string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_REPLIED, Command: c, Dispatch: n, Brick: brick, How: how}
 }
-func off(t int64, c uint64, n uint32, brick string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_CALLED_OFF, Command: c, Dispatch: n, Brick: brick}
+func off(t int64, c uint64, n uint32, brick string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_CALLED_OFF, Command: c, Dispatch: n, Brick: brick}
 }
-func listed(t int64, brick, how string, started int64) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_LISTED, Brick: brick, How: how, Started: started * ms, Incarnation: 1}
+func listed(t int64, brick, how string, started int64) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_LISTED, Brick: brick, How: how, Started: started * ms, Incarnation: 1}
 }
-func down(t int64, how string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_HOST_DOWN, Incarnation: 1, How: how}
+func down(t int64, how string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_HOST_DOWN, Incarnation: 1, How: how}
 }
-func up(t int64, brick string) *wpb.Seen {
-	return &wpb.Seen{At: t * ms, What: wpb.Seen_BRICK_UP, Brick: brick, Capacity: 1, ColdFrom: 0.1, ColdFor: 4000 * ms}
+func up(t int64, brick string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_BRICK_UP, Brick: brick, Capacity: 1, ColdFrom: 0.1, ColdFor: 4000 * ms}
 }
-func capped(s *wpb.Seen) *wpb.Seen { s.Plan = 1; return s }
-func many(n int, f func(i int) []*wpb.Seen) (all []*wpb.Seen) {
+func capped(s *pb.Seen) *pb.Seen { s.Plan = 1; return s }
+func many(n int, f func(i int) []*pb.Seen) (all []*pb.Seen) {
 	for i := range n {
 		all = append(all, f(i)...)
 	}
 	return all
 }
 
-type lines = []*wpb.Seen
+type lines = []*pb.Seen
 
 func TestRules(t *testing.T) {
 	one := func(i int) (int64, uint64) { return int64(i), uint64(i + 1) }
@@ -81,7 +81,7 @@
 		{"sent after its end", 1, "after its end", lines{asked(0, 1, 0), answer(20, 1, "BUSY"), reached(30, 1, 0, "a")}},
 		{"held back", 1, "held back", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(20, 1, 0, "a", "DONE"), answer(90, 1, "DONE")}},
 		{"answer lost in a reset", 0, "", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(20, 1, 0, "a", "DONE"),
-			{At: 22 * ms, What: wpb.Seen_CUT, Brick: "a"}, answer(490, 1, "BUSY")}},
+			{At: 22 * ms, What: pb.Seen_CUT, Brick: "a"}, answer(490, 1, "BUSY")}},
 
 		{"non-retryable again after full", 0, "", lines{asked(0, 1, 1), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
 			reached(5, 1, 1, "a"), replied(9, 1, 1, "a", "DONE"), answer(10, 1, "DONE")}},
--- a/internal/capacity/bounds/bounds.go
+++ b/internal/capacity/bounds/bounds.go
@@ -14,8 +14,8 @@
 
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Limit is one that the load meets as it grows.
@@ -37,8 +37,8 @@
 
 // Input is what the bounds are of.
 type Input struct {
-	Fleet *wpb.CapacityFleet
-	Model *wpb.CapacityModel
+	Fleet *pb.CapacityFleet
+	Model *pb.CapacityModel
 	Wants []wants.Want
 	// Further dispatches and commands, as captured; and the mean time that a host holds a command.
 	Further, Commands float64
@@ -47,7 +47,7 @@
 }
 
 // Speeds tells each brick's capacity in core seconds a second, pauses taken off.
-func Speeds(f *wpb.CapacityFleet, m *wpb.CapacityModel) func(b *wpb.Server) float64 {
+func Speeds(f *pb.CapacityFleet, m *pb.CapacityModel) func(b *pb.Server) float64 {
 	by, cores, stated := map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, b := range m.Brick {
 		by[b.Name+" "+b.Kind] = b.Speed
@@ -62,7 +62,7 @@
 			left[k.Name] = k.PauseEvery / (k.PauseEvery + k.Pause)
 		}
 	}
-	return func(b *wpb.Server) float64 {
+	return func(b *pb.Server) float64 {
 		s := by[b.Name+" "+b.Kind]
 		if s == 0 {
 			if s = 1; !known[b.Kind] && stated[b.Kind] > 0 {
@@ -77,7 +77,7 @@
 }
 
 // Window is the stretch that the bounds look at.
-func Window(f *wpb.CapacityFleet) time.Duration {
+func Window(f *pb.CapacityFleet) time.Duration {
 	w := time.Second
 	for _, q := range f.QueueType {
 		w = max(w, settings.Duration(q.CommandTimeout, 0))
@@ -121,14 +121,14 @@
 		}
 		p.add(at, x)
 	}
-	byCell, zones := map[int][]*wpb.Server{}, map[string]float64{}
+	byCell, zones := map[int][]*pb.Server{}, map[string]float64{}
 	capacity := 0.0
 	for _, b := range f.Brick {
 		byCell[int(b.Cell)] = append(byCell[int(b.Cell)], b)
 		zones[b.Zone] += speed(b)
 		capacity += speed(b)
 	}
-	plans := map[string]*wpb.Plan{}
+	plans := map[string]*pb.Plan{}
 	for _, p := range f.Plan {
 		plans[p.Name] = p
 	}
--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -8,18 +8,18 @@
 
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/wants"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
-func fleet() (*wpb.CapacityFleet, *wpb.CapacityModel) {
-	f := &wpb.CapacityFleet{Rules: &wpb.Fleet{ColdFrom: 0.2, UsualUnits: 1, Budget: &wpb.Budget{Free: 2, Share: 0.1, Span: "10s"}},
-		QueueType: []*wpb.QueueType{{Name: "read", CommandTimeout: "2s"}}, Kind: []*wpb.ServerKind{{Name: "k"}, {Name: "big", Cores: 2, Speed: 1.5}},
-		Plan: []*wpb.Plan{{Name: "basic", Limit: 30, Depth: 20}, {Name: "priority", Reservation: 100}},
-		Host: []*wpb.HostLine{{Name: "h", Commands: 400}}}
+func fleet() (*pb.CapacityFleet, *pb.CapacityModel) {
+	f := &pb.CapacityFleet{Rules: &pb.Fleet{ColdFrom: 0.2, UsualUnits: 1, Budget: &pb.Budget{Free: 2, Share: 0.1, Span: "10s"}},
+		QueueType: []*pb.QueueType{{Name: "read", CommandTimeout: "2s"}}, Kind: []*pb.ServerKind{{Name: "k"}, {Name: "big", Cores: 2, Speed: 1.5}},
+		Plan: []*pb.Plan{{Name: "basic", Limit: 30, Depth: 20}, {Name: "priority", Reservation: 100}},
+		Host: []*pb.HostLine{{Name: "h", Commands: 400}}}
 	for i := range 4 {
-		f.Brick = append(f.Brick, &wpb.Server{Name: fmt.Sprint("b", i), Kind: "k", Zone: []string{"n", "s"}[i/2], Cell: uint32(i)})
+		f.Brick = append(f.Brick, &pb.Server{Name: fmt.Sprint("b", i), Kind: "k", Zone: []string{"n", "s"}[i/2], Cell: uint32(i)})
 	}
-	return f, &wpb.CapacityModel{Kind: []*wpb.CapacityModel_KindModel{{Name: "k", Work: []*wpb.CapacityModel_Work{{QueueType: "read", Unit: 0.01, Samples: 9}}}}}
+	return f, &pb.CapacityModel{Kind: []*pb.CapacityModel_KindModel{{Name: "k", Work: []*pb.CapacityModel_Work{{QueueType: "read", Unit: 0.01, Samples: 9}}}}}
 }
 
 // steady asks rate times a second, each of a unit, on the cells in turn.
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -13,11 +13,11 @@
 
 	"weirhaven/internal/capacity/model"
 	"weirhaven/internal/capacity/wants"
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 	"weirhaven/policy"
 )
 
@@ -31,8 +31,8 @@
 
 // Scenario is what is played.
 type Scenario struct {
-	Fleet  *wpb.CapacityFleet
-	Model  *wpb.CapacityModel
+	Fleet  *pb.CapacityFleet
+	Model  *pb.CapacityModel
 	Wants  []wants.Want // by time
 	Events []Event
 	Seed   int64
@@ -41,9 +41,9 @@
 	// Block is the length by which results are kept apart. 0: 1 s.
 	Block time.Duration
 	// Start makes the module; nil: the module itself.
-	Start func(policy.Host, policy.Settings) hostloop.Decider
+	Start func(policy.Host, policy.Settings) engine.Decider
 	// Tap hears what a host would have captured; nil: nothing.
-	Tap func(host string) hostloop.Tap
+	Tap func(host string) engine.Tap
 }
 
 // Key is a plan and a queue type.
@@ -186,8 +186,8 @@
 	hosts   []*host
 	byHost  map[string]*host
 	bricks  []*brick // in the order of the description; the one there now
-	kinds   map[string]*wpb.CapacityModel_KindModel
-	servers map[string]*wpb.ServerKind
+	kinds   map[string]*pb.CapacityModel_KindModel
+	servers map[string]*pb.ServerKind
 	writes  map[string]bool
 	targets map[string]time.Duration
 	volumes map[string]*volume
@@ -229,8 +229,8 @@
 type host struct {
 	w     *world
 	no    int
-	line  *wpb.HostLine
-	core  *hostloop.Core
+	line  *pb.HostLine
+	core  *engine.Core
 	up    bool
 	wake  time.Duration
 	taken int
@@ -292,10 +292,10 @@
 		s.Block = time.Second
 	}
 	if s.Start == nil {
-		s.Start = func(h policy.Host, p policy.Settings) hostloop.Decider { return policy.New(h, p) }
+		s.Start = func(h policy.Host, p policy.Settings) engine.Decider { return policy.New(h, p) }
 	}
 	w := &world{s: s, rng: rand.New(rand.NewSource(s.Seed)), now: epoch, byHost: map[string]*host{},
-		kinds: map[string]*wpb.CapacityModel_KindModel{}, servers: map[string]*wpb.ServerKind{}, writes: map[string]bool{},
+		kinds: map[string]*pb.CapacityModel_KindModel{}, servers: map[string]*pb.ServerKind{}, writes: map[string]bool{},
 		targets: map[string]time.Duration{}, volumes: map[string]*volume{}, meter: settings.Duration(f.Rules.Meter, 0),
 		r: &Result{Volumes: map[string][]float64{}}}
 	for _, q := range f.QueueType {
@@ -414,13 +414,13 @@
 // boot starts a host's loop.
 func (w *world) boot(h *host) error {
 	f := w.s.Fleet
-	e := &wpb.Edge{Name: h.line.Name, Ordinal: uint32(h.no), Hosts: uint32(len(w.hosts)), Zone: h.line.Zone, Fleet: f.Rules, QueueType: f.QueueType,
+	e := &pb.Edge{Name: h.line.Name, Ordinal: uint32(h.no), Hosts: uint32(len(w.hosts)), Zone: h.line.Zone, Fleet: f.Rules, QueueType: f.QueueType,
 		Plan: f.Plan, Seed: w.rng.Int63()%(1<<40) + 1}
 	rules, err := settings.Beliefs(e)
 	if err != nil {
 		return err
 	}
-	h.core = hostloop.New(settings.Policy(e, 1), rules, w.s.Start, h, w.volumeOf, 250*time.Millisecond, w.now)
+	h.core = engine.New(settings.Policy(e, 1), rules, w.s.Start, h, w.volumeOf, 250*time.Millisecond, w.now)
 	h.up, h.wake = true, 0
 	if w.s.Tap != nil {
 		h.core.Tap(w.s.Tap(h.line.Name))
@@ -448,7 +448,7 @@
 }
 
 // in runs f in a host's loop, at the present time.
-func (h *host) in(f func(c *hostloop.Core)) {
+func (h *host) in(f func(c *engine.Core)) {
 	if !h.up {
 		return
 	}
@@ -468,22 +468,22 @@
 	h.w.at(wake, func() {
 		if h.wake == wake && h.up {
 			h.wake = 0
-			h.in(func(*hostloop.Core) {})
+			h.in(func(*engine.Core) {})
 		}
 	})
 }
 
 // list tells a host what there is.
 func (h *host) list(whole bool) {
-	var lines []hostloop.BrickLine
+	var lines []engine.BrickLine
 	for _, b := range h.w.bricks {
 		l := h.w.s.Fleet.Brick[b.no]
-		x := hostloop.BrickLine{Name: b.name, Address: b.address, Zone: l.Zone, Cell: int(l.Cell), Serving: b.up || b.silent, Gone: !b.up && !b.silent, Dated: true,
+		x := engine.BrickLine{Name: b.name, Address: b.address, Zone: l.Zone, Cell: int(l.Cell), Serving: b.up || b.silent, Gone: !b.up && !b.silent, Dated: true,
 			Age: h.w.now - b.started}
 		lines = append(lines, x)
 	}
 	h.w.list++
-	h.core.List(decide.Generation{Epoch: "list", Number: h.w.list}, whole, lines)
+	h.core.List(endpointstate.Generation{Epoch: "list", Number: h.w.list}, whole, lines)
 }
 
 // strike takes something away, or brings it back.
@@ -543,7 +543,7 @@
 func (w *world) tell() {
 	for _, h := range w.hosts {
 		w.at(w.now+w.s.Notice/2+time.Duration(w.rng.Int63n(int64(w.s.Notice))), func() {
-			h.in(func(*hostloop.Core) { h.list(true) })
+			h.in(func(*engine.Core) { h.list(true) })
 		})
 	}
 }
@@ -581,7 +581,7 @@
 	first time.Duration
 	until time.Duration
 	asked int
-	task  *hostloop.Task
+	task  *engine.Task
 	over  bool
 	host  *host
 	tally *Tally
@@ -611,7 +611,7 @@
 			if !o.over {
 				o.over = true
 				o.tally.Left++
-				o.host.in(func(c *hostloop.Core) { c.Gone(o.task) })
+				o.host.in(func(c *engine.Core) { c.Gone(o.task) })
 			}
 		})
 	}
@@ -636,7 +636,7 @@
 			}
 		}
 		if !o.host.up {
-			w.over(o, hostloop.Aborted)
+			w.over(o, engine.Aborted)
 			return
 		}
 	}
@@ -645,26 +645,26 @@
 	x, h := o.w, o.host
 	h.taken++
 	cell := x.Cell
-	o.task = &hostloop.Task{Volume: x.Volume, QueueType: x.Type, Object: fmt.Sprintf("%x", x.Object), Cell: cell, Units: x.Units,
+	o.task = &engine.Task{Volume: x.Volume, QueueType: x.Type, Object: fmt.Sprintf("%x", x.Object), Cell: cell, Units: x.Units,
 		Timeout: o.until - w.now, Repeat: o.asked > 1 && w.s.Fleet.Rules.ClientsMarkRepeats}
-	o.task.Answer = func(a hostloop.Answer) { w.answered(o, a) }
-	h.in(func(c *hostloop.Core) {
+	o.task.Answer = func(a engine.Answer) { w.answered(o, a) }
+	h.in(func(c *engine.Core) {
 		c.Take(o.task)
 		w.r.InFlight = max(w.r.InFlight, c.Counts().Held)
 	})
 	asked := o.asked
 	w.at(o.until, func() { // it gives up, with or without an answer on its way
 		if !o.over && o.asked == asked {
-			w.over(o, hostloop.Aborted)
+			w.over(o, engine.Aborted)
 		}
 	})
 }
 
-func (w *world) answered(o *open, a hostloop.Answer) {
+func (w *world) answered(o *open, a engine.Answer) {
 	if o.over {
 		return
 	}
-	if a.How == hostloop.Completed {
+	if a.How == engine.Completed {
 		w.over(o, a.How)
 		return
 	}
@@ -675,7 +675,7 @@
 }
 
 // clients is how they behave: as the capture shows, or as the description says where it shows nothing.
-func (w *world) clients() *wpb.CapacityModel_ClientModel {
+func (w *world) clients() *pb.CapacityModel_ClientModel {
 	if c := w.s.Model.Client; c.GetRepeats() > 0 || w.s.Fleet.Client == nil {
 		return c
 	}
@@ -692,7 +692,7 @@
 	}
 	if c.GetRepeats() <= 0 || w.now+wait >= o.until || w.rng.Float64() >= c.GetRepeats() || o.asked > most {
 		if !o.over && !o.host.up {
-			w.over(o, hostloop.Aborted)
+			w.over(o, engine.Aborted)
 		}
 		return false
 	}
@@ -700,20 +700,20 @@
 	return true
 }
 
-func (w *world) over(o *open, how hostloop.Final) {
+func (w *world) over(o *open, how engine.Final) {
 	o.over = true
 	took := w.now - o.first
 	switch {
-	case how == hostloop.Completed && took <= w.targets[o.w.Type]:
+	case how == engine.Completed && took <= w.targets[o.w.Type]:
 		o.tally.InTarget++
-	case how == hostloop.Completed:
+	case how == engine.Completed:
 		o.tally.Late++
-	case how == hostloop.BusyReplied:
+	case how == engine.BusyReplied:
 		o.tally.Busy++
 	default:
 		o.tally.Aborted++
 	}
-	if how == hostloop.Completed {
+	if how == engine.Completed {
 		o.tally.Took = append(o.tally.Took, took)
 	}
 }
@@ -725,7 +725,7 @@
 	name string
 }
 
-func (h *host) Line(name, address string) hostloop.Line {
+func (h *host) Line(name, address string) engine.Line {
 	for _, b := range h.w.bricks {
 		if b.address == address {
 			return &line{h, b, name}
@@ -734,14 +734,14 @@
 	return &line{h, nil, name}
 }
 
-func (l *line) Dispatch(id uint64, t *hostloop.Task, n int, left, _ time.Duration) {
+func (l *line) Dispatch(id uint64, t *engine.Task, n int, left, _ time.Duration) {
 	w, b, h := l.h.w, l.b, l.h
 	if n > 0 {
 		h.budget()
 	}
 	if b == nil || !b.up {
 		w.at(w.now+20*time.Microsecond, func() {
-			h.in(func(c *hostloop.Core) { c.Outcome(l.name, id, policy.Unconnected, nil, 0, 0) })
+			h.in(func(c *engine.Core) { c.Outcome(l.name, id, policy.Unconnected, nil, 0, 0) })
 		})
 		return
 	}
@@ -813,7 +813,7 @@
 					metered = 1 + 100*v.units[no]/w.meter.Seconds()/math.Max(v.nominal, 1e-9)
 				}
 			}
-			h.in(func(c *hostloop.Core) { c.Outcome(b.name, j.ID, policy.Completed, nil, elsewhere, metered) })
+			h.in(func(c *engine.Core) { c.Outcome(b.name, j.ID, policy.Completed, nil, elsewhere, metered) })
 		})
 	})
 }
@@ -835,7 +835,7 @@
 }
 
 func (w *world) end(b *brick, h *host, id uint64, how policy.Ending) {
-	w.at(w.now+b.way/2, func() { h.in(func(c *hostloop.Core) { c.Outcome(b.name, id, how, nil, 0, 0) }) })
+	w.at(w.now+b.way/2, func() { h.in(func(c *engine.Core) { c.Outcome(b.name, id, how, nil, 0, 0) }) })
 }
 
 func (l *line) Cancel(id uint64) {
@@ -855,14 +855,14 @@
 		how = policy.Unconnected
 	}
 	if b != nil {
-		w.at(w.now+b.way, func() { h.in(func(c *hostloop.Core) { c.ProbeOutcome(b.name, id, how) }) })
+		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.ProbeOutcome(b.name, id, how) }) })
 	}
 }
 
 func (l *line) Greet() {
 	w, h, b := l.h.w, l.h, l.b
 	if b != nil && b.up {
-		w.at(w.now+b.way, func() { h.in(func(c *hostloop.Core) { c.OwnWord(b.name, b.address, true, w.now-b.started, false) }) })
+		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.OwnWord(b.name, b.address, true, w.now-b.started, false) }) })
 	}
 }
 
@@ -873,7 +873,7 @@
 
 func (h *host) Watch(bool) {}
 func (h *host) ListAll() {
-	h.w.at(h.w.now+h.w.s.Notice, func() { h.in(func(*hostloop.Core) { h.list(true) }) })
+	h.w.at(h.w.now+h.w.s.Notice, func() { h.in(func(*engine.Core) { h.list(true) }) })
 }
 func (h *host) Tell(peer int, data []byte) {
 	if peer < 0 || peer >= len(h.w.hosts) {
@@ -881,9 +881,9 @@
 	}
 	to := h.w.hosts[peer]
 	data = slices.Clone(data)
-	h.w.at(h.w.now+time.Millisecond, func() { to.in(func(c *hostloop.Core) { c.Heard(h.no, data) }) })
+	h.w.at(h.w.now+time.Millisecond, func() { to.in(func(c *engine.Core) { c.Heard(h.no, data) }) })
 }
-func (h *host) Gossip(string, member.Message)              {}
-func (h *host) Share(string, time.Duration, []decide.Line) {}
-func (h *host) Members([]member.Member)                    {}
-func (h *host) Log(string)                                 {}
+func (h *host) Gossip(string, membership.Message)                 {}
+func (h *host) Share(string, time.Duration, []endpointstate.Line) {}
+func (h *host) Members([]membership.Member)                       {}
+func (h *host) Log(string)                                        {}
--- a/internal/capacity/forecast/forecast_test.go
+++ b/internal/capacity/forecast/forecast_test.go
@@ -7,25 +7,25 @@
 	"time"
 
 	"weirhaven/internal/capacity/wants"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // fleet of n bricks in two zones, so many hosts; a unit takes 4 ms.
-func fleet(bricks, hosts int) (*wpb.CapacityFleet, *wpb.CapacityModel) {
-	f := &wpb.CapacityFleet{Rules: &wpb.Fleet{MaxDispatches: 3, Resolution: "10ms", UsualUnits: 2, MostUnits: 8, Cancel: true, MaxPause: "500ms",
+func fleet(bricks, hosts int) (*pb.CapacityFleet, *pb.CapacityModel) {
+	f := &pb.CapacityFleet{Rules: &pb.Fleet{MaxDispatches: 3, Resolution: "10ms", UsualUnits: 2, MostUnits: 8, Cancel: true, MaxPause: "500ms",
 		DrainGrace: "250ms", ColdFrom: 0.2, ColdFor: "4s", ColdUnits: 40, FallMultiple: 2, FallAfter: "1s", Meter: "500ms", TellsElsewhere: true,
-		Budget: &wpb.Budget{Free: 3, Share: 0.25, Span: "3s"}},
-		QueueType: []*wpb.QueueType{{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3},
-			{Name: "post", ServiceTarget: "300ms", CommandTimeout: "1500ms", Importance: 4, Semantics: wpb.Semantics_NON_RETRYABLE, Writes: true}},
-		Plan: []*wpb.Plan{{Name: "basic", Nominal: 20, Weight: 1}, {Name: "priority", Nominal: 20, Reservation: 20, Weight: 4}},
-		Kind: []*wpb.ServerKind{{Name: "single", Queue: 40, Cancel: wpb.BrickCancel_CANCEL_DROPS_WAITING, DropsExpired: true}}}
+		Budget: &pb.Budget{Free: 3, Share: 0.25, Span: "3s"}},
+		QueueType: []*pb.QueueType{{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3},
+			{Name: "post", ServiceTarget: "300ms", CommandTimeout: "1500ms", Importance: 4, Semantics: pb.Semantics_NON_RETRYABLE, Writes: true}},
+		Plan: []*pb.Plan{{Name: "basic", Nominal: 20, Weight: 1}, {Name: "priority", Nominal: 20, Reservation: 20, Weight: 4}},
+		Kind: []*pb.ServerKind{{Name: "single", Queue: 40, Cancel: pb.BrickCancel_CANCEL_DROPS_WAITING, DropsExpired: true}}}
 	for i := range bricks {
-		f.Brick = append(f.Brick, &wpb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i%2], Cell: uint32(i)})
+		f.Brick = append(f.Brick, &pb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i%2], Cell: uint32(i)})
 	}
 	for i := range hosts {
-		f.Host = append(f.Host, &wpb.HostLine{Name: fmt.Sprint("h", i), Zone: "north"})
+		f.Host = append(f.Host, &pb.HostLine{Name: fmt.Sprint("h", i), Zone: "north"})
 	}
-	m := &wpb.CapacityModel{Kind: []*wpb.CapacityModel_KindModel{{Name: "single", Way: 0.0005, Work: []*wpb.CapacityModel_Work{
+	m := &pb.CapacityModel{Kind: []*pb.CapacityModel_KindModel{{Name: "single", Way: 0.0005, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Unit: 0.004, Vary: 0.5, Samples: 100}, {QueueType: "post", Unit: 0.004, Vary: 0.5, Samples: 100}}}}}
 	return f, m
 }
--- a/internal/capacity/learn/learn.go
+++ b/internal/capacity/learn/learn.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/gonum/mat"
 	"gonum.org/v1/gonum/stat"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 	"weirhaven/policy"
 )
 
@@ -51,8 +51,8 @@
 }
 
 // Model learns one. Bricks that the fleet does not name are taken for its first kind.
-func Model(lines []*wpb.Captured, f *wpb.CapacityFleet, client *wpb.CapacityModel_ClientModel) (*wpb.CapacityModel, error) {
-	m := &wpb.CapacityModel{Version: Version, Client: client}
+func Model(lines []*pb.Captured, f *pb.CapacityFleet, client *pb.CapacityModel_ClientModel) (*pb.CapacityModel, error) {
+	m := &pb.CapacityModel{Version: Version, Client: client}
 	kindOf, cores := map[string]string{}, map[string]int{}
 	for _, k := range f.Kind {
 		cores[k.Name] = max(int(k.Cores), 1)
@@ -157,8 +157,8 @@
 	return out, errors, ran
 }
 
-func kind(name string, cores int, names []string, bricks map[string][]dispatch, types []*wpb.QueueType, writes []bool) (
-	*wpb.CapacityModel_KindModel, []*wpb.CapacityModel_BrickSpeed) {
+func kind(name string, cores int, names []string, bricks map[string][]dispatch, types []*pb.QueueType, writes []bool) (
+	*pb.CapacityModel_KindModel, []*pb.CapacityModel_BrickSpeed) {
 	by := make([][]sample, len(names))
 	errors, ran, n := 0, 0, 0
 	for i, b := range names {
@@ -169,7 +169,7 @@
 	if n < few {
 		return nil, nil
 	}
-	k := &wpb.CapacityModel_KindModel{Name: name, Errors: float64(errors) / math.Max(float64(ran), 1), Fit: &wpb.CapacityModel_Fit{Samples: uint32(n)}}
+	k := &pb.CapacityModel_KindModel{Name: name, Errors: float64(errors) / math.Max(float64(ran), 1), Fit: &pb.CapacityModel_Fit{Samples: uint32(n)}}
 	speed := make([]float64, len(names))
 	for i := range speed {
 		speed[i] = 1
@@ -205,9 +205,9 @@
 	for i := range speed {
 		mean += speed[i] / float64(len(speed))
 	}
-	var speeds []*wpb.CapacityModel_BrickSpeed
+	var speeds []*pb.CapacityModel_BrickSpeed
 	for i, b := range names {
-		speeds = append(speeds, &wpb.CapacityModel_BrickSpeed{Name: b, Kind: name, Speed: speed[i] / mean, Samples: uint32(len(by[i]))})
+		speeds = append(speeds, &pb.CapacityModel_BrickSpeed{Name: b, Kind: name, Speed: speed[i] / mean, Samples: uint32(len(by[i]))})
 	}
 	vary := make([][]float64, len(types))
 	var took, want []float64
@@ -255,7 +255,7 @@
 		if t.Writes {
 			up /= 1 - k.Deferred // what is seen at once is what was not put off
 		}
-		x := &wpb.CapacityModel_Work{QueueType: t.Name, Base: w.base[q] * up, Unit: w.unit[q] * up, Samples: uint32(count)}
+		x := &pb.CapacityModel_Work{QueueType: t.Name, Base: w.base[q] * up, Unit: w.unit[q] * up, Samples: uint32(count)}
 		if len(vary[q]) >= few {
 			// By the quantiles 0.1 and 0.9, as if lognormal: the tail was cut off with what is odd.
 			slices.Sort(vary[q])
@@ -490,7 +490,7 @@
 
 // others tells what ran before the odd ones: deferred work of writes, if how much it was goes with the writes since the last
 // time, else pauses.
-func others(k *wpb.CapacityModel_KindModel, by [][]sample, speed []float64, w works, bricks map[string][]dispatch, names []string) {
+func others(k *pb.CapacityModel_KindModel, by [][]sample, speed []float64, w works, bricks map[string][]dispatch, names []string) {
 	var excess, written, gaps, after []float64 // after: 0 for a brick's first
 	span, total := 0.0, 0.0
 	for i, b := range by {
@@ -545,7 +545,7 @@
 }
 
 // use compares what the bricks did with what the model says of the same commands.
-func use(k *wpb.CapacityModel_KindModel, by [][]sample, speed []float64, w works) {
+func use(k *pb.CapacityModel_KindModel, by [][]sample, speed []float64, w works) {
 	seen, told := 0.0, 0.0
 	for i, b := range by {
 		for j := range b {
--- a/internal/capacity/learn/learn_test.go
+++ b/internal/capacity/learn/learn_test.go
@@ -8,21 +8,21 @@
 	"time"
 
 	"weirhaven/internal/capacity/model"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 	"weirhaven/policy"
 )
 
-var fleet = &wpb.CapacityFleet{Kind: []*wpb.ServerKind{{Name: "one"}, {Name: "four", Cores: 4}},
-	QueueType: []*wpb.QueueType{{Name: "read"}, {Name: "write", Writes: true}},
-	Brick:     []*wpb.Server{{Name: "a0", Kind: "one"}, {Name: "a1", Kind: "one"}, {Name: "c0", Kind: "four"}}}
+var fleet = &pb.CapacityFleet{Kind: []*pb.ServerKind{{Name: "one"}, {Name: "four", Cores: 4}},
+	QueueType: []*pb.QueueType{{Name: "read"}, {Name: "write", Writes: true}},
+	Brick:     []*pb.Server{{Name: "a0", Kind: "one"}, {Name: "a1", Kind: "one"}, {Name: "c0", Kind: "four"}}}
 
 // work lets a modelled brick work off a load, and returns what hosts would have captured of it.
-func work(name string, k *wpb.CapacityModel_KindModel, cores int, speed, rate float64, n int, seed int64) (lines []*wpb.Captured) {
+func work(name string, k *pb.CapacityModel_KindModel, cores int, speed, rate float64, n int, seed int64) (lines []*pb.Captured) {
 	rng := rand.New(rand.NewSource(seed))
 	b := model.New(model.Config{Name: name, Kind: k, Cores: cores, Speed: speed, Writes: map[string]bool{"write": true}, Seed: seed})
 	way := time.Duration(k.Way / 2 * float64(time.Second))
 	at := 1000 * time.Hour
-	byID := map[uint64]*wpb.Captured{}
+	byID := map[uint64]*pb.Captured{}
 	done := func(j *model.Job, at time.Duration) {
 		d := byID[j.ID].GetCommand().Dispatch[0]
 		d.Took, d.How = int64(at+way)-byID[j.ID].At, int32(policy.Completed)
@@ -39,12 +39,12 @@
 			}
 			b.Advance(next, done)
 		}
-		c := &wpb.CapturedCommand{QueueType: "read", Units: float64(1 + rng.Intn(4)), Object: uint64(rng.Intn(12)) + 1,
-			Dispatch: []*wpb.CapturedDispatch{{Brick: name}}}
+		c := &pb.CapturedCommand{QueueType: "read", Units: float64(1 + rng.Intn(4)), Object: uint64(rng.Intn(12)) + 1,
+			Dispatch: []*pb.CapturedDispatch{{Brick: name}}}
 		if rng.Intn(3) == 0 {
 			c.QueueType = "write"
 		}
-		l := &wpb.Captured{At: int64(at), What: &wpb.Captured_Command{Command: c}}
+		l := &pb.Captured{At: int64(at), What: &pb.Captured_Command{Command: c}}
 		lines = append(lines, l)
 		byID[id] = l
 		b.Advance(at+way, done)
@@ -63,7 +63,7 @@
 
 // What a brick was made of is read off what hosts saw of it: works, spread, way, cache, deferred writes, speeds.
 func TestRecovers(t *testing.T) {
-	k := &wpb.CapacityModel_KindModel{Way: 0.001, Remembers: 3, Saves: 0.4, Deferred: 0.3, Flush: 0.9, Work: []*wpb.CapacityModel_Work{
+	k := &pb.CapacityModel_KindModel{Way: 0.001, Remembers: 3, Saves: 0.4, Deferred: 0.3, Flush: 0.9, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Base: 0.001, Unit: 0.003, Vary: 0.3, Samples: 1}, {QueueType: "write", Base: 0.0005, Unit: 0.004, Vary: 0.3, Samples: 1}}}
 	lines := append(work("a0", k, 1, 1, 70, 6000, 1), work("a1", k, 1, 1.3, 70, 6000, 2)...)
 	m, err := Model(lines, fleet, nil)
@@ -95,7 +95,7 @@
 
 // Pauses are told from deferred work; four cores from one.
 func TestPausesAndCores(t *testing.T) {
-	k := &wpb.CapacityModel_KindModel{Way: 0.0005, Pause: 0.12, PauseEvery: 1.5, Work: []*wpb.CapacityModel_Work{
+	k := &pb.CapacityModel_KindModel{Way: 0.0005, Pause: 0.12, PauseEvery: 1.5, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Unit: 0.008, Vary: 0.3, Samples: 1}, {QueueType: "write", Unit: 0.008, Vary: 0.3, Samples: 1}}}
 	m, err := Model(work("c0", k, 4, 1, 120, 8000, 3), fleet, nil)
 	if err != nil {
@@ -114,12 +114,12 @@
 	if _, err := Model(nil, fleet, nil); err == nil || !strings.Contains(err.Error(), "nothing to learn") {
 		t.Error(err)
 	}
-	bad := []*wpb.Captured{{What: &wpb.Captured_Command{Command: &wpb.CapturedCommand{QueueType: "scan"}}}}
+	bad := []*pb.Captured{{What: &pb.Captured_Command{Command: &pb.CapturedCommand{QueueType: "scan"}}}}
 	if _, err := Model(bad, fleet, nil); err == nil || !strings.Contains(err.Error(), `"scan"`) {
 		t.Error(err)
 	}
 	// All dispatches lost: nothing is made up.
-	lines := work("a0", &wpb.CapacityModel_KindModel{Work: []*wpb.CapacityModel_Work{{QueueType: "read", Unit: 0.001, Samples: 1}}}, 1, 1, 50, 100, 1)
+	lines := work("a0", &pb.CapacityModel_KindModel{Work: []*pb.CapacityModel_Work{{QueueType: "read", Unit: 0.001, Samples: 1}}}, 1, 1, 50, 100, 1)
 	for _, l := range lines {
 		l.GetCommand().Dispatch[0].How = int32(policy.Broken)
 	}
--- a/internal/capacity/model/brick.go
+++ b/internal/capacity/model/brick.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Config is what a brick is made of.
@@ -17,11 +17,11 @@
 	Name         string
 	Zone         string
 	Cell         int
-	Kind         *wpb.CapacityModel_KindModel
+	Kind         *pb.CapacityModel_KindModel
 	Cores        int
 	Queue        int // 0: as many as come
 	Speed        float64
-	Cancel       wpb.BrickCancel
+	Cancel       pb.BrickCancel
 	DropsExpired bool
 	Writes       map[string]bool
 	ColdFrom     float64 // 1: it is warm
@@ -30,8 +30,8 @@
 	FallAfter    time.Duration
 	Seed         int64
 	Start        time.Duration
-	MeanWork     float64                            // of a queue type that the capture shows none of
-	workBy       map[string]*wpb.CapacityModel_Work // by queue type
+	MeanWork     float64                           // of a queue type that the capture shows none of
+	workBy       map[string]*pb.CapacityModel_Work // by queue type
 }
 
 // Job is one dispatch at a brick.
@@ -88,7 +88,7 @@
 	if c.ColdFrom <= 0 {
 		c.ColdFrom = 1
 	}
-	c.workBy = map[string]*wpb.CapacityModel_Work{}
+	c.workBy = map[string]*pb.CapacityModel_Work{}
 	for _, w := range c.Kind.Work {
 		c.workBy[w.QueueType] = w
 	}
@@ -109,7 +109,7 @@
 func (b *Brick) Config() Config { return b.c }
 
 // Work is the mean work of a dispatch on a core of speed 1, in seconds.
-func Work(k *wpb.CapacityModel_KindModel, queue string, units, mean float64) float64 {
+func Work(k *pb.CapacityModel_KindModel, queue string, units, mean float64) float64 {
 	for _, w := range k.Work {
 		if w.QueueType == queue && w.Samples > 0 {
 			return w.Base + w.Unit*units
@@ -243,11 +243,11 @@
 
 // Cancel calls a dispatch off.
 func (b *Brick) Cancel(host int, id uint64, now time.Duration) {
-	if b.c.Cancel == wpb.BrickCancel_CANCEL_IGNORED {
+	if b.c.Cancel == pb.BrickCancel_CANCEL_IGNORED {
 		return
 	}
 	b.waiting = slices.DeleteFunc(b.waiting, func(j *Job) bool { return j.Host == host && j.ID == id })
-	if b.c.Cancel != wpb.BrickCancel_CANCEL_STOPS {
+	if b.c.Cancel != pb.BrickCancel_CANCEL_STOPS {
 		return
 	}
 	for i, c := range b.cores {
--- a/internal/capacity/place/place.go
+++ b/internal/capacity/place/place.go
@@ -11,14 +11,14 @@
 
 	"weirhaven/internal/capacity/model"
 	"weirhaven/internal/capacity/wants"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Cost is the mean work of a want on a core of speed 1, in seconds.
 type Cost func(w *wants.Want) float64
 
 // CostOf reads it off a model: by the first kind that knows the queue type.
-func CostOf(m *wpb.CapacityModel, f *wpb.CapacityFleet) Cost {
+func CostOf(m *pb.CapacityModel, f *pb.CapacityFleet) Cost {
 	mean, n := 0.0, 0.0
 	for _, k := range m.Kind {
 		for _, w := range k.Work {
@@ -39,7 +39,7 @@
 }
 
 // Cells are those where a load shows each volume, in order; volumes that the fleet places itself are as it says.
-func Cells(all []wants.Want, f *wpb.CapacityFleet) map[string][]int {
+func Cells(all []wants.Want, f *pb.CapacityFleet) map[string][]int {
 	cells := map[string][]int{}
 	stated := map[string]bool{}
 	for _, v := range f.Volume {
@@ -62,9 +62,9 @@
 
 // With is the fleet with so many bricks of a kind: more are copies of those there, in their zones by turns, each with a cell of
 // its own; fewer leave out the last.
-func With(f *wpb.CapacityFleet, kind string, n int) (*wpb.CapacityFleet, error) {
-	g := proto.Clone(f).(*wpb.CapacityFleet)
-	var own []*wpb.Server
+func With(f *pb.CapacityFleet, kind string, n int) (*pb.CapacityFleet, error) {
+	g := proto.Clone(f).(*pb.CapacityFleet)
+	var own []*pb.Server
 	top := uint32(0)
 	for _, b := range f.Brick {
 		if top = max(top, b.Cell); b.Kind == kind {
@@ -75,8 +75,8 @@
 		return nil, fmt.Errorf("the fleet has no brick of kind %q", kind)
 	}
 	if n < len(own) {
-		g.Brick = slices.DeleteFunc(g.Brick, func(b *wpb.Server) bool {
-			return slices.ContainsFunc(own[n:], func(o *wpb.Server) bool { return o.Name == b.Name })
+		g.Brick = slices.DeleteFunc(g.Brick, func(b *pb.Server) bool {
+			return slices.ContainsFunc(own[n:], func(o *pb.Server) bool { return o.Name == b.Name })
 		})
 		if len(g.Brick) == 0 {
 			return nil, fmt.Errorf("no brick would be left")
@@ -85,7 +85,7 @@
 	for i := len(own); i < n; i++ {
 		like := own[i%len(own)]
 		top++
-		g.Brick = append(g.Brick, &wpb.Server{Name: fmt.Sprintf("more-%s-%d", kind, i), Kind: kind, Zone: like.Zone, Cell: top})
+		g.Brick = append(g.Brick, &pb.Server{Name: fmt.Sprintf("more-%s-%d", kind, i), Kind: kind, Zone: like.Zone, Cell: top})
 	}
 	return g, nil
 }
@@ -93,7 +93,7 @@
 // Spread lays a load out over another fleet. Volumes whose cells the other fleet states lie there. A volume that lay on several cells lies on as many more as there are more bricks, its
 // commands by their objects; one that lay on one cell stays whole on one brick. The largest parts are placed first, each where
 // there is most room for what it asks for, no two of a volume on one cell while there is another.
-func Spread(all []wants.Want, from, to *wpb.CapacityFleet, cost Cost, speed func(b *wpb.Server) float64) []wants.Want {
+func Spread(all []wants.Want, from, to *pb.CapacityFleet, cost Cost, speed func(b *pb.Server) float64) []wants.Want {
 	cells := Cells(all, from)
 	stated := map[string][]int{}
 	if from != to {
--- a/internal/capacity/report/report.go
+++ b/internal/capacity/report/report.go
@@ -22,7 +22,7 @@
 
 	"weirhaven/internal/capacity/bounds"
 	"weirhaven/internal/capacity/study"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Answer is all that was asked and answered.
@@ -281,7 +281,7 @@
 }
 
 // Model spells a learnt model and its fit.
-func Model(out io.Writer, m *wpb.CapacityModel) {
+func Model(out io.Writer, m *pb.CapacityModel) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, k := range m.Kind {
 		f := k.Fit
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -11,19 +11,19 @@
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/wants"
 	"weirhaven/internal/capture"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/pb"
 )
 
 // big is a fleet so many times that of the tests, and a load on it.
-func big(bricks, hosts int, rate float64, length time.Duration) (*wpb.CapacityFleet, *wpb.CapacityModel, []wants.Want) {
+func big(bricks, hosts int, rate float64, length time.Duration) (*pb.CapacityFleet, *pb.CapacityModel, []wants.Want) {
 	f, m := fleet()
 	f.Brick, f.Host = nil, nil
 	for i := range bricks {
-		f.Brick = append(f.Brick, &wpb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i%2], Cell: uint32(i)})
+		f.Brick = append(f.Brick, &pb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i%2], Cell: uint32(i)})
 	}
 	for i := range hosts {
-		f.Host = append(f.Host, &wpb.HostLine{Name: fmt.Sprint("h", i), Zone: "north", Commands: 100000})
+		f.Host = append(f.Host, &pb.HostLine{Name: fmt.Sprint("h", i), Zone: "north", Commands: 100000})
 	}
 	w := load(rate, 0, length, "basic", 0.3, 1)
 	for i := range w {
@@ -64,19 +64,19 @@
 // What reading a capture and learning from it cost a million commands.
 func BenchmarkLearn(b *testing.B) {
 	f, m, w := big(45, 180, 800, 30*time.Second)
-	var lines []*wpb.Captured
-	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) hostloop.Tap { return tap{h, &lines} }}); err != nil {
+	var lines []*pb.Captured
+	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) engine.Tap { return tap{h, &lines} }}); err != nil {
 		b.Fatal(err)
 	}
 	byTime(lines)
-	l := &capture.Load{Heads: []*wpb.CaptureHead{{Version: capture.Version, Host: "h"}}, Lines: lines}
+	l := &capture.Load{Heads: []*pb.CaptureHead{{Version: capture.Version, Host: "h"}}, Lines: lines}
 	var file bytes.Buffer
 	if err := l.Write(&file); err != nil {
 		b.Fatal(err)
 	}
 	start := time.Now()
 	for b.Loop() {
-		if _, _, err := capture.Segment(bytes.NewReader(file.Bytes()), func(*wpb.Captured) error { return nil }); err != nil {
+		if _, _, err := capture.Segment(bytes.NewReader(file.Bytes()), func(*pb.Captured) error { return nil }); err != nil {
 			b.Fatal(err)
 		}
 		_, c := wants.Unfold(lines)
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -21,14 +21,14 @@
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/sample"
 	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Study is one load, one fleet, one model.
 type Study struct {
-	Fleet *wpb.CapacityFleet
-	Model *wpb.CapacityModel
+	Fleet *pb.CapacityFleet
+	Model *pb.CapacityModel
 	Wants []wants.Want
 	Goals []decide.Goal
 	Seed  int64
@@ -42,7 +42,7 @@
 	Captured bounds.Input // Further, Commands, Held, Span as captured
 	stretch  []sample.Stretch
 	cost     place.Cost
-	speed    func(*wpb.Server) float64
+	speed    func(*pb.Server) float64
 }
 
 const warm = 3 * time.Second // played before a stretch, so that hosts know their load; not counted
@@ -104,7 +104,7 @@
 }
 
 // Limits are the analytic bounds.
-func (s *Study) Limits(f *wpb.CapacityFleet, all []wants.Want) []bounds.Limit {
+func (s *Study) Limits(f *pb.CapacityFleet, all []wants.Want) []bounds.Limit {
 	in := s.Captured
 	in.Fleet, in.Model, in.Wants = f, s.Model, all
 	return bounds.Limits(in)
@@ -117,7 +117,7 @@
 }
 
 // play plays the stretches of a load, so many times as large.
-func (s *Study) play(ctx context.Context, f *wpb.CapacityFleet, all []wants.Want, times float64) (*played, error) {
+func (s *Study) play(ctx context.Context, f *pb.CapacityFleet, all []wants.Want, times float64) (*played, error) {
 	p := &played{pieces: make([][]decide.Piece, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
@@ -598,7 +598,7 @@
 			worst, most = sec, x
 		}
 	}
-	plans, types := map[string]*wpb.Plan{}, map[string]*wpb.QueueType{}
+	plans, types := map[string]*pb.Plan{}, map[string]*pb.QueueType{}
 	for _, x := range s.Fleet.Plan {
 		plans[x.Name] = x
 	}
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -14,26 +14,26 @@
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/wants"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/pb"
 )
 
 // fleet of six bricks in two rooms, three hosts; a unit takes 4 ms.
-func fleet() (*wpb.CapacityFleet, *wpb.CapacityModel) {
-	f := &wpb.CapacityFleet{Rules: &wpb.Fleet{MaxDispatches: 3, Resolution: "10ms", UsualUnits: 2, MostUnits: 8, Cancel: true, MaxPause: "500ms", DrainGrace: "250ms",
+func fleet() (*pb.CapacityFleet, *pb.CapacityModel) {
+	f := &pb.CapacityFleet{Rules: &pb.Fleet{MaxDispatches: 3, Resolution: "10ms", UsualUnits: 2, MostUnits: 8, Cancel: true, MaxPause: "500ms", DrainGrace: "250ms",
 		ColdFrom: 0.2, ColdFor: "4s", ColdUnits: 40, FallMultiple: 2, FallAfter: "1s", Meter: "500ms", TellsElsewhere: true,
-		Budget: &wpb.Budget{Free: 3, Share: 0.25, Span: "3s"}},
-		QueueType: []*wpb.QueueType{{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3},
-			{Name: "post", ServiceTarget: "300ms", CommandTimeout: "1500ms", Importance: 4, Semantics: wpb.Semantics_NON_RETRYABLE, Writes: true}},
-		Plan: []*wpb.Plan{{Name: "basic", Nominal: 20, Weight: 1, Importance: 0.5}, {Name: "priority", Nominal: 20, Reservation: 30, Weight: 4, Importance: 2}},
-		Kind: []*wpb.ServerKind{{Name: "single", Queue: 40, Cancel: wpb.BrickCancel_CANCEL_DROPS_WAITING, DropsExpired: true}}}
+		Budget: &pb.Budget{Free: 3, Share: 0.25, Span: "3s"}},
+		QueueType: []*pb.QueueType{{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3},
+			{Name: "post", ServiceTarget: "300ms", CommandTimeout: "1500ms", Importance: 4, Semantics: pb.Semantics_NON_RETRYABLE, Writes: true}},
+		Plan: []*pb.Plan{{Name: "basic", Nominal: 20, Weight: 1, Importance: 0.5}, {Name: "priority", Nominal: 20, Reservation: 30, Weight: 4, Importance: 2}},
+		Kind: []*pb.ServerKind{{Name: "single", Queue: 40, Cancel: pb.BrickCancel_CANCEL_DROPS_WAITING, DropsExpired: true}}}
 	for i := range 6 {
-		f.Brick = append(f.Brick, &wpb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i/4], Cell: uint32(i)})
+		f.Brick = append(f.Brick, &pb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i/4], Cell: uint32(i)})
 	}
 	for i := range 3 {
-		f.Host = append(f.Host, &wpb.HostLine{Name: fmt.Sprint("h", i), Zone: "north", Commands: 100000})
+		f.Host = append(f.Host, &pb.HostLine{Name: fmt.Sprint("h", i), Zone: "north", Commands: 100000})
 	}
-	return f, &wpb.CapacityModel{Client: &wpb.CapacityModel_ClientModel{}, Kind: []*wpb.CapacityModel_KindModel{{Name: "single", Way: 0.0005, Work: []*wpb.CapacityModel_Work{
+	return f, &pb.CapacityModel{Client: &pb.CapacityModel_ClientModel{}, Kind: []*pb.CapacityModel_KindModel{{Name: "single", Way: 0.0005, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Unit: 0.004, Vary: 0.5, Samples: 100}, {QueueType: "post", Unit: 0.004, Vary: 0.5, Samples: 100}}}}}
 }
 
@@ -69,7 +69,7 @@
 	return wants.Scale(out, 1.0000001, rand.New(rand.NewSource(1))) // by time
 }
 
-func study(t *testing.T, f *wpb.CapacityFleet, m *wpb.CapacityModel, w []wants.Want, goals ...string) *Study {
+func study(t *testing.T, f *pb.CapacityFleet, m *pb.CapacityModel, w []wants.Want, goals ...string) *Study {
 	t.Helper()
 	s := &Study{Fleet: f, Model: m, Wants: w, Seed: 1, Length: 8 * time.Second, Stretches: 3}
 	for _, text := range goals {
@@ -181,19 +181,19 @@
 // tap keeps what hosts would have captured.
 type tap struct {
 	host string
-	to   *[]*wpb.Captured
+	to   *[]*pb.Captured
 }
 
 func (t tap) On() bool                                                            { return true }
 func (t tap) Brick(string, string, int, bool, bool, time.Duration, time.Duration) {}
-func (t tap) Over(p *hostloop.Past) {
-	c := &wpb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.QueueType, Units: p.Units, Cell: int64(p.Cell), Repeat: p.Repeat, Timeout: int64(p.Timeout),
-		Took: int64(p.Took), Final: wpb.CapturedCommand_Final(p.How), Host: t.host}
+func (t tap) Over(p *engine.Past) {
+	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.QueueType, Units: p.Units, Cell: int64(p.Cell), Repeat: p.Repeat, Timeout: int64(p.Timeout),
+		Took: int64(p.Took), Final: pb.CapturedCommand_Final(p.How), Host: t.host}
 	fmt.Sscanf(p.Object, "%x", &c.Object)
 	for _, x := range p.Tries {
-		c.Dispatch = append(c.Dispatch, &wpb.CapturedDispatch{Brick: x.Brick, After: int64(x.At - p.At), Took: int64(x.Took), How: int32(x.How)})
+		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: x.Brick, After: int64(x.At - p.At), Took: int64(x.Took), How: int32(x.How)})
 	}
-	*t.to = append(*t.to, &wpb.Captured{At: int64(p.At), What: &wpb.Captured_Command{Command: c}})
+	*t.to = append(*t.to, &pb.Captured{At: int64(p.At), What: &pb.Captured_Command{Command: c}})
 }
 
 // A capture of an overloaded day holds far more commands than clients wanted: the wants, how clients repeat and how bricks work come
@@ -202,8 +202,8 @@
 	f, m := fleet()
 	m.Client.Repeats, m.Client.Wait = 0.9, 0.1
 	w := load(1300, 0, 8*time.Second, "basic", 0, 8)
-	var lines []*wpb.Captured
-	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) hostloop.Tap { return tap{h, &lines} }}); err != nil {
+	var lines []*pb.Captured
+	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) engine.Tap { return tap{h, &lines} }}); err != nil {
 		t.Fatal(err)
 	}
 	byTime(lines)
@@ -226,7 +226,7 @@
 	}
 }
 
-func byTime(lines []*wpb.Captured) {
+func byTime(lines []*pb.Captured) {
 	for i := range lines { // insertion: nearly sorted
 		for j := i; j > 0 && lines[j].At < lines[j-1].At; j-- {
 			lines[j], lines[j-1] = lines[j-1], lines[j]
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -20,9 +20,9 @@
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/wants"
 	"weirhaven/internal/capture"
-	"weirhaven/internal/drill"
+	"weirhaven/internal/pb"
+	"weirhaven/internal/scenario"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Figures are what is compared.
@@ -35,7 +35,7 @@
 // Case is one to be forecast and run.
 type Case struct {
 	Name   string
-	Drill  func(d *wpb.Drill)
+	Drill  func(d *pb.Drill)
 	Wants  func(all []wants.Want, rng *rand.Rand) []wants.Want
 	Events []forecast.Event
 	Moved  bool // the fleet is another one
@@ -64,8 +64,8 @@
 	runs       = 5
 )
 
-func demand(times float64) func(d *wpb.Drill) {
-	return func(d *wpb.Drill) {
+func demand(times float64) func(d *pb.Drill) {
+	return func(d *pb.Drill) {
 		for _, v := range d.Volumes {
 			v.Demand *= times
 		}
@@ -77,7 +77,7 @@
 }
 
 // Cases are the ten.
-func Cases(d *wpb.Drill, f *wpb.CapacityFleet) []Case {
+func Cases(d *pb.Drill, f *pb.CapacityFleet) []Case {
 	last := f.Brick[len(f.Brick)-1].Zone
 	var lost []forecast.Event
 	var cells []uint32
@@ -88,9 +88,9 @@
 			cells = append(cells, b.Cell)
 		}
 	}
-	crash := func(on []uint32) func(d *wpb.Drill) {
-		return func(d *wpb.Drill) {
-			d.Trouble = append(d.Trouble, &wpb.Trouble{Kind: wpb.Trouble_BRICK_CRASH, At: "4s", On: on, Back: "4s"})
+	crash := func(on []uint32) func(d *pb.Drill) {
+		return func(d *pb.Drill) {
+			d.Trouble = append(d.Trouble, &pb.Trouble{Kind: pb.Trouble_BRICK_CRASH, At: "4s", On: on, Back: "4s"})
 		}
 	}
 	return []Case{
@@ -99,8 +99,8 @@
 		{Name: "load x 1.25", Drill: demand(1.25), Wants: scaled(1.25)},
 		{Name: "load x 1.5", Drill: demand(1.5), Wants: scaled(1.5)},
 		{Name: "load x 2", Drill: demand(2), Wants: scaled(2)},
-		{Name: "surge of plan basic x 4", Drill: func(d *wpb.Drill) {
-			d.Trouble = append(d.Trouble, &wpb.Trouble{Kind: wpb.Trouble_PLAN_BURST, At: "4s", Length: "5s", Size: 4, Plan: "basic"})
+		{Name: "surge of plan basic x 4", Drill: func(d *pb.Drill) {
+			d.Trouble = append(d.Trouble, &pb.Trouble{Kind: pb.Trouble_PLAN_BURST, At: "4s", Length: "5s", Size: 4, Plan: "basic"})
 		}, Wants: func(all []wants.Want, rng *rand.Rand) []wants.Want {
 			out := slices.Clone(all) // what more the plan asks for is like what it asked for all the time, not like those few seconds
 			last := all[len(all)-1].At
@@ -115,36 +115,36 @@
 			slices.SortStableFunc(out, func(a, b wants.Want) int { return int(a.At - b.At) })
 			return out
 		}},
-		{Name: "one brick fewer", Drill: func(d *wpb.Drill) { d.Bricks[len(d.Bricks)-1].Count-- }, Wants: scaled(1), Moved: true},
-		{Name: "two bricks more, load x 1.5", Drill: func(d *wpb.Drill) {
+		{Name: "one brick fewer", Drill: func(d *pb.Drill) { d.Bricks[len(d.Bricks)-1].Count-- }, Wants: scaled(1), Moved: true},
+		{Name: "two bricks more, load x 1.5", Drill: func(d *pb.Drill) {
 			demand(1.5)(d)
-			d.Bricks = append(d.Bricks, &wpb.BrickGroup{Kind: d.Bricks[0].Kind, Count: 2, Zone: d.Bricks[0].Zone, Speed: d.Bricks[0].Speed})
+			d.Bricks = append(d.Bricks, &pb.BrickGroup{Kind: d.Bricks[0].Kind, Count: 2, Zone: d.Bricks[0].Zone, Speed: d.Bricks[0].Speed})
 		}, Wants: scaled(1.5),
 			Moved: true},
 		{Name: "zone " + last + " lost for 4 s", Drill: crash(cells), Wants: scaled(1), Events: lost},
-		{Name: "one host lost for 4 s", Drill: func(d *wpb.Drill) {
-			d.Trouble = append(d.Trouble, &wpb.Trouble{Kind: wpb.Trouble_HOST_CRASH, At: "4s", On: []uint32{1}, Back: "4s"})
+		{Name: "one host lost for 4 s", Drill: func(d *pb.Drill) {
+			d.Trouble = append(d.Trouble, &pb.Trouble{Kind: pb.Trouble_HOST_CRASH, At: "4s", On: []uint32{1}, Back: "4s"})
 		}, Wants: scaled(1), Events: []forecast.Event{{At: 4 * time.Second, Host: "host-1", Down: true}, {At: 8 * time.Second, Host: "host-1"}}},
 	}
 }
 
 // Learnt is what was recorded and read off it.
 type Learnt struct {
-	Fleet *wpb.CapacityFleet
-	Model *wpb.CapacityModel
+	Fleet *pb.CapacityFleet
+	Model *pb.CapacityModel
 	Wants []wants.Want
 	Load  *capture.Load
 }
 
 // Record plays a drill with its hosts capturing, and learns from it.
-func Record(ctx context.Context, d *wpb.Drill, o drill.Options) (*Learnt, error) {
+func Record(ctx context.Context, d *pb.Drill, o scenario.Options) (*Learnt, error) {
 	dir, err := os.MkdirTemp("", "weirhaven-verify-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	o.Capture = filepath.Join(dir, "capture")
-	if _, err := drill.Run(ctx, d, o); err != nil {
+	if _, err := scenario.Run(ctx, d, o); err != nil {
 		return nil, err
 	}
 	l, err := capture.Read(o.Capture)
@@ -154,7 +154,7 @@
 	if err := l.Align(); err != nil {
 		return nil, err
 	}
-	f := drill.Describe(d, o.Seed)
+	f := scenario.Describe(d, o.Seed)
 	w, clients := wants.Unfold(l.Lines)
 	m, err := learn.Model(l.Lines, f, clients)
 	if err != nil {
@@ -164,15 +164,15 @@
 }
 
 // Run forecasts one case and plays it.
-func Run(ctx context.Context, d *wpb.Drill, l *Learnt, c Case, o drill.Options) (Row, error) {
+func Run(ctx context.Context, d *pb.Drill, l *Learnt, c Case, o scenario.Options) (Row, error) {
 	row := Row{Case: c.Name}
 	f, load := l.Fleet, l.Wants
-	day := proto.Clone(d).(*wpb.Drill)
+	day := proto.Clone(d).(*pb.Drill)
 	length := min(caseLength, settings.Duration(d.Length, caseLength))
 	day.Length = length.String()
 	c.Drill(day)
 	if c.Moved { // a brick that was not there before is taken for one of its kind's mean speed
-		g := drill.Describe(day, o.Seed)
+		g := scenario.Describe(day, o.Seed)
 		load = place.Spread(load, f, g, place.CostOf(l.Model, f), bounds.Speeds(g, l.Model))
 		f = g
 	}
@@ -189,7 +189,7 @@
 		row.Forecast.Use += x.Use / runs
 		row.Naive = naive(f, l.Model, asked)
 	}
-	got, err := drill.Run(ctx, day, o)
+	got, err := scenario.Run(ctx, day, o)
 	if err != nil {
 		return row, err
 	}
@@ -216,7 +216,7 @@
 }
 
 // measured reads the same figures off what crossed the sockets.
-func measured(d *wpb.Drill, r *drill.Result) (x Figures) {
+func measured(d *pb.Drill, r *scenario.Result) (x Figures) {
 	type want struct {
 		at, done int64
 		queue    uint32
@@ -227,12 +227,12 @@
 	capacity, n, end := 0.0, 0.0, int64(0)
 	for _, s := range r.Seen {
 		switch s.What {
-		case wpb.Seen_BRICK_UP:
+		case pb.Seen_BRICK_UP:
 			if n < float64(bricks(d)) {
 				capacity += s.Capacity
 				n++
 			}
-		case wpb.Seen_ASKED:
+		case pb.Seen_ASKED:
 			if begun < 0 {
 				begun = s.At
 			}
@@ -241,17 +241,17 @@
 			if wanted[s.First] == nil {
 				wanted[s.First] = &want{at: s.At, queue: s.QueueType}
 			}
-		case wpb.Seen_ANSWERED:
+		case pb.Seen_ANSWERED:
 			if w := wanted[first[s.Command]]; w != nil && s.How == "DONE" && w.done == 0 {
 				w.done = s.At
 			}
-		case wpb.Seen_UNANSWERED:
+		case pb.Seen_UNANSWERED:
 			if w := wanted[first[s.Command]]; w != nil && s.How == "left" {
 				w.left = true
 			}
-		case wpb.Seen_REACHED:
+		case pb.Seen_REACHED:
 			works[fmt.Sprint(s.Brick, s.Connection, s.Command, s.Dispatch)] = s.Work
-		case wpb.Seen_REPLIED:
+		case pb.Seen_REPLIED:
 			if s.How == "DONE" {
 				x.Use += works[fmt.Sprint(s.Brick, s.Connection, s.Command, s.Dispatch)]
 			}
@@ -282,7 +282,7 @@
 	return x
 }
 
-func bricks(d *wpb.Drill) (n uint32) {
+func bricks(d *pb.Drill) (n uint32) {
 	for _, g := range d.Bricks {
 		n += g.Count
 	}
@@ -290,7 +290,7 @@
 }
 
 // naive is what a mean rate over a mean work says: one queue for all bricks (M/M/c by its busy part, waits exponential).
-func naive(f *wpb.CapacityFleet, m *wpb.CapacityModel, load []wants.Want) (x Figures) {
+func naive(f *pb.CapacityFleet, m *pb.CapacityModel, load []wants.Want) (x Figures) {
 	cost, speed, capacity, work := place.CostOf(m, f), bounds.Speeds(f, m), 0.0, 0.0
 	for _, b := range f.Brick {
 		capacity += speed(b)
--- a/internal/capacity/verify/verify_test.go
+++ b/internal/capacity/verify/verify_test.go
@@ -7,15 +7,15 @@
 	"os"
 	"testing"
 
-	"weirhaven/internal/drill"
-	"weirhaven/internal/edge"
+	"weirhaven/internal/gateway"
+	"weirhaven/internal/scenario"
 )
 
 // The test binary is the host program, too.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "edge" { // never the tests again, whatever stands behind it
-		c := edge.Command{Config: os.Args[len(os.Args)-1], Bound: true}
-		if err := c.Execute(edge.Start); err != nil {
+		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
+		if err := c.Execute(gateway.Start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -25,18 +25,18 @@
 }
 
 // A short day on loopback is recorded and learnt; the forecast of half as much load again agrees with what then happens. The ten cases
-// at length are `weirctl capacity verify`.
+// at length are `weirhavenctl capacity verify`.
 func TestForecastAgainstLoopback(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := drill.Load("capacity")
+	d, err := scenario.Load("capacity")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Length = "5s"
-	o := drill.Options{Seed: 3, Host: []string{self, "edge"}}
+	o := scenario.Options{Seed: 3, Host: []string{self, "edge"}}
 	l, err := Record(context.Background(), d, o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/wants/wants.go
+++ b/internal/capacity/wants/wants.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Want is what a client wanted, once, however often it asked.
@@ -40,8 +40,8 @@
 // Unfold finds the wants. A command repeats an earlier one if it is marked so and an earlier one like it (volume, queue type,
 // object, units, cell) exists, or, unmarked, if that one ended without success and neither its patience nor that of any client
 // like it is over. What is marked but has no first (the capture began later, or lost it) counts as a want.
-func Unfold(lines []*wpb.Captured) (all []Want, c *wpb.CapacityModel_ClientModel) {
-	c = &wpb.CapacityModel_ClientModel{}
+func Unfold(lines []*pb.Captured) (all []Want, c *pb.CapacityModel_ClientModel) {
+	c = &pb.CapacityModel_ClientModel{}
 	var begin time.Duration
 	open_ := map[same]open{}
 	failed, again, left := 0, 0, 0
@@ -58,7 +58,7 @@
 		k := same{m.Volume, m.QueueType, m.Object, m.Units, m.Cell}
 		o, known := open_[k]
 		ended := at + time.Duration(m.Took)
-		got := m.Final == wpb.CapturedCommand_COMPLETED
+		got := m.Final == pb.CapturedCommand_COMPLETED
 		repeats := known && (m.Repeat || m.Object != 0) && at >= o.over && at < o.until
 		if repeats {
 			w := &all[o.want]
@@ -76,16 +76,16 @@
 		}
 		w := Want{At: at - begin, Host: m.Host, Volume: m.Volume, Plan: m.Plan, Type: m.QueueType, Units: m.Units, Cell: int(m.Cell), Object: m.Object,
 			Timeout: time.Duration(m.Timeout), Body: int(m.Body), Asked: 1}
-		if m.Final == wpb.CapturedCommand_LEFT {
+		if m.Final == pb.CapturedCommand_LEFT {
 			w.Leaves = time.Duration(m.Took)
 			left++
 		}
 		all = append(all, w)
 		switch m.Final {
-		case wpb.CapturedCommand_BUSY_REPLIED, wpb.CapturedCommand_ABORTED:
+		case pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_ABORTED:
 			failed++
 			open_[k] = open{len(all) - 1, at + w.Timeout, ended}
-		case wpb.CapturedCommand_LEFT: // it may ask elsewhere, after a lost connection; that is counted, not taken for patience
+		case pb.CapturedCommand_LEFT: // it may ask elsewhere, after a lost connection; that is counted, not taken for patience
 			open_[k] = open{len(all) - 1, at + w.Timeout, ended}
 		default:
 			delete(open_, k)
--- a/internal/capacity/wants/wants_test.go
+++ b/internal/capacity/wants/wants_test.go
@@ -5,24 +5,24 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
-func line(at int, object uint64, final wpb.CapturedCommand_Final, took int) *wpb.Captured {
-	return &wpb.Captured{At: 1e15 + int64(at)*1e6, What: &wpb.Captured_Command{Command: &wpb.CapturedCommand{Volume: "v", Plan: "p", QueueType: "read",
+func line(at int, object uint64, final pb.CapturedCommand_Final, took int) *pb.Captured {
+	return &pb.Captured{At: 1e15 + int64(at)*1e6, What: &pb.Captured_Command{Command: &pb.CapturedCommand{Volume: "v", Plan: "p", QueueType: "read",
 		Units: 1, Object: object, Timeout: 1e9, Took: int64(took) * 1e6, Final: final, Host: "h"}}}
 }
 
 // On an overloaded day most of what is captured are repeats: each client's want stands once, with when it first asked.
 func TestUnfold(t *testing.T) {
-	busy, done := wpb.CapturedCommand_BUSY_REPLIED, wpb.CapturedCommand_COMPLETED
-	all, c := Unfold([]*wpb.Captured{
+	busy, done := pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_COMPLETED
+	all, c := Unfold([]*pb.Captured{
 		line(0, 1, busy, 1), line(100, 1, busy, 1), line(300, 1, done, 50), // one want, asked three times
 		line(310, 2, done, 5), line(320, 2, done, 5), // two: the first had what it wanted
 		line(400, 3, busy, 1), line(1500, 3, done, 5), // two: no client waits that long
 		line(1600, 0, busy, 1), line(1700, 0, done, 5), // two: nothing tells that they are the same
 		line(2000, 4, busy, 500), line(2100, 4, done, 5), // two: the first had not been refused yet
-		line(2200, 5, wpb.CapturedCommand_LEFT, 40),
+		line(2200, 5, pb.CapturedCommand_LEFT, 40),
 	})
 	if len(all) != 10 || all[0].Asked != 3 || all[1].At != 310*time.Millisecond || all[9].Leaves != 40*time.Millisecond {
 		t.Errorf("%d: %+v", len(all), all)
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -14,7 +14,7 @@
 	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Version of the form; a reader refuses a later one.
@@ -72,7 +72,7 @@
 
 // Segment reads one segment. What is torn is left out and counted; where the head itself can't be read, err says so. An f that
 // returns an error ends it.
-func Segment(r io.Reader, f func(*wpb.Captured) error) (head *wpb.CaptureHead, torn Torn, err error) {
+func Segment(r io.Reader, f func(*pb.Captured) error) (head *pb.CaptureHead, torn Torn, err error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostBlock))
 	if err != nil {
@@ -118,7 +118,7 @@
 		}
 		lines := bufio.NewReader(bytes.NewReader(text))
 		if head == nil {
-			head = &wpb.CaptureHead{}
+			head = &pb.CaptureHead{}
 			if err := protodelim.UnmarshalFrom(lines, head); err != nil || head.Version == 0 {
 				return nil, torn, errors.New("no capture: its first block holds no head")
 			}
@@ -127,7 +127,7 @@
 			}
 		}
 		for {
-			c := &wpb.Captured{}
+			c := &pb.Captured{}
 			if err := protodelim.UnmarshalFrom(lines, c); err != nil {
 				if !errors.Is(err, io.EOF) {
 					torn.Blocks++
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -14,17 +14,17 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/pb"
 	"weirhaven/policy"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func past(i int) *hostloop.Past {
-	return &hostloop.Past{Volume: fmt.Sprint("v", i%7), Plan: "basic", QueueType: "read", Object: fmt.Sprint("secret-object-", i%5), Units: 2, Cell: i % 3,
+func past(i int) *engine.Past {
+	return &engine.Past{Volume: fmt.Sprint("v", i%7), Plan: "basic", QueueType: "read", Object: fmt.Sprint("secret-object-", i%5), Units: 2, Cell: i % 3,
 		At: time.Duration(i) * time.Millisecond, Took: time.Millisecond, Timeout: time.Second,
-		Tries: []hostloop.Try{{Brick: "b1", At: time.Duration(i)*time.Millisecond + 5, Took: 900, How: policy.Errored}}}
+		Tries: []engine.Try{{Brick: "b1", At: time.Duration(i)*time.Millisecond + 5, Took: 900, How: policy.Errored}}}
 }
 
 func open(t testing.TB, c Config) *Writer {
@@ -33,7 +33,7 @@
 		c.Key = []byte("0123456789abcdef")
 	}
 	if c.Head == nil {
-		c.Head = &wpb.CaptureHead{Host: "host-0", Life: 7}
+		c.Head = &pb.CaptureHead{Host: "host-0", Life: 7}
 	}
 	c.Log = quiet
 	w, err := Open(c)
@@ -106,7 +106,7 @@
 		t.Fatal(err, all)
 	}
 	count := func(b []byte) (n int, torn Torn, err error) {
-		_, torn, err = Segment(bytes.NewReader(b), func(c *wpb.Captured) error {
+		_, torn, err = Segment(bytes.NewReader(b), func(c *pb.Captured) error {
 			if c.GetCommand() != nil {
 				n++
 			}
@@ -136,7 +136,7 @@
 		t.Error("a foreign file was read")
 	}
 	p, _ := newPacker()
-	p.add(&wpb.CaptureHead{Version: Version + 1})
+	p.add(&pb.CaptureHead{Version: Version + 1})
 	if _, _, err := count(p.block()); err == nil || !strings.Contains(err.Error(), "form 2") {
 		t.Error(err)
 	}
@@ -213,7 +213,7 @@
 	w.Over(past(1))
 	w.Close()
 	told := uint64(0)
-	_, _, err := Segment(bytes.NewReader(g.got.Bytes()), func(c *wpb.Captured) error {
+	_, _, err := Segment(bytes.NewReader(g.got.Bytes()), func(c *pb.Captured) error {
 		told += c.GetLost()
 		return nil
 	})
@@ -251,7 +251,7 @@
 		t.Errorf("%+v", s)
 	}
 	n := 0
-	if _, _, err := Segment(bytes.NewReader(files[len(files)-1].got.Bytes()), func(c *wpb.Captured) error {
+	if _, _, err := Segment(bytes.NewReader(files[len(files)-1].got.Bytes()), func(c *pb.Captured) error {
 		if c.GetCommand() != nil {
 			n++
 		}
@@ -265,7 +265,7 @@
 func TestMerge(t *testing.T) {
 	dir := t.TempDir()
 	for h, off := range []time.Duration{0, time.Hour} {
-		w := open(t, Config{Folder: dir, Head: &wpb.CaptureHead{Host: fmt.Sprint("host-", h), Life: int64(h + 1)}})
+		w := open(t, Config{Folder: dir, Head: &pb.CaptureHead{Host: fmt.Sprint("host-", h), Life: int64(h + 1)}})
 		for b := range 5 {
 			w.Brick(fmt.Sprint("b", b), "north", b, true, false, time.Duration(1e15+b*1000)+off, 1e15)
 		}
@@ -313,12 +313,12 @@
 
 func FuzzSegment(f *testing.F) {
 	p, _ := newPacker()
-	p.add(&wpb.CaptureHead{Version: 1, Host: "h"})
-	p.add(&wpb.Captured{At: 3, What: &wpb.Captured_Lost{Lost: 3}})
+	p.add(&pb.CaptureHead{Version: 1, Host: "h"})
+	p.add(&pb.Captured{At: 3, What: &pb.Captured_Lost{Lost: 3}})
 	f.Add(p.block())
 	f.Add([]byte("WCAP\x01\x00\x00\x00\xff\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		head, torn, err := Segment(bytes.NewReader(b), func(*wpb.Captured) error { return nil })
+		head, torn, err := Segment(bytes.NewReader(b), func(*pb.Captured) error { return nil })
 		if err == nil && head == nil || torn.Bytes > int64(len(b)) {
 			t.Error(head, torn, err)
 		}
--- a/internal/capture/load.go
+++ b/internal/capture/load.go
@@ -14,13 +14,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"weirhaven/internal/capture/align"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Load is what was captured, of one host or of several.
 type Load struct {
-	Heads  []*wpb.CaptureHead // one a host's life
-	Lines  []*wpb.Captured    // by time; commands and bricks name their host
+	Heads  []*pb.CaptureHead // one a host's life
+	Lines  []*pb.Captured    // by time; commands and bricks name their host
 	Lost   uint64
 	Torn   Torn
 	Files  int
@@ -68,7 +68,7 @@
 }
 
 func (l *Load) byTime() {
-	slices.SortStableFunc(l.Lines, func(a, b *wpb.Captured) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.Lines, func(a, b *pb.Captured) int { return cmp.Compare(a.At, b.At) })
 }
 
 func (l *Load) file(name string, lives map[string]bool) error {
@@ -78,7 +78,7 @@
 	}
 	defer f.Close()
 	from := len(l.Lines)
-	head, torn, err := Segment(f, func(c *wpb.Captured) error {
+	head, torn, err := Segment(f, func(c *pb.Captured) error {
 		if n := c.GetLost(); n > 0 {
 			l.Lost += n
 			return nil
@@ -165,7 +165,7 @@
 		return err
 	}
 	defer p.zip.Close()
-	head := proto.Clone(l.Heads[0]).(*wpb.CaptureHead)
+	head := proto.Clone(l.Heads[0]).(*pb.CaptureHead)
 	for _, h := range l.Heads[1:] {
 		if h.Key != head.Key {
 			head.Key = "several"
@@ -178,7 +178,7 @@
 		return err
 	}
 	if l.Lost > 0 {
-		if err := p.add(&wpb.Captured{What: &wpb.Captured_Lost{Lost: l.Lost}}); err != nil {
+		if err := p.add(&pb.Captured{What: &pb.Captured_Lost{Lost: l.Lost}}); err != nil {
 			return err
 		}
 	}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -21,8 +21,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/pb"
 )
 
 type protoMessage = proto.Message
@@ -36,7 +36,7 @@
 	Most   int64 // bytes of all segments; 0: 256 MiB
 	Queue  int   // lines that wait; 0: 8192
 	Key    []byte
-	Head   *wpb.CaptureHead // but for version and key
+	Head   *pb.CaptureHead // but for version and key
 	Log    *slog.Logger
 	// Create opens a new file; nil: on disk.
 	Create func(name string) (io.WriteCloser, error)
@@ -72,7 +72,7 @@
 	size   int64
 	no     int
 	failed bool
-	marks  map[string]*wpb.Captured // the last known of each brick, repeated in each segment
+	marks  map[string]*pb.Captured // the last known of each brick, repeated in each segment
 }
 
 const (
@@ -115,12 +115,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Head = proto.Clone(c.Head).(*wpb.CaptureHead)
+	c.Head = proto.Clone(c.Head).(*pb.CaptureHead)
 	c.Head.Version = Version
 	digest := sha256.Sum256(append([]byte("weirhaven capture key "), c.Key...))
 	c.Head.Key = hex.EncodeToString(digest[:8])
 	w := &Writer{c: c, lines: make(chan any, c.Queue), mac: hmac.New(sha256.New, c.Key), stop: make(chan struct{}), done: make(chan struct{}),
-		pack: pack, marks: map[string]*wpb.Captured{}}
+		pack: pack, marks: map[string]*pb.Captured{}}
 	w.state.Folder, w.state.Bound = c.Folder, c.Most
 	for _, f := range w.own() {
 		var no int
@@ -191,11 +191,11 @@
 func (w *Writer) On() bool { return w.on.Load() }
 
 // Over takes a command that is over.
-func (w *Writer) Over(p *hostloop.Past) { w.offer(p) }
+func (w *Writer) Over(p *engine.Past) { w.offer(p) }
 
 // Brick takes what is known of a brick. It is kept also while the writer is off: a capture that begins later needs it.
 func (w *Writer) Brick(name, zone string, cell int, serving, gone bool, started, now time.Duration) {
-	w.offer(&wpb.Captured{At: int64(now), What: &wpb.Captured_Brick{Brick: &wpb.CapturedBrick{Name: name, Zone: zone, Cell: int64(cell),
+	w.offer(&pb.Captured{At: int64(now), What: &pb.Captured_Brick{Brick: &pb.CapturedBrick{Name: name, Zone: zone, Cell: int64(cell),
 		Serving: serving, Gone: gone, Started: int64(started)}}})
 }
 
@@ -233,7 +233,7 @@
 	case chan bool:
 		w.flush()
 		l <- true
-	case *wpb.Captured:
+	case *pb.Captured:
 		if b := l.GetBrick(); b.Gone {
 			delete(w.marks, b.Name)
 		} else {
@@ -245,12 +245,12 @@
 		if w.on.Load() || w.pack.lines > 0 {
 			w.line(l)
 		}
-	case *hostloop.Past:
+	case *engine.Past:
 		w.line(w.captured(l))
 	}
 }
 
-func (w *Writer) line(c *wpb.Captured) {
+func (w *Writer) line(c *pb.Captured) {
 	if err := w.pack.add(c); err != nil {
 		w.lost.Add(1)
 		return
@@ -270,13 +270,13 @@
 	return binary.LittleEndian.Uint64(w.mac.Sum(nil)) | 1
 }
 
-func (w *Writer) captured(p *hostloop.Past) *wpb.Captured {
-	c := &wpb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.QueueType, Units: p.Units, Cell: int64(p.Cell), Repeat: p.Repeat,
-		Object: w.hash(p.Object), Timeout: int64(p.Timeout), Took: int64(p.Took), Final: wpb.CapturedCommand_Final(p.How), Body: uint32(p.Body)}
+func (w *Writer) captured(p *engine.Past) *pb.Captured {
+	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.QueueType, Units: p.Units, Cell: int64(p.Cell), Repeat: p.Repeat,
+		Object: w.hash(p.Object), Timeout: int64(p.Timeout), Took: int64(p.Took), Final: pb.CapturedCommand_Final(p.How), Body: uint32(p.Body)}
 	for _, t := range p.Tries {
-		c.Dispatch = append(c.Dispatch, &wpb.CapturedDispatch{Brick: t.Brick, After: int64(t.At - p.At), Took: int64(t.Took), How: int32(t.How)})
+		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: t.Brick, After: int64(t.At - p.At), Took: int64(t.Took), How: int32(t.How)})
 	}
-	return &wpb.Captured{At: int64(p.At), What: &wpb.Captured_Command{Command: c}}
+	return &pb.Captured{At: int64(p.At), What: &pb.Captured_Command{Command: c}}
 }
 
 // flush writes a block. Where that fails its lines are lost and counted, and the next block goes to a new segment.
@@ -285,7 +285,7 @@
 		return
 	}
 	if lost := w.lost.Load(); lost > w.told {
-		w.pack.add(&wpb.Captured{At: time.Now().UnixNano(), What: &wpb.Captured_Lost{Lost: uint64(lost - w.told)}})
+		w.pack.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.told)}})
 		w.told = lost
 	}
 	lines := int64(w.pack.lines)
--- a/internal/ctl/ages.go
+++ b/internal/cli/ages.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"context"
@@ -12,20 +12,20 @@
 	"google.golang.org/protobuf/proto"
 
 	"weirhaven/internal/audit"
-	"weirhaven/internal/drill"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
+	"weirhaven/internal/scenario"
 )
 
 // byAge plays one seed with discovery up, then without it from saved lists of each age.
-func (c *drillRun) byAge(ctx context.Context, d *wpb.Drill, logs io.Writer) error {
+func (c *drillRun) byAge(ctx context.Context, d *pb.Drill, logs io.Writer) error {
 	if d.List == nil {
-		d.List = &wpb.ListHabits{}
+		d.List = &pb.ListHabits{}
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "list\tfirst completed after\tservice in 10 s\tratio\tto drained bricks past the grace\tmost pressure on a cold brick\trules\t\n")
 	broken, up := 0, 0.0
 	for i := -1; i < len(c.Ages); i++ {
-		one := proto.Clone(d).(*wpb.Drill)
+		one := proto.Clone(d).(*pb.Drill)
 		name := "discovery up"
 		if one.List.Absent = i >= 0; i >= 0 {
 			one.List.SavedAge, name = c.Ages[i].String(), c.Ages[i].String()+" old"
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := drill.Run(ctx, one, drill.Options{Seed: c.Seed, Host: []string{self, "edge", "--bound"}, Arm: name, Logs: logs})
+		r, err := scenario.Run(ctx, one, scenario.Options{Seed: c.Seed, Host: []string{self, "edge", "--bound"}, Arm: name, Logs: logs})
 		if err != nil {
 			return err
 		}
--- a/internal/ctl/capacity.go
+++ b/internal/cli/capacity.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"weirhaven/internal/capacity/study"
 	"weirhaven/internal/capacity/wants"
 	"weirhaven/internal/capture"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 type capacityCmd struct {
@@ -27,12 +27,12 @@
 
 type capacityInputs struct {
 	Load  []string `required:"" help:"Captures: folders or files (*.wcap)." placeholder:"PATH"`
-	Fleet string   `required:"" type:"existingfile" help:"The fleet described (proto/capacity.proto); weirctl fleet export writes one." placeholder:"FILE"`
+	Fleet string   `required:"" type:"existingfile" help:"The fleet described (proto/capacity.proto); weirhavenctl fleet export writes one." placeholder:"FILE"`
 }
 
 // read reads and aligns a capture and checks the fleet described.
-func (c *capacityInputs) read() (*capture.Load, *wpb.CapacityFleet, error) {
-	f := &wpb.CapacityFleet{}
+func (c *capacityInputs) read() (*capture.Load, *pb.CapacityFleet, error) {
+	f := &pb.CapacityFleet{}
 	if err := settings.Load(c.Fleet, f); err != nil {
 		return nil, nil, err
 	}
@@ -41,7 +41,7 @@
 		return nil, nil, err
 	}
 	if err := l.Align(); err != nil {
-		fmt.Fprintln(os.Stderr, "weirctl:", err, "; their times are taken as they are")
+		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; their times are taken as they are")
 	}
 	return l, f, nil
 }
@@ -71,7 +71,7 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-func learnt(l *capture.Load, f *wpb.CapacityFleet, paths []string) (*wpb.CapacityModel, []wants.Want, error) {
+func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []wants.Want, error) {
 	w, clients := wants.Unfold(l.Lines)
 	m, err := learn.Model(l.Lines, f, clients)
 	if err != nil {
@@ -122,12 +122,12 @@
 	if err != nil {
 		return err
 	}
-	var m *wpb.CapacityModel
+	var m *pb.CapacityModel
 	var w []wants.Want
 	if c.Model == "" {
 		m, w, err = learnt(l, f, c.Load)
 	} else {
-		m = &wpb.CapacityModel{}
+		m = &pb.CapacityModel{}
 		err = settings.Load(c.Model, m)
 		w, _ = wants.Unfold(l.Lines)
 	}
--- a/internal/ctl/capture.go
+++ b/internal/cli/capture.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 
 	"weirhaven/internal/capture"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 type captureCmd struct {
@@ -61,7 +61,7 @@
 }
 
 func describe(l *capture.Load) {
-	commands, dispatches, finals := 0, 0, map[wpb.CapturedCommand_Final]int{}
+	commands, dispatches, finals := 0, 0, map[pb.CapturedCommand_Final]int{}
 	volumes, bricks, hosts := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, x := range l.Lines {
 		if m := x.GetCommand(); m != nil {
@@ -112,7 +112,7 @@
 		return err
 	}
 	if err := l.Align(); err != nil {
-		fmt.Fprintln(os.Stderr, "weirctl:", err, "; their times stand as they are")
+		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; their times stand as they are")
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tMOVED BY\tSURE TO\tSTARTS SHARED")
--- a/internal/ctl/ctl.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package ctl is weirctl's commands.
-package ctl
+// Package cli holds weirhavenctl's commands.
+package cli
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	"time"
 
 	"weirhaven/internal/audit"
-	"weirhaven/internal/drill"
-	"weirhaven/internal/edge"
-	"weirhaven/internal/plan/serve"
+	"weirhaven/internal/controlplane/server"
+	"weirhaven/internal/fake/direct"
+	"weirhaven/internal/gateway"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
+	"weirhaven/internal/scenario"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/standin/direct"
-	"weirhaven/internal/wpb"
 )
 
 // CLI is the command line.
@@ -54,12 +54,12 @@
 		Lister standinLister `cmd:"" help:"A stand-in for the list service."`
 		Client standinClient `cmd:"" help:"A stand-in for clients."`
 	} `cmd:"" help:"Start one stand-in alone."`
-	Edge    edgeRun    `cmd:"" hidden:"" help:"A host, as weiredge; drills start theirs by it."`
-	Planner plannerRun `cmd:"" hidden:"" help:"A planner, as weirplan; drills start theirs by it."`
+	Edge    edgeRun    `cmd:"" hidden:"" help:"A host, as weirhaven-gateway; drills start theirs by it."`
+	Planner plannerRun `cmd:"" hidden:"" help:"A planner, as weirhaven-controller; drills start theirs by it."`
 }
 
 type edgeRun struct {
-	edge.Command
+	gateway.Command
 	Baseline string `help:"Decide by a baseline instead of the module." enum:",direct" default:""`
 }
 
@@ -67,20 +67,20 @@
 	if c.Baseline == "direct" {
 		return c.Execute(direct.Start)
 	}
-	return c.Execute(edge.Start)
+	return c.Execute(gateway.Start)
 }
 
-type plannerRun struct{ serve.Command }
+type plannerRun struct{ server.Command }
 
-func (c *plannerRun) Run() error { return c.Execute(edge.Logger) }
+func (c *plannerRun) Run() error { return c.Execute(gateway.Logger) }
 
 type drillList struct{}
 
 func (drillList) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DRILL\tLENGTH\tHOSTS\tTROUBLES")
-	for _, name := range drill.Names() {
-		d, err := drill.Load(name)
+	for _, name := range scenario.Names() {
+		d, err := scenario.Load(name)
 		if err != nil {
 			return err
 		}
@@ -110,14 +110,14 @@
 // arm is one way to decide, and what came of it.
 type arm struct {
 	Name    string
-	Result  *drill.Result `json:"-"`
+	Result  *scenario.Result `json:"-"`
 	Kept    bool
 	Verdict *audit.Verdict
 	Exits   []string `json:",omitempty"`
 }
 
 func (c *drillRun) Run() error {
-	d, err := drill.Load(c.Drill)
+	d, err := scenario.Load(c.Drill)
 	if err != nil {
 		return err
 	}
@@ -125,13 +125,13 @@
 		d.Hosts = c.Hosts
 	}
 	if c.Length > 0 {
-		d = drill.Stretch(d, c.Length)
+		d = scenario.Stretch(d, c.Length)
 	}
 	if c.Capture != "" {
 		if c.Seeds > 1 || c.Baseline != "" {
 			return errors.New("--capture takes one run: no --seeds, no --baseline")
 		}
-		text, err := settings.Text(drill.Describe(d, c.Seed))
+		text, err := settings.Text(scenario.Describe(d, c.Seed))
 		if err == nil {
 			err = os.MkdirAll(c.Capture, 0o755)
 		}
@@ -204,7 +204,7 @@
 }
 
 // play plays one seed, with the module and then with the baseline.
-func (c *drillRun) play(ctx context.Context, d *wpb.Drill, seed int64, logs io.Writer) ([]arm, error) {
+func (c *drillRun) play(ctx context.Context, d *pb.Drill, seed int64, logs io.Writer) ([]arm, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -223,11 +223,11 @@
 	var arms []arm
 	for i, name := range names {
 		if name == "calm" {
-			d = drill.Calm(d)
+			d = scenario.Calm(d)
 		} else if i > 0 {
 			host = []string{self, "edge", "--bound", "--baseline", name}
 		}
-		r, err := drill.Run(ctx, d, drill.Options{Seed: seed, Host: host, Arm: name, Logs: logs, State: c.State, Capture: c.Capture,
+		r, err := scenario.Run(ctx, d, scenario.Options{Seed: seed, Host: host, Arm: name, Logs: logs, State: c.State, Capture: c.Capture,
 			Planner: []string{self, "planner", "--bound"}})
 		if err != nil {
 			return nil, err
@@ -246,7 +246,7 @@
 	return arms, nil
 }
 
-func (c *drillRun) show(d *wpb.Drill, seed int64, arms []arm) error {
+func (c *drillRun) show(d *pb.Drill, seed int64, arms []arm) error {
 	if c.JSON {
 		e := json.NewEncoder(os.Stdout)
 		return e.Encode(map[string]any{"drill": d.Name, "seed": seed, "arms": arms})
@@ -376,7 +376,7 @@
 }
 
 type configCheck struct {
-	File string `arg:"" type:"existingfile" help:"Settings of a host (weiredge)."`
+	File string `arg:"" type:"existingfile" help:"Settings of a host (weirhaven-gateway)."`
 }
 
 func (c *configCheck) Run() error {
--- a/internal/ctl/fleet.go
+++ b/internal/cli/fleet.go
@@ -1,16 +1,16 @@
-package ctl
+package cli
 
 import (
 	"fmt"
 	"net"
 	"time"
 
-	"weirhaven/internal/edge"
-	"weirhaven/internal/fleet/decide"
+	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/fleet/store"
+	"weirhaven/internal/gateway"
 	"weirhaven/internal/lineproto"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // ask sends one operator's message to a host and returns its answer's body.
@@ -87,14 +87,14 @@
 	if err != nil {
 		return err
 	}
-	rules, err := settings.Beliefs(&wpb.Edge{}) // as a host with the usual figures would take it now
+	rules, err := settings.Beliefs(&pb.Edge{}) // as a host with the usual figures would take it now
 	if err != nil {
 		return err
 	}
 	now := time.Duration(time.Now().UnixNano())
-	f := decide.New(rules, nobody{}, func(string) {})
+	f := endpointstate.New(rules, nobody{}, func(string) {})
 	f.Restore(all, last, now)
-	fmt.Print(edge.Table(f.Beliefs(), hosts, last, now))
+	fmt.Print(gateway.Table(f.Beliefs(), hosts, last, now))
 	return nil
 }
 
--- a/internal/ctl/import.go
+++ b/internal/cli/import.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"weirhaven/internal/drill"
+	"weirhaven/internal/pb"
+	"weirhaven/internal/scenario"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 type drillImport struct {
@@ -20,7 +20,7 @@
 }
 
 func (c *drillImport) Run() error {
-	d, notes, err := drill.Import(c.Day, drill.Scale{Hosts: max(c.Hosts, 1), Bricks: max(c.Bricks, 1), Length: c.Length})
+	d, notes, err := scenario.Import(c.Day, scenario.Scale{Hosts: max(c.Hosts, 1), Bricks: max(c.Bricks, 1), Length: c.Length})
 	if err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 		return err
 	}
 	text = append([]byte("# Made of a bench day. Changed or not carried over:\n# - "+strings.Join(notes, "\n# - ")+"\n"), text...)
-	if err := settings.Parse(d.Name, text, &wpb.Drill{}); err != nil {
+	if err := settings.Parse(d.Name, text, &pb.Drill{}); err != nil {
 		return fmt.Errorf("the day does not fit a drill: %w", err)
 	}
 	if c.Output == "" {
--- a/internal/ctl/plan.go
+++ b/internal/cli/plan.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"weirhaven/internal/keys"
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/pb"
+	"weirhaven/internal/tlskeys"
 )
 
 type planCmd struct {
@@ -33,15 +33,15 @@
 	Server  string `help:"Name in the planner's certificate." default:"weirplan"`
 }
 
-func (c *planFlags) ask(a *wpb.StatusAsk) (*wpb.StatusTold, error) {
+func (c *planFlags) ask(a *pb.StatusAsk) (*pb.StatusTold, error) {
 	creds := insecure.NewCredentials()
 	if c.Cert != "" {
-		k, err := keys.Load(&wpb.Keys{Certificate: c.Cert, Key: c.Key, Trusted: c.Trusted}, slog.Default())
+		k, err := tlskeys.Load(&pb.Keys{Certificate: c.Cert, Key: c.Key, Trusted: c.Trusted}, slog.Default())
 		if err != nil {
 			return nil, err
 		}
 		creds = credentials.NewTLS(k.Client(c.Server))
-	} else if !keys.Loopback(c.Planner) {
+	} else if !tlskeys.Loopback(c.Planner) {
 		return nil, errors.New("without --cert, --key and --trusted only a planner on loopback is asked")
 	}
 	conn, err := grpc.NewClient("passthrough:///"+c.Planner, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(256<<20)))
@@ -51,13 +51,13 @@
 	defer conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	return wpb.NewPlanningClient(conn).Status(ctx, a)
+	return pb.NewPlanningClient(conn).Status(ctx, a)
 }
 
 type planStatus struct{ planFlags }
 
 func (c *planStatus) Run() error {
-	t, err := c.ask(&wpb.StatusAsk{Edges: true})
+	t, err := c.ask(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 type planViews struct{ planFlags }
 
 func (c *planViews) Run() error {
-	t, err := c.ask(&wpb.StatusAsk{View: true})
+	t, err := c.ask(&pb.StatusAsk{View: true})
 	if err != nil {
 		return err
 	}
@@ -94,14 +94,14 @@
 			}
 		case b != nil:
 			what = fmt.Sprintf("%s zone %s cell %d serving %v", b.Address, b.Zone, b.Cell, b.Serving)
-			if view.Drained(b) {
+			if snapshot.Drained(b) {
 				what += ", drained"
 			}
 		case x.Volume != nil:
 			what = fmt.Sprintf("plan %s through %d edges, cells %v", x.Volume.Plan, x.Volume.Hosts, x.Volume.Cell)
 		case x.Place != nil:
 			what = fmt.Sprintf("cell %d, given to %s", x.Place.Cell, x.Place.Edge)
-		case x.Kind == wpb.Item_HOSTS:
+		case x.Kind == pb.Item_HOSTS:
 			what = fmt.Sprint(x.Hosts)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", x.Kind, x.Name, x.Generation, x.Term, what)
@@ -112,7 +112,7 @@
 type planEdges struct{ planFlags }
 
 func (c *planEdges) Run() error {
-	t, err := c.ask(&wpb.StatusAsk{Edges: true})
+	t, err := c.ask(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 }
 
 func (c *planDiff) Run() error {
-	t, err := c.ask(&wpb.StatusAsk{Diff: c.Edge})
+	t, err := c.ask(&pb.StatusAsk{Diff: c.Edge})
 	if err != nil {
 		return err
 	}
@@ -149,4 +149,4 @@
 	Names []string      `arg:"" help:"A key and certificate for each: weirplan, each edge by its name, operators."`
 }
 
-func (c *keysMake) Run() error { return keys.Make(c.Dir, c.Names, c.Valid) }
+func (c *keysMake) Run() error { return tlskeys.Make(c.Dir, c.Names, c.Valid) }
--- a/internal/ctl/soak.go
+++ b/internal/cli/soak.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	Length    time.Duration `help:"How long the load lasts." default:"60s"`
 	Rate      float64       `help:"Requests a second at each process." default:"12"`
 	Menu      []string      `help:"Play only these troubles (repeatable); all if absent. 'list' prints their names."`
-	Program   string        `help:"The gateway's program; weiredge beside this one if absent." type:"path"`
+	Program   string        `help:"The gateway's program; weirhaven-gateway beside this one if absent." type:"path"`
 	Folder    string        `help:"Where configurations and logs go; a temporary folder if absent." type:"path"`
 }
 
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		program = filepath.Join(filepath.Dir(self), "weiredge")
+		program = filepath.Join(filepath.Dir(self), "weirhaven-gateway")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/internal/ctl/standin.go
+++ b/internal/cli/standin.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"bufio"
@@ -12,11 +12,11 @@
 	"time"
 
 	"weirhaven/internal/audit"
+	"weirhaven/internal/fake/client"
+	"weirhaven/internal/fake/discovery"
+	"weirhaven/internal/fake/storagenode"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/standin/client"
-	"weirhaven/internal/standin/lister"
-	"weirhaven/internal/wpb"
 )
 
 func untilStopped() context.Context {
@@ -43,13 +43,13 @@
 
 func (c *standinBrick) Run() error {
 	ctx := untilStopped()
-	b, err := brick.Start(brick.Config{Name: c.Name, Address: c.Listen, Cell: c.Cell, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
+	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Cell: c.Cell, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
 		Cold: c.Cold > 0, FallMultiple: 2, FallAfter: time.Second, Writes: map[string]bool{},
-		Kind: &wpb.BrickKind{UnitWork: c.UnitWork.String(), Vary: c.Vary, Queue: c.Queue, ColdFrom: 0.2, ColdFor: c.Cold.String()}})
+		Kind: &pb.BrickKind{UnitWork: c.UnitWork.String(), Vary: c.Vary, Queue: c.Queue, ColdFrom: 0.2, ColdFor: c.Cold.String()}})
 	if err != nil {
 		return err
 	}
-	b.Set(func(k *brick.Conditions) { k.Slow, k.Errors, k.Lost = c.Slow, c.Errors, c.Lost })
+	b.Set(func(k *storagenode.Conditions) { k.Slow, k.Errors, k.Lost = c.Slow, c.Errors, c.Lost })
 	fmt.Printf("READY %s\n", b.Address())
 	<-ctx.Done()
 	b.Stop()
@@ -64,7 +64,7 @@
 
 func (c *standinLister) Run() error {
 	ctx := untilStopped()
-	s, err := lister.Start(lister.Config{Address: c.Listen, Asked: c.Asked, Seed: 1})
+	s, err := discovery.Start(discovery.Config{Address: c.Listen, Asked: c.Asked, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func listLine(s *lister.Service, line string) error {
+func listLine(s *discovery.Service, line string) error {
 	f := strings.Split(line, ",")
 	if len(f) != 5 {
 		return fmt.Errorf("brick %q: wanted name,address,zone,cell,state", line)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return fmt.Errorf("brick %q: cell: %w", line, err)
 	}
-	s.Set(lister.Entry{Name: f[0], Address: f[1], Zone: f[2], Cell: cell, State: f[4]})
+	s.Set(discovery.Entry{Name: f[0], Address: f[1], Zone: f[2], Cell: cell, State: f[4]})
 	return nil
 }
 
@@ -121,14 +121,14 @@
 	for i := range c.Host {
 		v.Hosts = append(v.Hosts, i)
 	}
-	q := &wpb.QueueType{Name: c.QueueType, ServiceTarget: c.Target.String(), CommandTimeout: c.Timeout.String(), Importance: 1}
+	q := &pb.QueueType{Name: c.QueueType, ServiceTarget: c.Target.String(), CommandTimeout: c.Timeout.String(), Importance: 1}
 	l := client.Start(client.Config{Hosts: func(i int) string { return c.Host[i] }, Count: len(c.Host),
-		QueueTypes: []*wpb.QueueType{q}, Volumes: []client.Volume{v}, Load: &wpb.Load{Mix: []float64{1}, Objects: 100},
+		QueueTypes: []*pb.QueueType{q}, Volumes: []client.Volume{v}, Load: &pb.Load{Mix: []float64{1}, Objects: 100},
 		UsualUnits: 1, MostUnits: 1, Seed: c.Seed, Record: rec, Incarnation: func(int) uint32 { return 1 }})
 	time.Sleep(100 * time.Millisecond)
 	l.Run(ctx, c.Length)
 	l.Stop()
-	h := &wpb.Header{Fleet: &wpb.Fleet{AnswerSlack: "50ms"}, QueueType: []*wpb.QueueType{q}, Plan: []*wpb.Plan{{Name: "-", Importance: 1}},
+	h := &pb.Header{Fleet: &pb.Fleet{AnswerSlack: "50ms"}, QueueType: []*pb.QueueType{q}, Plan: []*pb.Plan{{Name: "-", Importance: 1}},
 		Blur: int64(50 * time.Millisecond)}
 	table(os.Stdout, []string{"client"}, []*audit.Verdict{audit.Judge(h, rec.All())})
 	return nil
--- a/internal/ctl/states.go
+++ b/internal/cli/states.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"bytes"
--- a/internal/ctl/verify.go
+++ b/internal/cli/verify.go
@@ -1,4 +1,4 @@
-package ctl
+package cli
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"weirhaven/internal/capacity/report"
 	"weirhaven/internal/capacity/verify"
-	"weirhaven/internal/drill"
+	"weirhaven/internal/scenario"
 )
 
 type capacityVerify struct {
@@ -25,7 +25,7 @@
 func (c *capacityVerify) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	d, err := drill.Load(c.Drill)
+	d, err := scenario.Load(c.Drill)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	o := drill.Options{Seed: c.Seed, Host: []string{self, "edge", "--bound"}}
+	o := scenario.Options{Seed: c.Seed, Host: []string{self, "edge", "--bound"}}
 	fmt.Fprintln(os.Stderr, "recording", d.Name, "for", d.Length)
 	l, err := verify.Record(ctx, d, o)
 	if err != nil {
--- a/internal/plan/follow/follow.go
+++ b/internal/controlplane/client/client.go
@@ -1,6 +1,6 @@
-// Package follow is an edge's side of the planner: it follows the planner with the highest tenure, keeps its view on disk, tells the
+// Package client is an edge's side of the planner: it follows the planner with the highest tenure, keeps its view on disk, tells the
 // planner what it holds and learnt. Nothing here stands in a command's way.
-package follow
+package client
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
-	"weirhaven/internal/keys"
-	"weirhaven/internal/plan/store"
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/controlplane/store"
+	"weirhaven/internal/pb"
+	"weirhaven/internal/tlskeys"
 )
 
 // Version of the messages; the planner bears one older and one newer.
@@ -35,12 +35,12 @@
 // Sink hears what the view says. No call may block for long.
 type Sink interface {
 	// Changed are things as they are now; fresh: told by a planner that is there, not read from disk.
-	Changed(items []*wpb.Item, fresh bool)
+	Changed(items []*pb.Item, fresh bool)
 }
 
 // Config is a follower's.
 type Config struct {
-	Planner *wpb.Planner
+	Planner *pb.Planner
 	Name    string
 	Address string // where clients reach the edge
 	File    string // that keeps the view
@@ -59,7 +59,7 @@
 	creds credentials.TransportCredentials
 
 	mu        sync.Mutex
-	view      *view.View
+	view      *snapshot.View
 	store     *store.Store
 	following string             // address of the planner followed; empty: none
 	leave     context.CancelFunc // ends that stream
@@ -80,7 +80,7 @@
 	}
 	switch p := c.Planner; {
 	case p.Keys != nil:
-		k, err := keys.Load(p.Keys, c.Log)
+		k, err := tlskeys.Load(p.Keys, c.Log)
 		if err != nil {
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 		f.creds = credentials.NewTLS(k.Client(server))
 	default:
 		for _, a := range p.Address {
-			if !p.Plain || !keys.Loopback(a) {
+			if !p.Plain || !tlskeys.Loopback(a) {
 				return nil, fmt.Errorf("settings planner give no keys; without them say plain: true and use loopback (address: %s)", a)
 			}
 		}
@@ -104,7 +104,7 @@
 	if aside != "" {
 		c.Log.Warn("the view kept could not be read and was set aside; the planner tells it anew", "aside", aside)
 	}
-	f.store, f.view = st, view.New(saved.Tenure, saved.Generation, saved.Items, mostItems)
+	f.store, f.view = st, snapshot.New(saved.Tenure, saved.Generation, saved.Items, mostItems)
 	if len(saved.Items) > 0 {
 		c.Sink.Changed(saved.Items, false)
 	}
@@ -162,21 +162,21 @@
 func (f *Follower) stream(outer context.Context, conn *grpc.ClientConn, address string) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(outer)
 	defer cancel()
-	s, err := wpb.NewPlanningClient(conn).Follow(ctx)
+	s, err := pb.NewPlanningClient(conn).Follow(ctx)
 	if err != nil {
 		return false, err
 	}
 	f.mu.Lock()
-	hello := &wpb.EdgeHello{Version: Version, Name: f.c.Name, Address: f.c.Address, Tenure: f.view.Tenure(), Generation: f.view.Generation(), Digest: f.view.Digest(),
+	hello := &pb.EdgeHello{Version: Version, Name: f.c.Name, Address: f.c.Address, Tenure: f.view.Tenure(), Generation: f.view.Generation(), Digest: f.view.Digest(),
 		Following: f.following != "" && f.following != address, Whole: f.whole}
 	f.mu.Unlock()
-	if err := s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Hello{Hello: hello}}); err != nil {
+	if err := s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: hello}}); err != nil {
 		_, rerr := s.Recv() // what the planner said of it
 		return false, errors.Join(rerr, err)
 	}
 	defer f.left(address)
 	type told struct {
-		m   *wpb.PlannerSays
+		m   *pb.PlannerSays
 		err error
 	}
 	in := make(chan told)
@@ -259,7 +259,7 @@
 }
 
 // hear takes one message, and returns what is to be answered. What must be kept is on disk before.
-func (f *Follower) hear(m *wpb.PlannerSays, address string, conn *grpc.ClientConn, cancel context.CancelFunc, beat *uint64) (says []*wpb.EdgeSays, err error) {
+func (f *Follower) hear(m *pb.PlannerSays, address string, conn *grpc.ClientConn, cancel context.CancelFunc, beat *uint64) (says []*pb.EdgeSays, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	raised, err := f.view.Offered(m.Tenure)
@@ -280,22 +280,22 @@
 		f.following, f.leave, f.conn = address, cancel, conn
 	}
 	switch x := m.What.(type) {
-	case *wpb.PlannerSays_Report:
+	case *pb.PlannerSays_Report:
 		return f.reported(), nil
-	case *wpb.PlannerSays_News: // not of the view: used as any other's word, kept only where it drains
+	case *pb.PlannerSays_News: // not of the view: used as any other's word, kept only where it drains
 		for i, n := range x.News.Item {
 			x.News.Item[i] = f.view.Evidence(n)
 			if d := n.GetBrick().GetDrained(); d != 0 && f.view.Learn(n.Name, d) {
-				if err := f.store.Keep(f.view.Tenure(), f.view.Generation(), []*wpb.Item{f.view.Get(view.KeyOf(n))}); err != nil {
+				if err := f.store.Keep(f.view.Tenure(), f.view.Generation(), []*pb.Item{f.view.Get(snapshot.KeyOf(n))}); err != nil {
 					f.c.Log.Warn("a drain can't be written down", "brick", n.Name, "err", err)
 				}
 			}
 		}
 		f.c.Sink.Changed(x.News.Item, true)
 		return nil, nil
-	case *wpb.PlannerSays_Alive:
+	case *pb.PlannerSays_Alive:
 		*beat = x.Alive.Beat
-	case *wpb.PlannerSays_Part:
+	case *pb.PlannerSays_Part:
 		t, err := f.view.Part(m.Tenure, x.Part)
 		if err != nil {
 			f.whole = x.Part.Whole == false
@@ -318,21 +318,21 @@
 	default:
 		return nil, nil
 	}
-	return []*wpb.EdgeSays{{What: &wpb.EdgeSays_Ack{Ack: &wpb.EdgeAck{Tenure: f.view.Tenure(), Generation: f.view.Generation(), Beat: *beat}}}}, nil
+	return []*pb.EdgeSays{{What: &pb.EdgeSays_Ack{Ack: &pb.EdgeAck{Tenure: f.view.Tenure(), Generation: f.view.Generation(), Beat: *beat}}}}, nil
 }
 
-func (f *Follower) report() []*wpb.EdgeSays {
+func (f *Follower) report() []*pb.EdgeSays {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reported()
 }
 
 // reported is all that is held. Under mu.
-func (f *Follower) reported() (says []*wpb.EdgeSays) {
+func (f *Follower) reported() (says []*pb.EdgeSays) {
 	items := f.view.Items()
 	for {
 		n := min(len(items), partItems)
-		says = append(says, &wpb.EdgeSays{What: &wpb.EdgeSays_Report{Report: &wpb.EdgeReport{Item: items[:n], Last: n == len(items)}}})
+		says = append(says, &pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Item: items[:n], Last: n == len(items)}}})
 		if items = items[n:]; len(items) == 0 {
 			return says
 		}
@@ -346,8 +346,8 @@
 	if f.store == nil || !f.view.Learn(brick, drained) {
 		return
 	}
-	x := f.view.Get(view.Key{Kind: wpb.Item_BRICK, Name: brick})
-	if err := f.store.Keep(f.view.Tenure(), f.view.Generation(), []*wpb.Item{x}); err != nil {
+	x := f.view.Get(snapshot.Key{Kind: pb.Item_BRICK, Name: brick})
+	if err := f.store.Keep(f.view.Tenure(), f.view.Generation(), []*pb.Item{x}); err != nil {
 		f.c.Log.Warn("a drain can't be written down", "brick", brick, "err", err)
 	}
 	select {
@@ -364,21 +364,21 @@
 	if conn == nil {
 		return 0, errors.New("no planner is followed; new places must wait for one")
 	}
-	g, err := wpb.NewPlanningClient(conn).Place(ctx, &wpb.PlaceAsk{Edge: f.c.Name, Volume: volume, Name: name, ButZone: butZone})
+	g, err := pb.NewPlanningClient(conn).Place(ctx, &pb.PlaceAsk{Edge: f.c.Name, Volume: volume, Name: name, ButZone: butZone})
 	if err != nil {
 		return 0, err
 	}
-	if view.Compare(g.Tenure, tenure) < 0 {
+	if snapshot.Compare(g.Tenure, tenure) < 0 {
 		return 0, fmt.Errorf("a place of planner %q, term %d is refused: term %d is followed", g.Tenure.GetPlanner(), g.Tenure.GetTerm(), tenure.GetTerm())
 	}
-	x := &wpb.Item{Kind: wpb.Item_PLACE, Name: volume + "/" + name, Generation: g.Generation, Term: g.Tenure.GetTerm(),
-		Place: &wpb.PlanPlace{Volume: volume, Cell: g.Cell, Edge: f.c.Name}}
+	x := &pb.Item{Kind: pb.Item_PLACE, Name: volume + "/" + name, Generation: g.Generation, Term: g.Tenure.GetTerm(),
+		Place: &pb.PlanPlace{Volume: volume, Cell: g.Cell, Edge: f.c.Name}}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.store == nil {
 		return 0, errors.New("the edge stops")
 	}
-	if err := f.store.Keep(f.view.Tenure(), f.view.Generation(), []*wpb.Item{x}); err != nil {
+	if err := f.store.Keep(f.view.Tenure(), f.view.Generation(), []*pb.Item{x}); err != nil {
 		return 0, fmt.Errorf("the place can't be written down, so it is not used: %w", err)
 	}
 	f.view.Given(x)
@@ -386,14 +386,14 @@
 }
 
 // Get is one thing of the view; nil: it is not there.
-func (f *Follower) Get(k view.Key) *wpb.Item {
+func (f *Follower) Get(k snapshot.Key) *pb.Item {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Get(k)
 }
 
 // State tells what is followed and held.
-func (f *Follower) State() (address string, tenure *wpb.Tenure, generation uint64, items []*wpb.Item) {
+func (f *Follower) State() (address string, tenure *pb.Tenure, generation uint64, items []*pb.Item) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.following, f.view.Tenure(), f.view.Generation(), f.view.Items()
--- a/internal/plan/serve/bench_test.go
+++ b/internal/controlplane/server/bench_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/pb"
 )
 
 // light is an edge's control part without a disk: what it takes is what a planner's side costs.
 type light struct {
-	v    *view.View
+	v    *snapshot.View
 	at   atomic.Uint64
 	when func(generation uint64)
 }
@@ -44,11 +44,11 @@
 		return
 	}
 	defer conn.Close()
-	s, err := wpb.NewPlanningClient(conn).Follow(ctx)
+	s, err := pb.NewPlanningClient(conn).Follow(ctx)
 	if err != nil {
 		return
 	}
-	s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Hello{Hello: &wpb.EdgeHello{Version: Version, Name: name, Tenure: l.v.Tenure(), Generation: l.v.Generation(), Digest: l.v.Digest()}}})
+	s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: &pb.EdgeHello{Version: Version, Name: name, Tenure: l.v.Tenure(), Generation: l.v.Generation(), Digest: l.v.Digest()}}})
 	beat := uint64(0)
 	for {
 		m, err := s.Recv()
@@ -59,16 +59,16 @@
 			return
 		}
 		switch x := m.What.(type) {
-		case *wpb.PlannerSays_Report:
+		case *pb.PlannerSays_Report:
 			items := l.v.Items()
 			for pieces := range slices.Chunk(items, 512) {
-				s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Report{Report: &wpb.EdgeReport{Item: pieces}}})
+				s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Item: pieces}}})
 			}
-			s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Report{Report: &wpb.EdgeReport{Last: true}}})
+			s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Last: true}}})
 			continue
-		case *wpb.PlannerSays_Alive:
+		case *pb.PlannerSays_Alive:
 			beat = x.Alive.Beat
-		case *wpb.PlannerSays_Part:
+		case *pb.PlannerSays_Part:
 			t, err := l.v.Part(m.Tenure, x.Part)
 			if err != nil || t.Whole {
 				return
@@ -80,7 +80,7 @@
 		default:
 			continue
 		}
-		s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Ack{Ack: &wpb.EdgeAck{Tenure: l.v.Tenure(), Generation: l.v.Generation(), Beat: beat}}})
+		s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Ack{Ack: &pb.EdgeAck{Tenure: l.v.Tenure(), Generation: l.v.Generation(), Beat: beat}}})
 	}
 }
 
@@ -111,7 +111,7 @@
 	p, address, stop := start(b, c, Options{})
 	c.Listen = address
 	c.Store = filepath.Join(filepath.Dir(c.Store), "a.db")
-	lines := make([]hostloop.BrickLine, 1000)
+	lines := make([]engine.BrickLine, 1000)
 	for i := range lines {
 		lines[i] = brick(i, true)
 	}
@@ -122,7 +122,7 @@
 	times := make([]atomic.Int64, n)
 	var want atomic.Uint64
 	for i := range all {
-		l := &light{v: view.New(nil, 0, nil, mostItems)}
+		l := &light{v: snapshot.New(nil, 0, nil, mostItems)}
 		l.when = func(g uint64) {
 			if g >= want.Load() {
 				times[i].CompareAndSwap(0, time.Now().UnixNano())
@@ -184,7 +184,7 @@
 	stop()
 	p, _, stop = start(b, c, Options{})
 	begin = time.Now()
-	lists := make([]hostloop.BrickLine, 1000)
+	lists := make([]engine.BrickLine, 1000)
 	for i := range lists {
 		lists[i] = brick(i, true)
 	}
@@ -196,7 +196,7 @@
 	until(b, "in step after the restart", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.state.Phase().String() != "holding the lease" || p.state.Item(view.Key{Kind: wpb.Item_BRICK, Name: "b2000"}) == nil {
+		if p.state.Phase().String() != "holding the lease" || p.state.Item(snapshot.Key{Kind: pb.Item_BRICK, Name: "b2000"}) == nil {
 			return false
 		}
 		return reached(p.state.Generation())
--- a/internal/plan/serve/main.go
+++ b/internal/controlplane/server/main.go
@@ -1,14 +1,14 @@
-package serve
+package server
 
 import (
 	"fmt"
 	"io"
 	"log/slog"
 
-	"weirhaven/internal/life"
+	"weirhaven/internal/lifecycle"
 	"weirhaven/internal/logging"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Command is the planner's command line.
@@ -18,8 +18,8 @@
 }
 
 // Execute runs a planner until SIGTERM or SIGINT. It prints READY with its address once it serves. logger makes its log.
-func (c *Command) Execute(logger func(io.Writer, *wpb.Log) (*slog.Logger, error)) error {
-	conf := &wpb.PlannerConf{}
+func (c *Command) Execute(logger func(io.Writer, *pb.Log) (*slog.Logger, error)) error {
+	conf := &pb.PlannerConf{}
 	if err := settings.Load(c.Config, conf); err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := life.Context(c.Bound)
+	ctx, stop := lifecycle.Context(c.Bound)
 	defer stop()
 	return Run(ctx, conf, Options{Log: log, Ready: func(a string) { fmt.Println("READY", a) }})
 }
--- a/internal/plan/serve/serve.go
+++ b/internal/controlplane/server/server.go
@@ -1,6 +1,6 @@
-// Package serve is the planner's program: gRPC round the decisions of internal/plan/decide. A stream for each edge; what an edge
+// Package server is the planner's program: gRPC round the decisions of internal/plan/decide. A stream for each edge; what an edge
 // does not take is never piled up, since its changes are worked out anew when it can take some.
-package serve
+package server
 
 import (
 	"context"
@@ -23,15 +23,15 @@
 	"google.golang.org/grpc/status"
 
 	"weirhaven/internal/clock"
-	fleetdecide "weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/keys"
-	"weirhaven/internal/listconn"
-	"weirhaven/internal/plan/decide"
-	"weirhaven/internal/plan/store"
-	"weirhaven/internal/plan/view"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/controlplane/statemachine"
+	"weirhaven/internal/controlplane/store"
+	"weirhaven/internal/discovery"
+	"weirhaven/internal/engine"
+	fleetdecide "weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/tlskeys"
 )
 
 // Version of the messages. One older and one newer are borne: fields not known are kept out of the way by protobuf.
@@ -50,25 +50,25 @@
 	Log   *slog.Logger
 	Ready func(address string)
 	// Keep wraps the store, so that tests can fail it or stop in the middle; nil: not.
-	Keep func(decide.Keeper) decide.Keeper
+	Keep func(statemachine.Keeper) statemachine.Keeper
 	// Stall is how long an edge may take nothing before it is cut off; 0: 5 s.
 	Stall time.Duration
 }
 
 // Planner is one while it runs.
 type Planner struct {
-	wpb.UnimplementedPlanningServer
-	conf  *wpb.PlannerConf
+	pb.UnimplementedPlanningServer
+	conf  *pb.PlannerConf
 	log   *slog.Logger
 	store *store.Store
 
 	mu      sync.Mutex
-	state   *decide.State
+	state   *statemachine.State
 	beliefs *fleetdecide.Fleet
 	streams map[string]*stream
-	reports map[string][]*wpb.Item // the latest of each edge, for diff
-	told    map[string]int         // how many each edge has made
-	lists   int                    // heard so far
+	reports map[string][]*pb.Item // the latest of each edge, for diff
+	told    map[string]int        // how many each edge has made
+	lists   int                   // heard so far
 	lease   time.Duration
 	stall   time.Duration
 	stop    context.CancelFunc
@@ -89,9 +89,9 @@
 func now() time.Duration { return processClock.Now() }
 
 // Run serves until ctx ends.
-func Run(ctx context.Context, conf *wpb.PlannerConf, o Options) error { return run(ctx, conf, o, nil) }
+func Run(ctx context.Context, conf *pb.PlannerConf, o Options) error { return run(ctx, conf, o, nil) }
 
-func run(ctx context.Context, conf *wpb.PlannerConf, o Options, made func(p *Planner)) error {
+func run(ctx context.Context, conf *pb.PlannerConf, o Options, made func(p *Planner)) error {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
@@ -99,16 +99,16 @@
 		o.Stall = 5 * time.Second
 	}
 	log := o.Log.With("planner", conf.Name)
-	p := &Planner{conf: conf, log: log, streams: map[string]*stream{}, reports: map[string][]*wpb.Item{}, told: map[string]int{}, lease: settings.Duration(conf.Lease, 3*time.Second), stall: o.Stall}
+	p := &Planner{conf: conf, log: log, streams: map[string]*stream{}, reports: map[string][]*pb.Item{}, told: map[string]int{}, lease: settings.Duration(conf.Lease, 3*time.Second), stall: o.Stall}
 	var creds []grpc.ServerOption
 	switch {
 	case conf.Keys != nil:
-		k, err := keys.Load(conf.Keys, log)
+		k, err := tlskeys.Load(conf.Keys, log)
 		if err != nil {
 			return err
 		}
 		creds = append(creds, grpc.Creds(credentials.NewTLS(k.Server())))
-	case !conf.Plain || !keys.Loopback(conf.Listen):
+	case !conf.Plain || !tlskeys.Loopback(conf.Listen):
 		return fmt.Errorf("settings give no keys; without them say plain: true and listen on loopback (listen: %s)", conf.Listen)
 	}
 	st, saved, aside, err := store.Open(conf.Store)
@@ -120,7 +120,7 @@
 		log.Warn("the store could not be read and was set aside; what it held is learnt from the edges", "aside", aside)
 	}
 	p.store = st
-	keeper := decide.Keeper(st)
+	keeper := statemachine.Keeper(st)
 	if o.Keep != nil {
 		keeper = o.Keep(st)
 	}
@@ -128,25 +128,25 @@
 	if most == 0 {
 		most = 16
 	}
-	rules := decide.Rules{Edges: int(conf.Edges), Lease: p.lease, Recover: settings.Duration(conf.Recover, 5*time.Second), AtOnce: most, Tombstones: tombstones,
+	rules := statemachine.Rules{Edges: int(conf.Edges), Lease: p.lease, Recover: settings.Duration(conf.Recover, 5*time.Second), AtOnce: most, Tombstones: tombstones,
 		Items: mostItems}
-	p.state, err = decide.New(conf.Name, randv2.Uint64(), saved.Tenure, saved.Generation, saved.Items, rules, keeper, func(line string) { log.Info(line) }, now())
+	p.state, err = statemachine.New(conf.Name, randv2.Uint64(), saved.Tenure, saved.Generation, saved.Items, rules, keeper, func(line string) { log.Info(line) }, now())
 	if err != nil {
 		return err
 	}
-	r, err := settings.Beliefs(&wpb.Edge{})
+	r, err := settings.Beliefs(&pb.Edge{})
 	if err != nil {
 		return err
 	}
 	p.beliefs = fleetdecide.New(r, (*wants)(p), func(line string) { log.Info(line) })
 	p.restore(saved.Items)
 	for _, x := range conf.Plan {
-		p.state.Want(&wpb.Item{Kind: wpb.Item_PLAN, Name: x.Name, Plan: x})
+		p.state.Want(&pb.Item{Kind: pb.Item_PLAN, Name: x.Name, Plan: x})
 	}
 	for _, v := range conf.Volume {
-		p.state.Want(&wpb.Item{Kind: wpb.Item_VOLUME, Name: v.Name, Volume: &wpb.PlanVolume{Plan: v.Plan, Hosts: v.Hosts, Cell: v.Cell}})
+		p.state.Want(&pb.Item{Kind: pb.Item_VOLUME, Name: v.Name, Volume: &pb.PlanVolume{Plan: v.Plan, Hosts: v.Hosts, Cell: v.Cell}})
 	}
-	p.state.Want(&wpb.Item{Kind: wpb.Item_HOSTS, Hosts: conf.Edges})
+	p.state.Want(&pb.Item{Kind: pb.Item_HOSTS, Hosts: conf.Edges})
 
 	var config net.ListenConfig
 	l, err := config.Listen(ctx, "tcp", conf.Listen)
@@ -158,13 +158,13 @@
 	p.stop = stop
 	server := grpc.NewServer(append(creds, grpc.WaitForHandlers(true), grpc.MaxRecvMsgSize(mostBytes), grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: o.Stall}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}))...)
-	wpb.RegisterPlanningServer(server, p)
+	pb.RegisterPlanningServer(server, p)
 	var wg sync.WaitGroup
 	defer p.wg.Wait()
 	defer wg.Wait()
 	wg.Add(2)
 	go func() { defer wg.Done(); p.beat(inner) }()
-	lister := listconn.New(listconn.Config{Address: conf.ListService, Name: conf.Name, Asked: conf.Fleet.ListAsked, Limits: settings.Bounds(nil), Seed: time.Now().UnixNano(),
+	lister := discovery.New(discovery.Config{Address: conf.ListService, Name: conf.Name, Asked: conf.Fleet.ListAsked, Limits: settings.Bounds(nil), Seed: time.Now().UnixNano(),
 		Log: log, Sink: p})
 	lister.Watch(true)
 	go func() { defer wg.Done(); lister.Run(inner) }()
@@ -190,11 +190,11 @@
 }
 
 // restore lets the beliefs know what was written before.
-func (p *Planner) restore(items []*wpb.Item) {
+func (p *Planner) restore(items []*pb.Item) {
 	var all []fleetdecide.Belief
 	for _, x := range items {
 		b := x.GetBrick()
-		if x.Kind != wpb.Item_BRICK || b == nil {
+		if x.Kind != pb.Item_BRICK || b == nil {
 			continue
 		}
 		drained := time.Duration(b.Drained)
@@ -211,15 +211,15 @@
 type wants Planner
 
 func (w *wants) BrickIs(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
-	b := &wpb.PlanBrick{Address: address, Zone: zone, Cell: int64(cell), Serving: serving && !gone}
+	b := &pb.PlanBrick{Address: address, Zone: zone, Cell: int64(cell), Serving: serving && !gone}
 	if x, ok := w.beliefs.Belief(name); ok {
 		b.Started, b.Drained = int64(x.Started), int64(x.Drained)
 	}
-	w.state.Want(&wpb.Item{Kind: wpb.Item_BRICK, Name: name, Gone: gone, Brick: b})
+	w.state.Want(&pb.Item{Kind: pb.Item_BRICK, Name: name, Gone: gone, Brick: b})
 }
 
 // List, ListFailed and ListHolds are what the list service says.
-func (p *Planner) List(g fleetdecide.Generation, whole bool, lines []hostloop.BrickLine) {
+func (p *Planner) List(g fleetdecide.Generation, whole bool, lines []engine.BrickLine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
@@ -298,7 +298,7 @@
 }
 
 // Follow is an edge's stream.
-func (p *Planner) Follow(s grpc.BidiStreamingServer[wpb.EdgeSays, wpb.PlannerSays]) error {
+func (p *Planner) Follow(s grpc.BidiStreamingServer[pb.EdgeSays, pb.PlannerSays]) error {
 	ctx, end := context.WithCancel(s.Context())
 	defer end()
 	first, err := s.Recv()
@@ -336,7 +336,7 @@
 		p.log.Info("edge sent back", "edge", h.Name, "why", err)
 		return status.Error(codes.Unavailable, err.Error())
 	}
-	out := make(chan *wpb.PlannerSays) // one message at a time: what waits, waits in the state
+	out := make(chan *pb.PlannerSays) // one message at a time: what waits, waits in the state
 	failed := make(chan error, 2)
 	p.wg.Add(2)
 	go func() { // ends with the stream: a Send that hangs is let go when this handler returns
@@ -357,7 +357,7 @@
 		defer p.wg.Done()
 		failed <- p.read(s, h.Name)
 	}()
-	send := func(m *wpb.PlannerSays) error {
+	send := func(m *pb.PlannerSays) error {
 		m.Tenure = tenure
 		t := time.NewTimer(p.stall)
 		defer t.Stop()
@@ -373,7 +373,7 @@
 		}
 	}
 	if ask {
-		if err := send(&wpb.PlannerSays{What: &wpb.PlannerSays_Report{Report: &wpb.ReportAsk{}}}); err != nil {
+		if err := send(&pb.PlannerSays{What: &pb.PlannerSays_Report{Report: &pb.ReportAsk{}}}); err != nil {
 			return err
 		}
 	}
@@ -381,20 +381,20 @@
 }
 
 // follow sends an edge its view, then what changes, and beats between.
-func (p *Planner) follow(ctx context.Context, me *stream, h *wpb.EdgeHello, tenure *wpb.Tenure, send func(*wpb.PlannerSays) error, failed chan error) error {
+func (p *Planner) follow(ctx context.Context, me *stream, h *pb.EdgeHello, tenure *pb.Tenure, send func(*pb.PlannerSays) error, failed chan error) error {
 	at, digest, held, whole := h.Generation, h.Digest, h.Tenure, h.Whole
 	rng := rand.New(rand.NewSource(time.Now().UnixNano()))
 	beat, told, lists := uint64(0), false, 0
 	for {
 		p.mu.Lock()
-		if view.Compare(p.state.Tenure(), tenure) != 0 { // raised since: it must hear that first
+		if snapshot.Compare(p.state.Tenure(), tenure) != 0 { // raised since: it must hear that first
 			p.mu.Unlock()
 			return status.Error(codes.Unavailable, "the planner's term was raised; come again")
 		}
 		phase, latest := p.state.Phase(), p.state.BeatNow()
-		var part *wpb.ViewPart
+		var part *pb.ViewPart
 		var later time.Duration
-		if phase != decide.Recovering && phase != decide.Outranked {
+		if phase != statemachine.Recovering && phase != statemachine.Outranked {
 			var due bool
 			if part, due = p.state.View(me.name, held, at, digest, whole); due {
 				var ok bool
@@ -407,27 +407,27 @@
 		}
 		generation, ask := p.state.Generation(), me.ask
 		me.ask = false
-		var news []*wpb.Item
-		if lists != p.lists && phase != decide.Outranked {
-			if lists = p.lists; phase != decide.Holding { // else it is written, and comes with the view
+		var news []*pb.Item
+		if lists != p.lists && phase != statemachine.Outranked {
+			if lists = p.lists; phase != statemachine.Holding { // else it is written, and comes with the view
 				news = p.evidence()
 			}
 		}
 		p.mu.Unlock()
 		if ask {
-			if err := send(&wpb.PlannerSays{What: &wpb.PlannerSays_Report{Report: &wpb.ReportAsk{}}}); err != nil {
+			if err := send(&pb.PlannerSays{What: &pb.PlannerSays_Report{Report: &pb.ReportAsk{}}}); err != nil {
 				return err
 			}
 		}
 		for piece := range slices.Chunk(news, partItems) {
-			if err := send(&wpb.PlannerSays{What: &wpb.PlannerSays_News{News: &wpb.PlannerNews{Item: piece}}}); err != nil {
+			if err := send(&pb.PlannerSays{What: &pb.PlannerSays_News{News: &pb.PlannerNews{Item: piece}}}); err != nil {
 				return err
 			}
 		}
 		switch {
 		case part != nil:
 			for _, piece := range pieces(part) {
-				if err := send(&wpb.PlannerSays{What: &wpb.PlannerSays_Part{Part: piece}}); err != nil {
+				if err := send(&pb.PlannerSays{What: &pb.PlannerSays_Part{Part: piece}}); err != nil {
 					return err
 				}
 			}
@@ -437,13 +437,13 @@
 			p.mu.Unlock()
 			continue
 		case later > 0 && !told:
-			if err := send(&wpb.PlannerSays{What: &wpb.PlannerSays_Later{Later: &wpb.Later{After: int64(later)}}}); err != nil {
+			if err := send(&pb.PlannerSays{What: &pb.PlannerSays_Later{Later: &pb.Later{After: int64(later)}}}); err != nil {
 				return err
 			}
 			told = true
 		}
 		if latest != beat {
-			if err := send(&wpb.PlannerSays{What: &wpb.PlannerSays_Alive{Alive: &wpb.Alive{Generation: generation, Beat: latest}}}); err != nil {
+			if err := send(&pb.PlannerSays{What: &pb.PlannerSays_Alive{Alive: &pb.Alive{Generation: generation, Beat: latest}}}); err != nil {
 				return err
 			}
 			beat = latest
@@ -467,33 +467,33 @@
 }
 
 // evidence is what is believed of bricks, as items of no generation. Under mu.
-func (p *Planner) evidence() (all []*wpb.Item) {
+func (p *Planner) evidence() (all []*pb.Item) {
 	for _, b := range p.beliefs.Beliefs() {
 		if b.From == fleetdecide.Saved { // what it held itself is no news
 			continue
 		}
-		all = append(all, &wpb.Item{Kind: wpb.Item_BRICK, Name: b.Name, Gone: b.Gone, Brick: &wpb.PlanBrick{Address: b.Address, Zone: b.Zone, Cell: int64(b.Cell),
+		all = append(all, &pb.Item{Kind: pb.Item_BRICK, Name: b.Name, Gone: b.Gone, Brick: &pb.PlanBrick{Address: b.Address, Zone: b.Zone, Cell: int64(b.Cell),
 			Serving: b.Serving && !b.Gone, Started: int64(b.Started), Drained: int64(b.Drained)}})
 	}
 	return all
 }
 
 // pieces cuts a view into messages; only the last one has its digest.
-func pieces(p *wpb.ViewPart) []*wpb.ViewPart {
-	var all []*wpb.ViewPart
+func pieces(p *pb.ViewPart) []*pb.ViewPart {
+	var all []*pb.ViewPart
 	for items := range slices.Chunk(p.Item, partItems) {
-		all = append(all, &wpb.ViewPart{From: p.From, To: p.To, Whole: p.Whole, Item: items})
+		all = append(all, &pb.ViewPart{From: p.From, To: p.To, Whole: p.Whole, Item: items})
 	}
 	if len(all) == 0 {
-		all = []*wpb.ViewPart{{From: p.From, To: p.To, Whole: p.Whole}}
+		all = []*pb.ViewPart{{From: p.From, To: p.To, Whole: p.Whole}}
 	}
 	all[len(all)-1].Last, all[len(all)-1].Digest = true, p.Digest
 	return all
 }
 
 // read takes what an edge says until its stream ends.
-func (p *Planner) read(s grpc.BidiStreamingServer[wpb.EdgeSays, wpb.PlannerSays], name string) error {
-	var report []*wpb.Item
+func (p *Planner) read(s grpc.BidiStreamingServer[pb.EdgeSays, pb.PlannerSays], name string) error {
+	var report []*pb.Item
 	for {
 		m, err := s.Recv()
 		if err != nil {
@@ -501,9 +501,9 @@
 		}
 		p.mu.Lock()
 		switch x := m.What.(type) {
-		case *wpb.EdgeSays_Ack:
+		case *pb.EdgeSays_Ack:
 			p.state.Ack(name, x.Ack.GetTenure(), x.Ack.Generation, x.Ack.Beat, now())
-		case *wpb.EdgeSays_Report:
+		case *pb.EdgeSays_Report:
 			if report = append(report, x.Report.Item...); len(report) > mostItems {
 				err = fmt.Errorf("a report of more than %d things", mostItems)
 			} else if err = p.state.Report(name, x.Report.Item, x.Report.Last, now()); err == nil && x.Report.Last {
@@ -521,11 +521,11 @@
 }
 
 // heard lets the beliefs know what an edge told of bricks; its drains count, whatever the list says. Under mu.
-func (p *Planner) heard(items []*wpb.Item) {
+func (p *Planner) heard(items []*pb.Item) {
 	var lines []fleetdecide.Line
 	for _, x := range items {
 		b := x.GetBrick()
-		if b == nil || !view.Drained(b) {
+		if b == nil || !snapshot.Drained(b) {
 			continue
 		}
 		lines = append(lines, fleetdecide.Line{Name: x.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Started: max(time.Duration(b.Started), time.Duration(b.Drained)),
@@ -538,7 +538,7 @@
 }
 
 // Place gives the place of a new object or extent; it is written down before it is given.
-func (p *Planner) Place(ctx context.Context, a *wpb.PlaceAsk) (*wpb.PlaceGiven, error) {
+func (p *Planner) Place(ctx context.Context, a *pb.PlaceAsk) (*pb.PlaceGiven, error) {
 	if err := who(ctx, a.Edge); err != nil {
 		return nil, err
 	}
@@ -548,17 +548,17 @@
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	return &wpb.PlaceGiven{Tenure: p.state.Tenure(), Cell: x.Place.Cell, Generation: x.Generation}, nil
+	return &pb.PlaceGiven{Tenure: p.state.Tenure(), Cell: x.Place.Cell, Generation: x.Generation}, nil
 }
 
 // Status tells an operator what it is doing.
-func (p *Planner) Status(ctx context.Context, a *wpb.StatusAsk) (*wpb.StatusTold, error) {
+func (p *Planner) Status(ctx context.Context, a *pb.StatusAsk) (*pb.StatusTold, error) {
 	if a.Diff != "" {
 		p.refresh(ctx, a.Diff)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := &wpb.StatusTold{Tenure: p.state.Tenure(), Generation: p.state.Generation(), Phase: p.state.Phase().String(), Why: p.state.Why(now())}
+	t := &pb.StatusTold{Tenure: p.state.Tenure(), Generation: p.state.Generation(), Phase: p.state.Phase().String(), Why: p.state.Why(now())}
 	if a.View {
 		t.Item = p.state.Items()
 	}
@@ -570,7 +570,7 @@
 		if !ok {
 			return nil, status.Errorf(codes.NotFound, "edge %q has not reported to this planner", a.Diff)
 		}
-		t.Difference = decide.Difference(p.state.Items(), held, a.Diff)
+		t.Difference = statemachine.Difference(p.state.Items(), held, a.Diff)
 	}
 	return t, nil
 }
--- a/internal/plan/serve/serve_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -23,20 +23,20 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	fleetdecide "weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/keys"
-	"weirhaven/internal/plan/decide"
-	"weirhaven/internal/plan/follow"
-	"weirhaven/internal/plan/view"
+	"weirhaven/internal/controlplane/client"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/controlplane/statemachine"
+	"weirhaven/internal/engine"
+	fleetdecide "weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/tlskeys"
 )
 
 // The test binary is a planner, too. DIE=n lets it be killed between its n-th write and what it would have sent of it.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "planner" {
-		conf := &wpb.PlannerConf{}
+		conf := &pb.PlannerConf{}
 		if err := settings.Load(os.Args[2], conf); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -46,7 +46,7 @@
 			os.Exit(0)
 		}()
 		die, _ := strconv.Atoi(os.Getenv("DIE"))
-		err := Run(context.Background(), conf, Options{Log: quiet, Ready: func(a string) { fmt.Println("READY", a) }, Keep: func(k decide.Keeper) decide.Keeper {
+		err := Run(context.Background(), conf, Options{Log: quiet, Ready: func(a string) { fmt.Println("READY", a) }, Keep: func(k statemachine.Keeper) statemachine.Keeper {
 			return &deadly{k, die}
 		}})
 		fmt.Fprintln(os.Stderr, err)
@@ -56,11 +56,11 @@
 }
 
 type deadly struct {
-	decide.Keeper
+	statemachine.Keeper
 	left int
 }
 
-func (d *deadly) Keep(t *wpb.Tenure, g uint64, changed []*wpb.Item) error {
+func (d *deadly) Keep(t *pb.Tenure, g uint64, changed []*pb.Item) error {
 	err := d.Keeper.Keep(t, g, changed)
 	if len(changed) > 0 && d.left > 0 {
 		if d.left--; d.left == 0 {
@@ -72,9 +72,9 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func conf(t testing.TB, name, listen string, edges int, more string) *wpb.PlannerConf {
+func conf(t testing.TB, name, listen string, edges int, more string) *pb.PlannerConf {
 	t.Helper()
-	c := &wpb.PlannerConf{}
+	c := &pb.PlannerConf{}
 	text := fmt.Sprintf(`name: %q listen: %q store: %q plain: true edges: %d lease: "400ms" recover: "300ms"
 fleet { max_dispatches: 3 resolution: "10ms" usual_units: 1 most_units: 8 }
 plan { name: "basic" nominal: 10 weight: 1 }
@@ -87,7 +87,7 @@
 }
 
 // start runs a planner in this process.
-func start(t testing.TB, c *wpb.PlannerConf, o Options) (p *Planner, address string, stop func()) {
+func start(t testing.TB, c *pb.PlannerConf, o Options) (p *Planner, address string, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, done := make(chan string, 1), make(chan error, 1)
@@ -113,15 +113,15 @@
 	return <-got, address, stop
 }
 
-func wrap(f func(decide.Keeper) decide.Keeper) func(decide.Keeper) decide.Keeper {
+func wrap(f func(statemachine.Keeper) statemachine.Keeper) func(statemachine.Keeper) statemachine.Keeper {
 	if f == nil {
-		return func(k decide.Keeper) decide.Keeper { return k }
+		return func(k statemachine.Keeper) statemachine.Keeper { return k }
 	}
 	return f
 }
 
 // child runs a planner as a process.
-func child(t testing.TB, c *wpb.PlannerConf, die int) (cmd *exec.Cmd, address string) {
+func child(t testing.TB, c *pb.PlannerConf, die int) (cmd *exec.Cmd, address string) {
 	t.Helper()
 	text, err := settings.Text(c)
 	if err != nil {
@@ -151,37 +151,37 @@
 // edge is a follower whose view never may go back.
 type edge struct {
 	t       testing.TB
-	f       *follow.Follower
+	f       *client.Follower
 	mu      sync.Mutex
-	items   map[view.Key]*wpb.Item
+	items   map[snapshot.Key]*pb.Item
 	last    uint64
 	term    uint64
 	drained map[string]bool
 	stop    func()
 }
 
-func (e *edge) Changed(items []*wpb.Item, fresh bool) {
+func (e *edge) Changed(items []*pb.Item, fresh bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, x := range items {
-		e.items[view.KeyOf(x)] = x
+		e.items[snapshot.KeyOf(x)] = x
 		if b := x.GetBrick(); b != nil {
-			if e.drained[x.Name] && !view.Drained(b) {
+			if e.drained[x.Name] && !snapshot.Drained(b) {
 				e.t.Errorf("the drain of %s was forgotten: %v", x.Name, x)
 			}
-			e.drained[x.Name] = view.Drained(b)
+			e.drained[x.Name] = snapshot.Drained(b)
 		}
 	}
 }
 
 func follower(t testing.TB, name, file string, addresses ...string) *edge {
-	return followerWith(t, name, file, &wpb.Planner{Address: addresses, Plain: true})
+	return followerWith(t, name, file, &pb.Planner{Address: addresses, Plain: true})
 }
 
-func followerWith(t testing.TB, name, file string, p *wpb.Planner) *edge {
+func followerWith(t testing.TB, name, file string, p *pb.Planner) *edge {
 	t.Helper()
-	e := &edge{t: t, items: map[view.Key]*wpb.Item{}, drained: map[string]bool{}}
-	f, err := follow.Open(follow.Config{Planner: p, Name: name, Address: "127.0.0.1:1", File: file, Log: quiet, Sink: e, Seed: 1, Least: 10 * time.Millisecond,
+	e := &edge{t: t, items: map[snapshot.Key]*pb.Item{}, drained: map[string]bool{}}
+	f, err := client.Open(client.Config{Planner: p, Name: name, Address: "127.0.0.1:1", File: file, Log: quiet, Sink: e, Seed: 1, Least: 10 * time.Millisecond,
 		Most: 100 * time.Millisecond, Silent: 700 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 }
 
 // holds is what stands in its view.
-func (e *edge) holds(k wpb.Item_Kind, name string) *wpb.Item {
+func (e *edge) holds(k pb.Item_Kind, name string) *pb.Item {
 	_, _, _, items := e.f.State()
 	for _, x := range items {
 		if x.Kind == k && x.Name == name && !x.Gone && x.Generation > 0 {
@@ -208,10 +208,10 @@
 }
 
 // heard is what it was told last, by the view or as evidence.
-func (e *edge) heard(k wpb.Item_Kind, name string) *wpb.Item {
+func (e *edge) heard(k pb.Item_Kind, name string) *pb.Item {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.items[view.Key{Kind: k, Name: name}]
+	return e.items[snapshot.Key{Kind: k, Name: name}]
 }
 
 // until waits for something to become true, and fails where it does not.
@@ -234,12 +234,12 @@
 	e.last, e.term = g, tenure.GetTerm()
 }
 
-func list(p *Planner, number int64, whole bool, lines ...hostloop.BrickLine) {
+func list(p *Planner, number int64, whole bool, lines ...engine.BrickLine) {
 	p.List(fleetdecide.Generation{Epoch: "list", Number: number}, whole, lines)
 }
 
-func brick(i int, serving bool) hostloop.BrickLine {
-	return hostloop.BrickLine{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i), Zone: []string{"n", "s"}[i%2], Cell: i, Serving: serving}
+func brick(i int, serving bool) engine.BrickLine {
+	return engine.BrickLine{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i), Zone: []string{"n", "s"}[i%2], Cell: i, Serving: serving}
 }
 
 func TestViews(t *testing.T) {
@@ -252,21 +252,21 @@
 	}
 	list(p, 1, true, brick(0, true), brick(1, true))
 	for _, e := range edges {
-		until(t, "the first view", func() bool { return e.holds(wpb.Item_BRICK, "b1") != nil && e.holds(wpb.Item_VOLUME, "v") != nil })
-		if x := e.holds(wpb.Item_HOSTS, ""); x == nil || x.Hosts != 3 {
+		until(t, "the first view", func() bool { return e.holds(pb.Item_BRICK, "b1") != nil && e.holds(pb.Item_VOLUME, "v") != nil })
+		if x := e.holds(pb.Item_HOSTS, ""); x == nil || x.Hosts != 3 {
 			t.Error(x)
 		}
 	}
 	list(p, 2, false, brick(0, false), brick(2, true)) // changes
 	until(t, "a drain and a new brick", func() bool {
-		x := edges[1].holds(wpb.Item_BRICK, "b0")
-		return !x.Brick.Serving && view.Drained(x.Brick) && edges[1].holds(wpb.Item_BRICK, "b2") != nil
+		x := edges[1].holds(pb.Item_BRICK, "b0")
+		return !x.Brick.Serving && snapshot.Drained(x.Brick) && edges[1].holds(pb.Item_BRICK, "b2") != nil
 	})
 	// A drain that an edge learnt itself reaches the others, though the list says that the brick serves.
 	edges[2].f.Learn("b2", time.Now().UnixNano())
 	list(p, 3, false, brick(2, true))
 	for _, e := range edges {
-		until(t, "the drain an edge told", func() bool { x := e.holds(wpb.Item_BRICK, "b2"); return x != nil && !x.Brick.Serving })
+		until(t, "the drain an edge told", func() bool { x := e.holds(pb.Item_BRICK, "b2"); return x != nil && !x.Brick.Serving })
 	}
 	ctx := context.Background()
 	cell, err := edges[0].f.Place(ctx, "v", "object", "")
@@ -280,14 +280,14 @@
 		t.Error("a place in a volume that is not there")
 	}
 	edges[0].stop() // and its place is still known
-	told, err := p.Status(ctx, &wpb.StatusAsk{View: true, Edges: true, Diff: "e2"})
+	told, err := p.Status(ctx, &pb.StatusAsk{View: true, Edges: true, Diff: "e2"})
 	if err != nil || told.Phase != "holding the lease" || len(told.Edge) != 3 || len(told.Difference) > 0 {
 		t.Error(told.GetPhase(), told.GetEdge(), told.GetDifference(), err)
 	}
-	if told, err = p.Status(ctx, &wpb.StatusAsk{Diff: "e0"}); err != nil || len(told.Difference) == 0 { // away since before it got the others' places
+	if told, err = p.Status(ctx, &pb.StatusAsk{Diff: "e0"}); err != nil || len(told.Difference) == 0 { // away since before it got the others' places
 		t.Error(told, err)
 	}
-	if _, err = p.Status(ctx, &wpb.StatusAsk{Diff: "nobody"}); status.Code(err) != codes.NotFound {
+	if _, err = p.Status(ctx, &pb.StatusAsk{Diff: "nobody"}); status.Code(err) != codes.NotFound {
 		t.Error(err)
 	}
 }
@@ -300,22 +300,22 @@
 	l.Close()
 	c := conf(t, "a", address, 1, "")
 	for i := range 6 {
-		c.Volume = append(c.Volume, &wpb.PlannedVolume{Name: fmt.Sprint("w", i), Plan: "basic", Hosts: 1})
+		c.Volume = append(c.Volume, &pb.PlannedVolume{Name: fmt.Sprint("w", i), Plan: "basic", Hosts: 1})
 	}
 	e := follower(t, "e", filepath.Join(t.TempDir(), "e"), address)
 	for life := range 4 {
-		c.Volume = append(c.Volume, &wpb.PlannedVolume{Name: fmt.Sprint("x", life), Plan: "basic", Hosts: 1})
+		c.Volume = append(c.Volume, &pb.PlannedVolume{Name: fmt.Sprint("x", life), Plan: "basic", Hosts: 1})
 		cmd, _ := child(t, c, 1)
 		cmd.Wait() // it dies of its own write
 		e.back()
-		if e.holds(wpb.Item_VOLUME, fmt.Sprint("x", life)) != nil {
+		if e.holds(pb.Item_VOLUME, fmt.Sprint("x", life)) != nil {
 			t.Error("it was sent before it was killed: the test does not test")
 		}
 	}
 	child(t, c, 0)
 	until(t, "all that was written", func() bool {
 		e.back()
-		return e.holds(wpb.Item_VOLUME, "x3") != nil && e.holds(wpb.Item_VOLUME, "w0") != nil && e.holds(wpb.Item_VOLUME, "x0") != nil
+		return e.holds(pb.Item_VOLUME, "x3") != nil && e.holds(pb.Item_VOLUME, "w0") != nil && e.holds(pb.Item_VOLUME, "x0") != nil
 	})
 	if e.last < 4 {
 		t.Errorf("generation %d", e.last)
@@ -332,7 +332,7 @@
 	edges := []*edge{follower(t, "e0", filepath.Join(dir, "0"), address), follower(t, "e1", filepath.Join(dir, "1"), address)}
 	list(p, 1, true, brick(0, true), brick(1, true))
 	until(t, "the first view", func() bool {
-		return edges[0].holds(wpb.Item_BRICK, "b1") != nil && edges[1].holds(wpb.Item_BRICK, "b1") != nil
+		return edges[0].holds(pb.Item_BRICK, "b1") != nil && edges[1].holds(pb.Item_BRICK, "b1") != nil
 	})
 	p.mu.Lock()
 	old := filepath.Join(dir, "old.db")
@@ -348,7 +348,7 @@
 	drained := func() bool {
 		for _, e := range edges {
 			e.back()
-			if x := e.holds(wpb.Item_BRICK, "b0"); x == nil || x.Brick.Serving {
+			if x := e.holds(pb.Item_BRICK, "b0"); x == nil || x.Brick.Serving {
 				return false
 			}
 		}
@@ -368,7 +368,7 @@
 		until(t, "the lease", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.state.Phase() == decide.Holding
+			return p.state.Phase() == statemachine.Holding
 		})
 		until(t, "a view that both hold", func() bool {
 			_, _, a, _ := edges[0].f.State()
@@ -394,32 +394,32 @@
 		return l.Addr().String()
 	}
 	a, b := conf(t, "a", free(), 1, ""), conf(t, "b", free(), 1, "")
-	a.Volume = append(a.Volume, &wpb.PlannedVolume{Name: "of-a", Plan: "basic", Hosts: 1})
-	b.Volume = append(b.Volume, &wpb.PlannedVolume{Name: "of-b", Plan: "basic", Hosts: 1})
+	a.Volume = append(a.Volume, &pb.PlannedVolume{Name: "of-a", Plan: "basic", Hosts: 1})
+	b.Volume = append(b.Volume, &pb.PlannedVolume{Name: "of-b", Plan: "basic", Hosts: 1})
 	e := follower(t, "e", filepath.Join(t.TempDir(), "e"), a.Listen, b.Listen)
 	first, _ := child(t, a, 0)
-	until(t, "the view of a", func() bool { return e.holds(wpb.Item_VOLUME, "of-a") != nil })
+	until(t, "the view of a", func() bool { return e.holds(pb.Item_VOLUME, "of-a") != nil })
 	first.Process.Signal(syscall.SIGSTOP)
 	child(t, b, 0)
-	until(t, "the view of b", func() bool { e.back(); return e.holds(wpb.Item_VOLUME, "of-b") != nil })
+	until(t, "the view of b", func() bool { e.back(); return e.holds(pb.Item_VOLUME, "of-b") != nil })
 	at, tenure, g, _ := e.f.State()
 	first.Process.Signal(syscall.SIGCONT)
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		e.back()
 	}
-	if x, y, z, _ := e.f.State(); x != at || view.Compare(y, tenure) != 0 || z != g || at != b.Listen {
+	if x, y, z, _ := e.f.State(); x != at || snapshot.Compare(y, tenure) != 0 || z != g || at != b.Listen {
 		t.Errorf("followed %s %v at %d, now %s %v at %d", at, tenure, g, x, y, z)
 	}
 }
 
 // half is a planner that says half of something.
 type half struct {
-	wpb.UnimplementedPlanningServer
-	hellos chan *wpb.EdgeHello
-	say    []*wpb.PlannerSays
+	pb.UnimplementedPlanningServer
+	hellos chan *pb.EdgeHello
+	say    []*pb.PlannerSays
 }
 
-func (h *half) Follow(s grpc.BidiStreamingServer[wpb.EdgeSays, wpb.PlannerSays]) error {
+func (h *half) Follow(s grpc.BidiStreamingServer[pb.EdgeSays, pb.PlannerSays]) error {
 	m, err := s.Recv()
 	if err != nil {
 		return err
@@ -437,33 +437,33 @@
 // Half a view and then silence changes nothing: the edge leaves and asks again from where it was. Changes that begin too late, and a
 // view that does not add up, are not taken, and the whole is asked for.
 func TestHalfAStream(t *testing.T) {
-	tenure := &wpb.Tenure{Term: 3, Planner: "half"}
-	item := func(name string, g uint64) *wpb.Item {
-		return &wpb.Item{Kind: wpb.Item_VOLUME, Name: name, Generation: g, Term: 3, Volume: &wpb.PlanVolume{Plan: "basic"}}
+	tenure := &pb.Tenure{Term: 3, Planner: "half"}
+	item := func(name string, g uint64) *pb.Item {
+		return &pb.Item{Kind: pb.Item_VOLUME, Name: name, Generation: g, Term: 3, Volume: &pb.PlanVolume{Plan: "basic"}}
 	}
-	part := func(from, to uint64, whole, last bool, digest uint64, items ...*wpb.Item) *wpb.PlannerSays {
-		return &wpb.PlannerSays{Tenure: tenure, What: &wpb.PlannerSays_Part{Part: &wpb.ViewPart{From: from, To: to, Whole: whole, Last: last, Digest: digest, Item: items}}}
+	part := func(from, to uint64, whole, last bool, digest uint64, items ...*pb.Item) *pb.PlannerSays {
+		return &pb.PlannerSays{Tenure: tenure, What: &pb.PlannerSays_Part{Part: &pb.ViewPart{From: from, To: to, Whole: whole, Last: last, Digest: digest, Item: items}}}
 	}
-	first := []*wpb.Item{item("a", 5)}
-	sum := view.Digest(map[view.Key]*wpb.Item{view.KeyOf(first[0]): first[0]})
+	first := []*pb.Item{item("a", 5)}
+	sum := snapshot.Digest(map[snapshot.Key]*pb.Item{snapshot.KeyOf(first[0]): first[0]})
 	for _, c := range []struct {
 		name string
-		say  []*wpb.PlannerSays
+		say  []*pb.PlannerSays
 		want uint64 // generation of the next hello, and whether it asks for the whole
 		all  bool
 	}{
-		{"half a view", []*wpb.PlannerSays{part(0, 5, true, true, sum, first...), part(5, 9, false, false, 0, item("b", 9))}, 5, false},
-		{"changes from too late", []*wpb.PlannerSays{part(0, 5, true, true, sum, first...), part(7, 9, false, true, 0, item("b", 9))}, 5, true},
-		{"does not add up", []*wpb.PlannerSays{part(0, 5, true, true, sum, first...), part(5, 9, false, true, 77, item("b", 9))}, 5, true},
-		{"older", []*wpb.PlannerSays{part(0, 5, true, true, sum, first...), part(0, 4, true, true, 0, item("b", 4))}, 5, false},
-		{"lower term", []*wpb.PlannerSays{part(0, 5, true, true, sum, first...), {Tenure: &wpb.Tenure{Term: 2, Planner: "z"},
-			What: &wpb.PlannerSays_Part{Part: &wpb.ViewPart{To: 99, Whole: true, Last: true}}}}, 5, false},
+		{"half a view", []*pb.PlannerSays{part(0, 5, true, true, sum, first...), part(5, 9, false, false, 0, item("b", 9))}, 5, false},
+		{"changes from too late", []*pb.PlannerSays{part(0, 5, true, true, sum, first...), part(7, 9, false, true, 0, item("b", 9))}, 5, true},
+		{"does not add up", []*pb.PlannerSays{part(0, 5, true, true, sum, first...), part(5, 9, false, true, 77, item("b", 9))}, 5, true},
+		{"older", []*pb.PlannerSays{part(0, 5, true, true, sum, first...), part(0, 4, true, true, 0, item("b", 4))}, 5, false},
+		{"lower term", []*pb.PlannerSays{part(0, 5, true, true, sum, first...), {Tenure: &pb.Tenure{Term: 2, Planner: "z"},
+			What: &pb.PlannerSays_Part{Part: &pb.ViewPart{To: 99, Whole: true, Last: true}}}}, 5, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
 			s := grpc.NewServer()
-			h := &half{hellos: make(chan *wpb.EdgeHello, 100), say: c.say}
-			wpb.RegisterPlanningServer(s, h)
+			h := &half{hellos: make(chan *pb.EdgeHello, 100), say: c.say}
+			pb.RegisterPlanningServer(s, h)
 			go s.Serve(l)
 			defer s.Stop()
 			e := follower(t, "e", filepath.Join(t.TempDir(), "e"), l.Addr().String())
@@ -473,7 +473,7 @@
 			if x := <-h.hellos; x.Generation != c.want || x.Whole != c.all || x.Tenure.GetTerm() != 3 {
 				t.Errorf("%v, wanted from generation %d", x, c.want)
 			}
-			if e.holds(wpb.Item_VOLUME, "a") == nil || e.holds(wpb.Item_VOLUME, "b") != nil {
+			if e.holds(pb.Item_VOLUME, "a") == nil || e.holds(pb.Item_VOLUME, "b") != nil {
 				t.Error("something of the half was taken")
 			}
 			e.stop()
@@ -489,17 +489,17 @@
 	file := filepath.Join(t.TempDir(), "e")
 	e := follower(t, "e", file, address)
 	list(p, 1, true, brick(0, true), brick(1, true))
-	until(t, "the first view", func() bool { return e.holds(wpb.Item_BRICK, "b1") != nil })
+	until(t, "the first view", func() bool { return e.holds(pb.Item_BRICK, "b1") != nil })
 	e.stop()
 	p.mu.Lock()
 	r := p.state
 	p.mu.Unlock()
 	for n := range 20 { // bricks are replaced one after the other
 		at := int64(2 + 2*n)
-		list(p, at, false, hostloop.BrickLine{Name: fmt.Sprint("b", n), Gone: true, Address: "127.0.0.1:1", Zone: "n"})
+		list(p, at, false, engine.BrickLine{Name: fmt.Sprint("b", n), Gone: true, Address: "127.0.0.1:1", Zone: "n"})
 		list(p, at+1, false, brick(n+2, true))
 	}
-	until(t, "the last brick", func() bool { return stays.holds(wpb.Item_BRICK, "b21") != nil })
+	until(t, "the last brick", func() bool { return stays.holds(pb.Item_BRICK, "b21") != nil })
 	p.mu.Lock()
 	r.Forget(0) // as after thousands of them
 	p.mu.Unlock()
@@ -507,30 +507,30 @@
 	until(t, "the same view", func() bool {
 		_, _, a, _ := e.f.State()
 		_, _, b, _ := stays.f.State()
-		return a == b && e.holds(wpb.Item_BRICK, "b21") != nil
+		return a == b && e.holds(pb.Item_BRICK, "b21") != nil
 	})
-	if _, _, _, items := e.f.State(); view.Digest(asMap(items)) != p.Digest() {
+	if _, _, _, items := e.f.State(); snapshot.Digest(asMap(items)) != p.Digest() {
 		t.Errorf("%v", items)
 	}
 }
 
-func asMap(items []*wpb.Item) map[view.Key]*wpb.Item {
-	m := map[view.Key]*wpb.Item{}
+func asMap(items []*pb.Item) map[snapshot.Key]*pb.Item {
+	m := map[snapshot.Key]*pb.Item{}
 	for _, x := range items {
-		m[view.KeyOf(x)] = x
+		m[snapshot.KeyOf(x)] = x
 	}
 	return m
 }
 
 // full fails writes while it is on.
 type full struct {
-	decide.Keeper
+	statemachine.Keeper
 	mu sync.Mutex
 	on bool
 }
 
 func (f *full) set(on bool) { f.mu.Lock(); f.on = on; f.mu.Unlock() }
-func (f *full) Keep(t *wpb.Tenure, g uint64, changed []*wpb.Item) error {
+func (f *full) Keep(t *pb.Tenure, g uint64, changed []*pb.Item) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.on {
@@ -542,27 +542,27 @@
 // The planner's disk is full: nothing new is given out, no place either; edges keep what they have; once there is room it goes on.
 func TestPlannersDiskFull(t *testing.T) {
 	disk := &full{}
-	p, address, _ := start(t, conf(t, "a", "127.0.0.1:0", 1, ""), Options{Keep: func(k decide.Keeper) decide.Keeper { disk.Keeper = k; return disk }})
+	p, address, _ := start(t, conf(t, "a", "127.0.0.1:0", 1, ""), Options{Keep: func(k statemachine.Keeper) statemachine.Keeper { disk.Keeper = k; return disk }})
 	e := follower(t, "e", filepath.Join(t.TempDir(), "e"), address)
 	list(p, 1, true, brick(0, true))
-	until(t, "the first view", func() bool { return e.holds(wpb.Item_BRICK, "b0") != nil })
+	until(t, "the first view", func() bool { return e.holds(pb.Item_BRICK, "b0") != nil })
 	disk.set(true)
 	list(p, 2, false, brick(1, true))
 	if _, err := e.f.Place(context.Background(), "v", "object", ""); err == nil || !strings.Contains(err.Error(), "no space left") {
 		t.Error(err)
 	}
-	if e.holds(wpb.Item_BRICK, "b1") != nil {
+	if e.holds(pb.Item_BRICK, "b1") != nil {
 		t.Error("given out though not written")
 	}
 	disk.set(false)
-	until(t, "the change", func() bool { return e.holds(wpb.Item_BRICK, "b1") != nil })
+	until(t, "the change", func() bool { return e.holds(pb.Item_BRICK, "b1") != nil })
 	if _, err := e.f.Place(context.Background(), "v", "object", ""); err != nil {
 		t.Error(err)
 	}
 }
 
 // raw speaks as an edge of some version.
-func raw(t testing.TB, address string, h *wpb.EdgeHello) error {
+func raw(t testing.TB, address string, h *pb.EdgeHello) error {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -571,11 +571,11 @@
 	defer conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	s, err := wpb.NewPlanningClient(conn).Follow(ctx)
+	s, err := pb.NewPlanningClient(conn).Follow(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Hello{Hello: h}}); err != nil {
+	if err := s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: h}}); err != nil {
 		t.Fatal(err)
 	}
 	_, err = s.Recv()
@@ -585,12 +585,12 @@
 func TestVersionsApart(t *testing.T) {
 	_, address, _ := start(t, conf(t, "a", "127.0.0.1:0", 1, ""), Options{})
 	for version, ok := range map[uint32]bool{Version - 2: false, Version - 1: true, Version: true, Version + 1: true} {
-		err := raw(t, address, &wpb.EdgeHello{Version: version, Name: "e"})
+		err := raw(t, address, &pb.EdgeHello{Version: version, Name: "e"})
 		if (err == nil) != ok || !ok && status.Code(err) != codes.FailedPrecondition {
 			t.Errorf("version %d: %v", version, err)
 		}
 	}
-	if err := raw(t, address, &wpb.EdgeHello{Version: Version}); status.Code(err) != codes.InvalidArgument {
+	if err := raw(t, address, &pb.EdgeHello{Version: Version}); status.Code(err) != codes.InvalidArgument {
 		t.Error(err)
 	}
 }
@@ -600,15 +600,15 @@
 	p, address, _ := start(t, conf(t, "a", "127.0.0.1:0", 9, ""), Options{}) // one edge of nine: never a majority
 	e := follower(t, "e", filepath.Join(t.TempDir(), "e"), address)
 	list(p, 1, true, brick(0, true), brick(1, false))
-	until(t, "evidence", func() bool { return e.heard(wpb.Item_BRICK, "b0") != nil && e.heard(wpb.Item_BRICK, "b1") != nil })
-	if e.holds(wpb.Item_BRICK, "b0") != nil || e.holds(wpb.Item_VOLUME, "v") != nil {
+	until(t, "evidence", func() bool { return e.heard(pb.Item_BRICK, "b0") != nil && e.heard(pb.Item_BRICK, "b1") != nil })
+	if e.holds(pb.Item_BRICK, "b0") != nil || e.holds(pb.Item_VOLUME, "v") != nil {
 		t.Error("something was written without the lease")
 	}
 	if _, err := e.f.Place(context.Background(), "v", "object", ""); err == nil {
 		t.Error("a place without the lease")
 	}
 	list(p, 2, false, brick(0, false))
-	until(t, "a drain", func() bool { return view.Drained(e.heard(wpb.Item_BRICK, "b0").Brick) })
+	until(t, "a drain", func() bool { return snapshot.Drained(e.heard(pb.Item_BRICK, "b0").Brick) })
 }
 
 // An edge that reads nothing holds no other up, piles nothing up, and is cut off; when it reads again it is served.
@@ -617,25 +617,25 @@
 	e := follower(t, "e", filepath.Join(t.TempDir(), "e"), address)
 	follower(t, "f", filepath.Join(t.TempDir(), "f"), address) // a majority without the slow one, whatever it does
 	follower(t, "g", filepath.Join(t.TempDir(), "g"), address)
-	lines := make([]hostloop.BrickLine, 6000) // a view of hundreds of KB: more than a stream takes unread
+	lines := make([]engine.BrickLine, 6000) // a view of hundreds of KB: more than a stream takes unread
 	for i := range lines {
 		lines[i] = brick(i, true)
 	}
 	list(p, 1, true, lines...)
-	until(t, "the view", func() bool { return e.holds(wpb.Item_BRICK, "b5999") != nil })
+	until(t, "the view", func() bool { return e.holds(pb.Item_BRICK, "b5999") != nil })
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithInitialWindowSize(1<<16))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	s, err := wpb.NewPlanningClient(conn).Follow(context.Background())
+	s, err := pb.NewPlanningClient(conn).Follow(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Hello{Hello: &wpb.EdgeHello{Version: Version, Name: "slow"}}})
-	s.Send(&wpb.EdgeSays{What: &wpb.EdgeSays_Report{Report: &wpb.EdgeReport{Last: true}}})
+	s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: &pb.EdgeHello{Version: Version, Name: "slow"}}})
+	s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Last: true}}})
 	stands := func() (connected, known bool) {
-		told, err := p.Status(context.Background(), &wpb.StatusAsk{Edges: true})
+		told, err := p.Status(context.Background(), &pb.StatusAsk{Edges: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -651,30 +651,30 @@
 		list(p, int64(2+n), false, brick(30000+n, true))
 	}
 	until(t, "the slow edge is cut off", func() bool { c, known := stands(); return known && !c })
-	until(t, "the changes", func() bool { return e.holds(wpb.Item_BRICK, "b30004") != nil })
+	until(t, "the changes", func() bool { return e.holds(pb.Item_BRICK, "b30004") != nil })
 }
 
 // Keys: both sides show theirs, names are checked, what is out of date or not trusted is refused with its reason, and changed files are
 // used without a restart.
 func TestKeys(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
-	if err := errors.Join(keys.Make(dir, []string{"weirplan", "e0", "e1"}, time.Hour), keys.Make(other, []string{"weirplan", "e0"}, time.Hour)); err != nil {
+	if err := errors.Join(tlskeys.Make(dir, []string{"weirplan", "e0", "e1"}, time.Hour), tlskeys.Make(other, []string{"weirplan", "e0"}, time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	of := func(dir, name string, peers ...string) *wpb.Keys {
-		return &wpb.Keys{Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Trusted: filepath.Join(dir, "trusted.pem"), Peer: peers}
+	of := func(dir, name string, peers ...string) *pb.Keys {
+		return &pb.Keys{Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Trusted: filepath.Join(dir, "trusted.pem"), Peer: peers}
 	}
 	c := conf(t, "a", "127.0.0.1:0", 1, "")
 	c.Plain, c.Keys = false, of(dir, "weirplan", "e*")
 	_, address, _ := start(t, c, Options{})
-	good := followerWith(t, "e0", filepath.Join(t.TempDir(), "e"), &wpb.Planner{Address: []string{address}, Keys: of(dir, "e0")})
-	until(t, "a view under keys", func() bool { return good.holds(wpb.Item_VOLUME, "v") != nil })
+	good := followerWith(t, "e0", filepath.Join(t.TempDir(), "e"), &pb.Planner{Address: []string{address}, Keys: of(dir, "e0")})
+	until(t, "a view under keys", func() bool { return good.holds(pb.Item_VOLUME, "v") != nil })
 	good.stop()
-	refused := func(name string, p *wpb.Planner, why string) {
+	refused := func(name string, p *pb.Planner, why string) {
 		t.Helper()
 		var log strings.Builder
 		var mu sync.Mutex
-		f, err := follow.Open(follow.Config{Planner: p, Name: name, Address: "x", File: filepath.Join(t.TempDir(), "e"), Sink: &edge{t: t, items: map[view.Key]*wpb.Item{},
+		f, err := client.Open(client.Config{Planner: p, Name: name, Address: "x", File: filepath.Join(t.TempDir(), "e"), Sink: &edge{t: t, items: map[snapshot.Key]*pb.Item{},
 			drained: map[string]bool{}}, Seed: 1, Least: 5 * time.Millisecond, Most: 20 * time.Millisecond, Log: slog.New(slog.NewTextHandler(&locked{&mu, &log}, nil))})
 		if err != nil {
 			t.Fatal(err)
@@ -686,16 +686,16 @@
 		cancel()
 		<-done
 	}
-	p := func(k *wpb.Keys) *wpb.Planner { return &wpb.Planner{Address: []string{address}, Keys: k} }
+	p := func(k *pb.Keys) *pb.Planner { return &pb.Planner{Address: []string{address}, Keys: k} }
 	refused("e0", p(of(other, "e0")), "not trusted")
 	refused("e1", p(of(dir, "e0")), "does not let it speak for")
 	wrong := p(of(dir, "e0"))
 	wrong.ServerName = "somebody"
 	refused("e0", wrong, "somebody")
-	if err := keys.Make(dir, []string{"e1"}, -30*time.Second); err != nil {
+	if err := tlskeys.Make(dir, []string{"e1"}, -30*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := keys.Load(of(dir, "e1"), quiet); err == nil || !strings.Contains(err.Error(), "out of date") {
+	if _, err := tlskeys.Load(of(dir, "e1"), quiet); err == nil || !strings.Contains(err.Error(), "out of date") {
 		t.Error(err)
 	}
 	// The planner gets keys of another signer while it runs; an edge that trusts that signer comes in.
@@ -709,7 +709,7 @@
 		}
 	}
 	changed := followerWith(t, "e0", filepath.Join(t.TempDir(), "e"), p(of(other, "e0")))
-	until(t, "a view under changed keys", func() bool { return changed.holds(wpb.Item_VOLUME, "v") != nil })
+	until(t, "a view under changed keys", func() bool { return changed.holds(pb.Item_VOLUME, "v") != nil })
 	c = conf(t, "a", "0.0.0.0:0", 1, "")
 	if err := Run(context.Background(), c, Options{Log: quiet}); err == nil || !strings.Contains(err.Error(), "loopback") {
 		t.Error(err)
--- a/internal/plan/view/view.go
+++ b/internal/controlplane/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package view is what an edge holds of what the planner decided, and which words of which planner it takes. It has no I/O, clock or
+// Package snapshot is what an edge holds of what the planner decided, and which words of which planner it takes. It has no I/O, clock or
 // goroutine.
 //
 // Rules. (1) The highest tenure seen is followed; a lower one is refused, whatever it says. A higher one is written down before it is
@@ -6,7 +6,7 @@
 // brick's life stays learnt, whatever an item says; a later start lifts it. (5) Nothing of a part is taken before its last part is
 // there; half a stream changes nothing. (6) Changes that begin beyond what is held are not taken: the edge asks again from where
 // it was.
-package view
+package snapshot
 
 import (
 	"cmp"
@@ -16,25 +16,25 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Key names an item.
 type Key struct {
-	Kind wpb.Item_Kind
+	Kind pb.Item_Kind
 	Name string
 }
 
 // KeyOf is an item's.
-func KeyOf(x *wpb.Item) Key { return Key{x.Kind, x.Name} }
+func KeyOf(x *pb.Item) Key { return Key{x.Kind, x.Name} }
 
 // Compare orders tenures: by term, then by planner.
-func Compare(a, b *wpb.Tenure) int {
+func Compare(a, b *pb.Tenure) int {
 	return cmp.Or(cmp.Compare(a.GetTerm(), b.GetTerm()), cmp.Compare(a.GetPlanner(), b.GetPlanner()))
 }
 
 // Later tells whether item a outweighs b: by generation, then by term.
-func Later(a, b *wpb.Item) bool {
+func Later(a, b *pb.Item) bool {
 	return a.Generation > b.Generation || a.Generation == b.Generation && a.Term > b.Term
 }
 
@@ -47,9 +47,9 @@
 }
 
 // Digest of items; places are left out, since each edge holds its own only.
-func Digest(items map[Key]*wpb.Item) (sum uint64) {
+func Digest(items map[Key]*pb.Item) (sum uint64) {
 	for k, x := range items {
-		if k.Kind != wpb.Item_PLACE && !x.Gone {
+		if k.Kind != pb.Item_PLACE && !x.Gone {
 			sum ^= xxhash.Sum64String(fmt.Sprint(int(k.Kind), " ", k.Name, " ", x.Generation, " ", x.Term))
 		}
 	}
@@ -57,30 +57,30 @@
 }
 
 // Sorted are items in an order of their own.
-func Sorted(items map[Key]*wpb.Item) []*wpb.Item {
-	all := make([]*wpb.Item, 0, len(items))
+func Sorted(items map[Key]*pb.Item) []*pb.Item {
+	all := make([]*pb.Item, 0, len(items))
 	for _, x := range items {
 		all = append(all, x)
 	}
-	slices.SortFunc(all, func(a, b *wpb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(all, func(a, b *pb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	return all
 }
 
 // View is an edge's.
 type View struct {
-	tenure     *wpb.Tenure
+	tenure     *pb.Tenure
 	generation uint64
-	items      map[Key]*wpb.Item
+	items      map[Key]*pb.Item
 	most       int // items
-	parts      []*wpb.Item
+	parts      []*pb.Item
 	from, to   uint64
 	whole      bool
 	open       bool // parts came, the last did not
 }
 
 // New is empty, or what was saved. most bounds its items.
-func New(tenure *wpb.Tenure, generation uint64, items []*wpb.Item, most int) *View {
-	v := &View{tenure: &wpb.Tenure{}, generation: generation, items: map[Key]*wpb.Item{}, most: most}
+func New(tenure *pb.Tenure, generation uint64, items []*pb.Item, most int) *View {
+	v := &View{tenure: &pb.Tenure{}, generation: generation, items: map[Key]*pb.Item{}, most: most}
 	if tenure != nil {
 		v.tenure = tenure
 	}
@@ -91,15 +91,15 @@
 }
 
 // Tenure, Generation, Digest and Items are what it holds.
-func (v *View) Tenure() *wpb.Tenure    { return v.tenure }
-func (v *View) Generation() uint64     { return v.generation }
-func (v *View) Digest() uint64         { return Digest(v.items) }
-func (v *View) Items() []*wpb.Item     { return Sorted(v.items) }
-func (v *View) Get(k Key) *wpb.Item    { return v.items[k] }
-func (v *View) Map() map[Key]*wpb.Item { return v.items }
+func (v *View) Tenure() *pb.Tenure    { return v.tenure }
+func (v *View) Generation() uint64    { return v.generation }
+func (v *View) Digest() uint64        { return Digest(v.items) }
+func (v *View) Items() []*pb.Item     { return Sorted(v.items) }
+func (v *View) Get(k Key) *pb.Item    { return v.items[k] }
+func (v *View) Map() map[Key]*pb.Item { return v.items }
 
 // Offered takes a planner's tenure. raised: it is higher than any seen, and must be written down before anything is answered.
-func (v *View) Offered(t *wpb.Tenure) (raised bool, err error) {
+func (v *View) Offered(t *pb.Tenure) (raised bool, err error) {
 	if t.GetTerm() == 0 {
 		return false, fmt.Errorf("a planner without a tenure")
 	}
@@ -107,7 +107,7 @@
 	case c < 0:
 		return false, fmt.Errorf("planner %q of term %d is refused: %q of term %d was followed", t.Planner, t.Term, v.tenure.Planner, v.tenure.Term)
 	case c > 0:
-		v.tenure = proto.Clone(t).(*wpb.Tenure)
+		v.tenure = proto.Clone(t).(*pb.Tenure)
 		v.drop()
 		return true, nil
 	}
@@ -122,13 +122,13 @@
 
 // Taken is what a part came to.
 type Taken struct {
-	Changed []*wpb.Item // what is new, with what is gone
-	Last    bool        // the part was the last; the view stands at its generation
-	Whole   bool        // the edge must ask for the whole: what it holds and what it is told don't fit together
+	Changed []*pb.Item // what is new, with what is gone
+	Last    bool       // the part was the last; the view stands at its generation
+	Whole   bool       // the edge must ask for the whole: what it holds and what it is told don't fit together
 }
 
 // Part takes a part of a view or of changes, of the tenure followed.
-func (v *View) Part(t *wpb.Tenure, p *wpb.ViewPart) (Taken, error) {
+func (v *View) Part(t *pb.Tenure, p *pb.ViewPart) (Taken, error) {
 	if Compare(t, v.tenure) != 0 {
 		return Taken{}, fmt.Errorf("a view of planner %q, term %d is refused: %q of term %d is followed", t.GetPlanner(), t.GetTerm(), v.tenure.Planner, v.tenure.Term)
 	}
@@ -155,7 +155,7 @@
 	}
 	all := v.parts
 	v.drop()
-	next := map[Key]*wpb.Item{}
+	next := map[Key]*pb.Item{}
 	if !p.Whole {
 		for k, x := range v.items {
 			next[k] = x
@@ -168,13 +168,13 @@
 		}
 		next[k] = v.keepDrain(k, x)
 	}
-	var changed []*wpb.Item
+	var changed []*pb.Item
 	for k, old := range v.items { // what a whole view does not name is gone, but not what was drained
-		if next[k] != nil || k.Kind == wpb.Item_PLACE && !p.Whole {
+		if next[k] != nil || k.Kind == pb.Item_PLACE && !p.Whole {
 			continue
 		}
-		x := &wpb.Item{Kind: k.Kind, Name: k.Name, Generation: p.To, Term: t.Term, Gone: true}
-		if k.Kind == wpb.Item_BRICK && old.GetBrick().GetDrained() != 0 {
+		x := &pb.Item{Kind: k.Kind, Name: k.Name, Generation: p.To, Term: t.Term, Gone: true}
+		if k.Kind == pb.Item_BRICK && old.GetBrick().GetDrained() != 0 {
 			x.Brick = old.Brick
 		}
 		if !old.Gone {
@@ -198,24 +198,24 @@
 			changed = append(changed, x)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *wpb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(changed, func(a, b *pb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	v.items, v.generation = next, p.To
 	return Taken{Changed: changed, Last: true}, nil
 }
 
 // keepDrain lets no item lift a drain that is learnt.
-func (v *View) keepDrain(k Key, x *wpb.Item) *wpb.Item {
+func (v *View) keepDrain(k Key, x *pb.Item) *pb.Item {
 	old := v.items[k]
-	if k.Kind != wpb.Item_BRICK || old.GetBrick().GetDrained() == 0 {
+	if k.Kind != pb.Item_BRICK || old.GetBrick().GetDrained() == 0 {
 		return x
 	}
 	d := Drain(old.Brick.Drained, x.GetBrick().GetDrained())
 	if x.GetBrick().GetDrained() == d {
 		return x
 	}
-	y := proto.Clone(x).(*wpb.Item)
+	y := proto.Clone(x).(*pb.Item)
 	if y.Brick == nil {
-		y.Brick = proto.Clone(old.Brick).(*wpb.PlanBrick)
+		y.Brick = proto.Clone(old.Brick).(*pb.PlanBrick)
 	}
 	y.Brick.Drained = d
 	y.Brick.Serving = y.Brick.Serving && !Drained(y.Brick)
@@ -223,24 +223,24 @@
 }
 
 // Drained tells whether a brick's present life was told to drain.
-func Drained(b *wpb.PlanBrick) bool {
+func Drained(b *pb.PlanBrick) bool {
 	return b.GetDrained() == -1 || b.GetDrained() != 0 && b.GetStarted() <= b.GetDrained()
 }
 
 // Drains learnt by the edge itself, from a brick or another edge: they stay. changed tells whether it was new.
 func (v *View) Learn(name string, drained int64) (changed bool) {
-	k := Key{wpb.Item_BRICK, name}
+	k := Key{pb.Item_BRICK, name}
 	old := v.items[k]
 	if old == nil {
-		old = &wpb.Item{Kind: k.Kind, Name: name, Brick: &wpb.PlanBrick{}}
+		old = &pb.Item{Kind: k.Kind, Name: name, Brick: &pb.PlanBrick{}}
 	}
 	d := Drain(old.GetBrick().GetDrained(), drained)
 	if d == old.GetBrick().GetDrained() {
 		return false
 	}
-	x := proto.Clone(old).(*wpb.Item)
+	x := proto.Clone(old).(*pb.Item)
 	if x.Brick == nil {
-		x.Brick = &wpb.PlanBrick{}
+		x.Brick = &pb.PlanBrick{}
 	}
 	x.Brick.Drained = d
 	x.Brick.Serving = x.Brick.Serving && !Drained(x.Brick)
@@ -250,11 +250,11 @@
 
 // Given keeps a place that the planner gave to this edge, ahead of the view in which it comes: a planner that lost its disk right
 // after must learn of it.
-func (v *View) Given(x *wpb.Item) {
+func (v *View) Given(x *pb.Item) {
 	if old := v.items[KeyOf(x)]; old == nil || Later(x, old) {
 		v.items[KeyOf(x)] = x
 	}
 }
 
 // Evidence is a planner's word on a brick that is no part of the view, with what is known of its drains.
-func (v *View) Evidence(x *wpb.Item) *wpb.Item { return v.keepDrain(KeyOf(x), x) }
+func (v *View) Evidence(x *pb.Item) *pb.Item { return v.keepDrain(KeyOf(x), x) }
--- a/internal/plan/decide/explore_test.go
+++ b/internal/controlplane/statemachine/explore_test.go
@@ -1,4 +1,4 @@
-package decide
+package statemachine
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/pb"
 )
 
 // The small world of the exhaustive search: two planners, two edges, three changes. What may happen, in any order:
@@ -56,14 +56,14 @@
 	lives := uint64(0)
 	w = &world{t: catcher{}, now: 100 * time.Hour, given: map[string]uint32{}, life: func() uint64 { lives++; return lives }}
 	for range 2 {
-		w.edges = append(w.edges, &anEdge{v: view.New(nil, 0, nil, 1000), drained: map[string]int64{}})
+		w.edges = append(w.edges, &anEdge{v: snapshot.New(nil, 0, nil, 1000), drained: map[string]int64{}})
 	}
-	disks := []*disk{{items: map[view.Key]*wpb.Item{}}, {items: map[view.Key]*wpb.Item{}}}
+	disks := []*disk{{items: map[snapshot.Key]*pb.Item{}}, {items: map[snapshot.Key]*pb.Item{}}}
 	alive := []*planner{w.startWith(small, "a", disks[0]), w.startWith(small, "b", disks[1])}
 	changes := 0
 	type stand struct {
 		g uint64
-		t *wpb.Tenure
+		t *pb.Tenure
 	}
 	was := make([]stand, 2)
 	for _, a := range trace {
@@ -81,12 +81,12 @@
 				w.cut(p, e)
 			}
 			if strings.Contains(a.what, "nothing") {
-				disks[a.planner] = &disk{items: map[view.Key]*wpb.Item{}}
+				disks[a.planner] = &disk{items: map[snapshot.Key]*pb.Item{}}
 			}
 			alive[a.planner] = w.startWith(small, []string{"a", "b"}[a.planner], disks[a.planner])
 		case "is told a change:":
 			if changes++; changes <= 3 {
-				p.Want(&wpb.Item{Kind: wpb.Item_BRICK, Name: "x", Brick: &wpb.PlanBrick{Address: "x", Serving: changes != 2, Started: 1, Drained: int64(changes % 3 / 2)}})
+				p.Want(&pb.Item{Kind: pb.Item_BRICK, Name: "x", Brick: &pb.PlanBrick{Address: "x", Serving: changes != 2, Started: 1, Drained: int64(changes % 3 / 2)}})
 				p.Write(w.clock(p))
 			}
 		case "all that waits is delivered:", "one message is delivered:":
@@ -105,13 +105,13 @@
 		}
 		w.check()
 		for i, e := range w.edges {
-			if e.v.Generation() < was[i].g || view.Compare(e.v.Tenure(), was[i].t) < 0 {
+			if e.v.Generation() < was[i].g || snapshot.Compare(e.v.Tenure(), was[i].t) < 0 {
 				return w, fmt.Sprintf("edge %d went back: generation %d after %d, tenure %v after %v", i, e.v.Generation(), was[i].g, e.v.Tenure(), was[i].t)
 			}
 			was[i] = stand{e.v.Generation(), e.v.Tenure()}
 		}
 		x, y := w.edges[0].v, w.edges[1].v
-		if x.Generation() == y.Generation() && x.Generation() > 0 && w.edges[0].from != nil && view.Compare(w.edges[0].from, w.edges[1].from) == 0 && x.Digest() != y.Digest() && !w.unfit() {
+		if x.Generation() == y.Generation() && x.Generation() > 0 && w.edges[0].from != nil && snapshot.Compare(w.edges[0].from, w.edges[1].from) == 0 && x.Digest() != y.Digest() && !w.unfit() {
 			return w, fmt.Sprintf("two edges hold generation %d of one tenure, and not the same", x.Generation())
 		}
 	}
@@ -136,7 +136,7 @@
 
 func (w *world) startWith(r Rules, name string, d *disk) *planner {
 	p := &planner{disk: d, speed: 1, up: true, conns: map[int]*conn{}}
-	var items []*wpb.Item
+	var items []*pb.Item
 	for _, x := range d.items {
 		items = append(items, x)
 	}
