--- a/internal/plan/decide/decide.go
+++ b/internal/controlplane/statemachine/statemachine.go
@@ -1,4 +1,4 @@
-// Package decide is the planner's decisions: what it may write and when, what it must learn back before it does, who is served a
+// Package statemachine is the planner's decisions: what it may write and when, what it must learn back before it does, who is served a
 // view next, where new objects go. It has no I/O, clock or goroutine: time comes in by calls, what must be written down goes out
 // through Keeper and counts only once that came back.
 //
@@ -10,7 +10,7 @@
 // Recovery. What the disk gives may be old, or nothing. Before anything new is written, edges say what they hold: until more than
 // half of the edges have, or, once Recover has passed, all that are there. Of each thing the later generation wins, drains
 // add up, and generations go on above all that were heard of.
-package decide
+package statemachine
 
 import (
 	"cmp"
@@ -21,13 +21,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/pb"
 )
 
 // Keeper writes down. What it fails to write did not happen.
 type Keeper interface {
-	Keep(tenure *wpb.Tenure, generation uint64, changed []*wpb.Item) error
+	Keep(tenure *pb.Tenure, generation uint64, changed []*pb.Item) error
 }
 
 // Rules are the figures.
@@ -58,7 +58,7 @@
 	name, address string
 	connected     bool
 	reported      bool
-	tenure        *wpb.Tenure
+	tenure        *pb.Tenure
 	generation    uint64        // acknowledged
 	beat          time.Duration // when the latest beat that it acknowledged was sent; 0: none
 	heard         time.Duration
@@ -72,13 +72,13 @@
 	rules      Rules
 	keep       Keeper
 	log        func(string)
-	tenure     *wpb.Tenure
+	tenure     *pb.Tenure
 	generation uint64
 	floor      uint64 // changes since before it can't be told any more
-	items      map[view.Key]*wpb.Item
-	wanted     map[view.Key]*wpb.Item // as it should be; written when the lease is held
-	unsure     map[view.Key]bool      // of a write that failed: the disk may hold these as they were before it or after
-	gone       []view.Key
+	items      map[snapshot.Key]*pb.Item
+	wanted     map[snapshot.Key]*pb.Item // as it should be; written when the lease is held
+	unsure     map[snapshot.Key]bool     // of a write that failed: the disk may hold these as they were before it or after
+	gone       []snapshot.Key
 	edges      map[string]*edge
 	started    time.Duration
 	recovered  bool
@@ -96,22 +96,22 @@
 
 // New takes what the disk gave; tenure nil: nothing. life is drawn anew at each start: two starts without a disk, or two planners
 // given one name, would else share a tenure.
-func New(name string, life uint64, tenure *wpb.Tenure, generation uint64, saved []*wpb.Item, r Rules, k Keeper, log func(string), now time.Duration) (*State, error) {
-	s := &State{rules: r, keep: k, log: log, generation: generation, floor: generation, items: map[view.Key]*wpb.Item{}, wanted: map[view.Key]*wpb.Item{}, unsure: map[view.Key]bool{},
+func New(name string, life uint64, tenure *pb.Tenure, generation uint64, saved []*pb.Item, r Rules, k Keeper, log func(string), now time.Duration) (*State, error) {
+	s := &State{rules: r, keep: k, log: log, generation: generation, floor: generation, items: map[snapshot.Key]*pb.Item{}, wanted: map[snapshot.Key]*pb.Item{}, unsure: map[snapshot.Key]bool{},
 		edges: map[string]*edge{}, started: now, beats: map[uint64]time.Duration{}, placed: map[uint32]int{}, took: 20 * time.Millisecond}
 	for _, x := range saved {
 		s.hold(x)
 	}
-	s.tenure = &wpb.Tenure{Term: tenure.GetTerm() + 1, Planner: fmt.Sprintf("%s#%016x", name, life)}
+	s.tenure = &pb.Tenure{Term: tenure.GetTerm() + 1, Planner: fmt.Sprintf("%s#%016x", name, life)}
 	if err := k.Keep(s.tenure, s.generation, nil); err != nil {
 		return nil, fmt.Errorf("write down term %d: %w", s.tenure.Term, err)
 	}
 	return s, nil
 }
 
-func (s *State) hold(x *wpb.Item) {
-	k := view.KeyOf(x)
-	if old := s.items[k]; k.Kind == wpb.Item_PLACE {
+func (s *State) hold(x *pb.Item) {
+	k := snapshot.KeyOf(x)
+	if old := s.items[k]; k.Kind == pb.Item_PLACE {
 		if old != nil && !old.Gone {
 			s.placed[old.Place.GetCell()]--
 		}
@@ -127,25 +127,25 @@
 }
 
 // Tenure, Generation, Phase, Items tell what it is.
-func (s *State) Tenure() *wpb.Tenure       { return s.tenure }
-func (s *State) Generation() uint64        { return s.generation }
-func (s *State) Phase() Phase              { return s.phase }
-func (s *State) Items() []*wpb.Item        { return view.Sorted(s.items) }
-func (s *State) Item(k view.Key) *wpb.Item { return s.items[k] }
+func (s *State) Tenure() *pb.Tenure           { return s.tenure }
+func (s *State) Generation() uint64           { return s.generation }
+func (s *State) Phase() Phase                 { return s.phase }
+func (s *State) Items() []*pb.Item            { return snapshot.Sorted(s.items) }
+func (s *State) Item(k snapshot.Key) *pb.Item { return s.items[k] }
 
 // Hello is an edge that came. ask: it must say what it holds first. The error is for the operator's eyes; the edge is told to
 // come back.
-func (s *State) Hello(name, address string, tenure *wpb.Tenure, generation, digest uint64, following, whole bool, now time.Duration) (ask bool, err error) {
+func (s *State) Hello(name, address string, tenure *pb.Tenure, generation, digest uint64, following, whole bool, now time.Duration) (ask bool, err error) {
 	e := s.edges[name]
 	if e == nil {
 		if len(s.edges) >= 1<<16 {
 			return false, fmt.Errorf("more than %d edges", 1<<16)
 		}
-		e = &edge{name: name, tenure: &wpb.Tenure{}}
+		e = &edge{name: name, tenure: &pb.Tenure{}}
 		s.edges[name] = e
 	}
 	e.address, e.connected, e.heard, e.sending, e.queued = address, true, now, false, 0
-	if view.Compare(tenure, s.tenure) > 0 {
+	if snapshot.Compare(tenure, s.tenure) > 0 {
 		if following {
 			s.outranked = now
 			s.settle(now)
@@ -171,7 +171,7 @@
 }
 
 func (s *State) raise(term uint64, now time.Duration) error {
-	t := &wpb.Tenure{Term: term, Planner: s.tenure.Planner}
+	t := &pb.Tenure{Term: term, Planner: s.tenure.Planner}
 	if err := s.keep.Keep(t, s.generation, nil); err != nil {
 		return fmt.Errorf("write down term %d: %w", term, err)
 	}
@@ -193,37 +193,37 @@
 }
 
 // Report takes what an edge holds. What is later than what is known here is learnt; drains add up.
-func (s *State) Report(name string, items []*wpb.Item, last bool, now time.Duration) error {
+func (s *State) Report(name string, items []*pb.Item, last bool, now time.Duration) error {
 	e := s.edges[name]
 	if e == nil {
 		return fmt.Errorf("a report of %q, which never came", name)
 	}
-	var learnt []*wpb.Item
+	var learnt []*pb.Item
 	for _, x := range items {
-		k := view.KeyOf(x)
+		k := snapshot.KeyOf(x)
 		own := s.items[k]
 		if len(s.items) >= s.rules.Items && own == nil {
 			return fmt.Errorf("edge %s reports more than %d things", name, s.rules.Items)
 		}
 		y := x
-		if own != nil && !view.Later(x, own) {
+		if own != nil && !snapshot.Later(x, own) {
 			y = own
 		}
-		if k.Kind == wpb.Item_BRICK {
-			if d := view.Drain(own.GetBrick().GetDrained(), x.GetBrick().GetDrained()); d != y.GetBrick().GetDrained() {
-				y = proto.Clone(y).(*wpb.Item)
+		if k.Kind == pb.Item_BRICK {
+			if d := snapshot.Drain(own.GetBrick().GetDrained(), x.GetBrick().GetDrained()); d != y.GetBrick().GetDrained() {
+				y = proto.Clone(y).(*pb.Item)
 				if y.Brick == nil {
-					y.Brick = &wpb.PlanBrick{}
+					y.Brick = &pb.PlanBrick{}
 				}
 				y.Brick.Drained = d
-				y.Brick.Serving = y.Brick.Serving && !view.Drained(y.Brick)
+				y.Brick.Serving = y.Brick.Serving && !snapshot.Drained(y.Brick)
 				if s.recovered { // all the others must hear of it: it is news
 					if w := s.wanted[k]; w != nil {
 						if w.Brick == nil {
-							w.Brick = &wpb.PlanBrick{}
+							w.Brick = &pb.PlanBrick{}
 						}
-						w.Brick.Drained = view.Drain(w.Brick.Drained, d)
-						w.Brick.Serving = w.Brick.Serving && !view.Drained(w.Brick)
+						w.Brick.Drained = snapshot.Drain(w.Brick.Drained, d)
+						w.Brick.Serving = w.Brick.Serving && !snapshot.Drained(w.Brick)
 					} else {
 						s.wanted[k] = y
 					}
@@ -266,20 +266,20 @@
 }
 
 // Ack is an edge's: it follows this tenure, holds all up to a generation, and heard a beat.
-func (s *State) Ack(name string, tenure *wpb.Tenure, generation, beat uint64, now time.Duration) {
+func (s *State) Ack(name string, tenure *pb.Tenure, generation, beat uint64, now time.Duration) {
 	e := s.edges[name]
 	if e == nil {
 		return
 	}
 	e.heard = now
-	if view.Compare(tenure, s.tenure) != 0 {
-		if view.Compare(tenure, s.tenure) > 0 {
+	if snapshot.Compare(tenure, s.tenure) != 0 {
+		if snapshot.Compare(tenure, s.tenure) > 0 {
 			s.outranked = now
 		}
 		s.settle(now)
 		return
 	}
-	e.tenure = proto.Clone(tenure).(*wpb.Tenure)
+	e.tenure = proto.Clone(tenure).(*pb.Tenure)
 	if at, ok := s.beats[beat]; ok {
 		e.beat = max(e.beat, at)
 	}
@@ -344,27 +344,27 @@
 }
 
 // Want says how a thing should be; it is written once it may be. A brick's drain is never unwanted.
-func (s *State) Want(x *wpb.Item) {
-	k := view.KeyOf(x)
-	x = proto.Clone(x).(*wpb.Item)
-	if own := s.items[k]; k.Kind == wpb.Item_BRICK {
+func (s *State) Want(x *pb.Item) {
+	k := snapshot.KeyOf(x)
+	x = proto.Clone(x).(*pb.Item)
+	if own := s.items[k]; k.Kind == pb.Item_BRICK {
 		d := own.GetBrick().GetDrained()
 		if w := s.wanted[k]; w != nil {
-			d = view.Drain(d, w.GetBrick().GetDrained())
+			d = snapshot.Drain(d, w.GetBrick().GetDrained())
 		}
 		if d != 0 {
 			if x.Brick == nil {
-				x.Brick = &wpb.PlanBrick{}
+				x.Brick = &pb.PlanBrick{}
 			}
-			x.Brick.Drained = view.Drain(d, x.Brick.Drained)
-			x.Brick.Serving = x.Brick.Serving && !view.Drained(x.Brick)
+			x.Brick.Drained = snapshot.Drain(d, x.Brick.Drained)
+			x.Brick.Serving = x.Brick.Serving && !snapshot.Drained(x.Brick)
 		}
 	}
 	s.wanted[k] = x
 }
 
 // Write writes what is wanted and differs, as one generation; it tells whether anything changed. It writes only while the lease is held.
-func (s *State) Write(now time.Duration) (changed []*wpb.Item, err error) {
+func (s *State) Write(now time.Duration) (changed []*pb.Item, err error) {
 	if s.Tick(now); s.phase != Holding {
 		return nil, nil
 	}
@@ -375,14 +375,14 @@
 			delete(s.wanted, k)
 			continue
 		}
-		y := proto.Clone(w).(*wpb.Item)
-		if k.Kind == wpb.Item_BRICK && own != nil { // drains that were learnt since it was wanted
-			if d := view.Drain(own.GetBrick().GetDrained(), y.GetBrick().GetDrained()); d != y.GetBrick().GetDrained() {
+		y := proto.Clone(w).(*pb.Item)
+		if k.Kind == pb.Item_BRICK && own != nil { // drains that were learnt since it was wanted
+			if d := snapshot.Drain(own.GetBrick().GetDrained(), y.GetBrick().GetDrained()); d != y.GetBrick().GetDrained() {
 				if y.Brick == nil {
-					y.Brick = &wpb.PlanBrick{}
+					y.Brick = &pb.PlanBrick{}
 				}
 				y.Brick.Drained = d
-				y.Brick.Serving = y.Brick.Serving && !view.Drained(y.Brick)
+				y.Brick.Serving = y.Brick.Serving && !snapshot.Drained(y.Brick)
 			}
 		}
 		if own != nil {
@@ -397,7 +397,7 @@
 	if len(changed) == 0 {
 		return nil, nil
 	}
-	slices.SortFunc(changed, func(a, b *wpb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(changed, func(a, b *pb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	for _, y := range changed {
 		y.Generation, y.Term = s.generation+1, s.tenure.Term
 	}
@@ -407,7 +407,7 @@
 	s.generation++
 	for _, y := range changed {
 		s.hold(y)
-		delete(s.wanted, view.KeyOf(y))
+		delete(s.wanted, snapshot.KeyOf(y))
 	}
 	s.Forget(s.rules.Tombstones)
 	return changed, nil
@@ -415,13 +415,13 @@
 
 // keepItems writes items down. After a failure the disk may hold them as they were before or after it, so they stay unsure until
 // they are written again.
-func (s *State) keepItems(generation uint64, items []*wpb.Item) error {
+func (s *State) keepItems(generation uint64, items []*pb.Item) error {
 	err := s.keep.Keep(s.tenure, generation, items)
 	for _, x := range items {
 		if err != nil {
-			s.unsure[view.KeyOf(x)] = true
+			s.unsure[snapshot.KeyOf(x)] = true
 		} else {
-			delete(s.unsure, view.KeyOf(x))
+			delete(s.unsure, snapshot.KeyOf(x))
 		}
 	}
 	return err
@@ -434,9 +434,9 @@
 			continue
 		}
 		if own := s.items[k]; own != nil {
-			s.wanted[k] = proto.Clone(own).(*wpb.Item)
+			s.wanted[k] = proto.Clone(own).(*pb.Item)
 		} else {
-			s.wanted[k] = &wpb.Item{Kind: k.Kind, Name: k.Name, Gone: true}
+			s.wanted[k] = &pb.Item{Kind: k.Kind, Name: k.Name, Gone: true}
 		}
 	}
 }
@@ -465,15 +465,15 @@
 // Place chooses the cell of a new object or extent: of those where its volume may lie, on bricks that serve, the one with the
 // fewest for its bricks; in another zone than butZone if there is one. Asked again for the same name, the same cell is given,
 // unless none of its bricks serves any more and it was never used (the caller then asks with another name).
-func (s *State) Place(edgeName, volume, name, butZone string, now time.Duration) (*wpb.Item, error) {
-	k := view.Key{Kind: wpb.Item_PLACE, Name: volume + "/" + name}
+func (s *State) Place(edgeName, volume, name, butZone string, now time.Duration) (*pb.Item, error) {
+	k := snapshot.Key{Kind: pb.Item_PLACE, Name: volume + "/" + name}
 	if own := s.items[k]; own != nil && !own.Gone {
 		return own, nil
 	}
 	if s.Tick(now); s.phase != Holding {
 		return nil, fmt.Errorf("no place is given: the planner is %s", s.phase)
 	}
-	v := s.items[view.Key{Kind: wpb.Item_VOLUME, Name: volume}]
+	v := s.items[snapshot.Key{Kind: pb.Item_VOLUME, Name: volume}]
 	if v == nil || v.Gone {
 		return nil, fmt.Errorf("no volume %q", volume)
 	}
@@ -484,7 +484,7 @@
 	other := map[uint32]bool{}
 	for key, x := range s.items {
 		b := x.GetBrick()
-		if key.Kind != wpb.Item_BRICK || x.Gone || !b.GetServing() || view.Drained(b) || b.GetCell() < 0 {
+		if key.Kind != pb.Item_BRICK || x.Gone || !b.GetServing() || snapshot.Drained(b) || b.GetCell() < 0 {
 			continue
 		}
 		if cells := v.GetVolume().GetCell(); len(cells) > 0 && !slices.Contains(cells, uint32(b.Cell)) {
@@ -509,8 +509,8 @@
 	if !found {
 		return nil, fmt.Errorf("volume %q: no brick that serves where it may lie", volume)
 	}
-	x := &wpb.Item{Kind: k.Kind, Name: k.Name, Generation: s.generation + 1, Term: s.tenure.Term, Place: &wpb.PlanPlace{Volume: volume, Cell: best, Edge: edgeName}}
-	if err := s.keepItems(s.generation+1, []*wpb.Item{x}); err != nil {
+	x := &pb.Item{Kind: k.Kind, Name: k.Name, Generation: s.generation + 1, Term: s.tenure.Term, Place: &pb.PlanPlace{Volume: volume, Cell: best, Edge: edgeName}}
+	if err := s.keepItems(s.generation+1, []*pb.Item{x}); err != nil {
 		return nil, fmt.Errorf("write down the place: %w", err)
 	}
 	s.generation++
@@ -558,7 +558,7 @@
 
 // View is what an edge that stands at a generation of this planner's lineage is to be sent: nothing, changes, or the whole.
 // whole: it asked for the whole; that waits until it has said what it holds, since what doesn't fit may be news.
-func (s *State) View(name string, tenure *wpb.Tenure, generation, digest uint64, whole bool) (p *wpb.ViewPart, send bool) {
+func (s *State) View(name string, tenure *pb.Tenure, generation, digest uint64, whole bool) (p *pb.ViewPart, send bool) {
 	if e := s.edges[name]; whole && e != nil && !e.reported {
 		return nil, false
 	}
@@ -566,13 +566,13 @@
 	if same && !whole && generation == s.generation && digest == s.Digest() {
 		return nil, false
 	}
-	p = &wpb.ViewPart{From: generation, To: s.generation, Digest: s.Digest(), Last: true}
+	p = &pb.ViewPart{From: generation, To: s.generation, Digest: s.Digest(), Last: true}
 	p.Whole = whole || !same || generation < s.floor || generation > s.generation || generation == s.generation
 	if p.Whole {
 		p.From = 0
 	}
 	for k, x := range s.items {
-		if !p.Whole && x.Generation <= generation || k.Kind == wpb.Item_PLACE && x.GetPlace().GetEdge() != name {
+		if !p.Whole && x.Generation <= generation || k.Kind == pb.Item_PLACE && x.GetPlace().GetEdge() != name {
 			continue
 		}
 		if p.Whole && x.Gone && x.GetBrick().GetDrained() == 0 {
@@ -580,12 +580,12 @@
 		}
 		p.Item = append(p.Item, x)
 	}
-	slices.SortFunc(p.Item, func(a, b *wpb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(p.Item, func(a, b *pb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 	return p, true
 }
 
 // kin tells whether a tenure was of a planner of this name.
-func (s *State) kin(t *wpb.Tenure) bool {
+func (s *State) kin(t *pb.Tenure) bool {
 	a, _, _ := strings.Cut(t.GetPlanner(), "#")
 	b, _, _ := strings.Cut(s.tenure.Planner, "#")
 	return a == b && t.GetTerm() <= s.tenure.Term
@@ -594,18 +594,18 @@
 // Digest is that of the view an edge should hold.
 func (s *State) Digest() uint64 {
 	if !s.summed {
-		s.digest, s.summed = view.Digest(s.items), true
+		s.digest, s.summed = snapshot.Digest(s.items), true
 	}
 	return s.digest
 }
 
 // Edges tells of all edges, by name.
-func (s *State) Edges(now time.Duration) (all []*wpb.EdgeStatus) {
+func (s *State) Edges(now time.Duration) (all []*pb.EdgeStatus) {
 	for _, e := range s.edges {
-		all = append(all, &wpb.EdgeStatus{Name: e.name, Address: e.address, Connected: e.connected, Generation: e.generation, Heard: int64(now - e.heard),
+		all = append(all, &pb.EdgeStatus{Name: e.name, Address: e.address, Connected: e.connected, Generation: e.generation, Heard: int64(now - e.heard),
 			Term: e.tenure.GetTerm()})
 	}
-	slices.SortFunc(all, func(a, b *wpb.EdgeStatus) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b *pb.EdgeStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
@@ -638,17 +638,17 @@
 }
 
 // Difference spells how what an edge holds differs from the view.
-func Difference(items, held []*wpb.Item, edgeName string) (all []string) {
-	own, theirs := map[view.Key]*wpb.Item{}, map[view.Key]*wpb.Item{}
+func Difference(items, held []*pb.Item, edgeName string) (all []string) {
+	own, theirs := map[snapshot.Key]*pb.Item{}, map[snapshot.Key]*pb.Item{}
 	for _, x := range items {
-		if x.Kind != wpb.Item_PLACE || x.GetPlace().GetEdge() == edgeName {
-			own[view.KeyOf(x)] = x
+		if x.Kind != pb.Item_PLACE || x.GetPlace().GetEdge() == edgeName {
+			own[snapshot.KeyOf(x)] = x
 		}
 	}
 	for _, x := range held {
-		theirs[view.KeyOf(x)] = x
+		theirs[snapshot.KeyOf(x)] = x
 	}
-	keys := map[view.Key]bool{}
+	keys := map[snapshot.Key]bool{}
 	for k := range own {
 		keys[k] = true
 	}
--- a/internal/plan/decide/decide_test.go
+++ b/internal/controlplane/statemachine/statemachine_test.go
@@ -1,4 +1,4 @@
-package decide
+package statemachine
 
 import (
 	"errors"
@@ -11,28 +11,28 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/pb"
 )
 
 var rules = Rules{Edges: 5, Lease: time.Second, Recover: 2 * time.Second, AtOnce: 2, Tombstones: 3, Items: 1000}
 
 // disk keeps what is written; it may be full, and copied.
 type disk struct {
-	tenure     *wpb.Tenure
+	tenure     *pb.Tenure
 	generation uint64
-	items      map[view.Key]*wpb.Item
+	items      map[snapshot.Key]*pb.Item
 	full       bool
 	landed     bool // writes reach the disk and are told as failed
 }
 
-func (d *disk) Keep(t *wpb.Tenure, g uint64, changed []*wpb.Item) error {
+func (d *disk) Keep(t *pb.Tenure, g uint64, changed []*pb.Item) error {
 	if d.full {
 		return errors.New("no space left on device")
 	}
-	d.tenure, d.generation = proto.Clone(t).(*wpb.Tenure), g
+	d.tenure, d.generation = proto.Clone(t).(*pb.Tenure), g
 	for _, x := range changed {
-		d.items[view.KeyOf(x)] = proto.Clone(x).(*wpb.Item)
+		d.items[snapshot.KeyOf(x)] = proto.Clone(x).(*pb.Item)
 	}
 	if d.landed {
 		return errors.New("input/output error")
@@ -41,9 +41,9 @@
 }
 
 func (d *disk) copy() *disk {
-	c := &disk{tenure: d.tenure, generation: d.generation, items: map[view.Key]*wpb.Item{}}
+	c := &disk{tenure: d.tenure, generation: d.generation, items: map[snapshot.Key]*pb.Item{}}
 	for k, x := range d.items {
-		c.items[k] = proto.Clone(x).(*wpb.Item)
+		c.items[k] = proto.Clone(x).(*pb.Item)
 	}
 	return c
 }
@@ -61,14 +61,14 @@
 	to, from []any // messages on their way
 	at       uint64
 	digest   uint64
-	held     *wpb.Tenure
+	held     *pb.Tenure
 	whole    bool
 }
 
 type anEdge struct {
-	v         *view.View
+	v         *snapshot.View
 	following *planner
-	from      *wpb.Tenure // under which its view was told
+	from      *pb.Tenure // under which its view was told
 	whole     bool
 	drained   map[string]int64
 	places    map[string]uint32
@@ -91,7 +91,7 @@
 func (w *world) start(name string, d *disk, speed float64) *planner {
 	d.full = false // else it does not start, and says so
 	p := &planner{disk: d, speed: speed, up: true, conns: map[int]*conn{}}
-	var items []*wpb.Item
+	var items []*pb.Item
 	for _, x := range d.items {
 		items = append(items, x)
 	}
@@ -100,7 +100,7 @@
 		w.t.Fatalf("%v", err)
 	}
 	p.State = s
-	p.Want(&wpb.Item{Kind: wpb.Item_VOLUME, Name: "v", Volume: &wpb.PlanVolume{Plan: "p", Hosts: 2}})
+	p.Want(&pb.Item{Kind: pb.Item_VOLUME, Name: "v", Volume: &pb.PlanVolume{Plan: "p", Hosts: 2}})
 	w.planners = append(w.planners, p)
 	return p
 }
@@ -113,9 +113,9 @@
 		return
 	}
 	p.conns[i] = c
-	c.to = append(c.to, &wpb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*wpb.Tenure)})
+	c.to = append(c.to, &pb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*pb.Tenure)})
 	if ask {
-		c.to = append(c.to, &wpb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*wpb.Tenure), What: &wpb.PlannerSays_Report{Report: &wpb.ReportAsk{}}})
+		c.to = append(c.to, &pb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*pb.Tenure), What: &pb.PlannerSays_Report{Report: &pb.ReportAsk{}}})
 	}
 }
 
@@ -143,9 +143,9 @@
 		m := c.from[0]
 		c.from = c.from[1:]
 		switch m := m.(type) {
-		case *wpb.EdgeAck:
+		case *pb.EdgeAck:
 			p.Ack(name, m.Tenure, m.Generation, m.Beat, w.clock(p))
-		case *wpb.EdgeReport:
+		case *pb.EdgeReport:
 			if err := p.Report(name, m.Item, m.Last, w.clock(p)); err != nil {
 				w.cut(p, i)
 			}
@@ -158,21 +158,21 @@
 			if part, due := p.View(name, c.held, c.at, c.digest, c.whole); due {
 				if ok, _ := p.Admit(name, w.clock(p)); ok {
 					for k, x := range part.Item { // in pieces of one
-						c.to = append(c.to, &wpb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*wpb.Tenure), What: &wpb.PlannerSays_Part{Part: &wpb.ViewPart{
-							From: part.From, To: part.To, Whole: part.Whole, Item: []*wpb.Item{proto.Clone(x).(*wpb.Item)}}}})
+						c.to = append(c.to, &pb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*pb.Tenure), What: &pb.PlannerSays_Part{Part: &pb.ViewPart{
+							From: part.From, To: part.To, Whole: part.Whole, Item: []*pb.Item{proto.Clone(x).(*pb.Item)}}}})
 						_ = k
 					}
-					c.to = append(c.to, &wpb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*wpb.Tenure), What: &wpb.PlannerSays_Part{Part: &wpb.ViewPart{
+					c.to = append(c.to, &pb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*pb.Tenure), What: &pb.PlannerSays_Part{Part: &pb.ViewPart{
 						From: part.From, To: part.To, Whole: part.Whole, Last: true, Digest: part.Digest}}})
 					c.at, c.digest, c.held, c.whole = part.To, part.Digest, p.Tenure(), false
 					return
 				}
 			}
 		}
-		c.to = append(c.to, &wpb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*wpb.Tenure), What: &wpb.PlannerSays_Alive{Alive: &wpb.Alive{Beat: p.BeatNow()}}})
+		c.to = append(c.to, &pb.PlannerSays{Tenure: proto.Clone(p.Tenure()).(*pb.Tenure), What: &pb.PlannerSays_Alive{Alive: &pb.Alive{Beat: p.BeatNow()}}})
 		return
 	}
-	m := c.to[0].(*wpb.PlannerSays)
+	m := c.to[0].(*pb.PlannerSays)
 	c.to = c.to[1:]
 	before := e.v.Generation()
 	if _, err := e.v.Offered(m.Tenure); err != nil {
@@ -186,11 +186,11 @@
 		e.following = p
 	}
 	switch x := m.What.(type) {
-	case *wpb.PlannerSays_Report:
-		c.from = append(c.from, &wpb.EdgeReport{Item: e.v.Items(), Last: true})
-	case *wpb.PlannerSays_Alive:
-		c.from = append(c.from, &wpb.EdgeAck{Tenure: e.v.Tenure(), Generation: e.v.Generation(), Beat: x.Alive.Beat})
-	case *wpb.PlannerSays_Part:
+	case *pb.PlannerSays_Report:
+		c.from = append(c.from, &pb.EdgeReport{Item: e.v.Items(), Last: true})
+	case *pb.PlannerSays_Alive:
+		c.from = append(c.from, &pb.EdgeAck{Tenure: e.v.Tenure(), Generation: e.v.Generation(), Beat: x.Alive.Beat})
+	case *pb.PlannerSays_Part:
 		t, err := e.v.Part(m.Tenure, x.Part)
 		if err != nil || t.Whole {
 			e.whole = !x.Part.Whole
@@ -198,9 +198,9 @@
 			return
 		}
 		if t.Last {
-			e.whole, e.from = false, proto.Clone(m.Tenure).(*wpb.Tenure)
+			e.whole, e.from = false, proto.Clone(m.Tenure).(*pb.Tenure)
 			p.Sent(name, w.clock(p))
-			c.from = append(c.from, &wpb.EdgeAck{Tenure: e.v.Tenure(), Generation: e.v.Generation()})
+			c.from = append(c.from, &pb.EdgeAck{Tenure: e.v.Tenure(), Generation: e.v.Generation()})
 		}
 	}
 	if e.v.Generation() < before {
@@ -221,14 +221,14 @@
 	}
 	for i, e := range w.edges {
 		for name, d := range e.drained {
-			if x := e.v.Get(view.Key{Kind: wpb.Item_BRICK, Name: name}); view.Drain(x.GetBrick().GetDrained(), d) != x.GetBrick().GetDrained() {
+			if x := e.v.Get(snapshot.Key{Kind: pb.Item_BRICK, Name: name}); snapshot.Drain(x.GetBrick().GetDrained(), d) != x.GetBrick().GetDrained() {
 				w.t.Fatalf("edge %d forgot that %s was drained at %d: %v", i, name, d, x)
 			}
 		}
 		for _, x := range e.v.Items() {
 			if d := x.GetBrick().GetDrained(); d != 0 {
-				e.drained[x.Name] = view.Drain(e.drained[x.Name], d)
-				if x.Brick.Serving && view.Drained(x.Brick) {
+				e.drained[x.Name] = snapshot.Drain(e.drained[x.Name], d)
+				if x.Brick.Serving && snapshot.Drained(x.Brick) {
 					w.t.Fatalf("edge %d: %s serves though drained: %v", i, x.Name, x)
 				}
 			}
@@ -243,9 +243,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, now: 100 * time.Hour, given: map[string]uint32{}, life: func() uint64 { return rapid.Uint64().Draw(t, "life") }}
 		for range 5 {
-			w.edges = append(w.edges, &anEdge{v: view.New(nil, 0, nil, 1000), drained: map[string]int64{}})
+			w.edges = append(w.edges, &anEdge{v: snapshot.New(nil, 0, nil, 1000), drained: map[string]int64{}})
 		}
-		d := &disk{items: map[view.Key]*wpb.Item{}}
+		d := &disk{items: map[snapshot.Key]*pb.Item{}}
 		speed := func() float64 { return rapid.SampledFrom([]float64{0.95, 1, 1.05}).Draw(t, "speed") }
 		main := w.start("a", d, speed())
 		old := d.copy()
@@ -276,15 +276,15 @@
 			brick := fmt.Sprint("b", rapid.IntRange(0, 3).Draw(t, "brick"))
 			switch rapid.IntRange(0, 11).Draw(t, "what") {
 			case 0, 1: // the list says something
-				main.Want(&wpb.Item{Kind: wpb.Item_BRICK, Name: brick, Brick: &wpb.PlanBrick{Cell: int64(brick[1] - '0'), Serving: true,
+				main.Want(&pb.Item{Kind: pb.Item_BRICK, Name: brick, Brick: &pb.PlanBrick{Cell: int64(brick[1] - '0'), Serving: true,
 					Started: rapid.Int64Range(0, 5).Draw(t, "start"), Address: "x"}})
 			case 2:
-				main.Want(&wpb.Item{Kind: wpb.Item_BRICK, Name: brick, Gone: true})
+				main.Want(&pb.Item{Kind: pb.Item_BRICK, Name: brick, Gone: true})
 			case 3: // an edge learns of a drain
 				drained := rapid.Int64Range(1, 6).Draw(t, "drained")
 				if w.edges[i].v.Learn(brick, drained) {
 					if p := w.edges[i].following; p != nil && p.conns[i] != nil {
-						p.conns[i].from = append(p.conns[i].from, &wpb.EdgeReport{Item: w.edges[i].v.Items(), Last: true})
+						p.conns[i].from = append(p.conns[i].from, &pb.EdgeReport{Item: w.edges[i].v.Items(), Last: true})
 					}
 				}
 			case 4:
@@ -310,11 +310,11 @@
 				for k := range w.edges {
 					w.cut(main, k)
 				}
-				d = &disk{items: map[view.Key]*wpb.Item{}}
+				d = &disk{items: map[snapshot.Key]*pb.Item{}}
 				main = w.start("a", d, speed())
 				w.lostDisk = true
 			case 8: // a second one by mistake, with a disk of its own
-				w.start("b", &disk{items: map[view.Key]*wpb.Item{}}, speed())
+				w.start("b", &disk{items: map[snapshot.Key]*pb.Item{}}, speed())
 			case 9:
 				old = d.copy()
 			case 10:
@@ -327,7 +327,7 @@
 					if err != nil {
 						continue
 					}
-					w.edges[i].v.Given(proto.Clone(x).(*wpb.Item))
+					w.edges[i].v.Given(proto.Clone(x).(*pb.Item))
 					if c, ok := w.given[name]; ok && c != x.Place.Cell && !w.lostDisk && len(w.planners) == 1 {
 						t.Fatalf("object %s was given cell %d and %d", name, c, x.Place.Cell)
 					}
@@ -361,7 +361,7 @@
 
 // A hundred edges that return together: at most AtOnce views are on their way, each edge is served, in the order of their coming.
 func TestServedInTurn(t *testing.T) {
-	d := &disk{items: map[view.Key]*wpb.Item{}}
+	d := &disk{items: map[snapshot.Key]*pb.Item{}}
 	r := rules
 	r.Edges, r.AtOnce = 100, 4
 	s, err := New("a", 1, nil, 0, nil, r, d, func(string) {}, 0)
@@ -413,7 +413,7 @@
 
 // A drain that the list denies stays; a later start lifts it. A full disk: nothing is half done.
 func TestDrainsAndFullDisk(t *testing.T) {
-	d := &disk{items: map[view.Key]*wpb.Item{}}
+	d := &disk{items: map[snapshot.Key]*pb.Item{}}
 	r := rules
 	r.Edges = 1
 	s, _ := New("a", 1, nil, 0, nil, r, d, func(string) {}, 0)
@@ -430,18 +430,18 @@
 		}
 	}
 	hold()
-	brick := func(serving bool, started, drained int64) *wpb.Item {
-		return &wpb.Item{Kind: wpb.Item_BRICK, Name: "b", Brick: &wpb.PlanBrick{Serving: serving, Started: started, Drained: drained}}
+	brick := func(serving bool, started, drained int64) *pb.Item {
+		return &pb.Item{Kind: pb.Item_BRICK, Name: "b", Brick: &pb.PlanBrick{Serving: serving, Started: started, Drained: drained}}
 	}
 	s.Want(brick(true, 10, 0))
 	if c, err := s.Write(now); len(c) != 1 || err != nil {
 		t.Fatal(c, err)
 	}
-	s.Report("e", []*wpb.Item{brick(false, 10, 10)}, true, now)
+	s.Report("e", []*pb.Item{brick(false, 10, 10)}, true, now)
 	s.Write(now)
 	s.Want(brick(true, 10, 0)) // the list knows nothing of it
 	s.Write(now)
-	k := view.Key{Kind: wpb.Item_BRICK, Name: "b"}
+	k := snapshot.Key{Kind: pb.Item_BRICK, Name: "b"}
 	if b := s.Item(k).Brick; b.Serving || b.Drained != 10 {
 		t.Errorf("%v", b)
 	}
@@ -450,7 +450,7 @@
 	if b := s.Item(k).Brick; !b.Serving || b.Drained != 10 {
 		t.Errorf("%v", b)
 	}
-	s.Want(&wpb.Item{Kind: wpb.Item_VOLUME, Name: "v", Volume: &wpb.PlanVolume{}})
+	s.Want(&pb.Item{Kind: pb.Item_VOLUME, Name: "v", Volume: &pb.PlanVolume{}})
 	s.Write(now)
 	g := s.Generation()
 	d.full = true
@@ -463,7 +463,7 @@
 	}
 	d.full = false
 	// The brick, and that nothing was placed: the place that could not be written down may have reached the disk.
-	if c, err := s.Write(now); len(c) != 2 || c[0].Name != "b" || !c[1].Gone || c[1].Kind != wpb.Item_PLACE || err != nil || d.generation != g+1 {
+	if c, err := s.Write(now); len(c) != 2 || c[0].Name != "b" || !c[1].Gone || c[1].Kind != pb.Item_PLACE || err != nil || d.generation != g+1 {
 		t.Error(c, err)
 	}
 	if _, err := s.Place("e", "v", "o", "", now); err == nil || !strings.Contains(err.Error(), "no brick") {
@@ -479,7 +479,7 @@
 // A write that is told as failed may have reached the disk. What it wrote and was then taken back does not come back with the
 // next start.
 func TestFailedWriteIsUnknown(t *testing.T) {
-	d := &disk{items: map[view.Key]*wpb.Item{}}
+	d := &disk{items: map[snapshot.Key]*pb.Item{}}
 	r := rules
 	r.Edges = 1
 	s, _ := New("a", 1, nil, 0, nil, r, d, func(string) {}, 0)
@@ -490,8 +490,8 @@
 		now += 100 * time.Millisecond
 		s.Ack("e", s.Tenure(), s.Generation(), s.Beat(now), now)
 	}
-	volume := func(name string, gone bool) *wpb.Item {
-		return &wpb.Item{Kind: wpb.Item_VOLUME, Name: name, Gone: gone, Volume: &wpb.PlanVolume{}}
+	volume := func(name string, gone bool) *pb.Item {
+		return &pb.Item{Kind: pb.Item_VOLUME, Name: name, Gone: gone, Volume: &pb.PlanVolume{}}
 	}
 	s.Want(volume("kept", false))
 	if c, err := s.Write(now); len(c) != 1 || err != nil {
@@ -510,7 +510,7 @@
 		t.Fatal(err)
 	}
 	for name, gone := range map[string]bool{"kept": false, "new": true} {
-		if x := d.items[view.Key{Kind: wpb.Item_VOLUME, Name: name}]; x == nil || x.Gone != gone {
+		if x := d.items[snapshot.Key{Kind: pb.Item_VOLUME, Name: name}]; x == nil || x.Gone != gone {
 			t.Errorf("%s on disk: %v", name, x)
 		}
 	}
--- a/internal/plan/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -13,7 +13,7 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Format of the file; a program that knows a lower one sets it aside.
@@ -29,9 +29,9 @@
 
 // Saved is what a store holds.
 type Saved struct {
-	Tenure     *wpb.Tenure // nil: nothing was kept
+	Tenure     *pb.Tenure // nil: nothing was kept
 	Generation uint64
-	Items      []*wpb.Item
+	Items      []*pb.Item
 }
 
 // Store is one open file. It may be used by one goroutine at a time.
@@ -87,7 +87,7 @@
 		if n := binary.BigEndian.Uint64(f); n > Format {
 			return fmt.Errorf("the file has form %d, this program knows %d; it was written by a later one", n, Format)
 		}
-		t := &wpb.Tenure{}
+		t := &pb.Tenure{}
 		if err := proto.Unmarshal(m.Get(tenureKey), t); err != nil {
 			return fmt.Errorf("the tenure can't be read: %w", err)
 		}
@@ -97,7 +97,7 @@
 		}
 		saved.Tenure, saved.Generation = t, binary.BigEndian.Uint64(g)
 		return tx.Bucket(itemBucket).ForEach(func(k, v []byte) error {
-			x := &wpb.Item{}
+			x := &pb.Item{}
 			if err := proto.Unmarshal(v, x); err != nil || string(key(x)) != string(k) {
 				return fmt.Errorf("the item %q can't be read", k)
 			}
@@ -111,11 +111,11 @@
 	return &Store{db}, saved, nil
 }
 
-func key(x *wpb.Item) []byte { return fmt.Appendf(nil, "%d/%s", x.Kind, x.Name) }
+func key(x *pb.Item) []byte { return fmt.Appendf(nil, "%d/%s", x.Kind, x.Name) }
 
 // Keep writes a change in one transaction. Items that are gone are kept where they say something still: a drain, or, for a planner,
 // that they are gone.
-func (s *Store) Keep(tenure *wpb.Tenure, generation uint64, changed []*wpb.Item) error {
+func (s *Store) Keep(tenure *pb.Tenure, generation uint64, changed []*pb.Item) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		m, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
--- a/internal/listconn/listconn.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package listconn is a connection to the list service: it keeps connected, asks, and hands on what it hears.
-package listconn
+// Package discovery is a connection to the list service: it keeps connected, asks, and hands on what it hears.
+package discovery
 
 import (
 	"bufio"
@@ -15,15 +15,15 @@
 	"sync"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/lineproto"
 	"weirhaven/internal/settings"
 )
 
 // Sink hears of lists. No call may block for long.
 type Sink interface {
-	List(g decide.Generation, whole bool, lines []hostloop.BrickLine)
+	List(g endpointstate.Generation, whole bool, lines []engine.BrickLine)
 	ListFailed()
 	ListHolds() // the connection stands: what was told last still holds
 }
@@ -196,13 +196,13 @@
 
 // Parse reads a LIST. Each line of its body is: name address zone cell state started, where started is on
 // the clock that the field Clock reads, in microseconds, 0 where it is not known.
-func Parse(m *lineproto.Message) (g decide.Generation, whole bool, lines []hostloop.BrickLine, err error) {
+func Parse(m *lineproto.Message) (g endpointstate.Generation, whole bool, lines []engine.BrickLine, err error) {
 	clock, err1 := m.Whole("Clock", 0)
 	number, err2 := m.Whole("Number", 0)
 	if err := errors.Join(err1, err2); err != nil {
 		return g, false, nil, err
 	}
-	g = decide.Generation{Epoch: m.Get("Epoch"), Number: number}
+	g = endpointstate.Generation{Epoch: m.Get("Epoch"), Number: number}
 	seen := map[string]bool{}
 	in := bufio.NewScanner(bytes.NewReader(m.Body))
 	for no := 1; in.Scan(); no++ {
@@ -218,7 +218,7 @@
 		if _, _, err := net.SplitHostPort(f[1]); err != nil {
 			return g, false, nil, fmt.Errorf("list line %d: %w", no, err)
 		}
-		b := hostloop.BrickLine{Name: f[0], Address: f[1], Zone: f[2], Cell: cell}
+		b := engine.BrickLine{Name: f[0], Address: f[1], Zone: f[2], Cell: cell}
 		switch f[4] {
 		case "serving":
 			b.Serving = true
--- a/internal/listconn/listconn_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,17 +1,17 @@
-package listconn
+package discovery
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/lineproto"
 )
 
 func TestParseList(t *testing.T) {
-	parse := func(clock, body string) (decide.Generation, bool, []hostloop.BrickLine, error) {
+	parse := func(clock, body string) (endpointstate.Generation, bool, []engine.BrickLine, error) {
 		var o lineproto.Out
 		m, err := lineproto.NewReader(strings.NewReader(string(o.Start(lineproto.List, 0).Text("Clock", clock).Text("Whole", "yes").
 			End([]byte(body)).B)), 1<<20).Read()
--- a/internal/brickconn/brickconn.go
+++ b/internal/endpointconn/endpointconn.go
@@ -1,7 +1,7 @@
-// Package brickconn keeps the connection to each brick: one, pipelined, made when the first dispatch needs it.
+// Package endpointconn keeps the connection to each brick: one, pipelined, made when the first dispatch needs it.
 // Every dispatch that is not answered is reported with the one way it ended; "not connected" is told only where
 // no byte of it can have reached the brick.
-package brickconn
+package endpointconn
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/lineproto"
 	"weirhaven/internal/settings"
 	"weirhaven/policy"
@@ -20,7 +20,7 @@
 
 // Poster takes events for the host loop; it may wait for room.
 type Poster interface {
-	Post(f func(*hostloop.Core)) bool
+	Post(f func(*engine.Core)) bool
 }
 
 // Lines makes the lines to bricks and joins their goroutines.
@@ -48,7 +48,7 @@
 }
 
 // Line is the way to one brick.
-func (s *Lines) Line(brick, address string) hostloop.Line {
+func (s *Lines) Line(brick, address string) engine.Line {
 	return &line{lines: s, brick: brick, address: address}
 }
 
@@ -93,7 +93,7 @@
 	return c
 }
 
-func (l *line) Dispatch(id uint64, t *hostloop.Task, n int, left, _ time.Duration) {
+func (l *line) Dispatch(id uint64, t *engine.Task, n int, left, _ time.Duration) {
 	var o lineproto.Out
 	o.B = make([]byte, 0, 256+len(t.Body))
 	o.Start(lineproto.Run, id).Text("Volume", t.Volume).Text("Queue-Type", t.QueueType).Text("Object", t.Object).
@@ -200,7 +200,7 @@
 		metered, _ = m.Number("Metered", 0)
 		body = m.Body
 	}
-	l.lines.loop.Post(func(c *hostloop.Core) {
+	l.lines.loop.Post(func(c *engine.Core) {
 		if probe {
 			c.ProbeOutcome(l.brick, id, how)
 		} else {
@@ -252,7 +252,7 @@
 		return fmt.Errorf("brick %s at %s: %w", l.brick, l.address, err)
 	}
 	if name := hello.Get("Name"); name != l.brick {
-		l.lines.loop.Post(func(c *hostloop.Core) { c.Wrong(l.brick, l.address) })
+		l.lines.loop.Post(func(c *engine.Core) { c.Wrong(l.brick, l.address) })
 		return fmt.Errorf("brick %s: at its address %s is %q now; the list is out of date", l.brick, l.address, name)
 	}
 	age, err := hello.Micros("Age", 0)
@@ -260,7 +260,7 @@
 		return fmt.Errorf("brick %s: %w", l.brick, err)
 	}
 	dated, draining := hello.Get("Age") != "", hello.Get("State") == "draining"
-	l.lines.loop.Post(func(c *hostloop.Core) { c.OwnWord(l.brick, l.address, dated, age, draining) })
+	l.lines.loop.Post(func(c *engine.Core) { c.OwnWord(l.brick, l.address, dated, age, draining) })
 	l.mu.Lock()
 	c.greeted = true
 	l.mu.Unlock()
@@ -295,10 +295,10 @@
 	l := c.line
 	switch m.Verb {
 	case lineproto.Drain:
-		l.lines.loop.Post(func(c *hostloop.Core) { c.Draining(l.brick) })
+		l.lines.loop.Post(func(c *engine.Core) { c.Draining(l.brick) })
 		return nil
 	case lineproto.Begun:
-		l.lines.loop.Post(func(c *hostloop.Core) { c.Begun(l.brick, m.ID) })
+		l.lines.loop.Post(func(c *engine.Core) { c.Begun(l.brick, m.ID) })
 		return nil
 	}
 	how, ok := endings[m.Verb]
--- a/internal/hostloop/core.go
+++ b/internal/engine/core.go
@@ -1,9 +1,9 @@
-// Package hostloop runs one instance of the decision module in a real host: it turns what happens into calls of the
+// Package engine runs one instance of the decision module in a real host: it turns what happens into calls of the
 // module and carries out what the module calls for. Core is the single-threaded part, without clock or goroutine;
 // Loop owns one and runs it on the real clock. Whoever drives a Core in virtual time calls it the same way.
 //
 // Nothing here routes, retries, refuses, limits or orders commands.
-package hostloop
+package engine
 
 import (
 	"container/heap"
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
 	"weirhaven/policy"
 )
 
@@ -55,9 +55,9 @@
 	Watch(on bool)
 	ListAll()
 	Tell(peer int, data []byte)
-	Gossip(address string, m member.Message)
-	Share(address string, now time.Duration, lines []decide.Line)
-	Members(all []member.Member) // as they change
+	Gossip(address string, m membership.Message)
+	Share(address string, now time.Duration, lines []endpointstate.Line)
+	Members(all []membership.Member) // as they change
 	Log(line string)
 }
 
@@ -242,12 +242,12 @@
 	commands   map[int64]*command
 	dispatches map[uint64]*dispatch
 	bricks     map[string]*brick
-	fleet      *decide.Fleet
-	group      *member.Group // nil: alone, as many hosts as settings say
-	rng        *rand.Rand    // times of this host's own
-	moved      bool          // the module was told of a brick
-	shareAt    time.Duration // when lines are told to other hosts next
-	shared     int           // lines told so far, to go round
+	fleet      *endpointstate.Fleet
+	group      *membership.Group // nil: alone, as many hosts as settings say
+	rng        *rand.Rand        // times of this host's own
+	moved      bool              // the module was told of a brick
+	shareAt    time.Duration     // when lines are told to other hosts next
+	shared     int               // lines told so far, to go round
 	volumes    map[string]*volume
 	ids        uint64
 	closing    bool
@@ -259,7 +259,7 @@
 }
 
 // New makes a Core whose module is made by start, at a clock that stands at now.
-func New(s policy.Settings, rules decide.Rules, start func(policy.Host, policy.Settings) Decider, ways Ways,
+func New(s policy.Settings, rules endpointstate.Rules, start func(policy.Host, policy.Settings) Decider, ways Ways,
 	volumeOf VolumeOf, probeFor, now time.Duration) *Core {
 	c := &Core{ways: ways, volumeOf: volumeOf, timeouts: map[string]time.Duration{}, max: s.MaxDispatch, oneAtATime: !s.SecondCopies,
 		probeFor: probeFor, now: now, commands: map[int64]*command{}, dispatches: map[uint64]*dispatch{},
@@ -268,7 +268,7 @@
 		c.timeouts[q.Name] = q.CommandTimeout
 	}
 	c.rng = rand.New(rand.NewSource(s.Seed + 1))
-	c.fleet = decide.New(rules, c, ways.Log)
+	c.fleet = endpointstate.New(rules, c, ways.Log)
 	c.in = start((*host)(c), s)
 	c.age()
 	return c
@@ -564,10 +564,10 @@
 }
 
 // lines puts starts on this host's clock.
-func (c *Core) lines(told []BrickLine) []decide.Line {
-	all := make([]decide.Line, len(told))
+func (c *Core) lines(told []BrickLine) []endpointstate.Line {
+	all := make([]endpointstate.Line, len(told))
 	for i, l := range told {
-		all[i] = decide.Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: l.Cell, Serving: l.Serving && !l.Gone, Gone: l.Gone, At: c.now}
+		all[i] = endpointstate.Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: l.Cell, Serving: l.Serving && !l.Gone, Gone: l.Gone, At: c.now}
 		if l.Dated {
 			all[i].Started = c.now - max(l.Age, 0)
 		}
@@ -576,7 +576,7 @@
 }
 
 // List is a list of the list service, or the changes of one.
-func (c *Core) List(g decide.Generation, whole bool, lines []BrickLine) {
+func (c *Core) List(g endpointstate.Generation, whole bool, lines []BrickLine) {
 	c.in.ListBegins(false) // what a whole list takes away the beliefs tell line by line
 	c.fleet.ListIs(g, whole, c.lines(lines), c.now)
 	c.moved = true
@@ -622,14 +622,14 @@
 }
 
 // Restore takes back saved beliefs.
-func (c *Core) Restore(saved []decide.Belief, last decide.Generation) {
+func (c *Core) Restore(saved []endpointstate.Belief, last endpointstate.Generation) {
 	c.fleet.Restore(saved, last, c.now)
 	c.greet()
 	c.told()
 }
 
 // Fleet is what is believed; to be read only, in the loop.
-func (c *Core) Fleet() *decide.Fleet { return c.fleet }
+func (c *Core) Fleet() *endpointstate.Fleet { return c.fleet }
 
 // ForgetBrick is an operator's word.
 func (c *Core) ForgetBrick(name string) bool {
@@ -712,7 +712,7 @@
 	}
 	c.shareAt = c.now + shareEvery
 	all := c.fleet.Tellings()
-	slices.SortStableFunc(all, func(a, b decide.Line) int {
+	slices.SortStableFunc(all, func(a, b endpointstate.Line) int {
 		switch {
 		case a.Serving == b.Serving:
 			return 0
@@ -740,7 +740,7 @@
 const shareEvery, shareLines, shareHosts = 2 * time.Second, 48, 3
 
 // PeerSays is what another host believes.
-func (c *Core) PeerSays(lines []decide.Line) {
+func (c *Core) PeerSays(lines []endpointstate.Line) {
 	c.fleet.PeerSays(lines, c.now)
 	c.told()
 }
@@ -767,8 +767,8 @@
 }
 
 // Join lets this host find the others, and count them.
-func (c *Core) Join(self member.Member, rules member.Rules, seeds []string) {
-	c.group = member.New(self, rules, seeds, (*groupWays)(c), rand.New(rand.NewSource(c.rng.Int63())), c.now)
+func (c *Core) Join(self membership.Member, rules membership.Rules, seeds []string) {
+	c.group = membership.New(self, rules, seeds, (*groupWays)(c), rand.New(rand.NewSource(c.rng.Int63())), c.now)
 	c.tick()
 }
 
@@ -778,7 +778,7 @@
 }
 
 // Gossip is another host's word on which hosts there are.
-func (c *Core) Gossip(m member.Message) {
+func (c *Core) Gossip(m membership.Message) {
 	if c.group != nil {
 		c.group.Receive(m, c.now)
 		c.settle()
@@ -786,16 +786,16 @@
 }
 
 // Group is the membership; nil: none. To be used in the loop only.
-func (c *Core) Group() *member.Group { return c.group }
+func (c *Core) Group() *membership.Group { return c.group }
 
 // groupWays is the Core as the membership sees it.
 type groupWays Core
 
-func (w *groupWays) Send(address string, m member.Message) { w.ways.Gossip(address, m) }
-func (w *groupWays) Log(line string)                       { w.ways.Log(line) }
+func (w *groupWays) Send(address string, m membership.Message) { w.ways.Gossip(address, m) }
+func (w *groupWays) Log(line string)                           { w.ways.Log(line) }
 
 // Changed tells the module at the next turn: the group may be in the middle of a call of this Core.
-func (w *groupWays) Changed(v member.View) {
+func (w *groupWays) Changed(v membership.View) {
 	c := (*Core)(w)
 	c.later = append(c.later, func() {
 		c.ways.Log(fmt.Sprintf("hosts: %d serve, parts for %d", v.Serving, v.Parts))
--- a/internal/hostloop/hostloop_test.go
+++ b/internal/engine/engine_test.go
@@ -1,4 +1,4 @@
-package hostloop
+package engine
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
 	"weirhaven/policy"
 )
 
@@ -42,14 +42,14 @@
 	}
 }
 
-func (r *rig) Line(brick, address string) Line            { return &noted{r, brick} }
-func (r *rig) Watch(on bool)                              {}
-func (r *rig) ListAll()                                   {}
-func (r *rig) Tell(int, []byte)                           {}
-func (r *rig) Gossip(string, member.Message)              {}
-func (r *rig) Share(string, time.Duration, []decide.Line) {}
-func (r *rig) Members([]member.Member)                    {}
-func (r *rig) Log(line string)                            { r.say("log: %s", line) }
+func (r *rig) Line(brick, address string) Line                   { return &noted{r, brick} }
+func (r *rig) Watch(on bool)                                     {}
+func (r *rig) ListAll()                                          {}
+func (r *rig) Tell(int, []byte)                                  {}
+func (r *rig) Gossip(string, membership.Message)                 {}
+func (r *rig) Share(string, time.Duration, []endpointstate.Line) {}
+func (r *rig) Members([]membership.Member)                       {}
+func (r *rig) Log(line string)                                   { r.say("log: %s", line) }
 
 type noted struct {
 	r     *rig
@@ -77,9 +77,9 @@
 
 func newRig(s policy.Settings) *rig {
 	r := &rig{answers: map[string]int{}}
-	r.Core = New(s, decide.Rules{Fresh: time.Hour, Dead: 9 * time.Hour, Blur: 500 * ms}, func(h policy.Host, s policy.Settings) Decider { return policy.New(h, s) }, r,
+	r.Core = New(s, endpointstate.Rules{Fresh: time.Hour, Dead: 9 * time.Hour, Blur: 500 * ms}, func(h policy.Host, s policy.Settings) Decider { return policy.New(h, s) }, r,
 		func(name string) (string, int, bool) { return "plain", 1, name != "nobody" }, 100*ms, start)
-	r.List(decide.Generation{}, true, []BrickLine{{Name: "a", Address: "1", Cell: 0, Serving: true}})
+	r.List(endpointstate.Generation{}, true, []BrickLine{{Name: "a", Address: "1", Cell: 0, Serving: true}})
 	return r
 }
 
@@ -167,7 +167,7 @@
 	r.run(20 * time.Second)
 	r.quiet = false
 	told := func(state string, age time.Duration) {
-		r.List(decide.Generation{}, false, []BrickLine{{Name: "a", Address: "1", Serving: state == "serving", Gone: state == "gone",
+		r.List(endpointstate.Generation{}, false, []BrickLine{{Name: "a", Address: "1", Serving: state == "serving", Gone: state == "gone",
 			Dated: age >= 0, Age: age}})
 	}
 	told("serving", 2*time.Second)
--- a/internal/hostloop/loop.go
+++ b/internal/engine/loop.go
@@ -1,4 +1,4 @@
-package hostloop
+package engine
 
 import (
 	"context"
--- a/internal/standin/client/client.go
+++ b/internal/fake/client/client.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"weirhaven/internal/lineproto"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Volume is one volume's habits.
@@ -31,9 +31,9 @@
 type Config struct {
 	Hosts      func(i int) string // address of a host now
 	Count      int
-	QueueTypes []*wpb.QueueType
+	QueueTypes []*pb.QueueType
 	Volumes    []Volume
-	Load       *wpb.Load
+	Load       *pb.Load
 	UsualUnits float64
 	MostUnits  float64
 	MaxPause   time.Duration // longest advice heeded; 0: none
@@ -273,7 +273,7 @@
 	}
 	k, q := l.links[host], l.c.QueueTypes[w.queue]
 	left := time.Until(w.until)
-	seen := &wpb.Seen{What: wpb.Seen_ASKED, Host: uint32(host), Incarnation: l.c.Incarnation(host), Command: t.number,
+	seen := &pb.Seen{What: pb.Seen_ASKED, Host: uint32(host), Incarnation: l.c.Incarnation(host), Command: t.number,
 		First: w.first, Volume: w.volume.Name, Plan: w.volume.Plan, QueueType: uint32(w.queue), Units: w.units,
 		Object: w.object, Cell: int32(w.cell), Timeout: int64(left), Tag: w.tag}
 	if k.sender == nil {
@@ -309,7 +309,7 @@
 	if k.out[t.number] != t {
 		return
 	}
-	l.c.Record.See(&wpb.Seen{What: wpb.Seen_GIVEN_UP, Host: uint32(k.host), Command: t.number})
+	l.c.Record.See(&pb.Seen{What: pb.Seen_GIVEN_UP, Host: uint32(k.host), Command: t.number})
 	// It still listens a while: an answer that comes now is late, none at all is a lost command.
 	time.AfterFunc(300*time.Millisecond, func() {
 		l.mu.Lock()
@@ -324,7 +324,7 @@
 // again repeats what may be repeated, after a wait; else the want is over. Under mu.
 func (l *Load) again(t *try, host int, pause time.Duration, unheard bool) {
 	q := l.c.QueueTypes[t.queue]
-	may := !unheard || q.Semantics == wpb.Semantics_RETRYABLE || q.Semantics == wpb.Semantics_TAGGED && q.Group == wpb.Group_ALL
+	may := !unheard || q.Semantics == pb.Semantics_RETRYABLE || q.Semantics == pb.Semantics_TAGGED && q.Group == pb.Group_ALL
 	most, wait := int(l.c.Load.Repeats), settings.Duration(l.c.Load.RepeatAfter, 0)<<min(t.repeats, 6)
 	if l.abuse > 0 {
 		most, wait = l.abuse, 0
@@ -405,7 +405,7 @@
 	if m.Verb == lineproto.Begun {
 		return
 	}
-	l.c.Record.See(&wpb.Seen{What: wpb.Seen_ANSWERED, Host: uint32(k.host), Command: m.ID, How: m.Verb,
+	l.c.Record.See(&pb.Seen{What: pb.Seen_ANSWERED, Host: uint32(k.host), Command: m.ID, How: m.Verb,
 		MayHaveRun: m.Get("May-Have-Run") == "yes"})
 	t := k.out[m.ID]
 	if t == nil {
@@ -436,7 +436,7 @@
 	for n, t := range k.out {
 		delete(k.out, n)
 		t.timer.Stop()
-		l.c.Record.See(&wpb.Seen{What: wpb.Seen_UNANSWERED, Host: uint32(k.host), Command: n, How: how})
+		l.c.Record.See(&pb.Seen{What: pb.Seen_UNANSWERED, Host: uint32(k.host), Command: n, How: how})
 		l.again(t, k.host, 0, true)
 	}
 }
--- a/internal/standin/direct/direct.go
+++ b/internal/fake/direct/direct.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/policy"
 )
 
@@ -32,7 +32,7 @@
 }
 
 // Start makes one in place of the module.
-func Start(h policy.Host, s policy.Settings) hostloop.Decider {
+func Start(h policy.Host, s policy.Settings) engine.Decider {
 	plans := map[string]policy.Plan{}
 	for _, p := range s.Plans {
 		plans[p.Name] = p
--- a/internal/standin/lister/lister.go
+++ b/internal/fake/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package lister is a stand-in for the list service: it pushes the list of bricks and its changes, or tells them
+// Package discovery is a stand-in for the list service: it pushes the list of bricks and its changes, or tells them
 // when asked, late and by a clock of its own.
-package lister
+package discovery
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"time"
 
 	"weirhaven/internal/lineproto"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
-	"weirhaven/internal/wpb"
 )
 
 // Config is what a list service is made of.
@@ -199,7 +199,7 @@
 		if !e.Started.IsZero() {
 			age = int64(time.Since(e.Started))
 		}
-		s.c.Record.See(&wpb.Seen{What: wpb.Seen_LISTED, Host: host, Incarnation: inc, Brick: e.Name, How: e.State, Started: age,
+		s.c.Record.See(&pb.Seen{What: pb.Seen_LISTED, Host: host, Incarnation: inc, Brick: e.Name, How: e.State, Started: age,
 			Cell: int32(e.Cell)})
 	}
 }
--- a/internal/standin/brick/http.go
+++ b/internal/fake/storagenode/http.go
@@ -1,4 +1,4 @@
-package brick
+package storagenode
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"weirhaven/internal/http1"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // maxRequestBody is the longest body of a request that a brick takes over HTTP.
@@ -34,7 +34,7 @@
 	for id := range c.ids {
 		b.cancel(c, id)
 	}
-	b.c.Record.See(&wpb.Seen{What: wpb.Seen_CUT, Brick: b.c.Name, Connection: c.no})
+	b.c.Record.See(&pb.Seen{What: pb.Seen_CUT, Brick: b.c.Name, Connection: c.no})
 }
 
 func (b *Brick) readHTTP(c *conn, reader *http1.Reader, id uint64) (*job, error) {
--- a/internal/standin/brick/brick.go
+++ b/internal/fake/storagenode/storagenode.go
@@ -1,6 +1,6 @@
-// Package brick is a stand-in for a storage node: one core, a queue in turn of arrival, work by units, a cache of
+// Package storagenode is a stand-in for a storage node: one core, a queue in turn of arrival, work by units, a cache of
 // the last pieces, deferred work of writes, a cold start with a ramp that can be pushed over, and troubles by script.
-package brick
+package storagenode
 
 import (
 	"context"
@@ -13,16 +13,16 @@
 	"time"
 
 	"weirhaven/internal/lineproto"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // Config is what a brick is made of.
 type Config struct {
 	Name, Zone, Address string // Address with port 0: the kernel chooses
 	Cell                int
-	Kind                *wpb.BrickKind
+	Kind                *pb.BrickKind
 	Speed               float64
 	Seed                int64
 	Cold                bool // it has just come up
@@ -236,7 +236,7 @@
 		done: map[string]float64{}, own: map[string]map[string]float64{},
 		told: map[string]map[string]float64{}, conns: map[*conn]bool{}, wake: make(chan struct{}, 1), ctx: ctx, stop: stop}
 	b.flushAt = b.started.Add(settings.Duration(c.Kind.FlushEvery, time.Hour))
-	up := &wpb.Seen{What: wpb.Seen_BRICK_UP, Brick: c.Name, Cell: int32(c.Cell), Zone: c.Zone, Capacity: c.Speed}
+	up := &pb.Seen{What: pb.Seen_BRICK_UP, Brick: c.Name, Cell: int32(c.Cell), Zone: c.Zone, Capacity: c.Speed}
 	if c.Cold {
 		up.ColdFrom, up.ColdFor = c.Kind.ColdFrom, int64(settings.Duration(c.Kind.ColdFor, 0))
 	}
@@ -296,7 +296,7 @@
 func (b *Brick) noteDrain(c *conn) {
 	if b.c.HostOf != nil {
 		host, inc := b.c.HostOf(c.host)
-		b.c.Record.See(&wpb.Seen{What: wpb.Seen_LISTED, Host: host, Incarnation: inc, Brick: b.c.Name, How: "draining",
+		b.c.Record.See(&pb.Seen{What: pb.Seen_LISTED, Host: host, Incarnation: inc, Brick: b.c.Name, How: "draining",
 			Started: int64(time.Since(b.started)), Cell: int32(b.c.Cell)})
 	}
 }
@@ -307,7 +307,7 @@
 	fell := b.fell
 	b.mu.Unlock()
 	if !fell {
-		b.c.Record.See(&wpb.Seen{What: wpb.Seen_BRICK_DOWN, Brick: b.c.Name})
+		b.c.Record.See(&pb.Seen{What: pb.Seen_BRICK_DOWN, Brick: b.c.Name})
 	}
 	b.stop()
 	b.wg.Wait()
@@ -365,7 +365,7 @@
 		b.noteDrain(c)
 	} else if b.c.Cold && b.c.HostOf != nil { // its greeting told how long it has been up
 		host, inc := b.c.HostOf(c.host)
-		b.c.Record.See(&wpb.Seen{What: wpb.Seen_LISTED, Host: host, Incarnation: inc, Brick: b.c.Name, How: "serving",
+		b.c.Record.See(&pb.Seen{What: pb.Seen_LISTED, Host: host, Incarnation: inc, Brick: b.c.Name, How: "serving",
 			Started: int64(time.Since(b.started)), Cell: int32(b.c.Cell)})
 	}
 	for err == nil {
@@ -374,7 +374,7 @@
 			b.take(c, m)
 		}
 	}
-	b.c.Record.See(&wpb.Seen{What: wpb.Seen_CUT, Brick: b.c.Name, Connection: c.no})
+	b.c.Record.See(&pb.Seen{What: pb.Seen_CUT, Brick: b.c.Name, Connection: c.no})
 	c.sender.Close()
 	<-c.sender.Done()
 	b.mu.Lock()
@@ -425,13 +425,13 @@
 func (b *Brick) cancel(c *conn, id uint64) {
 	if j := c.ids[id]; j != nil { // also where it was worked off and its answer was lost
 		delete(c.ids, id)
-		b.see(j, &wpb.Seen{What: wpb.Seen_CALLED_OFF, Brick: b.c.Name, Connection: c.no, Command: j.command, Dispatch: j.n})
+		b.see(j, &pb.Seen{What: pb.Seen_CALLED_OFF, Brick: b.c.Name, Connection: c.no, Command: j.command, Dispatch: j.n})
 	}
-	if b.c.Kind.Cancel == wpb.BrickKind_IGNORED {
+	if b.c.Kind.Cancel == pb.BrickKind_IGNORED {
 		return
 	}
 	b.queue = slices.DeleteFunc(b.queue, func(j *job) bool { return j.conn == c && j.id == id })
-	if j := b.running; j != nil && j.conn == c && j.id == id && b.c.Kind.Cancel == wpb.BrickKind_STOPS {
+	if j := b.running; j != nil && j.conn == c && j.id == id && b.c.Kind.Cancel == pb.BrickKind_STOPS {
 		j.cancelled = true
 	}
 }
@@ -459,7 +459,7 @@
 			}
 		}
 	}
-	b.see(j, &wpb.Seen{What: wpb.Seen_REACHED, Brick: b.c.Name, Cell: int32(b.c.Cell), Zone: b.c.Zone,
+	b.see(j, &pb.Seen{What: pb.Seen_REACHED, Brick: b.c.Name, Cell: int32(b.c.Cell), Zone: b.c.Zone,
 		Command: j.command, Dispatch: j.n, Volume: j.volume, Units: j.units, Work: j.work, Connection: j.conn.no, Tag: j.tag, Timeout: int64(j.told)})
 	b.press(j.work)
 	if b.fell {
@@ -479,7 +479,7 @@
 }
 
 // see records what is about a command of a recorded client; others (objects) are judged by their bytes.
-func (b *Brick) see(j *job, s *wpb.Seen) {
+func (b *Brick) see(j *job, s *pb.Seen) {
 	if j.command != 0 {
 		b.c.Record.See(s)
 	}
@@ -520,7 +520,7 @@
 	}
 	if sum > b.c.FallMultiple*b.c.Speed*b.ramp(now)*b.c.FallAfter.Seconds() {
 		b.fell = true
-		b.c.Record.See(&wpb.Seen{What: wpb.Seen_BRICK_FELL, Brick: b.c.Name})
+		b.c.Record.See(&pb.Seen{What: pb.Seen_BRICK_FELL, Brick: b.c.Name})
 		b.stop()
 	}
 }
@@ -628,7 +628,7 @@
 	first := j.tag == "" || !write || b.c.TagWindow == 0 || b.c.Tags.first(j.tag, b.c.TagWindow)
 	if write && first {
 		b.c.Data.put(j.object, j.body)
-		b.see(j, &wpb.Seen{What: wpb.Seen_EFFECT, Brick: b.c.Name, Command: j.command, Dispatch: j.n, Tag: j.tag,
+		b.see(j, &pb.Seen{What: pb.Seen_EFFECT, Brick: b.c.Name, Command: j.command, Dispatch: j.n, Tag: j.tag,
 			Object: j.object})
 	}
 	b.done[j.volume] += j.units
@@ -676,7 +676,7 @@
 		}
 	}
 	o.Whole("Load-Queue", int64(len(b.queue)))
-	b.see(j, &wpb.Seen{What: wpb.Seen_REPLIED, Brick: b.c.Name, Command: j.command, Dispatch: j.n, How: verb,
+	b.see(j, &pb.Seen{What: pb.Seen_REPLIED, Brick: b.c.Name, Command: j.command, Dispatch: j.n, How: verb,
 		Connection: j.conn.no, Volume: j.volume, Units: j.units})
 	delete(j.conn.ids, j.id)
 	if j.conn.sender == nil {
--- a/internal/fleet/decide/decide.go
+++ b/internal/fleet/endpointstate/endpointstate.go
@@ -1,4 +1,4 @@
-// Package decide holds what a host believes of the fleet's bricks, and decides what of it the module is told. It has
+// Package endpointstate holds what a host believes of the fleet's bricks, and decides what of it the module is told. It has
 // no I/O, clock or goroutine: evidence comes in by calls that say when, changes go out through Module.
 //
 // The rules, in the order in which they win:
@@ -14,7 +14,7 @@
 //  5. Trust falls with age: a line is trusted for Fresh, then doubted, and forgotten after Dead. What is doubted goes to the module as
 //     just started, so that all hosts together can't push it over, until its own word is heard.
 //  6. An address outside the networks named is refused, line by line.
-package decide
+package endpointstate
 
 import (
 	"cmp"
--- a/internal/fleet/decide/decide_test.go
+++ b/internal/fleet/endpointstate/endpointstate_test.go
@@ -1,4 +1,4 @@
-package decide
+package endpointstate
 
 import (
 	"flag"
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/membership/membership.go
@@ -1,4 +1,4 @@
-// Package member decides which hosts there are: each asks others in turn whether they are there, suspects before it removes,
+// Package membership decides which hosts there are: each asks others in turn whether they are there, suspects before it removes,
 // and passes news along with what it sends anyway. It has no I/O, clock or goroutine: time and messages come in by calls,
 // messages and changes go out through Ways. After "SWIM: Scalable Weakly-consistent Infection-style Process
 // Group Membership Protocol" (Das, Gupta, Motivala, DSN 2002), with its suspicion and incarnation numbers.
@@ -8,7 +8,7 @@
 // that nobody hears may serve clients on the other side of a split. Only its own goodbye does, or an operator, or Forget.
 // Nor does it fall below the planned count. A host that the others may not count yet has no part: it waits until every
 // member has answered it.
-package member
+package membership
 
 import (
 	"cmp"
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"container/heap"
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -14,9 +14,9 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/pb"
 )
 
 // Format of the file; a program that knows a lower one sets it aside.
@@ -34,11 +34,11 @@
 type Store struct {
 	db   *bbolt.DB
 	host string
-	held map[string]decide.Belief // as written
+	held map[string]endpointstate.Belief // as written
 	// Lines of a save that failed: the disk may hold them as before it or after.
 	unsure map[string]bool
 	// hosts as written
-	hosts       []member.Member
+	hosts       []membership.Member
 	hostsUnsure bool // a save of them failed
 	fixed       bool // the disk is read-only
 	// update runs a transaction; db.Update, but in tests.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", file, err)
 	}
-	s = &Store{db: db, host: host, held: map[string]decide.Belief{}, unsure: map[string]bool{}, fixed: fixed, update: db.Update}
+	s = &Store{db: db, host: host, held: map[string]endpointstate.Belief{}, unsure: map[string]bool{}, fixed: fixed, update: db.Update}
 	all, _, err := s.Load()
 	if err != nil {
 		db.Close()
@@ -110,7 +110,7 @@
 }
 
 // Dump reads a file that no host has open; it changes nothing and sets nothing aside.
-func Dump(file, host string) (all []decide.Belief, hosts []member.Member, last decide.Generation, err error) {
+func Dump(file, host string) (all []endpointstate.Belief, hosts []membership.Member, last endpointstate.Generation, err error) {
 	s, err := open(os.OpenFile, file, host, false)
 	if err != nil {
 		return nil, nil, last, err
@@ -124,13 +124,13 @@
 func (s *Store) Close() error { return s.db.Close() }
 
 // Load reads all that is kept.
-func (s *Store) Load() (all []decide.Belief, last decide.Generation, err error) {
+func (s *Store) Load() (all []endpointstate.Belief, last endpointstate.Generation, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(metaBucket)
 		if b == nil {
 			return nil // new
 		}
-		meta := &wpb.SavedMeta{}
+		meta := &pb.SavedMeta{}
 		if err := proto.Unmarshal(b.Get(metaKey), meta); err != nil || meta.Format == 0 {
 			return errors.New("the file is not a host's store")
 		}
@@ -140,18 +140,18 @@
 		if meta.Host != s.host {
 			return fmt.Errorf("the file is the store of host %q, this is %q", meta.Host, s.host)
 		}
-		last = decide.Generation{Epoch: meta.Epoch, Number: meta.Number}
+		last = endpointstate.Generation{Epoch: meta.Epoch, Number: meta.Number}
 		bricks := tx.Bucket(brickBucket)
 		if bricks == nil {
 			return nil
 		}
 		return bricks.ForEach(func(k, v []byte) error {
-			x := &wpb.SavedBrick{}
+			x := &pb.SavedBrick{}
 			if err := proto.Unmarshal(v, x); err != nil || x.Name != string(k) {
 				return fmt.Errorf("the line of brick %q can't be read", k)
 			}
-			all = append(all, decide.Belief{From: decide.Source(x.From), Drained: time.Duration(x.Drained), Since: time.Duration(x.Since), Why: x.Why,
-				Line: decide.Line{Name: x.Name, Address: x.Address, Zone: x.Zone, Cell: int(x.Cell), Serving: x.Serving, Gone: x.Gone,
+			all = append(all, endpointstate.Belief{From: endpointstate.Source(x.From), Drained: time.Duration(x.Drained), Since: time.Duration(x.Since), Why: x.Why,
+				Line: endpointstate.Line{Name: x.Name, Address: x.Address, Zone: x.Zone, Cell: int(x.Cell), Serving: x.Serving, Gone: x.Gone,
 					Started: time.Duration(x.Started), At: time.Duration(x.At)}})
 			return nil
 		})
@@ -161,9 +161,9 @@
 
 // Save writes what has changed since the last save, in one transaction. It returns how many lines that were. A line that only
 // grew older by less than Grain is no change.
-func (s *Store) Save(all []decide.Belief, last decide.Generation) (written int, err error) {
-	now := map[string]decide.Belief{}
-	var put []decide.Belief
+func (s *Store) Save(all []endpointstate.Belief, last endpointstate.Generation) (written int, err error) {
+	now := map[string]endpointstate.Belief{}
+	var put []endpointstate.Belief
 	for _, b := range all {
 		now[b.Name] = b
 		if h, ok := s.held[b.Name]; !ok || differ(h, b) || s.unsure[b.Name] {
@@ -192,7 +192,7 @@
 		if err != nil {
 			return err
 		}
-		meta, err := proto.Marshal(&wpb.SavedMeta{Format: Format, Host: s.host, Epoch: last.Epoch, Number: last.Number})
+		meta, err := proto.Marshal(&pb.SavedMeta{Format: Format, Host: s.host, Epoch: last.Epoch, Number: last.Number})
 		if err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 			return err
 		}
 		for _, b := range put {
-			v, err := proto.Marshal(&wpb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Cell), Serving: b.Serving,
+			v, err := proto.Marshal(&pb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Cell), Serving: b.Serving,
 				Gone: b.Gone, Started: int64(b.Started), At: int64(b.At), From: int32(b.From), Drained: int64(b.Drained), Since: int64(b.Since), Why: b.Why})
 			if err != nil {
 				return err
@@ -236,7 +236,7 @@
 
 // distrust notes lines of a save that failed: the disk may hold them as they were before it or after, so that the next save
 // has to write them whatever they are then.
-func (s *Store) distrust(put []decide.Belief, drop []string) {
+func (s *Store) distrust(put []endpointstate.Belief, drop []string) {
 	for _, b := range put {
 		s.unsure[b.Name] = true
 	}
@@ -246,19 +246,19 @@
 }
 
 // Hosts reads the members kept.
-func (s *Store) Hosts() (all []member.Member, err error) {
+func (s *Store) Hosts() (all []membership.Member, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(hostBucket)
 		if b == nil {
 			return nil
 		}
 		return b.ForEach(func(k, v []byte) error {
-			h := &wpb.Gossip_Host{}
+			h := &pb.Gossip_Host{}
 			if err := proto.Unmarshal(v, h); err != nil || h.Name != string(k) {
 				return fmt.Errorf("the line of host %q can't be read", k)
 			}
-			all = append(all, member.Member{Name: h.Name, Ordinal: int(h.Ordinal), Address: h.Address, Planned: int(h.Planned),
-				Incarnation: h.Incarnation, State: member.State(h.State)})
+			all = append(all, membership.Member{Name: h.Name, Ordinal: int(h.Ordinal), Address: h.Address, Planned: int(h.Planned),
+				Incarnation: h.Incarnation, State: membership.State(h.State)})
 			return nil
 		})
 	})
@@ -266,7 +266,7 @@
 }
 
 // SaveHosts keeps the members, if they have changed.
-func (s *Store) SaveHosts(all []member.Member) error {
+func (s *Store) SaveHosts(all []membership.Member) error {
 	if slices.Equal(all, s.hosts) && !s.hostsUnsure {
 		return nil
 	}
@@ -284,7 +284,7 @@
 			return err
 		}
 		for _, m := range all {
-			v, err := proto.Marshal(&wpb.Gossip_Host{Name: m.Name, Ordinal: int64(m.Ordinal), Address: m.Address, Planned: int64(m.Planned),
+			v, err := proto.Marshal(&pb.Gossip_Host{Name: m.Name, Ordinal: int64(m.Ordinal), Address: m.Address, Planned: int64(m.Planned),
 				Incarnation: m.Incarnation, State: int32(m.State)})
 			if err == nil {
 				err = b.Put([]byte(m.Name), v)
@@ -306,7 +306,7 @@
 // Grain is how much older a line may be on disk than it is.
 const Grain = 30 * time.Second
 
-func differ(a, b decide.Belief) bool {
+func differ(a, b endpointstate.Belief) bool {
 	return a.Address != b.Address || a.Zone != b.Zone || a.Cell != b.Cell || a.Serving != b.Serving || a.Gone != b.Gone ||
 		a.Started != b.Started || a.Drained != b.Drained || b.At-a.At >= Grain || b.At < a.At
 }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -14,14 +14,14 @@
 	"go.etcd.io/bbolt"
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/pb"
 )
 
-func bricks(n int, at time.Duration) (all []decide.Belief) {
+func bricks(n int, at time.Duration) (all []endpointstate.Belief) {
 	for i := range n {
-		all = append(all, decide.Belief{From: decide.List, Line: decide.Line{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i),
+		all = append(all, endpointstate.Belief{From: endpointstate.List, Line: endpointstate.Line{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i),
 			Zone: "north", Cell: i, Serving: true, Started: time.Duration(i), At: at}})
 	}
 	return all
@@ -42,8 +42,8 @@
 	s, _ := mustOpen(t, file, "h")
 	all := bricks(5, time.Hour)
 	all[2].Drained, all[2].Why, all[2].Serving = 7, "draining, told by list", false
-	gen := decide.Generation{Epoch: "e", Number: 9}
-	for want, in := range map[int][]decide.Belief{5: all} {
+	gen := endpointstate.Generation{Epoch: "e", Number: 9}
+	for want, in := range map[int][]endpointstate.Belief{5: all} {
 		if n, err := s.Save(in, gen); n != want || err != nil {
 			t.Fatal(n, err)
 		}
@@ -70,7 +70,7 @@
 func TestHosts(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	all := []member.Member{{Name: "a", Ordinal: 1, Address: "127.0.0.1:1", Planned: 3, Incarnation: 9}, {Name: "b", State: member.Removed}}
+	all := []membership.Member{{Name: "a", Ordinal: 1, Address: "127.0.0.1:1", Planned: 3, Incarnation: 9}, {Name: "b", State: membership.Removed}}
 	if err := errors.Join(s.SaveHosts(all), s.SaveHosts(all[:1]), s.SaveHosts(all)); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 		"foreign": func(file string) { os.WriteFile(file, []byte(strings.Repeat("not a store\n", 1000)), 0o600) },
 		"torn": func(file string) {
 			s, _ := mustOpen(t, file, "h")
-			s.Save(bricks(200, 1), decide.Generation{})
+			s.Save(bricks(200, 1), endpointstate.Generation{})
 			s.Close()
 			b, _ := os.ReadFile(file)
 			copy(b[4096*2:], make([]byte, len(b)-4096*2)) // the metas stand, what they point to does not
@@ -108,7 +108,7 @@
 		},
 		"cut": func(file string) {
 			s, _ := mustOpen(t, file, "h")
-			s.Save(bricks(200, 1), decide.Generation{})
+			s.Save(bricks(200, 1), endpointstate.Generation{})
 			s.Close()
 			os.Truncate(file, 4096+100)
 		},
@@ -116,14 +116,14 @@
 			db, _ := bbolt.Open(file, 0o600, nil)
 			db.Update(func(tx *bbolt.Tx) error {
 				b, _ := tx.CreateBucket(metaBucket)
-				v, _ := proto.Marshal(&wpb.SavedMeta{Format: Format + 1, Host: "h"})
+				v, _ := proto.Marshal(&pb.SavedMeta{Format: Format + 1, Host: "h"})
 				return b.Put(metaKey, v)
 			})
 			db.Close()
 		},
 		"another host's": func(file string) {
 			s, _ := mustOpen(t, file, "g")
-			s.Save(bricks(1, 1), decide.Generation{})
+			s.Save(bricks(1, 1), endpointstate.Generation{})
 			s.Close()
 		},
 	} {
@@ -152,7 +152,7 @@
 func TestFullDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	if _, err := s.Save(bricks(3, 1), decide.Generation{Number: 1}); err != nil {
+	if _, err := s.Save(bricks(3, 1), endpointstate.Generation{Number: 1}); err != nil {
 		t.Fatal(err)
 	}
 	info, err := os.Stat(file)
@@ -167,7 +167,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full); err != nil {
 		t.Fatal(err)
 	}
-	_, err = s.Save(bricks(5000, 2), decide.Generation{Number: 2})
+	_, err = s.Save(bricks(5000, 2), endpointstate.Generation{Number: 2})
 	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was); rerr != nil {
 		t.Fatal(rerr)
 	}
@@ -177,7 +177,7 @@
 	if all, last, err := s.Load(); err != nil || len(all) != 3 || last.Number != 1 {
 		t.Errorf("%v, %d lines of list %d", err, len(all), last.Number)
 	}
-	if n, err := s.Save(bricks(5000, 2), decide.Generation{Number: 2}); err != nil || n != 4997 { // three have not changed
+	if n, err := s.Save(bricks(5000, 2), endpointstate.Generation{Number: 2}); err != nil || n != 4997 { // three have not changed
 		t.Errorf("%d %v", n, err)
 	}
 }
@@ -186,7 +186,7 @@
 func TestReadOnlyDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	if _, err := s.Save(bricks(3, 1), decide.Generation{Number: 4}); err != nil {
+	if _, err := s.Save(bricks(3, 1), endpointstate.Generation{Number: 4}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -204,10 +204,10 @@
 	if all, last, err := s.Load(); err != nil || len(all) != 3 || last.Number != 4 {
 		t.Errorf("%v, %d lines of list %d", err, len(all), last.Number)
 	}
-	if _, err := s.Save(bricks(4, 2), decide.Generation{Number: 5}); !errors.Is(err, ErrReadOnly) {
+	if _, err := s.Save(bricks(4, 2), endpointstate.Generation{Number: 5}); !errors.Is(err, ErrReadOnly) {
 		t.Error(err)
 	}
-	if err := s.SaveHosts([]member.Member{{Name: "x"}}); !errors.Is(err, ErrReadOnly) {
+	if err := s.SaveHosts([]membership.Member{{Name: "x"}}); !errors.Is(err, ErrReadOnly) {
 		t.Error(err)
 	}
 	if after, _ := os.ReadFile(file); string(after) != string(before) {
@@ -221,11 +221,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s, _ := mustOpen(b, filepath.Join(b.TempDir(), "fleet.db"), "h")
 			all := bricks(n, 1)
-			s.Save(all, decide.Generation{})
+			s.Save(all, endpointstate.Generation{})
 			before := s.db.Stats().TxStats
 			for i := 0; b.Loop(); i++ {
 				all[i%n].Started += time.Second
-				if _, err := s.Save(all, decide.Generation{}); err != nil {
+				if _, err := s.Save(all, endpointstate.Generation{}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -241,8 +241,8 @@
 func TestFailedSaveIsUnknown(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	before, gen := bricks(2, time.Hour), decide.Generation{Epoch: "e", Number: 1}
-	hosts := []member.Member{{Name: "h", Address: "127.0.0.1:1"}}
+	before, gen := bricks(2, time.Hour), endpointstate.Generation{Epoch: "e", Number: 1}
+	hosts := []membership.Member{{Name: "h", Address: "127.0.0.1:1"}}
 	if _, err := s.Save(before, gen); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"weirhaven/internal/fake/storagenode"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 const fast = `name: "h" listen: "127.0.0.1:0" hosts: 1 ordinal: 0
@@ -25,8 +25,8 @@
 
 func idleBricks(b *testing.B, n int) (more string, first string) {
 	for i := range n {
-		x, err := brick.Start(brick.Config{Name: fmt.Sprint("b", i), Address: "127.0.0.1:0", Cell: i, Speed: 1,
-			Kind: &wpb.BrickKind{UnitWork: "0s", Queue: 1 << 20}, Writes: map[string]bool{}})
+		x, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Address: "127.0.0.1:0", Cell: i, Speed: 1,
+			Kind: &pb.BrickKind{UnitWork: "0s", Queue: 1 << 20}, Writes: map[string]bool{}})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/edge/capture.go
+++ b/internal/gateway/capture.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"time"
 
 	"weirhaven/internal/capture"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/pb"
 )
 
 // openCapture lets the loop tell what is over to a writer, if settings allow it.
-func (e *Edge) openCapture(core *hostloop.Core) error {
+func (e *Edge) openCapture(core *engine.Core) error {
 	c := e.conf.Capture
 	if c == nil {
 		return nil
@@ -21,7 +21,7 @@
 		return fmt.Errorf("setting capture.key: %w", err)
 	}
 	e.taping, err = capture.Open(capture.Config{Folder: c.Folder, Most: int64(c.MostBytes), Queue: int(c.Queue), Key: key, Log: e.log,
-		Head: &wpb.CaptureHead{Host: e.conf.Name, Ordinal: e.conf.Ordinal, Zone: e.conf.Zone, Life: time.Now().UnixNano(), Hosts: e.conf.Hosts,
+		Head: &pb.CaptureHead{Host: e.conf.Name, Ordinal: e.conf.Ordinal, Zone: e.conf.Zone, Life: time.Now().UnixNano(), Hosts: e.conf.Hosts,
 			Fleet: e.conf.Fleet, QueueType: e.conf.QueueType, Plan: e.conf.Plan}})
 	if err != nil {
 		e.log.Warn("the load can't be captured; serving without", "err", err)
--- a/internal/edge/edge.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package edge is a host: listeners, commands in, answers out, the list, the peers, round one host loop.
-package edge
+// Package gateway is a host: listeners, commands in, answers out, the list, the peers, round one host loop.
+package gateway
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 
 	"go4.org/netipx"
 
-	"weirhaven/internal/brickconn"
 	"weirhaven/internal/capture"
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/listconn"
+	"weirhaven/internal/discovery"
+	"weirhaven/internal/endpointconn"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 	"weirhaven/policy"
 )
 
@@ -29,7 +29,7 @@
 type Options struct {
 	Log *slog.Logger
 	// Start makes the module; nil: policy.New. Tests and baselines put something else here.
-	Start func(policy.Host, policy.Settings) hostloop.Decider
+	Start func(policy.Host, policy.Settings) engine.Decider
 	// Objects is called with the address of the object API, if there is one.
 	Objects func(address string)
 	// Ready is called with the address clients reach and the one peers reach.
@@ -37,16 +37,16 @@
 }
 
 // Start makes the module itself.
-func Start(h policy.Host, s policy.Settings) hostloop.Decider { return policy.New(h, s) }
+func Start(h policy.Host, s policy.Settings) engine.Decider { return policy.New(h, s) }
 
 // Edge is one host while it runs.
 type Edge struct {
-	conf   *wpb.Edge
+	conf   *pb.Edge
 	limits settings.Limits
 	log    *slog.Logger
-	loop   *hostloop.Loop
-	lines  *brickconn.Lines
-	lister *listconn.Conn
+	loop   *engine.Loop
+	lines  *endpointconn.Lines
+	lister *discovery.Conn
 	peers  *peers
 
 	volumeTable  *volumeTable
@@ -62,7 +62,7 @@
 
 // Run serves until ctx ends, then takes nothing new, ends what it holds within the command timeouts, and returns.
 // It fails where it can't listen.
-func Run(ctx context.Context, conf *wpb.Edge, o Options) error {
+func Run(ctx context.Context, conf *pb.Edge, o Options) error {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
@@ -81,9 +81,9 @@
 	if err := e.peers.open(ctx); err != nil {
 		return err
 	}
-	e.loop = hostloop.NewLoop(e.limits.LoopQueue)
-	e.lines = brickconn.New(conf.Name, e.loop, e.limits, e.log)
-	e.lister = listconn.New(listconn.Config{Address: conf.ListService, Name: conf.Name, Asked: conf.Fleet.ListAsked, Limits: e.limits,
+	e.loop = engine.NewLoop(e.limits.LoopQueue)
+	e.lines = endpointconn.New(conf.Name, e.loop, e.limits, e.log)
+	e.lister = discovery.New(discovery.Config{Address: conf.ListService, Name: conf.Name, Asked: conf.Fleet.ListAsked, Limits: e.limits,
 		Seed: time.Now().UnixNano() + int64(conf.Ordinal), Log: e.log, Sink: listSink{e.loop}})
 
 	rules, err := settings.Beliefs(conf)
@@ -94,7 +94,7 @@
 	if e.planner, err = e.openPlanner(l.Addr().String()); err != nil {
 		return err
 	}
-	core := hostloop.New(settings.Policy(conf, time.Now().UnixNano()), rules, o.Start, e, e.volumeTable.of, e.limits.Probe,
+	core := engine.New(settings.Policy(conf, time.Now().UnixNano()), rules, o.Start, e, e.volumeTable.of, e.limits.Probe,
 		e.loop.Now())
 	if err := e.openCapture(core); err != nil {
 		return err
@@ -111,8 +111,8 @@
 		for _, p := range conf.Peer {
 			seeds = append(seeds, p.Address)
 		}
-		core.Join(member.Member{Name: conf.Name, Ordinal: int(conf.Ordinal), Address: e.peers.address(), Planned: int(conf.Hosts),
-			Incarnation: uint64(time.Now().UnixMilli())}, member.Usual(), seeds)
+		core.Join(membership.Member{Name: conf.Name, Ordinal: int(conf.Ordinal), Address: e.peers.address(), Planned: int(conf.Hosts),
+			Incarnation: uint64(time.Now().UnixMilli())}, membership.Usual(), seeds)
 	}
 	keep := &keeper{edge: e}
 	if err := keep.open(core); err != nil {
@@ -217,16 +217,16 @@
 }
 
 // Counts asks the loop for its totals.
-func (e *Edge) Counts() hostloop.Counts {
-	got := make(chan hostloop.Counts, 1)
-	if e.loop.Post(func(c *hostloop.Core) { got <- c.Counts() }) {
+func (e *Edge) Counts() engine.Counts {
+	got := make(chan engine.Counts, 1)
+	if e.loop.Post(func(c *engine.Core) { got <- c.Counts() }) {
 		select {
 		case n := <-got:
 			return n
 		case <-e.loop.Done():
 		}
 	}
-	return hostloop.Counts{}
+	return engine.Counts{}
 }
 
 func (e *Edge) spawn(f func()) {
@@ -237,30 +237,30 @@
 	}()
 }
 
-func known(bricks []*wpb.BrickLine) []hostloop.BrickLine {
-	lines := make([]hostloop.BrickLine, len(bricks))
+func known(bricks []*pb.BrickLine) []engine.BrickLine {
+	lines := make([]engine.BrickLine, len(bricks))
 	for i, b := range bricks {
-		lines[i] = hostloop.BrickLine{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Serving: true}
+		lines[i] = engine.BrickLine{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Serving: true}
 	}
 	return lines
 }
 
 // Line, Watch, ListAll, Tell and Log are the loop's ways out.
 
-func (e *Edge) Line(brick, address string) hostloop.Line { return e.lines.Line(brick, address) }
-func (e *Edge) Watch(on bool)                            { e.lister.Watch(on) }
-func (e *Edge) ListAll()                                 { e.lister.All() }
-func (e *Edge) Tell(peer int, data []byte)               { e.peers.tell(peer, data) }
-func (e *Edge) Log(line string)                          { e.log.Info(line, "from", "module") }
+func (e *Edge) Line(brick, address string) engine.Line { return e.lines.Line(brick, address) }
+func (e *Edge) Watch(on bool)                          { e.lister.Watch(on) }
+func (e *Edge) ListAll()                               { e.lister.All() }
+func (e *Edge) Tell(peer int, data []byte)             { e.peers.tell(peer, data) }
+func (e *Edge) Log(line string)                        { e.log.Info(line, "from", "module") }
 
 // listSink hands what the list service says to the loop.
-type listSink struct{ loop *hostloop.Loop }
+type listSink struct{ loop *engine.Loop }
 
-func (l listSink) List(g decide.Generation, whole bool, lines []hostloop.BrickLine) {
-	l.loop.Post(func(c *hostloop.Core) { c.List(g, whole, lines) })
+func (l listSink) List(g endpointstate.Generation, whole bool, lines []engine.BrickLine) {
+	l.loop.Post(func(c *engine.Core) { c.List(g, whole, lines) })
 }
-func (l listSink) ListFailed() { l.loop.Post(func(c *hostloop.Core) { c.ListFailed() }) }
-func (l listSink) ListHolds()  { l.loop.Offer(func(c *hostloop.Core) { c.ListHolds() }) }
+func (l listSink) ListFailed() { l.loop.Post(func(c *engine.Core) { c.ListFailed() }) }
+func (l listSink) ListHolds()  { l.loop.Offer(func(c *engine.Core) { c.ListHolds() }) }
 
 func (e *Edge) accept(ctx context.Context, l net.Listener) {
 	full := false
--- a/internal/edge/edge_test.go
+++ b/internal/gateway/gateway_test.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"go.uber.org/goleak"
 
 	"weirhaven/internal/capture"
-	"weirhaven/internal/fleet/decide"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/fleet/store"
-	"weirhaven/internal/hostloop"
 	"weirhaven/internal/lineproto"
 	"weirhaven/internal/settings"
 	"weirhaven/policy"
@@ -260,18 +260,18 @@
 		t.Fatal(err)
 	}
 	now := time.Duration(time.Now().UnixNano())
-	var all []decide.Belief
+	var all []endpointstate.Belief
 	for i := range 1000 {
-		l := decide.Line{Name: fmt.Sprint("b", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%900), Cell: i, Serving: true, At: now - time.Hour}
+		l := endpointstate.Line{Name: fmt.Sprint("b", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%900), Cell: i, Serving: true, At: now - time.Hour}
 		switch i {
 		case 0:
 			l.Address = b.l.Addr().String()
 		case 1:
 			l.Address = other.l.Addr().String()
 		}
-		all = append(all, decide.Belief{From: decide.List, Line: l})
+		all = append(all, endpointstate.Belief{From: endpointstate.List, Line: l})
 	}
-	if _, err := s.Save(all, decide.Generation{Epoch: "e", Number: 3}); err != nil {
+	if _, err := s.Save(all, endpointstate.Generation{Epoch: "e", Number: 3}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -304,7 +304,7 @@
 		want(t, show.read(t), verb, uint64(n+2))
 	}
 	stop()
-	if all, _, _, err := store.Dump(file, "h"); err != nil || len(all) != 999 || all[0].From != decide.Own {
+	if all, _, _, err := store.Dump(file, "h"); err != nil || len(all) != 999 || all[0].From != endpointstate.Own {
 		t.Errorf("%v %d %+v", err, len(all), all[0])
 	}
 	address, _ = host(t, fmt.Sprintf("store: %q\n", filepath.Join(dir, "none", "fleet.db")), newBrick(t, "z"))
@@ -517,7 +517,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, done := make(chan string, 1), make(chan error, 1)
-	start := func(h policy.Host, s policy.Settings) hostloop.Decider {
+	start := func(h policy.Host, s policy.Settings) engine.Decider {
 		return &stuck{policy.New(h, s), block, blocked}
 	}
 	go func() {
--- a/internal/edge/keeper.go
+++ b/internal/gateway/keeper.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"text/tabwriter"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
 	"weirhaven/internal/fleet/store"
-	"weirhaven/internal/hostloop"
 	"weirhaven/internal/lineproto"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // keeper keeps what the loop believes of the fleet on disk. A disk that is full, read-only or slow costs the next start its
@@ -27,7 +27,7 @@
 }
 
 // open takes back what was kept. Only a store that another host has open keeps this one from starting.
-func (k *keeper) open(core *hostloop.Core) error {
+func (k *keeper) open(core *engine.Core) error {
 	file := k.edge.conf.Store
 	if file == "" {
 		return nil
@@ -100,9 +100,9 @@
 }
 
 // beliefs asks the loop for what is believed.
-func (e *Edge) beliefs() (all []decide.Belief, hosts []member.Member, last decide.Generation, ok bool) {
+func (e *Edge) beliefs() (all []endpointstate.Belief, hosts []membership.Member, last endpointstate.Generation, ok bool) {
 	done := make(chan bool, 1)
-	if !e.loop.Post(func(c *hostloop.Core) {
+	if !e.loop.Post(func(c *engine.Core) {
 		all, last = c.Fleet().Beliefs(), c.Fleet().Last()
 		if g := c.Group(); g != nil {
 			hosts = g.Members()
@@ -120,7 +120,7 @@
 }
 
 // Table spells beliefs for an operator.
-func Table(all []decide.Belief, hosts []member.Member, last decide.Generation, now time.Duration) string {
+func Table(all []endpointstate.Belief, hosts []membership.Member, last endpointstate.Generation, now time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "list %d of %q\n", last.Number, last.Epoch)
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -147,24 +147,24 @@
 
 // described is the fleet as this host believes it, for the capacity planner. What a host can't know an operator adds: kinds of
 // bricks and their cores, how much a host carries, cells of volumes that no capture shows.
-func (e *Edge) described(all []decide.Belief, hosts []member.Member) *wpb.CapacityFleet {
+func (e *Edge) described(all []endpointstate.Belief, hosts []membership.Member) *pb.CapacityFleet {
 	c := e.conf
-	f := &wpb.CapacityFleet{Rules: c.Fleet, QueueType: c.QueueType, Plan: c.Plan, Bounds: c.Bounds, Kind: []*wpb.ServerKind{{Name: "brick", Cores: 1}}}
+	f := &pb.CapacityFleet{Rules: c.Fleet, QueueType: c.QueueType, Plan: c.Plan, Bounds: c.Bounds, Kind: []*pb.ServerKind{{Name: "brick", Cores: 1}}}
 	for _, b := range all {
 		if !b.Gone {
-			f.Brick = append(f.Brick, &wpb.Server{Name: b.Name, Kind: "brick", Zone: b.Zone, Cell: uint32(max(b.Cell, 0))})
+			f.Brick = append(f.Brick, &pb.Server{Name: b.Name, Kind: "brick", Zone: b.Zone, Cell: uint32(max(b.Cell, 0))})
 		}
 	}
 	for _, h := range hosts {
-		if h.State != member.Left {
-			f.Host = append(f.Host, &wpb.HostLine{Name: h.Name})
+		if h.State != membership.Left {
+			f.Host = append(f.Host, &pb.HostLine{Name: h.Name})
 		}
 	}
 	if len(f.Host) == 0 {
-		f.Host = []*wpb.HostLine{{Name: c.Name, Zone: c.Zone}}
+		f.Host = []*pb.HostLine{{Name: c.Name, Zone: c.Zone}}
 	}
 	for _, v := range c.Volume {
-		f.Volume = append(f.Volume, &wpb.PlacedVolume{Name: v.Name, Plan: v.Plan, Hosts: v.Hosts})
+		f.Volume = append(f.Volume, &pb.PlacedVolume{Name: v.Name, Plan: v.Plan, Hosts: v.Hosts})
 	}
 	return f
 }
@@ -200,9 +200,9 @@
 	case lineproto.Forget:
 		done := make(chan bool, 1)
 		name, host := m.Get("Brick"), m.Get("Host")
-		forget := func(c *hostloop.Core) { done <- c.ForgetBrick(name) }
+		forget := func(c *engine.Core) { done <- c.ForgetBrick(name) }
 		if host != "" {
-			forget = func(c *hostloop.Core) { done <- c.ForgetHost(host) }
+			forget = func(c *engine.Core) { done <- c.ForgetHost(host) }
 		}
 		if !s.edge.loop.Post(forget) {
 			return
--- a/internal/edge/main.go
+++ b/internal/gateway/main.go
@@ -1,15 +1,15 @@
-package edge
+package gateway
 
 import (
 	"fmt"
 	"io"
 	"log/slog"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/life"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/lifecycle"
 	"weirhaven/internal/logging"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 	"weirhaven/policy"
 )
 
@@ -22,13 +22,13 @@
 }
 
 // Execute runs a host until SIGTERM or SIGINT. It prints READY with its addresses once it serves.
-func (c *Command) Execute(start func(policy.Host, policy.Settings) hostloop.Decider) error {
+func (c *Command) Execute(start func(policy.Host, policy.Settings) engine.Decider) error {
 	conf, err := settings.LoadEdge(c.Config)
 	if err != nil {
 		return err
 	}
 	if conf.Log == nil {
-		conf.Log = &wpb.Log{}
+		conf.Log = &pb.Log{}
 	}
 	if c.Level != "" {
 		conf.Log.Level = c.Level
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := life.Context(c.Bound)
+	ctx, stop := lifecycle.Context(c.Bound)
 	defer stop()
 	return Run(ctx, conf, Options{Log: log, Start: start, Ready: func(clients, peers string) {
 		fmt.Printf("READY %s %s\n", clients, peers)
@@ -50,7 +50,7 @@
 }
 
 // Logger makes a log of the level and form asked for.
-func Logger(w io.Writer, l *wpb.Log) (*slog.Logger, error) {
+func Logger(w io.Writer, l *pb.Log) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if l.GetLevel() != "" {
 		if err := level.UnmarshalText([]byte(l.Level)); err != nil {
--- a/internal/edge/objects.go
+++ b/internal/gateway/objects.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"sync/atomic"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/keys"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/object/api"
 	"weirhaven/internal/object/gate"
 	"weirhaven/internal/object/index"
-	"weirhaven/internal/plan/view"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/tlskeys"
 )
 
 // objects is this host's object API.
@@ -43,7 +43,7 @@
 		if access, err = api.ReadKeys(c.Access); err != nil {
 			return nil, err
 		}
-	} else if !keys.Loopback(c.Listen) {
+	} else if !tlskeys.Loopback(c.Listen) {
 		return nil, fmt.Errorf("objects.access: no access keys; without them objects are served on loopback only (objects.listen: %s)", c.Listen)
 	}
 	o := &objects{edge: e}
@@ -130,10 +130,10 @@
 	}
 }
 
-func (o *objects) learn(all []decide.Belief) {
+func (o *objects) learn(all []endpointstate.Belief) {
 	cells := []uint32{}
 	for _, b := range all {
-		if b.Serving && !b.Gone && b.Trust != decide.Barred && b.Cell >= 0 && !slices.Contains(cells, uint32(b.Cell)) {
+		if b.Serving && !b.Gone && b.Trust != endpointstate.Barred && b.Cell >= 0 && !slices.Contains(cells, uint32(b.Cell)) {
 			cells = append(cells, uint32(b.Cell))
 		}
 	}
@@ -142,12 +142,12 @@
 }
 
 // Take, Gone and Cells are the gate's way to the loop.
-func (o *objects) Take(t *hostloop.Task) bool {
-	return !o.edge.stopping.Load() && o.edge.loop.Offer(func(c *hostloop.Core) { c.Take(t) })
+func (o *objects) Take(t *engine.Task) bool {
+	return !o.edge.stopping.Load() && o.edge.loop.Offer(func(c *engine.Core) { c.Take(t) })
 }
 
-func (o *objects) Gone(t *hostloop.Task) {
-	o.edge.loop.First(func(c *hostloop.Core) { c.Gone(t) })
+func (o *objects) Gone(t *engine.Task) {
+	o.edge.loop.First(func(c *engine.Core) { c.Gone(t) })
 }
 
 // Cells are those that the planner names for the volume, of them the ones that serve; else all that serve.
@@ -157,7 +157,7 @@
 	}
 	all := *o.cells.Load()
 	if f := o.edge.planner.follower; f != nil {
-		if v := f.Get(view.Key{Kind: wpb.Item_VOLUME, Name: volume}).GetVolume(); len(v.GetCell()) > 0 {
+		if v := f.Get(snapshot.Key{Kind: pb.Item_VOLUME, Name: volume}).GetVolume(); len(v.GetCell()) > 0 {
 			return slices.DeleteFunc(slices.Clone(all), func(c uint32) bool { return !slices.Contains(v.Cell, c) }), true
 		}
 	}
--- a/internal/edge/objects_test.go
+++ b/internal/gateway/objects_test.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"bytes"
@@ -21,10 +21,10 @@
 	"github.com/aws/aws-sdk-go-v2/credentials"
 	"github.com/aws/aws-sdk-go-v2/service/s3"
 
+	"weirhaven/internal/fake/storagenode"
 	"weirhaven/internal/lineproto"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/wpb"
 )
 
 const objectConf = `name: "h" listen: "127.0.0.1:0" hosts: 1
@@ -36,11 +36,11 @@
 `
 
 // standins are bricks that store what is written.
-func standins(t testing.TB, n int) (text string, all []*brick.Brick) {
+func standins(t testing.TB, n int) (text string, all []*storagenode.Brick) {
 	t.Helper()
 	for i := range n {
-		b, err := brick.Start(brick.Config{Name: fmt.Sprint("b", i), Zone: "n", Address: "127.0.0.1:0", Cell: i, Speed: 1, Seed: int64(i), TagWindow: 10 * time.Second,
-			Kind: &wpb.BrickKind{Name: "k", UnitWork: "20us", Queue: 10000}, Writes: map[string]bool{"put": true}})
+		b, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Zone: "n", Address: "127.0.0.1:0", Cell: i, Speed: 1, Seed: int64(i), TagWindow: 10 * time.Second,
+			Kind: &pb.BrickKind{Name: "k", UnitWork: "20us", Queue: 10000}, Writes: map[string]bool{"put": true}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/edge/peers.go
+++ b/internal/gateway/peers.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"bytes"
@@ -11,11 +11,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // peers carries short messages between hosts: one datagram each, which may be lost.
@@ -74,7 +74,7 @@
 }
 
 // Members are where the module's news goes from now on.
-func (e *Edge) Members(all []member.Member) {
+func (e *Edge) Members(all []membership.Member) {
 	p := e.peers
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +82,7 @@
 		a, err := netip.ParseAddrPort(m.Address)
 		switch {
 		case m.Name == e.conf.Name:
-		case m.State == member.Left || m.State == member.Removed || err != nil:
+		case m.State == membership.Left || m.State == membership.Removed || err != nil:
 			delete(p.to, m.Ordinal)
 		case e.peerNetworks == nil || e.peerNetworks.Contains(a.Addr().Unmap()):
 			p.to[m.Ordinal] = a
@@ -91,12 +91,12 @@
 }
 
 // Gossip sends one message of the membership.
-func (e *Edge) Gossip(address string, m member.Message) {
+func (e *Edge) Gossip(address string, m membership.Message) {
 	a, err := netip.ParseAddrPort(address)
 	if e.peers.conn == nil || err != nil || e.peerNetworks != nil && !e.peerNetworks.Contains(a.Addr().Unmap()) {
 		return
 	}
-	g := &wpb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.About, Total: int64(m.Total), Sums: m.Sums}
+	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.About, Total: int64(m.Total), Sums: m.Sums}
 	for _, n := range m.News {
 		g.News = append(g.News, gossipHost(n))
 	}
@@ -109,14 +109,14 @@
 }
 
 // Share tells another host lines about bricks; times go as ages.
-func (e *Edge) Share(address string, now time.Duration, lines []decide.Line) {
+func (e *Edge) Share(address string, now time.Duration, lines []endpointstate.Line) {
 	a, err := netip.ParseAddrPort(address)
 	if e.peers.conn == nil || err != nil || len(lines) == 0 {
 		return
 	}
-	m := &wpb.Lines{}
+	m := &pb.Lines{}
 	for _, l := range lines {
-		x := &wpb.Lines_Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: int64(l.Cell), Serving: l.Serving, Gone: l.Gone, Up: -1,
+		x := &pb.Lines_Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: int64(l.Cell), Serving: l.Serving, Gone: l.Gone, Up: -1,
 			Age: int64(now - l.At)}
 		if l.Started != 0 {
 			x.Up = int64(now - l.Started)
@@ -132,8 +132,8 @@
 }
 
 // linesOf puts another host's lines on this host's clock. What no host would tell is left out.
-func linesOf(body []byte, now time.Duration) (lines []decide.Line) {
-	m := &wpb.Lines{}
+func linesOf(body []byte, now time.Duration) (lines []endpointstate.Line) {
+	m := &pb.Lines{}
 	if proto.Unmarshal(body, m) != nil {
 		return nil
 	}
@@ -142,7 +142,7 @@
 		if err != nil || x.Name == "" || len(x.Name) > 64 || x.Cell < 0 || x.Cell > 1<<30 || x.Age < 0 {
 			continue
 		}
-		l := decide.Line{Name: x.Name, Address: x.Address, Zone: x.Zone, Cell: int(x.Cell), Serving: x.Serving && !x.Gone, Gone: x.Gone,
+		l := endpointstate.Line{Name: x.Name, Address: x.Address, Zone: x.Zone, Cell: int(x.Cell), Serving: x.Serving && !x.Gone, Gone: x.Gone,
 			At: max(now-time.Duration(x.Age), 1)}
 		if x.Up >= 0 {
 			l.Started = max(now-time.Duration(x.Up), 1)
@@ -152,26 +152,26 @@
 	return lines
 }
 
-func gossipHost(m member.Member) *wpb.Gossip_Host {
-	return &wpb.Gossip_Host{Name: m.Name, Ordinal: int64(m.Ordinal), Address: m.Address, Planned: int64(m.Planned),
+func gossipHost(m membership.Member) *pb.Gossip_Host {
+	return &pb.Gossip_Host{Name: m.Name, Ordinal: int64(m.Ordinal), Address: m.Address, Planned: int64(m.Planned),
 		Incarnation: m.Incarnation, State: int32(m.State)}
 }
 
 // memberOf is a host as told; ok is false for what no host would tell.
-func memberOf(h *wpb.Gossip_Host) (member.Member, bool) {
-	m := member.Member{Name: h.GetName(), Ordinal: int(h.GetOrdinal()), Address: h.GetAddress(), Planned: int(h.GetPlanned()),
-		Incarnation: h.GetIncarnation(), State: member.State(h.GetState())}
+func memberOf(h *pb.Gossip_Host) (membership.Member, bool) {
+	m := membership.Member{Name: h.GetName(), Ordinal: int(h.GetOrdinal()), Address: h.GetAddress(), Planned: int(h.GetPlanned()),
+		Incarnation: h.GetIncarnation(), State: membership.State(h.GetState())}
 	_, err := netip.ParseAddrPort(m.Address)
 	return m, err == nil && m.Name != "" && len(m.Name) <= 64 && m.Ordinal >= 0 && m.Ordinal < 1<<16 && m.Planned >= 0 &&
-		m.Planned < 1<<16 && m.State >= member.Alive && m.State <= member.Left
+		m.Planned < 1<<16 && m.State >= membership.Alive && m.State <= membership.Left
 }
 
-func messageOf(body []byte) (m member.Message, ok bool) {
-	g := &wpb.Gossip{}
-	if proto.Unmarshal(body, g) != nil || g.Kind < 0 || g.Kind > int32(member.Sync) {
+func messageOf(body []byte) (m membership.Message, ok bool) {
+	g := &pb.Gossip{}
+	if proto.Unmarshal(body, g) != nil || g.Kind < 0 || g.Kind > int32(membership.Sync) {
 		return m, false
 	}
-	m = member.Message{Kind: member.Kind(g.Kind), Seq: g.Seq, About: g.About, Total: int(g.Total), Sums: g.Sums}
+	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, About: g.About, Total: int(g.Total), Sums: g.Sums}
 	if m.From, ok = memberOf(g.From); !ok {
 		return m, false
 	}
@@ -202,12 +202,12 @@
 		}
 		if m.Verb == lineproto.Gossip {
 			if g, ok := messageOf(m.Body); ok {
-				p.edge.loop.Offer(func(c *hostloop.Core) { c.Gossip(g) })
+				p.edge.loop.Offer(func(c *engine.Core) { c.Gossip(g) })
 			}
 			continue
 		}
 		if m.Verb == lineproto.Lines {
-			p.edge.loop.Offer(func(c *hostloop.Core) { c.PeerSays(linesOf(m.Body, c.Now())) })
+			p.edge.loop.Offer(func(c *engine.Core) { c.PeerSays(linesOf(m.Body, c.Now())) })
 			continue
 		}
 		if m.Verb != lineproto.News {
@@ -217,6 +217,6 @@
 		if err != nil || from < 0 {
 			continue
 		}
-		p.edge.loop.Offer(func(c *hostloop.Core) { c.Heard(int(from), m.Body) })
+		p.edge.loop.Offer(func(c *engine.Core) { c.Heard(int(from), m.Body) })
 	}
 }
--- a/internal/edge/planner.go
+++ b/internal/gateway/planner.go
@@ -1,15 +1,15 @@
-package edge
+package gateway
 
 import (
 	"sync/atomic"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/plan/follow"
-	"weirhaven/internal/plan/view"
+	"weirhaven/internal/controlplane/client"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // volumeTable is what is known of volumes: settings, and over them what the planner says. It is read by the loop for each command and
@@ -23,7 +23,7 @@
 	hosts int
 }
 
-func newVolumeTable(conf *wpb.Edge) *volumeTable {
+func newVolumeTable(conf *pb.Edge) *volumeTable {
 	t := &volumeTable{}
 	m := make(map[string]volumeEntry, len(conf.Volume))
 	for _, v := range conf.Volume {
@@ -39,10 +39,10 @@
 }
 
 // change replaces entries. A volume that the planner took away stays known while settings name it.
-func (t *volumeTable) change(items []*wpb.Item, plans map[string]bool) (unknown []string) {
+func (t *volumeTable) change(items []*pb.Item, plans map[string]bool) (unknown []string) {
 	var next map[string]volumeEntry
 	for _, x := range items {
-		if x.Kind != wpb.Item_VOLUME {
+		if x.Kind != pb.Item_VOLUME {
 			continue
 		}
 		if next == nil {
@@ -72,8 +72,8 @@
 type planner struct {
 	edge     *Edge
 	plans    map[string]bool
-	follower *follow.Follower // nil: none
-	early    []*wpb.Item      // the view kept, until the loop runs
+	follower *client.Follower // nil: none
+	early    []*pb.Item       // the view kept, until the loop runs
 }
 
 // openPlanner reads the view kept. Plans that only it names are added to the settings, since the module is told of plans at its start.
@@ -86,13 +86,13 @@
 		return p, nil
 	}
 	var err error
-	p.follower, err = follow.Open(follow.Config{Planner: e.conf.Planner, Name: e.conf.Name, Address: address, File: e.conf.Store + ".view", Log: e.log, Sink: p,
+	p.follower, err = client.Open(client.Config{Planner: e.conf.Planner, Name: e.conf.Name, Address: address, File: e.conf.Store + ".view", Log: e.log, Sink: p,
 		Seed: time.Now().UnixNano()})
 	if err != nil {
 		return nil, err
 	}
 	for _, x := range p.early {
-		if x.Kind == wpb.Item_PLAN && !x.Gone && !p.plans[x.Name] {
+		if x.Kind == pb.Item_PLAN && !x.Gone && !p.plans[x.Name] {
 			p.plans[x.Name] = true
 			e.conf.Plan = append(e.conf.Plan, x.Plan)
 		}
@@ -110,7 +110,7 @@
 }
 
 // Changed is what the view says.
-func (p *planner) Changed(items []*wpb.Item, fresh bool) {
+func (p *planner) Changed(items []*pb.Item, fresh bool) {
 	if !fresh {
 		p.early = items
 		return
@@ -118,24 +118,24 @@
 	p.tell(items, 0)
 }
 
-func (p *planner) tell(items []*wpb.Item, age time.Duration) {
+func (p *planner) tell(items []*pb.Item, age time.Duration) {
 	for _, name := range p.edge.volumeTable.change(items, p.plans) {
 		p.edge.log.Warn("the planner names a volume on a plan that this host does not know; restart it to take the plan over", "volume", name)
 	}
-	var lines []*wpb.Item
+	var lines []*pb.Item
 	hosts := 0
 	for _, x := range items {
 		switch x.Kind {
-		case wpb.Item_BRICK:
+		case pb.Item_BRICK:
 			lines = append(lines, x)
-		case wpb.Item_HOSTS:
+		case pb.Item_HOSTS:
 			hosts = int(x.Hosts)
 		}
 	}
 	if len(lines) == 0 && hosts == 0 {
 		return
 	}
-	p.edge.loop.Post(func(c *hostloop.Core) {
+	p.edge.loop.Post(func(c *engine.Core) {
 		if g := c.Group(); g != nil && hosts > 0 {
 			g.Plan(hosts)
 		}
@@ -144,14 +144,14 @@
 }
 
 // brickLines are a view's bricks as lines, true at a time. A drain is told as one of the life that it speaks of.
-func brickLines(items []*wpb.Item, at time.Duration) (all []decide.Line) {
+func brickLines(items []*pb.Item, at time.Duration) (all []endpointstate.Line) {
 	for _, x := range items {
 		b := x.GetBrick()
 		if b == nil {
 			continue
 		}
-		l := decide.Line{Name: x.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Serving: b.Serving && !x.Gone, Gone: x.Gone, Started: time.Duration(b.Started), At: at}
-		if view.Drained(b) {
+		l := endpointstate.Line{Name: x.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Serving: b.Serving && !x.Gone, Gone: x.Gone, Started: time.Duration(b.Started), At: at}
+		if snapshot.Drained(b) {
 			l.Serving, l.Gone = false, false
 			if b.Drained > 0 {
 				l.Started = time.Duration(max(b.Started, b.Drained))
@@ -165,7 +165,7 @@
 }
 
 // learnt tells the planner of drains that this host knows.
-func (p *planner) learnt(all []decide.Belief) {
+func (p *planner) learnt(all []endpointstate.Belief) {
 	if p.follower == nil {
 		return
 	}
--- a/internal/edge/planner_test.go
+++ b/internal/gateway/planner_test.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"fmt"
@@ -9,19 +9,19 @@
 
 	"google.golang.org/grpc"
 
+	"weirhaven/internal/controlplane/snapshot"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/plan/view"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // planned is a planner that says what the test says.
 type planned struct {
-	wpb.UnimplementedPlanningServer
-	say chan *wpb.PlannerSays
-	ack chan *wpb.EdgeAck
+	pb.UnimplementedPlanningServer
+	say chan *pb.PlannerSays
+	ack chan *pb.EdgeAck
 }
 
-func (p *planned) Follow(s grpc.BidiStreamingServer[wpb.EdgeSays, wpb.PlannerSays]) error {
+func (p *planned) Follow(s grpc.BidiStreamingServer[pb.EdgeSays, pb.PlannerSays]) error {
 	go func() {
 		for {
 			m, err := s.Recv()
@@ -54,22 +54,22 @@
 		t.Fatal(err)
 	}
 	s := grpc.NewServer()
-	p = &planned{say: make(chan *wpb.PlannerSays), ack: make(chan *wpb.EdgeAck, 100)}
-	wpb.RegisterPlanningServer(s, p)
+	p = &planned{say: make(chan *pb.PlannerSays), ack: make(chan *pb.EdgeAck, 100)}
+	pb.RegisterPlanningServer(s, p)
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
 	return p, l.Addr().String(), s.Stop
 }
 
 // tell sends items as the whole view of a generation, and waits until the host holds it.
-func (p *planned) tell(t *testing.T, generation uint64, items ...*wpb.Item) {
+func (p *planned) tell(t *testing.T, generation uint64, items ...*pb.Item) {
 	t.Helper()
-	m := map[view.Key]*wpb.Item{}
+	m := map[snapshot.Key]*pb.Item{}
 	for _, x := range items {
 		x.Generation, x.Term = generation, 1
-		m[view.KeyOf(x)] = x
+		m[snapshot.KeyOf(x)] = x
 	}
-	p.say <- &wpb.PlannerSays{Tenure: &wpb.Tenure{Term: 1, Planner: "p"}, What: &wpb.PlannerSays_Part{Part: &wpb.ViewPart{To: generation, Whole: true, Last: true, Digest: view.Digest(m),
+	p.say <- &pb.PlannerSays{Tenure: &pb.Tenure{Term: 1, Planner: "p"}, What: &pb.PlannerSays_Part{Part: &pb.ViewPart{To: generation, Whole: true, Last: true, Digest: snapshot.Digest(m),
 		Item: items}}}
 	for {
 		select {
@@ -91,10 +91,10 @@
 	store := filepath.Join(t.TempDir(), "fleet.db")
 	more := fmt.Sprintf("store: %q planner { address: %q plain: true }\n", store, address)
 	a, stop := host(t, more)
-	item := func(b *scripted, cell int64, serving bool) *wpb.Item {
-		return &wpb.Item{Kind: wpb.Item_BRICK, Name: b.name, Brick: &wpb.PlanBrick{Address: b.l.Addr().String(), Zone: "n", Cell: cell, Serving: serving}}
+	item := func(b *scripted, cell int64, serving bool) *pb.Item {
+		return &pb.Item{Kind: pb.Item_BRICK, Name: b.name, Brick: &pb.PlanBrick{Address: b.l.Addr().String(), Zone: "n", Cell: cell, Serving: serving}}
 	}
-	volume := &wpb.Item{Kind: wpb.Item_VOLUME, Name: "new", Volume: &wpb.PlanVolume{Plan: "plain", Hosts: 1}}
+	volume := &pb.Item{Kind: pb.Item_VOLUME, Name: "new", Volume: &pb.PlanVolume{Plan: "plain", Hosts: 1}}
 	p.tell(t, 1, item(one, 0, true), volume)
 	c := dial(t, a)
 	run := func(c *peer, id uint64, volume string) {
--- a/internal/edge/session.go
+++ b/internal/gateway/session.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/lineproto"
 )
 
@@ -20,12 +20,12 @@
 	sender *lineproto.Sender
 
 	mu    sync.Mutex
-	tasks map[uint64]*hostloop.Task // in flight, by the client's id
+	tasks map[uint64]*engine.Task // in flight, by the client's id
 }
 
 func newSession(e *Edge, c net.Conn) *session {
 	return &session{edge: e, conn: c, sender: lineproto.NewSender(4*e.limits.Body+1<<20, e.limits.Stall),
-		tasks: map[uint64]*hostloop.Task{}}
+		tasks: map[uint64]*engine.Task{}}
 }
 
 // run reads until the connection ends; what is then in flight has lost its client.
@@ -49,7 +49,7 @@
 		s.edge.log.Info("client connection ended", "client", hello.Get("Name"), "in flight", len(left), "err", err)
 	}
 	for _, t := range left {
-		s.edge.loop.First(func(c *hostloop.Core) { c.Gone(t) })
+		s.edge.loop.First(func(c *engine.Core) { c.Gone(t) })
 	}
 }
 
@@ -80,7 +80,7 @@
 			delete(s.tasks, m.ID)
 			s.mu.Unlock()
 			if t != nil {
-				s.edge.loop.First(func(c *hostloop.Core) { c.Gone(t) })
+				s.edge.loop.First(func(c *engine.Core) { c.Gone(t) })
 			}
 		case lineproto.Fleet, lineproto.Forget, lineproto.Tape:
 			s.operate(m)
@@ -130,20 +130,20 @@
 		return nil
 	}
 	id := m.ID
-	t.Answer = func(a hostloop.Answer) { s.answer(id, t, a) }
+	t.Answer = func(a engine.Answer) { s.answer(id, t, a) }
 	t.Begun = func() {
 		var o lineproto.Out
 		s.sender.Send(o.Start(lineproto.Begun, id).End(nil).B)
 	}
 	// What is not taken is busy-replied at once: it never reached the module, so trying again is harmless.
-	if s.edge.stopping.Load() || !s.edge.loop.Offer(func(c *hostloop.Core) { c.Take(t) }) {
-		t.Answer(hostloop.Answer{How: hostloop.BusyReplied})
+	if s.edge.stopping.Load() || !s.edge.loop.Offer(func(c *engine.Core) { c.Take(t) }) {
+		t.Answer(engine.Answer{How: engine.BusyReplied})
 	}
 	return nil
 }
 
-func task(m *lineproto.Message) (*hostloop.Task, error) {
-	t := &hostloop.Task{Volume: m.Get("Volume"), QueueType: m.Get("Queue-Type"), Object: m.Get("Object"),
+func task(m *lineproto.Message) (*engine.Task, error) {
+	t := &engine.Task{Volume: m.Get("Volume"), QueueType: m.Get("Queue-Type"), Object: m.Get("Object"),
 		Tag: m.Get("Tag"), Trace: m.Get("Trace"), Body: m.Body}
 	cell, err1 := m.Whole("Cell", -1)
 	units, err2 := m.Number("Units", 1)
@@ -163,11 +163,11 @@
 	return t, nil
 }
 
-var finals = map[hostloop.Final]string{hostloop.Completed: lineproto.Done, hostloop.BusyReplied: lineproto.Busy,
-	hostloop.Aborted: lineproto.Abort}
+var finals = map[engine.Final]string{engine.Completed: lineproto.Done, engine.BusyReplied: lineproto.Busy,
+	engine.Aborted: lineproto.Abort}
 
 // answer writes a final answer. It runs in the loop, so it never waits: a client that reads nothing is cut off.
-func (s *session) answer(id uint64, t *hostloop.Task, a hostloop.Answer) {
+func (s *session) answer(id uint64, t *engine.Task, a engine.Answer) {
 	s.mu.Lock()
 	known := s.tasks[id] == t
 	if known {
@@ -179,10 +179,10 @@
 	}
 	o := lineproto.Out{B: make([]byte, 0, 64+len(a.Body))}
 	o.Start(finals[a.How], id)
-	if a.How == hostloop.BusyReplied && a.Pause > 0 {
+	if a.How == engine.BusyReplied && a.Pause > 0 {
 		o.Micros("Back", max(a.Pause, time.Microsecond))
 	}
-	if a.How == hostloop.Aborted {
+	if a.How == engine.Aborted {
 		may := "no"
 		if a.MayHaveRun {
 			may = "yes"
--- a/internal/platform/buffers_test.go
+++ b/internal/httpgateway/buffers_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/platform/pool"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/httpgateway/upstream"
 	"weirhaven/policy"
 )
 
@@ -39,21 +39,21 @@
 	}()
 	t.Cleanup(func() { l.Close(); <-done })
 	h := newHost(t, &brick{l: l})
-	loop := hostloop.NewLoop(10)
-	p := pool.New(pool.Options{Loop: loop, MaxConnections: 4, Connect: time.Second, Idle: time.Second, Log: slog.New(slog.DiscardHandler)})
-	core := hostloop.New(h.config.Settings, decide.Rules{}, func(p policy.Host, s policy.Settings) hostloop.Decider {
+	loop := engine.NewLoop(10)
+	p := upstream.New(upstream.Options{Loop: loop, MaxConnections: 4, Connect: time.Second, Idle: time.Second, Log: slog.New(slog.DiscardHandler)})
+	core := engine.New(h.config.Settings, endpointstate.Rules{}, func(p policy.Host, s policy.Settings) engine.Decider {
 		return &watched{policy.New(p, s), h.ended}
 	}, ways{&Host{pool: p, Log: slog.New(slog.DiscardHandler)}}, nil, time.Second, loop.Now())
 	ctx, stop := context.WithCancel(context.Background())
 	go loop.Run(ctx, core)
-	answered := make(chan hostloop.Answer, 1)
-	loop.Post(func(c *hostloop.Core) {
+	answered := make(chan engine.Answer, 1)
+	loop.Post(func(c *engine.Core) {
 		c.Told(true, h.config.Known.Lines)
-		c.Take(&hostloop.Task{Volume: "v", Plan: "plain", Hosts: 1, QueueType: "write", Units: 1, Lead: []byte("PUT / HTTP/1.1\r\n"),
-			Body: make([]byte, 16<<20), Answer: func(a hostloop.Answer) { answered <- a }}) // more than all buffers between hold
+		c.Take(&engine.Task{Volume: "v", Plan: "plain", Hosts: 1, QueueType: "write", Units: 1, Lead: []byte("PUT / HTTP/1.1\r\n"),
+			Body: make([]byte, 16<<20), Answer: func(a engine.Answer) { answered <- a }}) // more than all buffers between hold
 	})
 	h.how(policy.Unconnected)
-	if a := <-answered; a.How != hostloop.BusyReplied {
+	if a := <-answered; a.How != engine.BusyReplied {
 		t.Errorf("%v, wanted a busy reply", a.How)
 	}
 	stop()
--- a/internal/platform/conf/conf.go
+++ b/internal/httpgateway/config/config.go
@@ -1,6 +1,6 @@
-// Package conf reads what the platform tells a host: its configuration file and the lists of bricks that stand in it or
+// Package config reads what the platform tells a host: its configuration file and the lists of bricks that stand in it or
 // come from discovery.
-package conf
+package config
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/policy"
 )
 
@@ -38,7 +38,7 @@
 type List struct {
 	Revision int64
 	Whole    bool
-	Lines    []hostloop.BrickLine
+	Lines    []engine.BrickLine
 }
 
 const maxFile = 4 << 20
@@ -143,18 +143,18 @@
 	if err != nil {
 		return List{}, fmt.Errorf("not JSON: %w", err)
 	}
-	return list(v, func(entry hostloop.BrickLine, _ error) (hostloop.BrickLine, error) {
-		return hostloop.BrickLine{Name: entry.Name, Unreadable: true}, nil
+	return list(v, func(entry engine.BrickLine, _ error) (engine.BrickLine, error) {
+		return engine.BrickLine{Name: entry.Name, Unreadable: true}, nil
 	})
 }
 
 // known reads the list of a configuration, which has to be readable as a whole.
 func known(v *fastjson.Value) (List, error) {
-	return list(v, func(entry hostloop.BrickLine, err error) (hostloop.BrickLine, error) { return entry, err })
+	return list(v, func(entry engine.BrickLine, err error) (engine.BrickLine, error) { return entry, err })
 }
 
 // list reads a list; unreadable tells what becomes of an entry with an error.
-func list(v *fastjson.Value, unreadable func(hostloop.BrickLine, error) (hostloop.BrickLine, error)) (List, error) {
+func list(v *fastjson.Value, unreadable func(engine.BrickLine, error) (engine.BrickLine, error)) (List, error) {
 	if v.Type() != fastjson.TypeObject {
 		return List{}, errors.New("not an object")
 	}
@@ -179,8 +179,8 @@
 }
 
 // entry reads one server of a list. An error names the field; the server's name is there if it can be read.
-func entry(m *fastjson.Value) (hostloop.BrickLine, error) {
-	b := hostloop.BrickLine{Name: string(m.GetStringBytes("id")), Address: string(m.GetStringBytes("host_port")),
+func entry(m *fastjson.Value) (engine.BrickLine, error) {
+	b := engine.BrickLine{Name: string(m.GetStringBytes("id")), Address: string(m.GetStringBytes("host_port")),
 		Zone: string(m.GetStringBytes("locality")), Cell: -1}
 	phase := string(m.GetStringBytes("phase"))
 	b.Serving, b.Gone = phase == "in_service", phase == "terminated"
--- a/internal/platform/conf/conf_test.go
+++ b/internal/httpgateway/config/config_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"strings"
--- a/internal/platform/watch/watch.go
+++ b/internal/httpgateway/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package watch follows the platform's list of bricks at the agent on this host's machine. What the agent tells is handed
+// Package discovery follows the platform's list of bricks at the agent on this host's machine. What the agent tells is handed
 // on as it is; while it is silent or gone, the last list holds.
-package watch
+package discovery
 
 import (
 	"bytes"
@@ -17,15 +17,15 @@
 	"github.com/valyala/fastjson"
 
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/httpgateway/config"
 )
 
 // Options are what a watch is made with.
 type Options struct {
 	Address string
-	Last    int64                                  // the version held so far
-	Told    func(l conf.List, quiet time.Duration) // quiet: since the list before was last confirmed; -1: never
-	Current func()                                 // once: the agent has told what it has; may be nil
+	Last    int64                                    // the version held so far
+	Told    func(l config.List, quiet time.Duration) // quiet: since the list before was last confirmed; -1: never
+	Current func()                                   // once: the agent has told what it has; may be nil
 	Log     *slog.Logger
 }
 
@@ -87,7 +87,7 @@
 // word is what a try heard: a list, some other sign of life, or its end.
 type word struct {
 	from  *try
-	list  *conf.List
+	list  *config.List
 	blank bool // an empty line between lists
 	err   error
 	over  bool
@@ -231,7 +231,7 @@
 		if err := values.Decode(&value); err != nil {
 			return err
 		}
-		l, err := conf.ParseList(&parser, value)
+		l, err := config.ParseList(&parser, value)
 		if err != nil {
 			return fmt.Errorf("what is no list: %w", err)
 		}
--- a/internal/platform/watch/watch_test.go
+++ b/internal/httpgateway/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package watch
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/httpgateway/config"
 )
 
 // agent hands each watch that comes to the test.
@@ -81,10 +81,10 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, revision)
 }
 
-func watching(t *testing.T, a *agent) (*Watch, chan conf.List) {
+func watching(t *testing.T, a *agent) (*Watch, chan config.List) {
 	t.Parallel()
-	told := make(chan conf.List, 100)
-	w := New(Options{Address: a.l.Addr().String(), Last: 7, Log: slog.New(slog.DiscardHandler), Told: func(l conf.List, _ time.Duration) { told <- l }})
+	told := make(chan config.List, 100)
+	w := New(Options{Address: a.l.Addr().String(), Last: 7, Log: slog.New(slog.DiscardHandler), Told: func(l config.List, _ time.Duration) { told <- l }})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { w.Run(ctx); close(done) }()
@@ -92,7 +92,7 @@
 	return w, told
 }
 
-func hears(t *testing.T, told chan conf.List, revision int64) {
+func hears(t *testing.T, told chan config.List, revision int64) {
 	t.Helper()
 	select {
 	case l := <-told:
@@ -105,7 +105,7 @@
 }
 
 // silentAgent has told one list and then nothing.
-func silentAgent(t *testing.T) (*agent, chan conf.List, net.Conn) {
+func silentAgent(t *testing.T) (*agent, chan config.List, net.Conn) {
 	a := newAgent(t)
 	_, told := watching(t, a)
 	first := a.next("7")
--- a/internal/platform/front/conn.go
+++ b/internal/httpgateway/downstream/conn.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"strconv"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/observe"
-	"weirhaven/internal/platform/socket"
+	"weirhaven/internal/httpgateway/metrics"
+	"weirhaven/internal/httpgateway/socket"
 )
 
 // conn is one client connection, owned by one goroutine, which alone closes it. While a request is in progress, that
@@ -25,7 +25,7 @@
 	nc       net.Conn
 	inbox    *inbox
 	in       *http1.Reader
-	answers  chan hostloop.Answer
+	answers  chan engine.Answer
 	deadline time.Time     // the request being read must be whole
 	until    time.Time     // the answer must be taken; zero: write from now
 	queued   time.Duration // it may have waited so long, with its first request, to be accepted
@@ -35,9 +35,9 @@
 
 	// What finish checks: a request that was read whole is owed an answer, unless its client has gone.
 	owed     string // the request's id
-	task     *hostloop.Task
+	task     *engine.Task
 	gone     bool
-	reason   observe.Reason // why the connection ends
+	reason   metrics.Reason // why the connection ends
 	answered bool           // its last answer was written just now
 
 	last bool // its next answer is the last
@@ -48,7 +48,7 @@
 	since      time.Time // when it came there
 	busy       bool
 	retired    bool // asked to end
-	retiredFor observe.Reason
+	retiredFor metrics.Reason
 }
 
 // retiredReading is how long a request that has begun when its connection is retired may take to become whole.
@@ -60,7 +60,7 @@
 var longAgo = time.Unix(1, 0)
 
 func newConn(f *Front, nc net.Conn) *conn {
-	c := &conn{front: f, nc: nc, answers: make(chan hostloop.Answer, 1), deadline: time.Now().Add(requestTimeout)}
+	c := &conn{front: f, nc: nc, answers: make(chan engine.Answer, 1), deadline: time.Now().Add(requestTimeout)}
 	c.inbox = &inbox{r: c, now: f.options.Loop.Now, room: &f.room}
 	c.in = http1.NewReader(c.inbox)
 	return c
@@ -80,11 +80,11 @@
 	switch record := c.front.options.Observe; {
 	case c.gone:
 	case c.owed != "":
-		record.Violated(observe.OneAnswer, c.owed, "closed without an answer: "+string(c.reason))
-	case c.reason != observe.ClientAsked && c.reason != observe.BadRequest && c.reason != observe.PipelineLimit && c.hasWholeFollower():
-		record.Violated(observe.OneAnswer, "pipelined", "closed over a request that was read: "+string(c.reason))
+		record.Violated(metrics.OneAnswer, c.owed, "closed without an answer: "+string(c.reason))
+	case c.reason != metrics.ClientAsked && c.reason != metrics.BadRequest && c.reason != metrics.PipelineLimit && c.hasWholeFollower():
+		record.Violated(metrics.OneAnswer, "pipelined", "closed over a request that was read: "+string(c.reason))
 	}
-	c.front.options.Observe.Count(observe.Closed, c.reason)
+	c.front.options.Observe.Count(metrics.Closed, c.reason)
 	c.front.options.Log.Debug("closed", "client", c.nc.RemoteAddr().String(), "reason", string(c.reason), "request", c.owed)
 	c.inbox.close()
 	c.free()
@@ -100,7 +100,7 @@
 
 // panicked answers what is owed after a fault of this program on this connection, which must not end the others.
 func (c *conn) panicked(cause any) {
-	c.reason = observe.Panicked
+	c.reason = metrics.Panicked
 	c.front.options.Log.Error("panic while serving a client", "request", c.owed, "cause", cause, "stack", string(debug.Stack()))
 	if c.task != nil {
 		c.withdraw()
@@ -160,22 +160,22 @@
 	case errors.Is(err, errCut):
 		c.refuseRest()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.reason = observe.IdleTimeout
+		c.reason = metrics.IdleTimeout
 		if why, retired := c.front.whyRetired(c); retired {
 			c.reason = why
 		}
 		c.lingeringClose()
 	default:
-		c.gone, c.reason = true, observe.ClientClosed
+		c.gone, c.reason = true, metrics.ClientClosed
 	}
 }
 
 // refuseRest answers the first of the requests that were dropped since more came at once than is kept.
 func (c *conn) refuseRest() {
 	c.closing = true
-	c.front.countShed(observe.PipelineLimit)
+	c.front.countShed(metrics.PipelineLimit)
 	c.respond(503, "", nil)
-	c.reason = observe.PipelineLimit
+	c.reason = metrics.PipelineLimit
 }
 
 // request serves one; it tells whether the connection goes on.
@@ -216,16 +216,16 @@
 }
 
 // serve hands a task to the loop and passes its answer on.
-func (c *conn) serve(t *hostloop.Task) bool {
+func (c *conn) serve(t *engine.Task) bool {
 	f, id := c.front, t.Trace
 	if !f.admit(c) {
 		c.last = true
-		return c.refuse(observe.ConnectionLimit)
+		return c.refuse(metrics.ConnectionLimit)
 	}
 	if !f.ids.claim(id) {
 		return c.fault(&http1.Error{Status: 409, What: "the id is in use or was a moment ago"})
 	}
-	t.Answer = func(a hostloop.Answer) {
+	t.Answer = func(a engine.Answer) {
 		c.release, t.Release = t.Release, nil
 		c.nc.SetReadDeadline(longAgo) // first: whoever has the answer sets the next deadline
 		c.answers <- a                // takes one without waiting
@@ -233,7 +233,7 @@
 	t.ClientGone = func() bool { return socket.Peek(c.nc) == socket.Ended }
 	if c.inbox.err != nil { // the client has gone, as is known from behind what it sent
 		f.ids.release(id, false)
-		c.gone, c.reason = true, observe.ClientClosed
+		c.gone, c.reason = true, metrics.ClientClosed
 		return false
 	}
 	c.waiting = true
@@ -241,10 +241,10 @@
 	f.mu.Lock()
 	f.counts.Requests++
 	f.mu.Unlock()
-	if !f.options.Loop.Offer(func(core *hostloop.Core) { core.Take(t) }) {
+	if !f.options.Loop.Offer(func(core *engine.Core) { core.Take(t) }) {
 		c.waiting = false
 		f.ids.release(id, false)
-		return c.refuse(observe.QueueFull)
+		return c.refuse(metrics.QueueFull)
 	}
 	f.options.Log.Debug("taken", "request", id, "class", t.QueueType, "plan", t.Plan, "units", t.Units, "left", t.Timeout)
 	c.task = t
@@ -255,7 +255,7 @@
 		if err == errBeyond {
 			return c.fault(err)
 		}
-		c.gone, c.reason = true, observe.ClientClosed
+		c.gone, c.reason = true, metrics.ClientClosed
 		return false
 	}
 	c.task = nil
@@ -267,7 +267,7 @@
 }
 
 // refuse answers a request that the decision module has not seen: trying again is harmless.
-func (c *conn) refuse(why observe.Reason) bool {
+func (c *conn) refuse(why metrics.Reason) bool {
 	c.front.countShed(why)
 	return c.respond(503, "", nil)
 }
@@ -278,7 +278,7 @@
 	c.task = nil
 	t.End(loop.Now())
 	done := make(chan bool)
-	if loop.First(func(core *hostloop.Core) { core.Gone(t); close(done) }) {
+	if loop.First(func(core *engine.Core) { core.Gone(t); close(done) }) {
 		select {
 		case <-done: // from here on there is no answer, or it lies here
 			c.free()
@@ -322,18 +322,18 @@
 	}
 }
 
-func (c *conn) answer(a hostloop.Answer) bool {
-	c.front.options.Observe.Count(observe.Answered, observe.Reason(a.How.String()))
+func (c *conn) answer(a engine.Answer) bool {
+	c.front.options.Observe.Count(metrics.Answered, metrics.Reason(a.How.String()))
 	switch a.How {
-	case hostloop.Completed:
+	case engine.Completed:
 		return c.respond(200, "", a.Body)
-	case hostloop.BusyReplied:
+	case engine.BusyReplied:
 		more := ""
 		if a.Pause > 0 {
 			more = "Retry-After: " + strconv.FormatFloat(a.Pause.Seconds(), 'f', 3, 64) + "\r\n"
 		}
 		return c.respond(503, more, nil)
-	case hostloop.Aborted:
+	case engine.Aborted:
 		if a.Reason != "" {
 			c.front.refused(500, a.Reason)
 		}
@@ -384,7 +384,7 @@
 	c.nc.SetWriteDeadline(c.until)
 	c.until = time.Time{}
 	if _, err := c.nc.Write(http1.AppendEnd(b, body)); err != nil {
-		c.gone, c.reason = true, observe.WriteFailed
+		c.gone, c.reason = true, metrics.WriteFailed
 		return false
 	}
 	c.front.options.Log.Debug("answered", "request", c.owed, "status", status, "last", last)
@@ -397,32 +397,32 @@
 	return !last
 }
 
-func (c *conn) whyLast() observe.Reason {
+func (c *conn) whyLast() metrics.Reason {
 	switch {
 	case c.reason != "":
 		return c.reason
 	case c.closing:
-		return observe.ClientAsked
+		return metrics.ClientAsked
 	case c.front.ending.Load():
-		return observe.Stopping
+		return metrics.Stopping
 	}
-	return observe.MadeRoom
+	return metrics.MadeRoom
 }
 
 // fault answers what can't be a request, if there is anything to answer, and ends the connection.
 func (c *conn) fault(err error) bool {
 	var wrong *http1.Error
-	c.closing, c.reason = true, observe.BadRequest
+	c.closing, c.reason = true, metrics.BadRequest
 	switch {
 	case errors.As(err, &wrong):
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.reason = observe.RequestTimeout
+		c.reason = metrics.RequestTimeout
 		wrong = &http1.Error{Status: 408, What: "not whole in time"}
 	case errors.Is(err, errCut):
 		c.refuseRest()
 		return false
 	default: // it broke off
-		c.gone, c.reason = true, observe.ClientClosed
+		c.gone, c.reason = true, metrics.ClientClosed
 		return false
 	}
 	c.front.refused(wrong.Status, wrong.What)
@@ -441,7 +441,7 @@
 	if until := time.Duration(c.front.until.Load()); until > 0 {
 		rest = min(rest, max(until-c.front.options.Loop.Now(), 0))
 	}
-	if why, retired := c.front.whyRetired(c); retired && why == observe.MadeRoom {
+	if why, retired := c.front.whyRetired(c); retired && why == metrics.MadeRoom {
 		rest = min(rest, spareLingering)
 	}
 	c.front.moveTo(c, lingering, time.Now().Add(rest))
--- a/internal/platform/front/conn_test.go
+++ b/internal/httpgateway/downstream/conn_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/platform/observe"
-	"weirhaven/internal/platform/socket"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/httpgateway/metrics"
+	"weirhaven/internal/httpgateway/socket"
 )
 
 // connected is a connection of a front, and its client's side.
@@ -30,7 +30,7 @@
 	}
 	t.Cleanup(func() { client.Close(); nc.Close() })
 	log := slog.New(slog.DiscardHandler)
-	return newConn(New(Options{Loop: hostloop.NewLoop(1), MaxConnections: 1, Log: log, Observe: observe.New(log)}), nc), client
+	return newConn(New(Options{Loop: engine.NewLoop(1), MaxConnections: 1, Log: log, Observe: metrics.New(log)}), nc), client
 }
 
 // A deadline that has passed ends a connection only where nothing lies in its receive buffer: what has come is read first.
@@ -62,8 +62,8 @@
 		"nothing owed":             {func(c *conn) {}, 0},
 		"a request without answer": {func(c *conn) { c.owed = "id" }, 1},
 		"its client has gone":      {func(c *conn) { c.owed, c.gone = "id", true }, 0},
-		"a follower that was read": {func(c *conn) { c.inbox.kept, c.reason = []byte("GET / HTTP/1.1\r\n\r\n"), observe.Stopping }, 1},
-		"behind Connection: close": {func(c *conn) { c.inbox.kept, c.reason = []byte("GET / HTTP/1.1\r\n\r\n"), observe.ClientAsked }, 0},
+		"a follower that was read": {func(c *conn) { c.inbox.kept, c.reason = []byte("GET / HTTP/1.1\r\n\r\n"), metrics.Stopping }, 1},
+		"behind Connection: close": {func(c *conn) { c.inbox.kept, c.reason = []byte("GET / HTTP/1.1\r\n\r\n"), metrics.ClientAsked }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := connected(t)
--- a/internal/platform/front/front.go
+++ b/internal/httpgateway/downstream/downstream.go
@@ -1,7 +1,7 @@
-// Package front takes requests from the platform's clients over HTTP/1.1 and gives each its one final answer. What can't
+// Package downstream takes requests from the platform's clients over HTTP/1.1 and gives each its one final answer. What can't
 // be a request of the platform gets an error and its connection ends; what can is handed to the host loop, whose decision
 // module alone routes, retries and orders it.
-package front
+package downstream
 
 import (
 	"container/list"
@@ -15,16 +15,16 @@
 	"syscall"
 	"time"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/platform/observe"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/httpgateway/metrics"
 	"weirhaven/policy"
 )
 
 // Loop takes events.
 type Loop interface {
 	Now() time.Duration
-	Offer(f func(*hostloop.Core)) bool
-	First(f func(*hostloop.Core)) bool
+	Offer(f func(*engine.Core)) bool
+	First(f func(*engine.Core)) bool
 	Done() <-chan struct{}
 }
 
@@ -35,7 +35,7 @@
 	MaxConnections int   // with a request in progress, or waiting for one; overflow more may be open
 	Ahead          int64 // bytes kept at a time, of all requests that came before their turn
 	Log            *slog.Logger
-	Observe        *observe.Recorder
+	Observe        *metrics.Recorder
 }
 
 // Times of a connection. All are absolute from an event that the client can't repeat at will.
@@ -134,7 +134,7 @@
 func (f *Front) acceptFailed(err error) {
 	var number syscall.Errno
 	errors.As(err, &number)
-	f.options.Observe.Count(observe.Accept, observe.Errno(number))
+	f.options.Observe.Count(metrics.Accept, metrics.Errno(number))
 	f.mu.Lock()
 	if errors.Is(err, syscall.EMFILE) {
 		f.evictOne()
@@ -179,8 +179,8 @@
 	}
 }
 
-func (f *Front) countShed(why observe.Reason) {
-	f.options.Observe.Count(observe.Refused, why)
+func (f *Front) countShed(why metrics.Reason) {
+	f.options.Observe.Count(metrics.Refused, why)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.Shed++
@@ -240,9 +240,9 @@
 func (f *Front) retireIdle(readingFor time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.retireAll(&f.places[fresh], 0, observe.Stopping)
-	f.retireAll(&f.places[resting], 0, observe.Stopping)
-	f.retireAll(&f.places[reading], readingFor, observe.Stopping)
+	f.retireAll(&f.places[fresh], 0, metrics.Stopping)
+	f.retireAll(&f.places[resting], 0, metrics.Stopping)
+	f.retireAll(&f.places[reading], readingFor, metrics.Stopping)
 }
 
 // Close ends every connection at once.
--- a/internal/platform/front/eviction.go
+++ b/internal/httpgateway/downstream/eviction.go
@@ -1,10 +1,10 @@
-package front
+package downstream
 
 import (
 	"container/list"
 	"time"
 
-	"weirhaven/internal/platform/observe"
+	"weirhaven/internal/httpgateway/metrics"
 )
 
 // place is what a connection without a request in progress does.
@@ -107,14 +107,14 @@
 			continue
 		}
 		f.counts.Evicted++
-		f.retire(c, observe.MadeRoom)
+		f.retire(c, metrics.MadeRoom)
 		return
 	}
 }
 
 // retire asks a connection's goroutine to end it. That goroutine alone closes: it looks first whether a request has come,
 // which then is served as the last one. The caller holds mu.
-func (f *Front) retire(c *conn, why observe.Reason) {
+func (f *Front) retire(c *conn, why metrics.Reason) {
 	f.unplace(c)
 	if !c.retired {
 		c.retired = true
@@ -194,7 +194,7 @@
 }
 
 // whyRetired is the reason for which a connection's wait was ended early; none if it was not.
-func (f *Front) whyRetired(c *conn) (why observe.Reason, retired bool) {
+func (f *Front) whyRetired(c *conn) (why metrics.Reason, retired bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return c.retiredFor, c.retired
@@ -204,11 +204,11 @@
 func (f *Front) mayLinger(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !c.retired || c.retiredFor != observe.MadeRoom || f.retiring <= lingerSlots
+	return !c.retired || c.retiredFor != metrics.MadeRoom || f.retiring <= lingerSlots
 }
 
 // retireAll retires the connections of a place that are of an age. The caller holds mu.
-func (f *Front) retireAll(l *list.List, age time.Duration, why observe.Reason) {
+func (f *Front) retireAll(l *list.List, age time.Duration, why metrics.Reason) {
 	for e := l.Front(); e != nil; e = l.Front() {
 		c := e.Value.(*conn)
 		if time.Since(c.since) < age {
--- a/internal/platform/front/inbox.go
+++ b/internal/httpgateway/downstream/inbox.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
--- a/internal/platform/front/request.go
+++ b/internal/httpgateway/downstream/request.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/http1"
 )
 
@@ -21,7 +21,7 @@
 
 // task makes a command of a request's head, or says why it can't be one. Nothing of a request that fails here reaches
 // the module.
-func (f *Front) task(h *http1.Head) (*hostloop.Task, string, error) {
+func (f *Front) task(h *http1.Head) (*engine.Task, string, error) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
@@ -54,7 +54,7 @@
 	if !ok || ms > math.MaxInt32 {
 		return nil, "", no(400, "the time left is no whole number")
 	}
-	t := &hostloop.Task{Volume: volume, QueueType: queue, Object: object, Trace: id, Plan: h.Get("Tier"),
+	t := &engine.Task{Volume: volume, QueueType: queue, Object: object, Trace: id, Plan: h.Get("Tier"),
 		Timeout: max(time.Duration(ms)*time.Millisecond, 1), Repeat: h.Get("X-Resent") == "1"}
 	if !shape(t, h.Get("Io-Info")) {
 		return nil, "", no(400, "units, shard or hosts are missing or out of range")
@@ -66,7 +66,7 @@
 }
 
 // shape reads how large a command is, where its data lies and through how many hosts its volume works.
-func shape(t *hostloop.Task, info string) bool {
+func shape(t *engine.Task, info string) bool {
 	var units, shard, hosts bool
 	for _, part := range strings.Split(info, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/platform/eviction_test.go
+++ b/internal/httpgateway/eviction_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"fmt"
--- a/internal/platform/platform.go
+++ b/internal/httpgateway/httpgateway.go
@@ -1,7 +1,7 @@
-// Package platform runs a host of the platform: its configuration, its clients, bricks and list of bricks, its signals
+// Package httpgateway runs a host of the platform: its configuration, its clients, bricks and list of bricks, its signals
 // and its limits, round the same host loop and decision module as every other host. Other fronts, listeners, stores and
 // tools are not started here: the limits leave no room for them.
-package platform
+package httpgateway
 
 import (
 	"context"
@@ -16,16 +16,16 @@
 	"syscall"
 	"time"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/httpgateway/config"
+	"weirhaven/internal/httpgateway/discovery"
+	"weirhaven/internal/httpgateway/downstream"
+	"weirhaven/internal/httpgateway/metrics"
+	"weirhaven/internal/httpgateway/slowstart"
+	"weirhaven/internal/httpgateway/upstream"
 	"weirhaven/internal/logging"
-	"weirhaven/internal/platform/conf"
-	"weirhaven/internal/platform/front"
-	"weirhaven/internal/platform/observe"
-	"weirhaven/internal/platform/pool"
-	"weirhaven/internal/platform/starts"
-	"weirhaven/internal/platform/watch"
 	"weirhaven/policy"
 )
 
@@ -40,34 +40,34 @@
 }
 
 // Execute serves until SIGTERM or SIGINT.
-func (c *Command) Execute(start func(policy.Host, policy.Settings) hostloop.Decider) error {
+func (c *Command) Execute(start func(policy.Host, policy.Settings) engine.Decider) error {
 	// Before all else: a signal that comes early must not end the program.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	config, err := conf.Load(c.Config)
+	cfg, err := config.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	if config.Limits.Cores <= 1 {
+	if cfg.Limits.Cores <= 1 {
 		runtime.GOMAXPROCS(1)
 	}
 	// The heap may grow to half of what is allowed before the collector works harder; the rest is the program itself,
 	// stacks and the kernel's part.
-	debug.SetMemoryLimit(int64(config.Limits.MemoryMB) << 20 / 2)
+	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 2)
 	level := slog.LevelInfo
 	if c.Debug {
 		level = slog.LevelDebug
 	}
 	output := logging.Stderr()
 	defer output.Close()
-	h := &Host{Config: config, Log: slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: level})), Start: start, State: c.State}
+	h := &Host{Config: cfg, Log: slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: level})), Start: start, State: c.State}
 	if c.Customize != nil {
 		c.Customize(h)
 	}
-	reloads := make(chan *conf.Config, 1)
+	reloads := make(chan *config.Config, 1)
 	go func() { // ends with the process
 		for range hup {
 			next, err := load(c.Config)
@@ -88,9 +88,9 @@
 // A file may be read while it is being written.
 const halfWritten, readAgain = 10, 50 * time.Millisecond
 
-func load(path string) (c *conf.Config, err error) {
+func load(path string) (c *config.Config, err error) {
 	for range halfWritten {
-		if c, err = conf.Load(path); err == nil {
+		if c, err = config.Load(path); err == nil {
 			return c, nil
 		}
 		time.Sleep(readAgain)
@@ -100,17 +100,17 @@
 
 // Host is one host of the platform.
 type Host struct {
-	Config *conf.Config
+	Config *config.Config
 	Log    *slog.Logger
-	Start  func(policy.Host, policy.Settings) hostloop.Decider
+	Start  func(policy.Host, policy.Settings) engine.Decider
 	State  time.Duration
 	Up     func(net.Addr)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)     // to bricks; nil: TCP
 	Listen func(ctx context.Context, address string) (net.Listener, error) // for clients; nil: TCP
 
-	loop    *hostloop.Loop
-	pool    *pool.Pool
-	observe *observe.Recorder
+	loop    *engine.Loop
+	pool    *upstream.Pool
+	observe *metrics.Recorder
 }
 
 // Of the descriptors some are set reservedDescriptors for the listener, the watch, files and the runtime; clients may use a part of
@@ -134,7 +134,7 @@
 )
 
 // Run serves until ctx ends, then ends what it holds.
-func (h *Host) Run(ctx context.Context, reloads <-chan *conf.Config) error {
+func (h *Host) Run(ctx context.Context, reloads <-chan *config.Config) error {
 	c := h.Config
 	listen := h.Listen
 	if listen == nil {
@@ -147,19 +147,19 @@
 	defer l.Close()
 	usable := c.Limits.Sockets - reservedDescriptors
 	clients := int(float64(usable) * clientsPart)
-	h.loop = hostloop.NewLoop(loopQueue)
-	h.observe = observe.New(h.Log)
+	h.loop = engine.NewLoop(loopQueue)
+	h.observe = metrics.New(h.Log)
 	connect := c.Connect
 	if c.Settings.DrainGrace > 0 { // a drain may be told while a dispatch waits for its connection
 		connect = min(connect, c.Settings.DrainGrace)
 	}
-	h.pool = pool.New(pool.Options{Loop: h.loop, MaxConnections: usable - clients, Connect: connect, Idle: c.Idle / 2, Log: h.Log, Observe: h.observe, Dial: h.Dial,
+	h.pool = upstream.New(upstream.Options{Loop: h.loop, MaxConnections: usable - clients, Connect: connect, Idle: c.Idle / 2, Log: h.Log, Observe: h.observe, Dial: h.Dial,
 		Bodies: int64(c.Limits.MemoryMB) << 20 / bodiesPart})
-	core := hostloop.New(c.Settings, decide.Rules{}, h.Start, ways{h}, nil, time.Second, h.loop.Now())
+	core := engine.New(c.Settings, endpointstate.Rules{}, h.Start, ways{h}, nil, time.Second, h.loop.Now())
 	core.Overlapped = func(request string) {
-		h.observe.Violated(observe.OneAttempt, request, "an attempt began beside another one")
+		h.observe.Violated(metrics.OneAttempt, request, "an attempt began beside another one")
 	}
-	dates := starts.New() // used in the loop only, once that runs
+	dates := slowstart.New() // used in the loop only, once that runs
 	core.Told(true, dates.Date(true, c.Known.Lines, h.times(-1)))
 	inner, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
@@ -173,12 +173,12 @@
 	}
 	spawn(func() { h.loop.Run(inner, core) })
 	current := make(chan struct{})
-	w := watch.New(watch.Options{Address: c.Discovery, Last: c.Known.Revision, Log: h.Log, Current: func() { close(current) }, Told: func(l conf.List, quiet time.Duration) {
+	w := discovery.New(discovery.Options{Address: c.Discovery, Last: c.Known.Revision, Log: h.Log, Current: func() { close(current) }, Told: func(l config.List, quiet time.Duration) {
 		at := h.times(quiet)
-		h.loop.First(func(core *hostloop.Core) { core.Told(l.Whole, dates.Date(l.Whole, l.Lines, at)) })
+		h.loop.First(func(core *engine.Core) { core.Told(l.Whole, dates.Date(l.Whole, l.Lines, at)) })
 	}})
 	spawn(func() { w.Run(inner) })
-	f := front.New(front.Options{Loop: h.loop, Settings: c.Settings, MaxConnections: clients, Log: h.Log, Observe: h.observe,
+	f := downstream.New(downstream.Options{Loop: h.loop, Settings: c.Settings, MaxConnections: clients, Log: h.Log, Observe: h.observe,
 		Ahead: int64(c.Limits.MemoryMB) << 20 / aheadPart})
 	spawn(func() { f.Serve(l) })
 	spawn(func() { // what the agent has counts from the first moment on; while it is silent the known list must do
@@ -228,8 +228,8 @@
 }
 
 // times reads the clocks for a list that comes after the agent was quiet for so long; -1: it was not heard before.
-func (h *Host) times(quiet time.Duration) starts.Times {
-	t := starts.Times{Now: h.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
+func (h *Host) times(quiet time.Duration) slowstart.Times {
+	t := slowstart.Times{Now: h.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
 	if quiet >= 0 {
 		t.Confirmed = t.Now - quiet
 	}
@@ -244,7 +244,7 @@
 }
 
 // states logs totals now and then.
-func (h *Host) states(ctx context.Context, f *front.Front) {
+func (h *Host) states(ctx context.Context, f *downstream.Front) {
 	if h.State <= 0 {
 		return
 	}
@@ -260,13 +260,13 @@
 	}
 }
 
-func (h *Host) state(f *front.Front) {
-	got := make(chan hostloop.Counts, 1)
+func (h *Host) state(f *downstream.Front) {
+	got := make(chan engine.Counts, 1)
 	asked := time.Now()
-	if !h.loop.Post(func(c *hostloop.Core) { got <- c.Counts() }) {
+	if !h.loop.Post(func(c *engine.Core) { got <- c.Counts() }) {
 		return
 	}
-	var n hostloop.Counts
+	var n engine.Counts
 	select {
 	case n = <-got:
 	case <-h.loop.Done():
@@ -290,11 +290,11 @@
 // ways are the loop's ways out. Of these the platform has bricks and a log; its watch is always on, and hosts don't talk.
 type ways struct{ *Host }
 
-func (w ways) Line(brick, address string) hostloop.Line   { return w.pool.Line(brick, address) }
-func (w ways) Log(line string)                            { w.Host.Log.Info(line, "from", "module") }
-func (w ways) Watch(bool)                                 {}
-func (w ways) ListAll()                                   {}
-func (w ways) Tell(int, []byte)                           {}
-func (w ways) Gossip(string, member.Message)              {}
-func (w ways) Share(string, time.Duration, []decide.Line) {}
-func (w ways) Members([]member.Member)                    {}
+func (w ways) Line(brick, address string) engine.Line            { return w.pool.Line(brick, address) }
+func (w ways) Log(line string)                                   { w.Host.Log.Info(line, "from", "module") }
+func (w ways) Watch(bool)                                        {}
+func (w ways) ListAll()                                          {}
+func (w ways) Tell(int, []byte)                                  {}
+func (w ways) Gossip(string, membership.Message)                 {}
+func (w ways) Share(string, time.Duration, []endpointstate.Line) {}
+func (w ways) Members([]membership.Member)                       {}
--- a/internal/platform/platform_test.go
+++ b/internal/httpgateway/httpgateway_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/httpgateway/config"
 	"weirhaven/policy"
 )
 
@@ -448,7 +448,7 @@
 	if err := os.WriteFile(file, []byte(`{"listen":"127.0.0.1:x","discovery":"127.0.0.1:1"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := conf.Load(file); err == nil || !strings.Contains(err.Error(), "listen") {
+	if _, err := config.Load(file); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Error(err)
 	}
 	c := Command{Config: file + "none"}
--- a/internal/platform/observe/observe.go
+++ b/internal/httpgateway/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package observe counts what a gateway process did and why, under one typed name for each reason: the log, the counters
+// Package metrics counts what a gateway process did and why, under one typed name for each reason: the log, the counters
 // and the operators' page use the same words. It also counts broken invariants, which must stay at 0.
-package observe
+package metrics
 
 import (
 	"fmt"
--- a/internal/platform/races_test.go
+++ b/internal/httpgateway/races_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"time"
 
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/httpgateway/config"
 	"weirhaven/policy"
 )
 
@@ -363,7 +363,7 @@
 	t.Parallel()
 	b, second := newBrick(t, answers), newBrick(t, answers)
 	h := aHost(t, b)
-	c, err := conf.Parse([]byte(fewest))
+	c, err := config.Parse([]byte(fewest))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -399,7 +399,7 @@
 	file := t.TempDir() + "/c.json"
 	os.WriteFile(file, []byte(`{"listen":`), 0o600)
 	done := make(chan error, 1)
-	var c *conf.Config
+	var c *config.Config
 	go func() {
 		var err error
 		c, err = load(file)
--- a/internal/platform/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"go.uber.org/goleak"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/httpgateway/config"
 	"weirhaven/policy"
 )
 
@@ -224,8 +224,8 @@
 	address string
 	agent   *agent
 	ended   chan policy.Ending
-	reloads chan *conf.Config
-	config  *conf.Config
+	reloads chan *config.Config
+	config  *config.Config
 	toBrick func(ctx context.Context, address string) (net.Conn, error)     // to bricks
 	faults  bool                                                            // faults of the program are expected in the log
 	listen  func(ctx context.Context, address string) (net.Listener, error) // for clients
@@ -243,9 +243,9 @@
 
 // aHost is one that has not started.
 func aHost(t *testing.T, bricks ...*brick) *host {
-	h := &host{t: t, agent: newAgent(t), ended: make(chan policy.Ending, 1000), reloads: make(chan *conf.Config), done: make(chan error, 1)}
-	h.config = &conf.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), Connect: 2 * time.Second, Idle: 20 * time.Second,
-		Limits: conf.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, Known: conf.List{Revision: 7, Whole: true},
+	h := &host{t: t, agent: newAgent(t), ended: make(chan policy.Ending, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
+	h.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), Connect: 2 * time.Second, Idle: 20 * time.Second,
+		Limits: config.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, Known: config.List{Revision: 7, Whole: true},
 		Settings: policy.Settings{Seed: 1, Hosts: 1, Cancel: true, MarksRepeat: true, MaxDispatch: 3, Resolution: 2 * ms, UsualUnits: 1,
 			UnitsTop: 8, MaxPause: time.Second, DrainGrace: 250 * ms,
 			QueueTypes: []policy.QueueType{
@@ -255,7 +255,7 @@
 			Plans: []policy.Plan{{Name: "plain", Nominal: 10, Weight: 1, Importance: 1},
 				{Name: "capped", Nominal: 1, Limit: 1, Depth: 1, Slack: 1, Weight: 1, Importance: 1}}}}
 	for i, b := range bricks {
-		h.config.Known.Lines = append(h.config.Known.Lines, hostloop.BrickLine{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
+		h.config.Known.Lines = append(h.config.Known.Lines, engine.BrickLine{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
 			Cell: i, Serving: true})
 	}
 	return h
@@ -265,7 +265,7 @@
 	t := h.t
 	up := make(chan net.Addr, 1)
 	run := &Host{Config: h.config, Log: slog.New(slog.NewTextHandler(h.log(), &slog.HandlerOptions{Level: slog.LevelError})), Up: func(a net.Addr) { up <- a }, Dial: h.toBrick, Listen: h.listen,
-		Start: func(p policy.Host, s policy.Settings) hostloop.Decider { return &watched{policy.New(p, s), h.ended} }}
+		Start: func(p policy.Host, s policy.Settings) engine.Decider { return &watched{policy.New(p, s), h.ended} }}
 	h.run = run
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
--- a/internal/platform/same_test.go
+++ b/internal/httpgateway/same_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"bufio"
@@ -12,11 +12,11 @@
 
 	"github.com/valyala/fastjson"
 
-	"weirhaven/internal/benchwire"
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/fleet/member"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/httpgateway/config"
+	"weirhaven/internal/simulatorwire"
 	"weirhaven/policy"
 )
 
@@ -67,7 +67,7 @@
 func byWire(t *testing.T) (trace []string) {
 	in, feed := io.Pipe()
 	tell, out := io.Pipe()
-	go func() { out.CloseWithError(benchwire.Serve(in, out)) }()
+	go func() { out.CloseWithError(simulatorwire.Serve(in, out)) }()
 	defer feed.Close()
 	lines := bufio.NewReaderSize(tell, 1<<20)
 	type due struct {
@@ -139,7 +139,7 @@
 // noting is a host's ways out that note what goes out and answer after the same times.
 type noting struct {
 	ways
-	core  *hostloop.Core
+	core  *engine.Core
 	trace []string
 	due   []func()
 	at    []time.Duration
@@ -150,10 +150,10 @@
 	brick string
 }
 
-func (n *noting) Line(brick, address string) hostloop.Line   { return &notedLine{n, brick} }
-func (n *noting) Log(string)                                 {}
-func (n *noting) Gossip(string, member.Message)              {}
-func (n *noting) Share(string, time.Duration, []decide.Line) {}
+func (n *noting) Line(brick, address string) engine.Line            { return &notedLine{n, brick} }
+func (n *noting) Log(string)                                        {}
+func (n *noting) Gossip(string, membership.Message)                 {}
+func (n *noting) Share(string, time.Duration, []endpointstate.Line) {}
 func (n *noting) say(format string, args ...any) {
 	n.trace = append(n.trace, fmt.Sprintf(format, args...))
 }
@@ -165,7 +165,7 @@
 func (l *notedLine) Probe(uint64)                {}
 func (l *notedLine) CloseIdle()                  {}
 func (l *notedLine) Close()                      {}
-func (l *notedLine) Dispatch(id uint64, t *hostloop.Task, _ int, _, _ time.Duration) {
+func (l *notedLine) Dispatch(id uint64, t *engine.Task, _ int, _, _ time.Duration) {
 	now, rid := l.n.core.Now(), int64(0)
 	fmt.Sscan(t.Trace, &rid)
 	l.n.say("%d dispatch %d %s", (now - origin).Microseconds(), rid, l.brick)
@@ -176,29 +176,29 @@
 
 // byHost plays the script through the host loop as the platform drives it.
 func byHost(t *testing.T) []string {
-	s, err := conf.Settings(fastjson.MustParse(profile), 7)
+	s, err := config.Settings(fastjson.MustParse(profile), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &noting{}
-	n.core = hostloop.New(s, decide.Rules{}, func(h policy.Host, s policy.Settings) hostloop.Decider { return policy.New(h, s) }, n, nil,
+	n.core = engine.New(s, endpointstate.Rules{}, func(h policy.Host, s policy.Settings) engine.Decider { return policy.New(h, s) }, n, nil,
 		time.Second, origin-ms)
 	for _, h := range script() {
 		if h.list != nil {
-			var lines []hostloop.BrickLine
+			var lines []engine.BrickLine
 			for i, name := range []string{"a", "b"} {
-				lines = append(lines, hostloop.BrickLine{Name: name, Address: name, Zone: "hall", Cell: i, Serving: slices.Contains(h.list, name)})
+				lines = append(lines, engine.BrickLine{Name: name, Address: name, Zone: "hall", Cell: i, Serving: slices.Contains(h.list, name)})
 			}
 			n.add(h.at, func() { n.core.Told(true, lines) })
 			continue
 		}
 		n.add(h.at, func() {
-			n.core.Take(&hostloop.Task{Volume: "v", Plan: h.plan, Hosts: 2, QueueType: h.queue, Object: fmt.Sprint("o", h.rid), Trace: fmt.Sprint(h.rid),
-				Cell: h.cell, Units: float64(h.units), Timeout: time.Second, Arrived: h.at, Answer: func(a hostloop.Answer) {
+			n.core.Take(&engine.Task{Volume: "v", Plan: h.plan, Hosts: 2, QueueType: h.queue, Object: fmt.Sprint("o", h.rid), Trace: fmt.Sprint(h.rid),
+				Cell: h.cell, Units: float64(h.units), Timeout: time.Second, Arrived: h.at, Answer: func(a engine.Answer) {
 					switch a.How {
-					case hostloop.BusyReplied:
+					case engine.BusyReplied:
 						n.say("%d busy %d", (n.core.Now() - origin).Microseconds(), h.rid)
-					case hostloop.Aborted:
+					case engine.Aborted:
 						n.say("%d abort %d", (n.core.Now() - origin).Microseconds(), h.rid)
 					}
 				}})
--- a/internal/platform/starts/starts.go
+++ b/internal/httpgateway/slowstart/slowstart.go
@@ -1,12 +1,12 @@
-// Package starts dates the starts of servers on the clock of this process. Discovery tells a start as a wall-clock time, and
+// Package slowstart dates the starts of servers on the clock of this process. Discovery tells a start as a wall-clock time, and
 // wall clocks may be stepped by an hour; how long a server has been up is a span of real time that must not move with them.
 // It has no clock and no I/O, and is not safe for concurrent use.
-package starts
+package slowstart
 
 import (
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 )
 
 // Times are the readings that belong to one list.
@@ -37,12 +37,12 @@
 func New() *Dates { return &Dates{servers: map[string]date{}} }
 
 // Date returns the lines of a list with their starts on the process's clock. A server that has gone is forgotten.
-func (d *Dates) Date(whole bool, lines []hostloop.BrickLine, t Times) []hostloop.BrickLine {
+func (d *Dates) Date(whole bool, lines []engine.BrickLine, t Times) []engine.BrickLine {
 	known := d.servers
 	if whole {
 		d.servers = map[string]date{}
 	}
-	dated := make([]hostloop.BrickLine, len(lines))
+	dated := make([]engine.BrickLine, len(lines))
 	for i, line := range lines {
 		before, listed := known[line.Name]
 		switch {
--- a/internal/platform/starts_test.go
+++ b/internal/httpgateway/starts_test.go
@@ -1,4 +1,4 @@
-package platform
+package httpgateway
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 )
 
 // A server that restarts while it is watched is cold, whatever the wall clock says of its start: the clock may have been
@@ -19,7 +19,7 @@
 	h := aHost(t, b)
 	s := &h.config.Settings
 	s.ColdFrom, s.ColdFor, s.ColdUnits, s.FallMultiple, s.FallAfter = 0.2, 10*time.Second, 4, 2, time.Second
-	h.config.Known.Lines = []hostloop.BrickLine{{Name: "b0", Address: b.l.Addr().String(), Serving: true,
+	h.config.Known.Lines = []engine.BrickLine{{Name: "b0", Address: b.l.Addr().String(), Serving: true,
 		Started: time.Duration(time.Now().Add(-24 * time.Hour).UnixNano())}}
 	h.start()
 	time.Sleep(s.FallAfter) // a host that has just started sends nothing to servers that it may have filled before
--- a/internal/platform/pool/attempt.go
+++ b/internal/httpgateway/upstream/attempt.go
@@ -1,4 +1,4 @@
-package pool
+package upstream
 
 import (
 	"context"
@@ -6,16 +6,16 @@
 	"strconv"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/observe"
+	"weirhaven/internal/httpgateway/metrics"
 	"weirhaven/policy"
 )
 
 // attempt is an attempt until it is reported or given up.
 type attempt struct {
 	id       uint64
-	task     *hostloop.Task
+	task     *engine.Task
 	lead     []byte // the task's, which drops its body with the final answer
 	body     []byte
 	held     int64         // of the budget for bodies
@@ -30,7 +30,7 @@
 }
 
 // outcomes names how an attempt ended, by policy.Ending: the word in log, counter and page.
-var outcomes = [...]observe.Reason{policy.Completed: "completed", policy.Errored: "errored", policy.Turned: "turned-away", policy.TimedOut: "timed-out",
+var outcomes = [...]metrics.Reason{policy.Completed: "completed", policy.Errored: "errored", policy.Turned: "turned-away", policy.TimedOut: "timed-out",
 	policy.Unconnected: "not-connected", policy.Broken: "broken", policy.CalledOff: "called-off", policy.Unsent: "unsent"}
 
 // heldUp is how long the process may be held up between reading its clock and writing; rules count with it.
@@ -89,12 +89,12 @@
 func (c *conn) check(j *attempt, told, started time.Duration) {
 	record := c.endpoint.pool.o.Observe
 	if at, ended := j.task.EndedAt(); ended && started-at > lateAfterEnd {
-		record.Violated(observe.SendInTime, j.task.Trace, fmt.Sprintf("an attempt began %v after its request ended", started-at))
+		record.Violated(metrics.SendInTime, j.task.Trace, fmt.Sprintf("an attempt began %v after its request ended", started-at))
 	}
 	if started-j.deadline > heldUp {
-		record.Violated(observe.SendInTime, j.task.Trace, fmt.Sprintf("an attempt began %v after its deadline", started-j.deadline))
+		record.Violated(metrics.SendInTime, j.task.Trace, fmt.Sprintf("an attempt began %v after its deadline", started-j.deadline))
 	}
 	if over := told - (j.deadline - started); over > heldUp {
-		record.Violated(observe.DeadlineTold, j.task.Trace, fmt.Sprintf("told %v more than is left", over))
+		record.Violated(metrics.DeadlineTold, j.task.Trace, fmt.Sprintf("told %v more than is left", over))
 	}
 }
--- a/internal/platform/pool/attempt_test.go
+++ b/internal/httpgateway/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package pool
+package upstream
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 
 	"weirhaven/internal/clock"
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -22,7 +22,7 @@
 	came chan bool
 }
 
-func (r *reports) Post(func(*hostloop.Core)) bool {
+func (r *reports) Post(func(*engine.Core)) bool {
 	r.came <- true
 	return true
 }
@@ -34,13 +34,13 @@
 		begins bool
 		left   time.Duration
 		until  func(now time.Duration) time.Duration // notAfter
-		change func(task *hostloop.Task, now time.Duration)
+		change func(task *engine.Task, now time.Duration)
 	}{
 		"nothing happened":              {begins: true, left: time.Second},
-		"client gone, noticed":          {left: time.Second, change: func(task *hostloop.Task, now time.Duration) { task.End(now) }},
-		"client gone, not yet noticed":  {left: time.Second, change: func(task *hostloop.Task, _ time.Duration) { task.ClientGone = func() bool { return true } }},
+		"client gone, noticed":          {left: time.Second, change: func(task *engine.Task, now time.Duration) { task.End(now) }},
+		"client gone, not yet noticed":  {left: time.Second, change: func(task *engine.Task, _ time.Duration) { task.ClientGone = func() bool { return true } }},
 		"deadline passed":               {left: 20 * time.Millisecond},
-		"the request's deadline passed": {left: time.Second, change: func(task *hostloop.Task, now time.Duration) { task.Deadline = now + time.Millisecond }},
+		"the request's deadline passed": {left: time.Second, change: func(task *engine.Task, now time.Duration) { task.Deadline = now + time.Millisecond }},
 		"its own limit passed":          {left: time.Second, until: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 					<-let
 					return new(net.Dialer).DialContext(ctx, "tcp", address)
 				}})
-			task, now := &hostloop.Task{Lead: []byte("GET / HTTP/1.1\r\n")}, loop.Now()
+			task, now := &engine.Task{Lead: []byte("GET / HTTP/1.1\r\n")}, loop.Now()
 			var notAfter time.Duration
 			if row.until != nil {
 				notAfter = row.until(now)
--- a/internal/platform/pool/conn.go
+++ b/internal/httpgateway/upstream/conn.go
@@ -1,4 +1,4 @@
-package pool
+package upstream
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"weirhaven/internal/http1"
-	"weirhaven/internal/platform/observe"
+	"weirhaven/internal/httpgateway/metrics"
 	"weirhaven/policy"
 )
 
@@ -61,7 +61,7 @@
 func (c *conn) panicked(cause any) {
 	p := c.endpoint.pool
 	p.o.Log.Error("panic on a connection to a server", "server", c.endpoint.brick, "cause", cause, "stack", string(debug.Stack()))
-	p.o.Observe.Count(observe.Attempt, observe.Panicked)
+	p.o.Observe.Count(metrics.Attempt, metrics.Panicked)
 	p.mu.Lock()
 	if c.nc == nil { // it never came up; whoever waits is given another
 		c.endpoint.dialing = slices.DeleteFunc(c.endpoint.dialing, func(x *conn) bool { return x == c })
--- a/internal/platform/pool/dial.go
+++ b/internal/httpgateway/upstream/dial.go
@@ -1,4 +1,4 @@
-package pool
+package upstream
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"weirhaven/internal/platform/observe"
+	"weirhaven/internal/httpgateway/metrics"
 	"weirhaven/policy"
 )
 
@@ -46,7 +46,7 @@
 		c.endpoint.localFailure(true)
 		var number syscall.Errno
 		errors.As(err, &number)
-		p.o.Observe.Count(observe.Redial, observe.Errno(number))
+		p.o.Observe.Count(metrics.Redial, metrics.Errno(number))
 		if time.Since(c.began) >= p.o.Connect {
 			return nil, err
 		}
--- a/internal/platform/pool/settle/settle.go
+++ b/internal/httpgateway/upstream/outcome/outcome.go
@@ -1,7 +1,7 @@
-// Package settle learns how long a connection must rest after an answer before the next dispatch goes on it. A brick may
+// Package outcome learns how long a connection must rest after an answer before the next dispatch goes on it. A brick may
 // send an answer twice, the second copy a little later; answers carry no name, so the copy would be taken for the answer
 // to what was written meanwhile. It has no clock and no I/O.
-package settle
+package outcome
 
 import "time"
 
--- a/internal/platform/pool/settle/settle_test.go
+++ b/internal/httpgateway/upstream/outcome/outcome_test.go
@@ -1,4 +1,4 @@
-package settle
+package outcome
 
 import (
 	"fmt"
--- a/internal/platform/pool/park.go
+++ b/internal/httpgateway/upstream/park.go
@@ -1,4 +1,4 @@
-package pool
+package upstream
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"weirhaven/internal/platform/socket"
+	"weirhaven/internal/httpgateway/socket"
 )
 
 // rest puts a connection among the idle ones, before the outcome of its attempt is told: what the module sends next
--- a/internal/platform/pool/pool.go
+++ b/internal/httpgateway/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package pool is the way to the platform's servers: for each server some connections, one attempt at a time on each.
+// Package upstream is the way to the platform's servers: for each server some connections, one attempt at a time on each.
 // Every attempt that is not given up by the loop is reported once, with the one way it ended. Nothing is ever sent
 // again here: an attempt changes its connection only before its first byte is written.
-package pool
+package upstream
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/platform/observe"
-	"weirhaven/internal/platform/pool/idle"
-	"weirhaven/internal/platform/pool/settle"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/httpgateway/metrics"
+	"weirhaven/internal/httpgateway/upstream/idle"
+	"weirhaven/internal/httpgateway/upstream/outcome"
 	"weirhaven/policy"
 )
 
 // Loop takes events; it may wait for room.
 type Loop interface {
 	Now() time.Duration
-	Post(f func(*hostloop.Core)) bool
+	Post(f func(*engine.Core)) bool
 }
 
 // Options are what a pool is made with.
@@ -35,7 +35,7 @@
 	Idle           time.Duration                                               // until one without an attempt is closed here
 	Dial           func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
 	Log            *slog.Logger
-	Observe        *observe.Recorder // nil: one of its own
+	Observe        *metrics.Recorder // nil: one of its own
 }
 
 // MaxBody is the longest body of an answer. The platform's page says 64 KiB, its servers answer with several times that.
@@ -59,7 +59,7 @@
 	endpoints  map[*endpoint]bool
 	counts     Counts
 	idleLimit  *idle.Life
-	quarantine *settle.Time
+	quarantine *outcome.Time
 	told       time.Time // when answers that can't be read were logged
 }
 
@@ -80,9 +80,9 @@
 		}
 	}
 	if o.Observe == nil {
-		o.Observe = observe.New(o.Log)
+		o.Observe = metrics.New(o.Log)
 	}
-	p := &Pool{o: o, endpoints: map[*endpoint]bool{}, idleLimit: idle.New(o.Idle), quarantine: settle.New(), bodies: semaphore.NewWeighted(max(o.Bodies, MaxBody))}
+	p := &Pool{o: o, endpoints: map[*endpoint]bool{}, idleLimit: idle.New(o.Idle), quarantine: outcome.New(), bodies: semaphore.NewWeighted(max(o.Bodies, MaxBody))}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p
 }
@@ -109,7 +109,7 @@
 }
 
 // Line is the way to one server.
-func (p *Pool) Line(brick, address string) hostloop.Line {
+func (p *Pool) Line(brick, address string) engine.Line {
 	l := &endpoint{pool: p, brick: brick, address: address, out: map[uint64]*attempt{}}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +129,7 @@
 }
 
 // Dispatch puts a command on the settled connection used last, or on the first that is there for it.
-func (l *endpoint) Dispatch(id uint64, t *hostloop.Task, n int, left, by time.Duration) {
+func (l *endpoint) Dispatch(id uint64, t *engine.Task, n int, left, by time.Duration) {
 	deadline := l.pool.o.Loop.Now() + left
 	if t.Deadline > 0 { // the loop may have been held up since it computed what is left
 		deadline = min(deadline, t.Deadline)
@@ -328,7 +328,7 @@
 // Probe is not part of what the platform allows.
 func (l *endpoint) Probe(id uint64) {
 	l.pool.spawn(func() {
-		l.pool.o.Loop.Post(func(c *hostloop.Core) { c.ProbeOutcome(l.brick, id, policy.Unconnected) })
+		l.pool.o.Loop.Post(func(c *engine.Core) { c.ProbeOutcome(l.brick, id, policy.Unconnected) })
 	})
 }
 
@@ -383,14 +383,14 @@
 	p.mu.Unlock()
 	j.stop()
 	if twice {
-		p.o.Observe.Violated(observe.OneOutcome, j.task.Trace, "an attempt was reported twice")
+		p.o.Observe.Violated(metrics.OneOutcome, j.task.Trace, "an attempt was reported twice")
 	}
 	if mine {
-		p.o.Observe.Count(observe.Attempt, outcomes[how])
+		p.o.Observe.Count(metrics.Attempt, outcomes[how])
 		p.o.Log.Debug("attempt", "request", j.task.Trace, "server", l.brick, "outcome", string(outcomes[how]), "begun", j.begun)
 	}
 	release := func() { p.bodies.Release(j.held) }
-	if !mine || !p.o.Loop.Post(func(c *hostloop.Core) {
+	if !mine || !p.o.Loop.Post(func(c *engine.Core) {
 		j.task.Release = release
 		c.OutcomeAt(at, l.brick, j.id, how, body, elsewhere, 0)
 		if j.task.Release != nil { // nobody takes the body
--- a/internal/life/life.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
-// Package life is how long a program lives: until it is told to stop, or until whoever started it is gone.
-package life
+// Package lifecycle is how long a program lives: until it is told to stop, or until whoever started it is gone.
+package lifecycle
 
 import (
 	"context"
--- a/internal/life/life_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"os"
--- a/internal/object/api/api.go
+++ b/internal/object/api/api.go
@@ -27,7 +27,7 @@
 
 	"weirhaven/internal/object/decide"
 	"weirhaven/internal/object/gate"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Config is an API's.
@@ -181,7 +181,7 @@
 
 func quoted(etag string) string { return `"` + etag + `"` }
 
-func current(o *wpb.ObjectRecord) *decide.Current {
+func current(o *pb.ObjectRecord) *decide.Current {
 	if o == nil {
 		return nil
 	}
@@ -189,7 +189,7 @@
 }
 
 // check judges a change's conditions in the transaction that makes it.
-func (c *call) check(old *wpb.ObjectRecord) error {
+func (c *call) check(old *pb.ObjectRecord) error {
 	if decide.Conditions(c.r.Header, current(old), false) == decide.Failed {
 		if old == nil && c.r.Header.Get("If-Match") != "" {
 			return &decide.NoSuchKey
@@ -294,7 +294,7 @@
 		return err
 	}
 	defer w.Done()
-	o := &wpb.ObjectRecord{Volume: c.volume, Name: c.name, Etag: w.ETag, Size: w.Size, Modified: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta(),
+	o := &pb.ObjectRecord{Volume: c.volume, Name: c.name, Etag: w.ETag, Size: w.Size, Modified: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta(),
 		Extent: w.Extents}
 	if err := c.c.Gate.Index().Commit(o, c.check, c.now()); err != nil {
 		c.drop(w)
@@ -372,7 +372,7 @@
 }
 
 // several answers more than one range (RFC 9110, section 14.6).
-func (c *call) several(o *wpb.ObjectRecord, ranges []decide.Range, typ string) error {
+func (c *call) several(o *pb.ObjectRecord, ranges []decide.Range, typ string) error {
 	if c.r.Method == http.MethodHead {
 		c.w.WriteHeader(http.StatusPartialContent)
 		return nil
@@ -550,7 +550,7 @@
 }
 
 func (c *call) begin() error {
-	u := &wpb.UploadRecord{Volume: c.volume, Name: c.name, Id: gate.NewUpload(), Begun: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta()}
+	u := &pb.UploadRecord{Volume: c.volume, Name: c.name, Id: gate.NewUpload(), Begun: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta()}
 	if err := c.c.Gate.Index().Begin(u); err != nil {
 		return err
 	}
@@ -574,7 +574,7 @@
 		return err
 	}
 	defer w.Done()
-	p := &wpb.PartRecord{Number: uint32(n), Etag: w.ETag, Size: w.Size, Modified: c.date(), Extent: w.Extents}
+	p := &pb.PartRecord{Number: uint32(n), Etag: w.ETag, Size: w.Size, Modified: c.date(), Extent: w.Extents}
 	if err := c.c.Gate.Index().PutPart(c.volume, c.name, id, p, c.now()); err != nil {
 		c.drop(w)
 		return err
--- a/internal/object/api/api_test.go
+++ b/internal/object/api/api_test.go
@@ -28,7 +28,7 @@
 	"github.com/aws/aws-sdk-go-v2/service/s3/types"
 	"github.com/aws/smithy-go"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/object/gate"
 	"weirhaven/internal/object/index"
 )
@@ -37,7 +37,7 @@
 type bricks struct {
 	mu     sync.Mutex
 	data   map[string][]byte
-	fail   func(t *hostloop.Task) *hostloop.Answer // nil: not this one
+	fail   func(t *engine.Task) *engine.Answer // nil: not this one
 	flight int
 	most   int
 	gone   int
@@ -46,12 +46,12 @@
 func (b *bricks) Cells(volume string) ([]uint32, bool) {
 	return []uint32{0, 1, 2}, volume == "yard" || volume == "other"
 }
-func (b *bricks) Gone(*hostloop.Task) {
+func (b *bricks) Gone(*engine.Task) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gone++
 }
-func (b *bricks) Take(t *hostloop.Task) bool {
+func (b *bricks) Take(t *engine.Task) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.flight++
@@ -70,12 +70,12 @@
 		if t.QueueType == "write" {
 			b.data[k] = slices.Clone(t.Body)
 		}
-		t.Answer(hostloop.Answer{How: hostloop.Completed, Body: b.data[k]})
+		t.Answer(engine.Answer{How: engine.Completed, Body: b.data[k]})
 	}()
 	return true
 }
 
-func (b *bricks) failing(f func(t *hostloop.Task) *hostloop.Answer) {
+func (b *bricks) failing(f func(t *engine.Task) *engine.Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fail = f
@@ -499,19 +499,19 @@
 	body := random(5000, 2)
 	w.put(t, "a", body)
 	for _, x := range []struct {
-		answer  hostloop.Answer
+		answer  engine.Answer
 		status  int
 		code    string
 		retry   string
 		mayHave string
 	}{
-		{hostloop.Answer{How: hostloop.BusyReplied, Pause: 2500 * time.Millisecond}, 503, "SlowDown", "3", "no"},
-		{hostloop.Answer{How: hostloop.BusyReplied}, 503, "SlowDown", "1", "no"},
-		{hostloop.Answer{How: hostloop.Aborted}, 503, "ServiceUnavailable", "1", "no"},
-		{hostloop.Answer{How: hostloop.Aborted, MayHaveRun: true}, 500, "InternalError", "", "yes"},
+		{engine.Answer{How: engine.BusyReplied, Pause: 2500 * time.Millisecond}, 503, "SlowDown", "3", "no"},
+		{engine.Answer{How: engine.BusyReplied}, 503, "SlowDown", "1", "no"},
+		{engine.Answer{How: engine.Aborted}, 503, "ServiceUnavailable", "1", "no"},
+		{engine.Answer{How: engine.Aborted, MayHaveRun: true}, 500, "InternalError", "", "yes"},
 	} {
 		n := 0
-		w.b.failing(func(task *hostloop.Task) *hostloop.Answer {
+		w.b.failing(func(task *engine.Task) *engine.Answer {
 			if n++; n%3 == 0 {
 				return &x.answer
 			}
@@ -543,9 +543,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b.failing(func(task *hostloop.Task) *hostloop.Answer {
+	w.b.failing(func(task *engine.Task) *engine.Answer {
 		if task.Object != "x/"+o.Extent[0].Id {
-			return &hostloop.Answer{How: hostloop.Aborted}
+			return &engine.Answer{How: engine.Aborted}
 		}
 		return nil
 	})
@@ -615,7 +615,7 @@
 	w.put(t, "a", old)
 	began, goOn := make(chan bool), make(chan bool)
 	n := 0
-	w.b.failing(func(task *hostloop.Task) *hostloop.Answer {
+	w.b.failing(func(task *engine.Task) *engine.Answer {
 		if task.QueueType == "read" {
 			if n++; n == 6 { // in the middle
 				close(began)
@@ -732,7 +732,7 @@
 	held := func() (reached, letGo chan bool) {
 		reached, letGo = make(chan bool), make(chan bool)
 		fired := false // under the bricks' lock
-		w.b.failing(func(*hostloop.Task) *hostloop.Answer {
+		w.b.failing(func(*engine.Task) *engine.Answer {
 			if !fired {
 				fired = true
 				close(reached)
--- a/internal/object/decide/decide_test.go
+++ b/internal/object/decide/decide_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 var day = time.Date(2026, 3, 1, 12, 0, 0, 500, time.UTC)
@@ -84,12 +84,12 @@
 // Any ranges read from any extents give the bytes that they name, each once.
 func TestPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []*wpb.ExtentRecord
+		var all []*pb.ExtentRecord
 		var whole []byte
 		parts := map[string][]byte{}
 		for i := range rapid.IntRange(0, 6).Draw(t, "extents") {
 			b := rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "bytes")
-			e := &wpb.ExtentRecord{Id: fmt.Sprint(i), Size: int64(len(b))}
+			e := &pb.ExtentRecord{Id: fmt.Sprint(i), Size: int64(len(b))}
 			all, whole, parts[e.Id] = append(all, e), append(whole, b...), b
 		}
 		if len(whole) == 0 {
@@ -144,11 +144,11 @@
 }
 
 func TestComplete(t *testing.T) {
-	part := func(n uint32, size int64) *wpb.PartRecord {
+	part := func(n uint32, size int64) *pb.PartRecord {
 		d := md5.Sum([]byte{byte(n)})
-		return &wpb.PartRecord{Number: n, Etag: hex.EncodeToString(d[:]), Size: size, Extent: []*wpb.ExtentRecord{{Id: fmt.Sprint("x", n), Size: size}}}
+		return &pb.PartRecord{Number: n, Etag: hex.EncodeToString(d[:]), Size: size, Extent: []*pb.ExtentRecord{{Id: fmt.Sprint("x", n), Size: size}}}
 	}
-	parts := []*wpb.PartRecord{part(1, 10), part(2, 10), part(5, 3), part(9, 1)}
+	parts := []*pb.PartRecord{part(1, 10), part(2, 10), part(5, 3), part(9, 1)}
 	name := func(ns ...uint32) (all []Named) {
 		for _, n := range ns {
 			all = append(all, Named{n, part(n, 0).Etag})
@@ -171,11 +171,11 @@
 
 // The sweep takes what nothing holds and no writer can be at, never what is held or may be read.
 func TestSweep(t *testing.T) {
-	loose := func(id string, since int64, doomed bool) *wpb.LooseRecord {
-		return &wpb.LooseRecord{Extent: &wpb.ExtentRecord{Id: id}, Since: since, Doomed: doomed}
+	loose := func(id string, since int64, doomed bool) *pb.LooseRecord {
+		return &pb.LooseRecord{Extent: &pb.ExtentRecord{Id: id}, Since: since, Doomed: doomed}
 	}
 	var got []string
-	for _, l := range Sweep([]*wpb.LooseRecord{loose("young", 95, false), loose("old", 10, false), loose("doomed", 90, true), loose("read", 99, true), loose("held", 1, true)},
+	for _, l := range Sweep([]*pb.LooseRecord{loose("young", 95, false), loose("old", 10, false), loose("doomed", 90, true), loose("read", 99, true), loose("held", 1, true)},
 		func(id string) bool { return id == "held" }, 100, 50, 95) {
 		got = append(got, l.Extent.Id)
 	}
--- a/internal/object/decide/layout.go
+++ b/internal/object/decide/layout.go
@@ -10,17 +10,17 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Piece is a part of one extent.
 type Piece struct {
-	Extent     *wpb.ExtentRecord
+	Extent     *pb.ExtentRecord
 	From, Size int64
 }
 
 // Pieces are what a range takes, in order. Extents are read whole: their sum is over all their bytes.
-func Pieces(extents []*wpb.ExtentRecord, r Range) (all []Piece) {
+func Pieces(extents []*pb.ExtentRecord, r Range) (all []Piece) {
 	at := int64(0)
 	for _, e := range extents {
 		from, to := max(r.From-at, 0), min(r.From+r.Size-at, e.Size)
@@ -123,8 +123,8 @@
 
 // Complete is what an upload comes to: its extents in order, its size, its entity tag (the digest of the parts' digests, and their
 // number); rest are the extents of parts not named, which nothing holds any more.
-func Complete(named []Named, parts []*wpb.PartRecord, least int64) (extents, rest []*wpb.ExtentRecord, size int64, etag string, f *Fault) {
-	by := map[uint32]*wpb.PartRecord{}
+func Complete(named []Named, parts []*pb.PartRecord, least int64) (extents, rest []*pb.ExtentRecord, size int64, etag string, f *Fault) {
+	by := map[uint32]*pb.PartRecord{}
 	for _, p := range parts {
 		by[p.Number] = p
 	}
@@ -160,7 +160,7 @@
 // Sweep tells which loose extents may be removed: those that were an object's or given up, unless a reader that began before that may
 // still be at them (reader: when the oldest one began); those whose writer may still be at it, once they are older than any writer
 // lives. None that an object or an upload's part holds.
-func Sweep(loose []*wpb.LooseRecord, held func(id string) bool, now, age, reader time.Duration) (remove []*wpb.LooseRecord) {
+func Sweep(loose []*pb.LooseRecord, held func(id string) bool, now, age, reader time.Duration) (remove []*pb.LooseRecord) {
 	for _, l := range loose {
 		if since := time.Duration(l.Since); !held(l.Extent.Id) && (l.Doomed && since < reader || !l.Doomed && now-since >= age) {
 			remove = append(remove, l)
--- a/internal/object/gate/gate.go
+++ b/internal/object/gate/gate.go
@@ -19,17 +19,17 @@
 	"sync"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/object/decide"
 	"weirhaven/internal/object/index"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Commands hands a command to the host loop. It returns false where the loop takes none; else Answer is called once, unless Gone
 // came first.
 type Commands interface {
-	Take(t *hostloop.Task) bool
-	Gone(t *hostloop.Task)
+	Take(t *engine.Task) bool
+	Gone(t *engine.Task)
 	// Cells are the cells where a volume's new data may lie; false: no such volume.
 	Cells(volume string) ([]uint32, bool)
 }
@@ -98,15 +98,15 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // run runs one command to its final answer. A client that goes away takes its command with it.
-func (g *Gate) run(ctx context.Context, t *hostloop.Task) ([]byte, *decide.Fault) {
-	done := make(chan hostloop.Answer, 1)
-	t.Answer = func(a hostloop.Answer) { done <- a }
+func (g *Gate) run(ctx context.Context, t *engine.Task) ([]byte, *decide.Fault) {
+	done := make(chan engine.Answer, 1)
+	t.Answer = func(a engine.Answer) { done <- a }
 	if !g.c.Commands.Take(t) {
 		return nil, decide.End(false, true, false, 0)
 	}
 	select {
 	case a := <-done:
-		if f := decide.End(a.How == hostloop.Completed, a.How == hostloop.BusyReplied, a.MayHaveRun, a.Pause); f != nil {
+		if f := decide.End(a.How == engine.Completed, a.How == engine.BusyReplied, a.MayHaveRun, a.Pause); f != nil {
 			return nil, f
 		}
 		return a.Body, nil
@@ -127,12 +127,12 @@
 
 // Written is what came of a stream of bytes.
 type Written struct {
-	Extents []*wpb.ExtentRecord
+	Extents []*pb.ExtentRecord
 	Size    int64
 	ETag    string // MD5, in hex
 
 	gate  *Gate
-	tried []*wpb.ExtentRecord
+	tried []*pb.ExtentRecord
 }
 
 // Done lets the sweep have what nothing came to hold. It is to be called once something holds the extents, or they are doomed.
@@ -163,7 +163,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var first error
-	var all []*wpb.ExtentRecord // every id that was ever intended
+	var all []*pb.ExtentRecord // every id that was ever intended
 	fail := func(err error) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -250,7 +250,7 @@
 		return w, first
 	}
 	// Ids that were given up on the way are doomed; the others are the caller's.
-	var lost []*wpb.ExtentRecord
+	var lost []*pb.ExtentRecord
 	kept := map[string]bool{}
 	for _, e := range w.Extents {
 		kept[e.Id] = true
@@ -281,10 +281,10 @@
 
 // extent writes one, under an id of its own: no two tries of a client can touch each other's bytes. Whether the command is sent again is
 // the module's decision, not made here.
-func (g *Gate) extent(ctx context.Context, volume string, cells []uint32, b []byte) (e *wpb.ExtentRecord, tried []*wpb.ExtentRecord, fault error) {
+func (g *Gate) extent(ctx context.Context, volume string, cells []uint32, b []byte) (e *pb.ExtentRecord, tried []*pb.ExtentRecord, fault error) {
 	id := newID()
-	e = &wpb.ExtentRecord{Id: id, Cell: decide.Cells(cells, id)[0], Size: int64(len(b)), Sum: crc32.Checksum(b, table)}
-	tried = []*wpb.ExtentRecord{e}
+	e = &pb.ExtentRecord{Id: id, Cell: decide.Cells(cells, id)[0], Size: int64(len(b)), Sum: crc32.Checksum(b, table)}
+	tried = []*pb.ExtentRecord{e}
 	g.mu.Lock()
 	g.writing[id] = true
 	g.mu.Unlock()
@@ -294,7 +294,7 @@
 	}
 	body := make([]byte, len(b)) // the loop's from here on: the buffer is used again
 	copy(body, b)
-	t := &hostloop.Task{Volume: volume, QueueType: g.c.WriteType, Object: "x/" + e.Id, Tag: e.Id, Cell: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit), Body: body}
+	t := &engine.Task{Volume: volume, QueueType: g.c.WriteType, Object: "x/" + e.Id, Tag: e.Id, Cell: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit), Body: body}
 	if _, f := g.run(ctx, t); f != nil {
 		return nil, tried, f
 	}
@@ -303,7 +303,7 @@
 
 // Read writes a range of an object to out, in order, extents on their way at once as the window allows. Before the first byte goes out
 // its extent is there and sums up, so that a failure then can still be told as one; later ones end the stream.
-func (g *Gate) Read(ctx context.Context, o *wpb.ObjectRecord, r decide.Range, out io.Writer, begin func()) error {
+func (g *Gate) Read(ctx context.Context, o *pb.ObjectRecord, r decide.Range, out io.Writer, begin func()) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	type got struct {
@@ -352,9 +352,9 @@
 	return nil
 }
 
-func (g *Gate) piece(ctx context.Context, o *wpb.ObjectRecord, p decide.Piece) ([]byte, error) {
+func (g *Gate) piece(ctx context.Context, o *pb.ObjectRecord, p decide.Piece) ([]byte, error) {
 	e := p.Extent
-	b, f := g.run(ctx, &hostloop.Task{Volume: o.Volume, QueueType: g.c.ReadType, Object: "x/" + e.Id, Cell: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit)})
+	b, f := g.run(ctx, &engine.Task{Volume: o.Volume, QueueType: g.c.ReadType, Object: "x/" + e.Id, Cell: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit)})
 	if f != nil {
 		return nil, f
 	}
@@ -367,10 +367,10 @@
 }
 
 // leftOver leaves out what this process still writes: an upload may last longer than any age.
-func (g *Gate) leftOver(found []*wpb.LooseRecord) []*wpb.LooseRecord {
+func (g *Gate) leftOver(found []*pb.LooseRecord) []*pb.LooseRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.DeleteFunc(found, func(l *wpb.LooseRecord) bool { return !l.Doomed && g.writing[l.Extent.Id] })
+	return slices.DeleteFunc(found, func(l *pb.LooseRecord) bool { return !l.Doomed && g.writing[l.Extent.Id] })
 }
 
 // Sweep gives old uploads up and removes what nothing holds: its bytes are overwritten by none, then it is forgotten. It tells how many
@@ -397,7 +397,7 @@
 	}
 	var gone []string
 	for _, l := range loose {
-		t := &hostloop.Task{Volume: l.Volume, QueueType: g.c.WriteType, Object: "x/" + l.Extent.Id, Tag: l.Extent.Id + "-gone", Cell: int(l.Extent.Cell), Units: 1}
+		t := &engine.Task{Volume: l.Volume, QueueType: g.c.WriteType, Object: "x/" + l.Extent.Id, Tag: l.Extent.Id + "-gone", Cell: int(l.Extent.Cell), Units: 1}
 		if _, f := g.run(ctx, t); f == nil {
 			gone = append(gone, l.Extent.Id)
 		}
--- a/internal/object/gate/gate_test.go
+++ b/internal/object/gate/gate_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/hostloop"
+	"weirhaven/internal/engine"
 	"weirhaven/internal/object/decide"
 	"weirhaven/internal/object/index"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 const extentSize = 32 << 10
@@ -25,7 +25,7 @@
 	written chan bool
 }
 
-func (m *memory) Take(t *hostloop.Task) bool {
+func (m *memory) Take(t *engine.Task) bool {
 	m.mu.Lock()
 	body := m.objects[t.Object]
 	if t.QueueType == "write" {
@@ -33,14 +33,14 @@
 		body = nil
 	}
 	m.mu.Unlock()
-	t.Answer(hostloop.Answer{How: hostloop.Completed, Body: body})
+	t.Answer(engine.Answer{How: engine.Completed, Body: body})
 	if t.QueueType == "write" && len(t.Body) > 0 {
 		m.written <- true
 	}
 	return true
 }
 
-func (m *memory) Gone(*hostloop.Task)                  {}
+func (m *memory) Gone(*engine.Task)                    {}
 func (m *memory) Cells(volume string) ([]uint32, bool) { return []uint32{0}, true }
 
 // clock is moved by the test.
@@ -95,7 +95,7 @@
 	if r.fault != nil {
 		t.Fatal("the upload failed: ", r.fault)
 	}
-	o := &wpb.ObjectRecord{Volume: "v", Name: "o", Size: r.w.Size, Extent: r.w.Extents}
+	o := &pb.ObjectRecord{Volume: "v", Name: "o", Size: r.w.Size, Extent: r.w.Extents}
 	if err := x.Commit(o, nil, now.read()); err != nil {
 		t.Fatal("the upload failed: ", err)
 	}
