--- a/internal/object/index/index.go
+++ b/internal/object/index/index.go
@@ -19,7 +19,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"weirhaven/internal/object/decide"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 var (
@@ -79,10 +79,10 @@
 }
 
 // Intend writes extents down before their bytes leave.
-func (x *Index) Intend(volume string, extents []*wpb.ExtentRecord, now time.Duration) error {
+func (x *Index) Intend(volume string, extents []*pb.ExtentRecord, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error {
 		for _, e := range extents {
-			if err := put(tx.Bucket(loose), []byte(e.Id), &wpb.LooseRecord{Extent: e, Volume: volume, Since: int64(now)}); err != nil {
+			if err := put(tx.Bucket(loose), []byte(e.Id), &pb.LooseRecord{Extent: e, Volume: volume, Since: int64(now)}); err != nil {
 				return err
 			}
 		}
@@ -94,7 +94,7 @@
 var ErrExtentsGone = errors.New("bytes of it were removed meanwhile")
 
 // hold lets extents be held; they must be loose and not given up, or held already by what gives them up in the same transaction.
-func hold(tx *bbolt.Tx, extents []*wpb.ExtentRecord) error {
+func hold(tx *bbolt.Tx, extents []*pb.ExtentRecord) error {
 	for _, e := range extents {
 		there, err := holdable(tx, e.Id)
 		if err != nil {
@@ -115,16 +115,16 @@
 	if tx.Bucket(held).Get([]byte(id)) != nil {
 		return true, nil
 	}
-	record := &wpb.LooseRecord{}
+	record := &pb.LooseRecord{}
 	found, err := read(tx.Bucket(loose), []byte(id), record)
 	return found && !record.Doomed, err
 }
 
 // doom lets nothing hold extents any more.
-func doom(tx *bbolt.Tx, volume string, extents []*wpb.ExtentRecord, now time.Duration) error {
+func doom(tx *bbolt.Tx, volume string, extents []*pb.ExtentRecord, now time.Duration) error {
 	for _, e := range extents {
 		err := errors.Join(tx.Bucket(held).Delete([]byte(e.Id)),
-			put(tx.Bucket(loose), []byte(e.Id), &wpb.LooseRecord{Extent: e, Volume: volume, Since: int64(now), Doomed: true}))
+			put(tx.Bucket(loose), []byte(e.Id), &pb.LooseRecord{Extent: e, Volume: volume, Since: int64(now), Doomed: true}))
 		if err != nil {
 			return err
 		}
@@ -133,9 +133,9 @@
 }
 
 // Doom gives extents up that were intended and will not be held.
-func (x *Index) Doom(volume string, extents []*wpb.ExtentRecord, now time.Duration) error {
+func (x *Index) Doom(volume string, extents []*pb.ExtentRecord, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error {
-		var own []*wpb.ExtentRecord
+		var own []*pb.ExtentRecord
 		for _, e := range extents { // one that is held by now is not given up
 			if tx.Bucket(held).Get([]byte(e.Id)) == nil {
 				own = append(own, e)
@@ -146,15 +146,15 @@
 }
 
 // Check judges an object as it stands, in the transaction that would replace it; nil: there is none.
-type Check func(old *wpb.ObjectRecord) error
+type Check func(old *pb.ObjectRecord) error
 
 // Commit lets a name stand for an object.
-func (x *Index) Commit(o *wpb.ObjectRecord, check Check, now time.Duration) error {
+func (x *Index) Commit(o *pb.ObjectRecord, check Check, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error { return commit(tx, o, check, now) })
 }
 
-func commit(tx *bbolt.Tx, o *wpb.ObjectRecord, check Check, now time.Duration) error {
-	k, old := key(o.Volume, o.Name), &wpb.ObjectRecord{}
+func commit(tx *bbolt.Tx, o *pb.ObjectRecord, check Check, now time.Duration) error {
+	k, old := key(o.Volume, o.Name), &pb.ObjectRecord{}
 	ok, err := read(tx.Bucket(objects), k, old)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 // Delete removes a name; existed tells whether there was one.
 func (x *Index) Delete(volume, name string, check Check, now time.Duration) (existed bool, err error) {
 	err = x.db.Batch(func(tx *bbolt.Tx) error {
-		k, old := key(volume, name), &wpb.ObjectRecord{}
+		k, old := key(volume, name), &pb.ObjectRecord{}
 		ok, err := read(tx.Bucket(objects), k, old)
 		if err != nil {
 			return err
@@ -201,9 +201,9 @@
 }
 
 // Get is an object; nil: there is none.
-func (x *Index) Get(volume, name string) (o *wpb.ObjectRecord, err error) {
+func (x *Index) Get(volume, name string) (o *pb.ObjectRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
-		m := &wpb.ObjectRecord{}
+		m := &pb.ObjectRecord{}
 		ok, err := read(tx.Bucket(objects), key(volume, name), m)
 		if ok {
 			o = m
@@ -215,7 +215,7 @@
 
 // Listing is a page of a volume's names.
 type Listing struct {
-	Objects  []*wpb.ObjectRecord
+	Objects  []*pb.ObjectRecord
 	Prefixes []string
 	Next     string // name or prefix after which to go on; empty: that was all
 }
@@ -253,7 +253,7 @@
 				k, v = c.Seek(append(key(volume, p), 0xff, 0xff, 0xff, 0xff))
 				continue
 			}
-			o := &wpb.ObjectRecord{}
+			o := &pb.ObjectRecord{}
 			if err := proto.Unmarshal(v, o); err != nil {
 				return fmt.Errorf("the object %q can't be read: %w", name, err)
 			}
@@ -266,14 +266,14 @@
 }
 
 // Begin begins an upload.
-func (x *Index) Begin(u *wpb.UploadRecord) error {
+func (x *Index) Begin(u *pb.UploadRecord) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error { return put(tx.Bucket(uploads), []byte(u.Id), u) })
 }
 
 func partKey(id string, number uint32) []byte { return fmt.Appendf(nil, "%s/%05d", id, number) }
 
-func upload(tx *bbolt.Tx, volume, name, id string) (*wpb.UploadRecord, error) {
-	u := &wpb.UploadRecord{}
+func upload(tx *bbolt.Tx, volume, name, id string) (*pb.UploadRecord, error) {
+	u := &pb.UploadRecord{}
 	ok, err := read(tx.Bucket(uploads), []byte(id), u)
 	if err == nil && (!ok || u.Volume != volume || u.Name != name) {
 		f := decide.NoSuchUpload
@@ -283,7 +283,7 @@
 }
 
 // Upload is one as it was begun.
-func (x *Index) Upload(volume, name, id string) (u *wpb.UploadRecord, err error) {
+func (x *Index) Upload(volume, name, id string) (u *pb.UploadRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		u, err = upload(tx, volume, name, id)
 		return err
@@ -292,12 +292,12 @@
 }
 
 // PutPart lets an upload hold a part; one of the same number before it is given up.
-func (x *Index) PutPart(volume, name, id string, p *wpb.PartRecord, now time.Duration) error {
+func (x *Index) PutPart(volume, name, id string, p *pb.PartRecord, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error {
 		if _, err := upload(tx, volume, name, id); err != nil {
 			return err
 		}
-		old, k := &wpb.PartRecord{}, partKey(id, p.Number)
+		old, k := &pb.PartRecord{}, partKey(id, p.Number)
 		ok, err := read(tx.Bucket(parts), k, old)
 		if err != nil {
 			return err
@@ -311,10 +311,10 @@
 	})
 }
 
-func partsOf(tx *bbolt.Tx, id string) (all []*wpb.PartRecord, err error) {
+func partsOf(tx *bbolt.Tx, id string) (all []*pb.PartRecord, err error) {
 	c, base := tx.Bucket(parts).Cursor(), []byte(id+"/")
 	for k, v := c.Seek(base); k != nil && bytes.HasPrefix(k, base); k, v = c.Next() {
-		p := &wpb.PartRecord{}
+		p := &pb.PartRecord{}
 		if err := proto.Unmarshal(v, p); err != nil {
 			return nil, fmt.Errorf("the part %q can't be read: %w", k, err)
 		}
@@ -324,7 +324,7 @@
 }
 
 // Parts are an upload's, by number.
-func (x *Index) Parts(volume, name, id string) (all []*wpb.PartRecord, err error) {
+func (x *Index) Parts(volume, name, id string) (all []*pb.PartRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		if _, err := upload(tx, volume, name, id); err != nil {
 			return err
@@ -336,7 +336,7 @@
 }
 
 // Complete makes an object of an upload, in one transaction: the parts named become its extents, the others are given up.
-func (x *Index) Complete(volume, name, id string, named []decide.Named, least int64, check Check, now time.Duration) (o *wpb.ObjectRecord, err error) {
+func (x *Index) Complete(volume, name, id string, named []decide.Named, least int64, check Check, now time.Duration) (o *pb.ObjectRecord, err error) {
 	err = x.db.Update(func(tx *bbolt.Tx) error {
 		u, err := upload(tx, volume, name, id)
 		if err != nil {
@@ -350,7 +350,7 @@
 		if fault != nil {
 			return fault
 		}
-		o = &wpb.ObjectRecord{Volume: volume, Name: name, Etag: etag, Size: size, Modified: int64(now), ContentType: u.ContentType, Meta: u.Meta, Extent: extents}
+		o = &pb.ObjectRecord{Volume: volume, Name: name, Etag: etag, Size: size, Modified: int64(now), ContentType: u.ContentType, Meta: u.Meta, Extent: extents}
 		if err := errors.Join(doom(tx, volume, rest, now), commit(tx, o, check, now)); err != nil {
 			return err
 		}
@@ -359,7 +359,7 @@
 	return o, err
 }
 
-func forget(tx *bbolt.Tx, id string, all []*wpb.PartRecord) error {
+func forget(tx *bbolt.Tx, id string, all []*pb.PartRecord) error {
 	for _, p := range all {
 		if err := tx.Bucket(parts).Delete(partKey(id, p.Number)); err != nil {
 			return err
@@ -388,10 +388,10 @@
 }
 
 // Uploads are those open, of a volume or of all (empty), by name.
-func (x *Index) Uploads(volume string) (all []*wpb.UploadRecord, err error) {
+func (x *Index) Uploads(volume string) (all []*pb.UploadRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(uploads).ForEach(func(k, v []byte) error {
-			u := &wpb.UploadRecord{}
+			u := &pb.UploadRecord{}
 			if err := proto.Unmarshal(v, u); err != nil {
 				return err
 			}
@@ -401,12 +401,12 @@
 			return nil
 		})
 	})
-	slices.SortFunc(all, func(a, b *wpb.UploadRecord) int { return strings.Compare(a.Name+"\x00"+a.Id, b.Name+"\x00"+b.Id) })
+	slices.SortFunc(all, func(a, b *pb.UploadRecord) int { return strings.Compare(a.Name+"\x00"+a.Id, b.Name+"\x00"+b.Id) })
 	return all, err
 }
 
 // Aged are uploads to which nothing was added for so long.
-func (x *Index) Aged(age, now time.Duration) (old []*wpb.UploadRecord, err error) {
+func (x *Index) Aged(age, now time.Duration) (old []*pb.UploadRecord, err error) {
 	all, err := x.Uploads("")
 	if err != nil {
 		return nil, err
@@ -431,11 +431,11 @@
 }
 
 // Sweepable are the loose extents that may be removed, at most so many, while the oldest reader began at a time; loose tells how many there are in all.
-func (x *Index) Sweepable(age, now, reader time.Duration, most int) (remove []*wpb.LooseRecord, all int, err error) {
+func (x *Index) Sweepable(age, now, reader time.Duration, most int) (remove []*pb.LooseRecord, all int, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
-		var found []*wpb.LooseRecord
+		var found []*pb.LooseRecord
 		err := tx.Bucket(loose).ForEach(func(k, v []byte) error {
-			l := &wpb.LooseRecord{}
+			l := &pb.LooseRecord{}
 			if err := proto.Unmarshal(v, l); err != nil {
 				return err
 			}
@@ -452,7 +452,7 @@
 
 // Claim gives up loose extents before their bytes are removed, so that nothing can hold them from here on. It returns those
 // that may be removed: what came to be held meanwhile is left out.
-func (x *Index) Claim(found []*wpb.LooseRecord) (claimed []*wpb.LooseRecord, err error) {
+func (x *Index) Claim(found []*pb.LooseRecord) (claimed []*pb.LooseRecord, err error) {
 	err = x.db.Update(func(tx *bbolt.Tx) error {
 		claimed = nil
 		for _, l := range found {
--- a/internal/object/index/index_test.go
+++ b/internal/object/index/index_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 
 	"weirhaven/internal/object/decide"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // The test binary is a writer, too: it puts objects until it is killed, and prints each that was answered.
@@ -38,7 +38,7 @@
 				x.Doom("v", e, time.Duration(n))
 				continue
 			}
-			if err := x.Commit(&wpb.ObjectRecord{Volume: "v", Name: name, Etag: e[0].Id, Extent: e}, nil, time.Duration(n)); err != nil {
+			if err := x.Commit(&pb.ObjectRecord{Volume: "v", Name: name, Etag: e[0].Id, Extent: e}, nil, time.Duration(n)); err != nil {
 				os.Exit(1)
 			}
 			fmt.Println(name, e[0].Id)
@@ -47,9 +47,9 @@
 	os.Exit(m.Run())
 }
 
-func extents(id string, n int) (all []*wpb.ExtentRecord) {
+func extents(id string, n int) (all []*pb.ExtentRecord) {
 	for i := range n {
-		all = append(all, &wpb.ExtentRecord{Id: fmt.Sprint(id, "/", i), Size: 1})
+		all = append(all, &pb.ExtentRecord{Id: fmt.Sprint(id, "/", i), Size: 1})
 	}
 	return all
 }
@@ -172,7 +172,7 @@
 		defer x.Close()
 		x.db.NoSync = true
 		n := 0
-		fresh := func() []*wpb.ExtentRecord {
+		fresh := func() []*pb.ExtentRecord {
 			n++
 			e := extents(fmt.Sprint("x", n), 1+n%2)
 			if err := x.Intend("v", e, time.Duration(n)); err != nil {
@@ -180,7 +180,7 @@
 			}
 			return e
 		}
-		refuse := func(*wpb.ObjectRecord) error { f := decide.Precondition; return &f }
+		refuse := func(*pb.ObjectRecord) error { f := decide.Precondition; return &f }
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			var check Check
@@ -191,18 +191,18 @@
 			switch what := rapid.IntRange(0, 6).Draw(t, "what"); {
 			case what == 0:
 				e := fresh()
-				if err := x.Commit(&wpb.ObjectRecord{Volume: "v", Name: name, Extent: e}, check, 1); err != nil && rapid.Bool().Draw(t, "dooms") {
+				if err := x.Commit(&pb.ObjectRecord{Volume: "v", Name: name, Extent: e}, check, 1); err != nil && rapid.Bool().Draw(t, "dooms") {
 					x.Doom("v", e, 2)
 				}
 			case what == 1:
 				x.Delete("v", name, check, 3)
 			case what == 2:
-				x.Begin(&wpb.UploadRecord{Volume: "v", Name: name, Id: fmt.Sprint("u", n)})
+				x.Begin(&pb.UploadRecord{Volume: "v", Name: name, Id: fmt.Sprint("u", n)})
 				n++
 			case len(us) == 0:
 			case what == 3 || what == 4:
 				u := us[rapid.IntRange(0, len(us)-1).Draw(t, "upload")]
-				if err := x.PutPart("v", u.Name, u.Id, &wpb.PartRecord{Number: uint32(rapid.IntRange(1, 3).Draw(t, "part")), Etag: "00", Size: 1, Extent: fresh()}, 4); err != nil {
+				if err := x.PutPart("v", u.Name, u.Id, &pb.PartRecord{Number: uint32(rapid.IntRange(1, 3).Draw(t, "part")), Etag: "00", Size: 1, Extent: fresh()}, 4); err != nil {
 					t.Fatal(err)
 				}
 			case what == 5:
@@ -227,13 +227,13 @@
 func TestManyParts(t *testing.T) {
 	x := open(t, filepath.Join(t.TempDir(), "i"))
 	x.db.NoSync = true
-	x.Begin(&wpb.UploadRecord{Volume: "v", Name: "n", Id: "u"})
+	x.Begin(&pb.UploadRecord{Volume: "v", Name: "n", Id: "u"})
 	var named []decide.Named
 	err := x.db.Update(func(tx *bbolt.Tx) error { // as PutPart does, ten thousand times
 		for n := uint32(1); n <= decide.MostParts; n++ {
-			p := &wpb.PartRecord{Number: n, Etag: "00", Size: 1, Extent: extents(fmt.Sprint("p", n), 1)}
+			p := &pb.PartRecord{Number: n, Etag: "00", Size: 1, Extent: extents(fmt.Sprint("p", n), 1)}
 			named = append(named, decide.Named{Number: n, ETag: "00"})
-			intended := &wpb.LooseRecord{Extent: p.Extent[0], Volume: "v"}
+			intended := &pb.LooseRecord{Extent: p.Extent[0], Volume: "v"}
 			if err := errors.Join(put(tx.Bucket(loose), []byte(p.Extent[0].Id), intended), hold(tx, p.Extent), put(tx.Bucket(parts), partKey("u", n), p)); err != nil {
 				return err
 			}
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		x.Begin(&wpb.UploadRecord{Volume: "v", Name: fmt.Sprint("left", i), Id: fmt.Sprint("left", i), Begun: int64(i)})
+		x.Begin(&pb.UploadRecord{Volume: "v", Name: fmt.Sprint("left", i), Id: fmt.Sprint("left", i), Begun: int64(i)})
 	}
 	old, err := x.Aged(100, 1050)
 	if err != nil || len(old) != 951 {
@@ -262,10 +262,10 @@
 	x.db.NoSync = true
 	var want []string
 	for _, n := range []string{"a", "a/b", "a/b/c", "a0", "b/1", "b/2", "b/3/4", "ü/x", "z"} {
-		x.Commit(&wpb.ObjectRecord{Volume: "v", Name: n}, nil, 1)
+		x.Commit(&pb.ObjectRecord{Volume: "v", Name: n}, nil, 1)
 		want = append(want, n)
 	}
-	x.Commit(&wpb.ObjectRecord{Volume: "w", Name: "other"}, nil, 1)
+	x.Commit(&pb.ObjectRecord{Volume: "w", Name: "other"}, nil, 1)
 	for _, most := range []int{1, 2, 3, 100} {
 		for _, c := range []struct {
 			prefix, delimiter string
@@ -319,11 +319,11 @@
 	defer x.Close()
 	for _, given := range []struct {
 		name string
-		up   func(all []*wpb.ExtentRecord) error
+		up   func(all []*pb.ExtentRecord) error
 	}{
-		{"forgotten", func(all []*wpb.ExtentRecord) error { return x.Removed([]string{all[0].Id, all[1].Id}) }},
-		{"removed", func(all []*wpb.ExtentRecord) error { return x.Removed([]string{all[0].Id}) }},
-		{"given up", func(all []*wpb.ExtentRecord) error { return x.Doom("v", all[:1], 2) }},
+		{"forgotten", func(all []*pb.ExtentRecord) error { return x.Removed([]string{all[0].Id, all[1].Id}) }},
+		{"removed", func(all []*pb.ExtentRecord) error { return x.Removed([]string{all[0].Id}) }},
+		{"given up", func(all []*pb.ExtentRecord) error { return x.Doom("v", all[:1], 2) }},
 	} {
 		all := extents(given.name, 2)
 		if err := x.Intend("v", all, 1); err != nil {
@@ -332,7 +332,7 @@
 		if err := given.up(all); err != nil {
 			t.Fatal(err)
 		}
-		if err := x.Commit(&wpb.ObjectRecord{Volume: "v", Name: given.name, Extent: all}, nil, 3); err == nil {
+		if err := x.Commit(&pb.ObjectRecord{Volume: "v", Name: given.name, Extent: all}, nil, 3); err == nil {
 			t.Errorf("%s: a name stands for extents that are gone", given.name)
 		}
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -14,7 +14,7 @@
 
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Version of the file's form.
@@ -27,7 +27,7 @@
 type Recorder struct {
 	start time.Time
 	mu    sync.Mutex
-	seen  []*wpb.Seen
+	seen  []*pb.Seen
 }
 
 // New starts the observer's clock.
@@ -37,7 +37,7 @@
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
 // See notes what was seen just now. A nil Recorder notes nothing.
-func (r *Recorder) See(s *wpb.Seen) {
+func (r *Recorder) See(s *pb.Seen) {
 	if r == nil {
 		return
 	}
@@ -48,14 +48,14 @@
 }
 
 // All is what was seen so far, in order.
-func (r *Recorder) All() []*wpb.Seen {
+func (r *Recorder) All() []*pb.Seen {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.seen)
 }
 
 // Write puts a record into a folder, which is made.
-func Write(dir string, h *wpb.Header, seen []*wpb.Seen) (err error) {
+func Write(dir string, h *pb.Header, seen []*pb.Seen) (err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
@@ -78,7 +78,7 @@
 }
 
 // Read reads a record from its folder.
-func Read(dir string) (*wpb.Header, []*wpb.Seen, error) {
+func Read(dir string) (*pb.Header, []*pb.Seen, error) {
 	name := filepath.Join(dir, File)
 	f, err := os.Open(name)
 	if err != nil {
@@ -86,16 +86,16 @@
 	}
 	defer f.Close()
 	r := bufio.NewReaderSize(f, 1<<18)
-	h := &wpb.Header{}
+	h := &pb.Header{}
 	if err := protodelim.UnmarshalFrom(r, h); err != nil {
 		return nil, nil, fmt.Errorf("%s is no record: %w", name, err)
 	}
 	if h.Version != Version {
 		return nil, nil, fmt.Errorf("%s: form %d of a record; this program reads form %d", name, h.Version, Version)
 	}
-	var seen []*wpb.Seen
+	var seen []*pb.Seen
 	for {
-		s := &wpb.Seen{}
+		s := &pb.Seen{}
 		switch err := protodelim.UnmarshalFrom(r, s); {
 		case errors.Is(err, io.EOF):
 			return h, seen, nil
--- a/internal/drill/trouble.go
+++ b/internal/scenario/fault.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
+	"weirhaven/internal/fake/discovery"
+	"weirhaven/internal/fake/storagenode"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/standin/lister"
-	"weirhaven/internal/wpb"
 )
 
 // wait sleeps until a moment; false: the drill is over.
@@ -26,7 +26,7 @@
 }
 
 // struck draws who is struck.
-func struck(t *wpb.Trouble, n int, rng *rand.Rand) []int {
+func struck(t *pb.Trouble, n int, rng *rand.Rand) []int {
 	if len(t.On) > 0 {
 		var on []int
 		for _, i := range t.On {
@@ -43,7 +43,7 @@
 }
 
 // play plays one trouble from its begin to its end.
-func (r *runner) play(ctx context.Context, t *wpb.Trouble, start time.Time, rng *rand.Rand) {
+func (r *runner) play(ctx context.Context, t *pb.Trouble, start time.Time, rng *rand.Rand) {
 	begin := start.Add(settings.Duration(t.At, 0))
 	length := settings.Duration(t.Length, 0)
 	end := begin.Add(length)
@@ -52,47 +52,47 @@
 	}
 	back := settings.Duration(t.Back, time.Second)
 	switch t.Kind {
-	case wpb.Trouble_HOST_CRASH:
+	case pb.Trouble_HOST_CRASH:
 		r.each(struck(t, len(r.hosts), rng), func(i int) {
 			r.killHost(r.hosts[i])
 			if wait(ctx, time.Now().Add(back)) {
 				r.startHost(ctx, r.hosts[i])
 			}
 		})
-	case wpb.Trouble_HOST_ROLL:
+	case pb.Trouble_HOST_ROLL:
 		r.roll(ctx, t, end, back, rng)
-	case wpb.Trouble_PREEMPT, wpb.Trouble_BRICK_CRASH, wpb.Trouble_AGEING:
+	case pb.Trouble_PREEMPT, pb.Trouble_BRICK_CRASH, pb.Trouble_AGEING:
 		r.each(struck(t, len(r.slots), rng), func(cell int) {
 			switch t.Kind {
-			case wpb.Trouble_PREEMPT:
+			case pb.Trouble_PREEMPT:
 				r.replace(ctx, cell, length, back)
-			case wpb.Trouble_BRICK_CRASH:
+			case pb.Trouble_BRICK_CRASH:
 				r.crash(ctx, cell, back)
 			default:
 				r.age(ctx, t, cell, begin, length, back)
 			}
 		})
-	case wpb.Trouble_BURST:
+	case pb.Trouble_BURST:
 		r.load.Burst(-1, max(t.Size, 1))
 		wait(ctx, end)
 		r.load.Burst(-1, 1)
-	case wpb.Trouble_PLAN_BURST:
-		plan := slices.IndexFunc(r.d.Plan, func(p *wpb.Plan) bool { return p.Name == t.Plan })
+	case pb.Trouble_PLAN_BURST:
+		plan := slices.IndexFunc(r.d.Plan, func(p *pb.Plan) bool { return p.Name == t.Plan })
 		r.load.Burst(max(plan, 0), max(t.Size, 1))
 		wait(ctx, end)
 		r.load.Burst(max(plan, 0), 1)
-	case wpb.Trouble_HOT_KEY:
+	case pb.Trouble_HOT_KEY:
 		r.load.Hot(t.Size)
 		wait(ctx, end)
 		r.load.Hot(0)
-	case wpb.Trouble_REPEAT_ABUSE:
+	case pb.Trouble_REPEAT_ABUSE:
 		r.load.Abuse(int(max(t.Size, 1)))
 		wait(ctx, end)
 		r.load.Abuse(0)
-	case wpb.Trouble_RECONNECT:
+	case pb.Trouble_RECONNECT:
 		r.load.Reconnect(t.Size)
-	case wpb.Trouble_LIST_FLAPS:
-		for how := lister.Half; time.Now().Before(end); how = (how + 1) % (lister.Cut + 1) {
+	case pb.Trouble_LIST_FLAPS:
+		for how := discovery.Half; time.Now().Before(end); how = (how + 1) % (discovery.Cut + 1) {
 			r.list.Flap(how)
 			if !wait(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
@@ -102,9 +102,9 @@
 				return
 			}
 		}
-	case wpb.Trouble_PLANNER_KILL, wpb.Trouble_PLANNER_STALL, wpb.Trouble_PLANNER_OLD:
+	case pb.Trouble_PLANNER_KILL, pb.Trouble_PLANNER_STALL, pb.Trouble_PLANNER_OLD:
 		r.troublePlanner(ctx, t, begin, end, back, rng)
-	case wpb.Trouble_CLIENTS_STALL:
+	case pb.Trouble_CLIENTS_STALL:
 		r.load.Stall(t.Size, length)
 	default:
 		r.conditions(ctx, t, end, rng)
@@ -124,25 +124,25 @@
 }
 
 // conditions are troubles that a brick has for a while.
-func (r *runner) conditions(ctx context.Context, t *wpb.Trouble, end time.Time, rng *rand.Rand) {
-	var set, clear func(c *brick.Conditions)
+func (r *runner) conditions(ctx context.Context, t *pb.Trouble, end time.Time, rng *rand.Rand) {
+	var set, clear func(c *storagenode.Conditions)
 	extra := time.Duration(t.Extra * float64(time.Second))
 	switch t.Kind {
-	case wpb.Trouble_SLOW:
-		set, clear = func(c *brick.Conditions) { c.Slow = t.Size }, func(c *brick.Conditions) { c.Slow = 0 }
-	case wpb.Trouble_FAST_ERRORS:
-		set, clear = func(c *brick.Conditions) { c.Errors = t.Size }, func(c *brick.Conditions) { c.Errors = 0 }
-	case wpb.Trouble_ANSWER_LOST:
-		set, clear = func(c *brick.Conditions) { c.Lost, c.Reset = t.Size, t.Reset_ }, func(c *brick.Conditions) { c.Lost = 0 }
-	case wpb.Trouble_NEIGHBOUR:
-		set, clear = func(c *brick.Conditions) { c.Neighbour, c.OnOff = t.Size, extra }, func(c *brick.Conditions) { c.Neighbour = 0 }
-	case wpb.Trouble_PAUSES:
-		set = func(c *brick.Conditions) {
+	case pb.Trouble_SLOW:
+		set, clear = func(c *storagenode.Conditions) { c.Slow = t.Size }, func(c *storagenode.Conditions) { c.Slow = 0 }
+	case pb.Trouble_FAST_ERRORS:
+		set, clear = func(c *storagenode.Conditions) { c.Errors = t.Size }, func(c *storagenode.Conditions) { c.Errors = 0 }
+	case pb.Trouble_ANSWER_LOST:
+		set, clear = func(c *storagenode.Conditions) { c.Lost, c.Reset = t.Size, t.Reset_ }, func(c *storagenode.Conditions) { c.Lost = 0 }
+	case pb.Trouble_NEIGHBOUR:
+		set, clear = func(c *storagenode.Conditions) { c.Neighbour, c.OnOff = t.Size, extra }, func(c *storagenode.Conditions) { c.Neighbour = 0 }
+	case pb.Trouble_PAUSES:
+		set = func(c *storagenode.Conditions) {
 			c.Pause, c.PauseEvery = time.Duration(t.Size*float64(time.Millisecond)), extra
 		}
-		clear = func(c *brick.Conditions) { c.Pause = 0 }
-	case wpb.Trouble_HEAVY_TAIL:
-		set, clear = func(c *brick.Conditions) { c.Costly, c.CostlyBy = t.Extra, t.Size }, func(c *brick.Conditions) { c.Costly = 0 }
+		clear = func(c *storagenode.Conditions) { c.Pause = 0 }
+	case pb.Trouble_HEAVY_TAIL:
+		set, clear = func(c *storagenode.Conditions) { c.Costly, c.CostlyBy = t.Extra, t.Size }, func(c *storagenode.Conditions) { c.Costly = 0 }
 	default:
 		return
 	}
@@ -159,14 +159,14 @@
 	}
 }
 
-func (r *runner) at(cell int) *brick.Brick {
+func (r *runner) at(cell int) *storagenode.Brick {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bricks[cell]
 }
 
 // roll restarts all hosts, a part at a time, politely.
-func (r *runner) roll(ctx context.Context, t *wpb.Trouble, end time.Time, back time.Duration, rng *rand.Rand) {
+func (r *runner) roll(ctx context.Context, t *pb.Trouble, end time.Time, back time.Duration, rng *rand.Rand) {
 	order := rng.Perm(len(r.hosts))
 	step := max(1, int(math.Round(t.Part*float64(len(order)))))
 	waves := (len(order) + step - 1) / step
@@ -219,11 +219,11 @@
 }
 
 // age slows a brick down more and more, until it dies.
-func (r *runner) age(ctx context.Context, t *wpb.Trouble, cell int, begin time.Time, length, back time.Duration) {
+func (r *runner) age(ctx context.Context, t *pb.Trouble, cell int, begin time.Time, length, back time.Duration) {
 	b := r.at(cell)
 	for time.Since(begin) < length {
 		part := time.Since(begin).Seconds() / length.Seconds()
-		b.Set(func(c *brick.Conditions) { c.Slow = 1 + (t.Size-1)*part })
+		b.Set(func(c *storagenode.Conditions) { c.Slow = 1 + (t.Size-1)*part })
 		if !wait(ctx, time.Now().Add(length/20)) {
 			return
 		}
--- a/internal/drill/importday.go
+++ b/internal/scenario/importday.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Scale bounds what an imported day may take of this machine.
@@ -115,15 +115,15 @@
 	}
 }
 
-var kindsOfTrouble = map[string]wpb.Trouble_Kind{"ageing": wpb.Trouble_AGEING, "answer_lost": wpb.Trouble_ANSWER_LOST,
-	"balancer_crash": wpb.Trouble_HOST_CRASH, "balancer_roll": wpb.Trouble_HOST_ROLL, "burst": wpb.Trouble_BURST,
-	"tenant_burst": wpb.Trouble_PLAN_BURST, "fast_errors": wpb.Trouble_FAST_ERRORS, "heavy_tail": wpb.Trouble_HEAVY_TAIL,
-	"hot_key": wpb.Trouble_HOT_KEY, "neighbour": wpb.Trouble_NEIGHBOUR, "pauses": wpb.Trouble_PAUSES, "preempt": wpb.Trouble_PREEMPT,
-	"reconnect": wpb.Trouble_RECONNECT, "retry_abuse": wpb.Trouble_REPEAT_ABUSE, "slow": wpb.Trouble_SLOW}
+var kindsOfTrouble = map[string]pb.Trouble_Kind{"ageing": pb.Trouble_AGEING, "answer_lost": pb.Trouble_ANSWER_LOST,
+	"balancer_crash": pb.Trouble_HOST_CRASH, "balancer_roll": pb.Trouble_HOST_ROLL, "burst": pb.Trouble_BURST,
+	"tenant_burst": pb.Trouble_PLAN_BURST, "fast_errors": pb.Trouble_FAST_ERRORS, "heavy_tail": pb.Trouble_HEAVY_TAIL,
+	"hot_key": pb.Trouble_HOT_KEY, "neighbour": pb.Trouble_NEIGHBOUR, "pauses": pb.Trouble_PAUSES, "preempt": pb.Trouble_PREEMPT,
+	"reconnect": pb.Trouble_RECONNECT, "retry_abuse": pb.Trouble_REPEAT_ABUSE, "slow": pb.Trouble_SLOW}
 
 // Import makes a drill of a bench day file, scaled down to this machine. The second result names what it can't carry
 // over or carries over changed.
-func Import(file string, s Scale) (*wpb.Drill, []string, error) {
+func Import(file string, s Scale) (*pb.Drill, []string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, fmt.Errorf("import: %w", err)
@@ -157,7 +157,7 @@
 // span is a stretch of the day in the drill's time.
 func (im *importer) span(x float64) string { return us(x * im.faster) }
 
-func (im *importer) drill() *wpb.Drill {
+func (im *importer) drill() *pb.Drill {
 	im.faster = min(1, float64(im.scale.Length.Microseconds())/im.Length)
 	if im.faster < 1 {
 		im.note("the day's %s take %s: troubles begin and end, bricks warm up and leads move in proportion; targets and time-outs stay",
@@ -167,12 +167,12 @@
 	if hosts < len(im.Balancers) {
 		im.note("%d of %d hosts", hosts, len(im.Balancers))
 	}
-	d := &wpb.Drill{Name: strings.Trim(im.Site+"-"+im.Kind, "-"), Length: im.span(im.Length), Hosts: uint32(hosts)}
+	d := &pb.Drill{Name: strings.Trim(im.Site+"-"+im.Kind, "-"), Length: im.span(im.Length), Hosts: uint32(hosts)}
 	d.Bricks, d.Kind = im.bricks()
 	im.fleet(d)
 	im.queueTypes(d)
 	im.plansAndVolumes(d)
-	d.List = &wpb.ListHabits{Notice: us(im.Discovery.Notice * im.faster)}
+	d.List = &pb.ListHabits{Notice: us(im.Discovery.Notice * im.faster)}
 	d.Load.NewObjects, d.Load.Objects = 0.3, 50
 	d.Load.Repeats, d.Load.RepeatAfter = uint32(max(im.Clients.Retries, 0)), us(im.Clients.BackoffUS)
 	d.Load.LeadMoves, d.Load.Impatient, d.Load.Body = "5s", im.Clients.Impatient, 64
@@ -182,19 +182,19 @@
 	return d
 }
 
-func (im *importer) bricks() (groups []*wpb.BrickGroup, kinds []*wpb.BrickKind) {
+func (im *importer) bricks() (groups []*pb.BrickGroup, kinds []*pb.BrickKind) {
 	t := im.Tiers[0]
 	cv := 0.0
 	for _, c := range im.Classes {
 		cv += c.CV * c.Share
 	}
-	cancels := map[string]wpb.BrickKind_Cancel{"queued": wpb.BrickKind_DROPS_WAITING,
-		"all": wpb.BrickKind_STOPS, "running": wpb.BrickKind_STOPS}
+	cancels := map[string]pb.BrickKind_Cancel{"queued": pb.BrickKind_DROPS_WAITING,
+		"all": pb.BrickKind_STOPS, "running": pb.BrickKind_STOPS}
 	for _, k := range t.Kinds {
 		if k.Cores > 1 {
 			im.note("kind %s: its %v cores as one core of %v times the speed", k.Name, k.Cores, k.Cores)
 		}
-		kinds = append(kinds, &wpb.BrickKind{Name: k.Name, UnitWork: us(im.Fam.UnitWork), Vary: cv, Queue: uint32(max(k.Queue, 1)),
+		kinds = append(kinds, &pb.BrickKind{Name: k.Name, UnitWork: us(im.Fam.UnitWork), Vary: cv, Queue: uint32(max(k.Queue, 1)),
 			Remembers: uint32(im.Fam.Remembers), RememberedSaves: min(im.Fam.Seek, 1), Deferred: min(im.Fam.Defer, 1),
 			FlushEvery: us(max(im.Fam.Flush, 10000)), ColdFrom: max(k.ColdFrom, 0.01), ColdFor: us(k.Cold * im.faster),
 			Cancel: cancels[k.Cancel], DropsExpired: k.DropsExpired, ProbeWork: us(t.ProbeWork), ProbeWaits: t.ProbeDeep,
@@ -209,7 +209,7 @@
 			continue
 		}
 		n++
-		groups = append(groups, &wpb.BrickGroup{Kind: t.Kinds[s.Kind].Name, Count: 1, Zone: fmt.Sprintf("zone-%d", s.Zone),
+		groups = append(groups, &pb.BrickGroup{Kind: t.Kinds[s.Kind].Name, Count: 1, Zone: fmt.Sprintf("zone-%d", s.Zone),
 			Speed: s.Speed * max(t.Kinds[s.Kind].Cores, 1)})
 	}
 	if n < len(im.Servers) {
@@ -218,7 +218,7 @@
 	return groups, kinds
 }
 
-func (im *importer) fleet(d *wpb.Drill) {
+func (im *importer) fleet(d *pb.Drill) {
 	k := im.Tiers[0].Kinds
 	slowest, from, cold := math.Inf(1), 1.0, 0.0
 	for _, g := range d.Bricks {
@@ -227,7 +227,7 @@
 	for _, x := range k {
 		from, cold = min(from, x.ColdFrom), max(cold, x.Cold)
 	}
-	f := &wpb.Fleet{ListAsked: im.Discovery.Ask, SecondCopies: im.Allow.SecondCopies, Cancel: im.Allow.Cancel, Probe: im.Allow.Probes,
+	f := &pb.Fleet{ListAsked: im.Discovery.Ask, SecondCopies: im.Allow.SecondCopies, Cancel: im.Allow.Cancel, Probe: im.Allow.Probes,
 		Peers: im.Allow.Peers, ClientsMarkRepeats: im.Clients.MarksRetry, MaxDispatches: uint32(max(im.Allow.MaxAttempts, 1)),
 		AnswerSlack: "30ms", Resolution: "10ms", DrainGrace: us(im.DrainGrace), ColdFrom: max(from, 0.01), ColdFor: us(cold * im.faster),
 		FallMultiple: max(im.FallMultiple, 1), FallAfter: us(max(im.FallFor*im.faster, 500000)), TellsElsewhere: im.Fam.Tells != "",
@@ -242,7 +242,7 @@
 		f.Meter = us(im.Fam.Meter)
 	}
 	if b := im.Budget; b != nil {
-		f.Budget = &wpb.Budget{Free: b.Free, Share: b.Share, Span: us(b.Window)}
+		f.Budget = &pb.Budget{Free: b.Free, Share: b.Share, Span: us(b.Window)}
 	}
 	// What a cold brick always bears within fall_after: eight tenths of what pushes the slowest one over.
 	after, _ := time.ParseDuration(f.FallAfter)
@@ -250,19 +250,19 @@
 	d.Fleet = f
 }
 
-func (im *importer) queueTypes(d *wpb.Drill) {
-	semantics := map[string]wpb.Semantics{"keyed": wpb.Semantics_TAGGED, "unsafe": wpb.Semantics_NON_RETRYABLE}
-	groups := map[string]wpb.Group{"zone": wpb.Group_ZONE, "cell": wpb.Group_CELL}
-	d.Load = &wpb.Load{}
+func (im *importer) queueTypes(d *pb.Drill) {
+	semantics := map[string]pb.Semantics{"keyed": pb.Semantics_TAGGED, "unsafe": pb.Semantics_NON_RETRYABLE}
+	groups := map[string]pb.Group{"zone": pb.Group_ZONE, "cell": pb.Group_CELL}
+	d.Load = &pb.Load{}
 	for _, c := range im.Classes {
-		q := &wpb.QueueType{Name: c.Name, ServiceTarget: us(c.Aim), CommandTimeout: us(c.Deadline), Importance: c.Worth,
+		q := &pb.QueueType{Name: c.Name, ServiceTarget: us(c.Aim), CommandTimeout: us(c.Deadline), Importance: c.Worth,
 			LateShare: c.LateWorth, Semantics: semantics[c.Effect], Group: groups[c.Group], Streaming: c.Stream, InOrder: c.InOrder,
 			Writes: c.Write}
 		if q.Streaming {
 			q.Streaming = false
 			im.note("queue type %s streams; it is answered whole", c.Name)
 		}
-		if q.Semantics == wpb.Semantics_TAGGED {
+		if q.Semantics == pb.Semantics_TAGGED {
 			q.TagWindow = us(c.Window)
 		}
 		d.QueueType = append(d.QueueType, q)
@@ -270,7 +270,7 @@
 	}
 }
 
-func (im *importer) plansAndVolumes(d *wpb.Drill) {
+func (im *importer) plansAndVolumes(d *pb.Drill) {
 	capacity := 0.0
 	for _, g := range d.Bricks {
 		capacity += g.Speed / (im.Fam.UnitWork / 1e6)
@@ -290,13 +290,13 @@
 	part := float64(len(d.Bricks)) / float64(len(im.Servers))
 	asked := 0.0
 	for i, p := range im.Fam.Plans {
-		d.Plan = append(d.Plan, &wpb.Plan{Name: im.Tenants[i].Name, Nominal: p.Rate, Reservation: p.Reserve, Limit: p.Limit,
+		d.Plan = append(d.Plan, &pb.Plan{Name: im.Tenants[i].Name, Nominal: p.Rate, Reservation: p.Reserve, Limit: p.Limit,
 			Depth: p.LimitBurst, Slack: p.Slack, Weight: p.Weight, Importance: p.Price})
 		s := sums[i]
 		if s.n == 0 {
 			continue
 		}
-		g := &wpb.VolumeGroup{Plan: im.Tenants[i].Name, Count: uint32(max(1, math.Round(float64(s.n)*part))),
+		g := &pb.VolumeGroup{Plan: im.Tenants[i].Name, Count: uint32(max(1, math.Round(float64(s.n)*part))),
 			Cells: uint32(max(1, s.cells/s.n)), Hosts: uint32(min(max(1, s.hosts/s.n), int(d.Hosts))), Demand: s.base / float64(s.n)}
 		asked += float64(g.Count) * g.Demand * p.Rate
 		d.Volumes = append(d.Volumes, g)
@@ -306,28 +306,28 @@
 	}
 }
 
-func (im *importer) troubles(d *wpb.Drill) {
+func (im *importer) troubles(d *pb.Drill) {
 	for _, t := range im.Troubles {
 		kind, ok := kindsOfTrouble[t.Kind]
 		if !ok {
 			im.note("trouble %s: not known here", t.Kind)
 			continue
 		}
-		x := &wpb.Trouble{Kind: kind, At: im.span(t.At), Length: im.span(t.Len), Size: t.Size, Extra: t.Extra}
+		x := &pb.Trouble{Kind: kind, At: im.span(t.At), Length: im.span(t.Len), Size: t.Size, Extra: t.Extra}
 		of := len(im.Servers)
 		switch kind {
-		case wpb.Trouble_HOST_CRASH:
+		case pb.Trouble_HOST_CRASH:
 			of = len(im.Balancers)
 			x.Back = im.span(max(t.Len, 0))
-		case wpb.Trouble_HOST_ROLL:
+		case pb.Trouble_HOST_ROLL:
 			x.Part, x.Back = min(max(t.Size, 0.01), 1), im.span(t.Extra*1e6)
-		case wpb.Trouble_PREEMPT:
+		case pb.Trouble_PREEMPT:
 			x.Part, x.Back, x.Length = min(t.Size, 1), im.span(t.Extra*1e6), im.span(im.DrainGrace*2)
-		case wpb.Trouble_AGEING:
+		case pb.Trouble_AGEING:
 			x.Back = im.span(t.Extra * 1e6)
-		case wpb.Trouble_PLAN_BURST:
+		case pb.Trouble_PLAN_BURST:
 			x.Plan = im.Tenants[min(max(t.Which, 0), len(im.Tenants)-1)].Name
-		case wpb.Trouble_ANSWER_LOST:
+		case pb.Trouble_ANSWER_LOST:
 			x.Reset_ = t.How == "reset"
 		}
 		if len(t.On) > 0 {
@@ -336,7 +336,7 @@
 		x.Size, x.Extra = min(x.Size, 1e6), min(x.Extra, 1e6)
 		d.Trouble = append(d.Trouble, x)
 	}
-	slices.SortStableFunc(d.Trouble, func(a, b *wpb.Trouble) int {
+	slices.SortStableFunc(d.Trouble, func(a, b *pb.Trouble) int {
 		x, _ := time.ParseDuration(a.At)
 		y, _ := time.ParseDuration(b.At)
 		return cmp.Compare(x, y)
--- a/internal/drill/objects.go
+++ b/internal/scenario/objects.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"bytes"
--- a/internal/drill/planner.go
+++ b/internal/scenario/planner.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/proto"
 
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 )
 
 // plannerProcess is the planner of a drill. A nil one is none.
@@ -39,9 +39,9 @@
 }
 
 // Calm is a drill whose planner is left in peace.
-func Calm(d *wpb.Drill) *wpb.Drill {
-	c := proto.Clone(d).(*wpb.Drill)
-	c.Trouble = slices.DeleteFunc(c.Trouble, func(t *wpb.Trouble) bool { return t.Kind >= wpb.Trouble_PLANNER_KILL })
+func Calm(d *pb.Drill) *pb.Drill {
+	c := proto.Clone(d).(*pb.Drill)
+	c.Trouble = slices.DeleteFunc(c.Trouble, func(t *pb.Trouble) bool { return t.Kind >= pb.Trouble_PLANNER_KILL })
 	return c
 }
 
@@ -56,12 +56,12 @@
 	address := l.Addr().String()
 	l.Close()
 	p := &plannerProcess{r: r, address: address, file: filepath.Join(r.dir, "planner.txtpb"), disk: filepath.Join(r.dir, "planner.db")}
-	conf := &wpb.PlannerConf{Name: "planner", Listen: address, ListService: r.list.Address(), Store: p.disk, Plain: true, Fleet: r.d.Fleet, Plan: r.d.Plan, Edges: r.d.Hosts,
+	conf := &pb.PlannerConf{Name: "planner", Listen: address, ListService: r.list.Address(), Store: p.disk, Plain: true, Fleet: r.d.Fleet, Plan: r.d.Plan, Edges: r.d.Hosts,
 		Lease: "500ms", Recover: "500ms"}
 	n := 0
 	for _, g := range r.d.Volumes {
 		for range g.Count {
-			conf.Volume = append(conf.Volume, &wpb.PlannedVolume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.d.Hosts)})
+			conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.d.Hosts)})
 			n++
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	defer conn.Close()
 	for end := time.Now().Add(20 * time.Second); ; {
-		t, err := wpb.NewPlanningClient(conn).Status(ctx, &wpb.StatusAsk{Edges: true, View: true})
+		t, err := pb.NewPlanningClient(conn).Status(ctx, &pb.StatusAsk{Edges: true, View: true})
 		held, bricks := 0, 0
 		for _, x := range t.GetItem() {
 			if x.Brick != nil {
@@ -192,14 +192,14 @@
 }
 
 // troublePlanner plays what a planner goes through.
-func (r *runner) troublePlanner(ctx context.Context, t *wpb.Trouble, begin, end time.Time, back time.Duration, rng *rand.Rand) {
+func (r *runner) troublePlanner(ctx context.Context, t *pb.Trouble, begin, end time.Time, back time.Duration, rng *rand.Rand) {
 	p := r.plan
 	if p == nil {
 		return
 	}
 	every := time.Duration(t.Extra * float64(time.Second))
 	switch t.Kind {
-	case wpb.Trouble_PLANNER_KILL:
+	case pb.Trouble_PLANNER_KILL:
 		for at := begin; at.Before(end); at = at.Add(max(every, 100*time.Millisecond)) {
 			if !wait(ctx, at.Add(time.Duration(rng.Int63n(int64(max(every/2, time.Millisecond)))))) {
 				return
@@ -210,7 +210,7 @@
 				return
 			}
 		}
-	case wpb.Trouble_PLANNER_STALL:
+	case pb.Trouble_PLANNER_STALL:
 		p.mu.Lock()
 		if p.cmd != nil {
 			p.cmd.Process.Signal(syscall.SIGSTOP)
@@ -222,7 +222,7 @@
 		if cmd != nil {
 			cmd.Process.Signal(syscall.SIGCONT)
 		}
-	case wpb.Trouble_PLANNER_OLD:
+	case pb.Trouble_PLANNER_OLD:
 		old := p.disk + ".old"
 		if every > 0 { // the copy is made between two lives: a file in use can't be copied from outside
 			p.end()
--- a/internal/drill/drill.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package drill plays a scripted day on loopback: stand-in bricks, list service and clients in this process, hosts
+// Package scenario plays a scripted day on loopback: stand-in bricks, list service and clients in this process, hosts
 // as processes of their own, troubles by script. What crossed the sockets is recorded and judged by the audit.
-package drill
+package scenario
 
 import (
 	"bufio"
@@ -24,24 +24,24 @@
 	"google.golang.org/protobuf/proto"
 
 	"weirhaven/internal/audit"
-	"weirhaven/internal/fleet/decide"
+	"weirhaven/internal/fake/client"
+	"weirhaven/internal/fake/discovery"
+	"weirhaven/internal/fake/loopback"
+	"weirhaven/internal/fake/storagenode"
+	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/fleet/store"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/standin/client"
-	"weirhaven/internal/standin/lister"
-	"weirhaven/internal/standin/loopback"
-	"weirhaven/internal/wpb"
 )
 
-//go:embed drills/*.txtpb
+//go:embed days/*.txtpb
 var own embed.FS
 
 // Names are the drills that come with the program.
 func Names() []string {
 	var names []string
-	entries, _ := own.ReadDir("drills")
+	entries, _ := own.ReadDir("days")
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".txtpb"))
 	}
@@ -49,12 +49,12 @@
 }
 
 // Load reads a drill by its name, or a file.
-func Load(name string) (*wpb.Drill, error) {
-	d := &wpb.Drill{}
+func Load(name string) (*pb.Drill, error) {
+	d := &pb.Drill{}
 	if strings.ContainsAny(name, "/.") {
 		return d, settings.Load(name, d)
 	}
-	text, err := own.ReadFile("drills/" + name + ".txtpb")
+	text, err := own.ReadFile("days/" + name + ".txtpb")
 	if err != nil {
 		return nil, fmt.Errorf("no drill %q; there are %s, or a file", name, strings.Join(Names(), ", "))
 	}
@@ -83,8 +83,8 @@
 
 // Result is a drill's record and verdict.
 type Result struct {
-	Header  *wpb.Header
-	Seen    []*wpb.Seen
+	Header  *pb.Header
+	Seen    []*pb.Seen
 	Verdict *audit.Verdict
 	Exits   []string // of hosts told to stop that did not end well
 	Planner PlannerTroubles
@@ -109,38 +109,38 @@
 }
 
 type runner struct {
-	d     *wpb.Drill
+	d     *pb.Drill
 	o     Options
 	rng   *rand.Rand
 	rec   *record.Recorder
 	dir   string
 	ip    string
 	hosts []*hostProcess
-	list  *lister.Service
+	list  *discovery.Service
 	plan  *plannerProcess // nil: none
 	load  *client.Load
-	meter *brick.Meter
-	tags  map[string]*brick.Tags
-	data  map[int]*brick.Data // by cell: what replaces a brick holds what it held
-	works *objectWorks        // nil: none
+	meter *storagenode.Meter
+	tags  map[string]*storagenode.Tags
+	data  map[int]*storagenode.Data // by cell: what replaces a brick holds what it held
+	works *objectWorks              // nil: none
 
 	mu     sync.Mutex
-	bricks []*brick.Brick // by cell; the one there now
+	bricks []*storagenode.Brick // by cell; the one there now
 	slots  []slot
 	serial int
-	old    []*brick.Brick
+	old    []*storagenode.Brick
 	exits  []string
 	wg     sync.WaitGroup
 }
 
 type slot struct {
-	kind  *wpb.BrickKind
+	kind  *pb.BrickKind
 	zone  string
 	speed float64
 }
 
 // Run plays a drill to its end.
-func Run(ctx context.Context, d *wpb.Drill, o Options) (*Result, error) {
+func Run(ctx context.Context, d *pb.Drill, o Options) (*Result, error) {
 	if o.Blur == 0 {
 		o.Blur = 50 * time.Millisecond
 	}
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &runner{d: d, o: o, rng: rand.New(rand.NewSource(o.Seed)), rec: record.New(), dir: dir, tags: map[string]*brick.Tags{}, data: map[int]*brick.Data{}}
+	r := &runner{d: d, o: o, rng: rand.New(rand.NewSource(o.Seed)), rec: record.New(), dir: dir, tags: map[string]*storagenode.Tags{}, data: map[int]*storagenode.Data{}}
 	if o.Capture != "" { // one key for all hosts, gone with the run
 		if err := os.WriteFile(filepath.Join(dir, "key"), fmt.Appendf(nil, "capture key of drill seed %d", o.Seed), 0o600); err != nil {
 			return nil, err
@@ -159,7 +159,7 @@
 	if err := r.run(ctx); err != nil {
 		return nil, err
 	}
-	h := &wpb.Header{Seed: o.Seed, Drill: d.Name, Fleet: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Hosts: d.Hosts,
+	h := &pb.Header{Seed: o.Seed, Drill: d.Name, Fleet: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Hosts: d.Hosts,
 		Blur: int64(o.Blur), Arm: o.Arm}
 	seen := r.rec.All()
 	return &Result{Header: h, Seen: seen, Verdict: audit.Judge(h, seen), Exits: r.exits, Planner: r.plan.went(), Objects: r.works.counts()}, nil
@@ -232,7 +232,7 @@
 }
 
 func (r *runner) startBricks() error {
-	kinds := map[string]*wpb.BrickKind{}
+	kinds := map[string]*pb.BrickKind{}
 	for _, k := range r.d.Kind {
 		kinds[k.Name] = k
 	}
@@ -250,19 +250,19 @@
 	}
 	f := r.d.Fleet
 	if m := settings.Duration(f.Meter, 0); m > 0 {
-		r.meter = brick.NewMeter(m, m/2, r.nominal)
+		r.meter = storagenode.NewMeter(m, m/2, r.nominal)
 	}
 	l := r.d.List
 	if l == nil {
-		l = &wpb.ListHabits{}
+		l = &pb.ListHabits{}
 	}
 	var err error
-	r.list, err = lister.Start(lister.Config{Address: r.ip + ":0", Asked: f.ListAsked, Notice: settings.Duration(l.Notice, 0),
+	r.list, err = discovery.Start(discovery.Config{Address: r.ip + ":0", Asked: f.ListAsked, Notice: settings.Duration(l.Notice, 0),
 		ClockOff: settings.Duration(l.ClockOff, 0), Fails: l.Fails, Seed: r.rng.Int63(), Record: r.rec, HostOf: r.hostOf})
 	if err != nil {
 		return err
 	}
-	r.bricks = make([]*brick.Brick, len(r.slots))
+	r.bricks = make([]*storagenode.Brick, len(r.slots))
 	for cell := range r.slots {
 		b, err := r.startBrick(cell, "", slices.Contains(l.Cold, uint32(cell)), "127.0.0.1:0")
 		if err != nil {
@@ -279,9 +279,9 @@
 // keepLists writes the hosts' stores: what a list said so long ago, when every brick served and had been up for long.
 func (r *runner) keepLists() error {
 	at := time.Duration(time.Now().UnixNano()) - settings.Duration(r.d.List.SavedAge, 0)
-	var all []decide.Belief
+	var all []endpointstate.Belief
 	for cell, b := range r.bricks {
-		all = append(all, decide.Belief{From: decide.List, Line: decide.Line{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone,
+		all = append(all, endpointstate.Belief{From: endpointstate.List, Line: endpointstate.Line{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone,
 			Cell: cell, Serving: true, At: at}})
 	}
 	for _, p := range r.hosts {
@@ -289,7 +289,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = s.Save(all, decide.Generation{Epoch: "before", Number: 1})
+		_, err = s.Save(all, endpointstate.Generation{Epoch: "before", Number: 1})
 		if err = errors.Join(err, s.Close()); err != nil {
 			return err
 		}
@@ -320,7 +320,7 @@
 }
 
 // startBrick puts a brick into a cell and lists it. An empty name makes a new one.
-func (r *runner) startBrick(cell int, name string, cold bool, address string) (*brick.Brick, error) {
+func (r *runner) startBrick(cell int, name string, cold bool, address string) (*storagenode.Brick, error) {
 	s, f := r.slots[cell], r.d.Fleet
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -328,7 +328,7 @@
 		r.serial++
 		name = fmt.Sprintf("brick-%d", r.serial)
 	}
-	c := brick.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Cell: cell, Kind: s.kind,
+	c := storagenode.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Cell: cell, Kind: s.kind,
 		Speed: s.speed, Seed: r.rng.Int63(), Cold: cold, FallMultiple: f.FallMultiple,
 		FallAfter: settings.Duration(f.FallAfter, 0), Writes: map[string]bool{}, Record: r.rec, Meter: r.meter,
 		Elsewhere: f.TellsElsewhere, HostOf: r.hostOf}
@@ -337,28 +337,28 @@
 		c.Writes[q.Name] = q.Writes
 		c.TagWindow = max(c.TagWindow, settings.Duration(q.TagWindow, 0))
 		switch q.Group {
-		case wpb.Group_ZONE:
+		case pb.Group_ZONE:
 			group = "zone " + s.zone
-		case wpb.Group_CELL:
+		case pb.Group_CELL:
 			group = fmt.Sprint("cell ", cell)
 		}
 	}
 	if r.tags[group] == nil {
-		r.tags[group] = brick.NewTags()
+		r.tags[group] = storagenode.NewTags()
 	}
 	c.Tags = r.tags[group]
 	if r.d.Objects != nil {
 		if r.data[cell] == nil {
-			r.data[cell] = brick.NewData()
+			r.data[cell] = storagenode.NewData()
 		}
 		c.Data = r.data[cell]
 	}
-	b, err := brick.Start(c)
+	b, err := storagenode.Start(c)
 	if err != nil {
 		return nil, err
 	}
 	r.bricks[cell] = b
-	e := lister.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: cell, State: "serving"}
+	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: cell, State: "serving"}
 	if cold {
 		e.Started = b.Started()
 	}
@@ -367,14 +367,14 @@
 }
 
 // unlist tells the list that a brick drains or is gone.
-func (r *runner) unlist(b *brick.Brick, cell int, state string) {
-	r.list.Set(lister.Entry{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone, Cell: cell, State: state})
+func (r *runner) unlist(b *storagenode.Brick, cell int, state string) {
+	r.list.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone, Cell: cell, State: state})
 }
 
 func (r *runner) volumes() []client.Volume {
 	var all []client.Volume
 	for _, g := range r.d.Volumes {
-		plan := slices.IndexFunc(r.d.Plan, func(p *wpb.Plan) bool { return p.Name == g.Plan })
+		plan := slices.IndexFunc(r.d.Plan, func(p *pb.Plan) bool { return p.Name == g.Plan })
 		if plan < 0 {
 			continue
 		}
@@ -434,8 +434,8 @@
 	return errors.Join(errs...)
 }
 
-func (r *runner) config(p *hostProcess) *wpb.Edge {
-	e := &wpb.Edge{Name: fmt.Sprintf("host-%d", p.no), Listen: p.address, ListService: r.list.Address(), PeerListen: p.peers,
+func (r *runner) config(p *hostProcess) *pb.Edge {
+	e := &pb.Edge{Name: fmt.Sprintf("host-%d", p.no), Listen: p.address, ListService: r.list.Address(), PeerListen: p.peers,
 		Ordinal: uint32(p.no), Hosts: r.d.Hosts, Zone: r.slots[0].zone, Seed: r.o.Seed*1000 + int64(p.no)*16 + int64(p.incarnation.Load()) + 1,
 		Fleet: r.d.Fleet, QueueType: r.d.QueueType, Plan: r.d.Plan, Bounds: r.d.Bounds}
 	e.Store, e.Network = r.storeOf(p), []string{"127.0.0.0/8"}
@@ -443,27 +443,27 @@
 		e.ListService = ""
 	}
 	if o := r.d.Objects; o != nil {
-		e.Objects = &wpb.ObjectApi{Listen: p.objects, Index: filepath.Join(r.dir, fmt.Sprintf("objects-%d.db", p.no)), ReadType: o.ReadType, WriteType: o.WriteType,
+		e.Objects = &pb.ObjectApi{Listen: p.objects, Index: filepath.Join(r.dir, fmt.Sprintf("objects-%d.db", p.no)), ReadType: o.ReadType, WriteType: o.WriteType,
 			Extent: o.Extent, Unit: o.Unit, LooseAge: "2s"}
 	}
 	if r.d.Planner {
-		e.Planner = &wpb.Planner{Address: []string{r.plan.address}, Plain: true}
+		e.Planner = &pb.Planner{Address: []string{r.plan.address}, Plain: true}
 	}
 	for _, x := range r.hosts {
 		if x != p {
-			e.Peer = append(e.Peer, &wpb.Peer{Ordinal: uint32(x.no), Address: x.peers})
+			e.Peer = append(e.Peer, &pb.Peer{Ordinal: uint32(x.no), Address: x.peers})
 		}
 	}
 	if r.o.Capture != "" {
-		e.Capture = &wpb.Capture{Folder: r.o.Capture, Key: filepath.Join(r.dir, "key"), On: true}
+		e.Capture = &pb.Capture{Folder: r.o.Capture, Key: filepath.Join(r.dir, "key"), On: true}
 	}
 	if r.o.State > 0 {
-		e.Log = &wpb.Log{Form: "json", State: r.o.State.String()}
+		e.Log = &pb.Log{Form: "json", State: r.o.State.String()}
 	}
 	n := 0
 	for _, g := range r.d.Volumes {
 		for range g.Count {
-			e.Volume = append(e.Volume, &wpb.Volume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.d.Hosts)})
+			e.Volume = append(e.Volume, &pb.Volume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.d.Hosts)})
 			n++
 		}
 	}
@@ -516,7 +516,7 @@
 		if strings.HasSuffix(p.address, ":0") { // from then on it keeps the port, and clients read it
 			p.address = strings.Fields(a)[0]
 		}
-		r.rec.See(&wpb.Seen{What: wpb.Seen_HOST_UP, Host: uint32(p.no), Incarnation: p.incarnation.Load()})
+		r.rec.See(&pb.Seen{What: pb.Seen_HOST_UP, Host: uint32(p.no), Incarnation: p.incarnation.Load()})
 		return nil
 	case <-p.exited:
 		return fmt.Errorf("host %d ended at its start: %v\n%s", p.no, p.err, tail.last())
@@ -537,7 +537,7 @@
 		return
 	}
 	p.killed = true
-	r.rec.See(&wpb.Seen{What: wpb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "killed"})
+	r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "killed"})
 	p.cmd.Process.Kill()
 	<-p.exited
 }
@@ -550,7 +550,7 @@
 		return
 	}
 	p.killed = true
-	r.rec.See(&wpb.Seen{What: wpb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "stopping"})
+	r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "stopping"})
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	longest := 5 * time.Second
 	for _, q := range r.d.QueueType {
@@ -609,29 +609,29 @@
 
 // Describe is a drill's fleet as an operator would describe it: names, places, queues, where volumes lie. How its bricks work is
 // left to be learnt.
-func Describe(d *wpb.Drill, seed int64) *wpb.CapacityFleet {
-	f := &wpb.CapacityFleet{Rules: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Bounds: d.Bounds}
+func Describe(d *pb.Drill, seed int64) *pb.CapacityFleet {
+	f := &pb.CapacityFleet{Rules: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Bounds: d.Bounds}
 	for _, k := range d.Kind {
-		f.Kind = append(f.Kind, &wpb.ServerKind{Name: k.Name, Cores: 1, Queue: k.Queue, DropsExpired: k.DropsExpired, Cancel: wpb.BrickCancel(k.Cancel)})
+		f.Kind = append(f.Kind, &pb.ServerKind{Name: k.Name, Cores: 1, Queue: k.Queue, DropsExpired: k.DropsExpired, Cancel: pb.BrickCancel(k.Cancel)})
 	}
 	for _, g := range d.Bricks {
 		for range g.Count {
 			n := len(f.Brick)
-			f.Brick = append(f.Brick, &wpb.Server{Name: fmt.Sprintf("brick-%d", n+1), Kind: g.Kind, Zone: g.Zone, Cell: uint32(n)})
+			f.Brick = append(f.Brick, &pb.Server{Name: fmt.Sprintf("brick-%d", n+1), Kind: g.Kind, Zone: g.Zone, Cell: uint32(n)})
 		}
 	}
 	for i := range d.Hosts {
-		f.Host = append(f.Host, &wpb.HostLine{Name: fmt.Sprintf("host-%d", i), Zone: d.Bricks[0].Zone})
+		f.Host = append(f.Host, &pb.HostLine{Name: fmt.Sprintf("host-%d", i), Zone: d.Bricks[0].Zone})
 	}
 	l := d.Load
-	f.Client = &wpb.CapacityModel_ClientModel{Repeats: float64(min(l.Repeats, 1)), Most: l.Repeats, Wait: settings.Duration(l.RepeatAfter, 0).Seconds(), Stays: true}
+	f.Client = &pb.CapacityModel_ClientModel{Repeats: float64(min(l.Repeats, 1)), Most: l.Repeats, Wait: settings.Duration(l.RepeatAfter, 0).Seconds(), Stays: true}
 	// The draws before the volumes' own: the list service's and one for each brick.
 	r := &runner{d: d, rng: rand.New(rand.NewSource(seed)), hosts: make([]*hostProcess, d.Hosts), slots: make([]slot, len(f.Brick))}
 	for range 1 + len(f.Brick) {
 		r.rng.Int63()
 	}
 	for _, v := range r.volumes() {
-		x := &wpb.PlacedVolume{Name: v.Name, Plan: d.Plan[v.Plan].Name, Hosts: uint32(len(v.Hosts))}
+		x := &pb.PlacedVolume{Name: v.Name, Plan: d.Plan[v.Plan].Name, Hosts: uint32(len(v.Hosts))}
 		for _, c := range v.Cells {
 			x.Cell = append(x.Cell, uint32(c))
 		}
@@ -641,13 +641,13 @@
 }
 
 // Stretch makes a drill that is so long, its troubles played again and again.
-func Stretch(d *wpb.Drill, length time.Duration) *wpb.Drill {
-	long := proto.Clone(d).(*wpb.Drill)
+func Stretch(d *pb.Drill, length time.Duration) *pb.Drill {
+	long := proto.Clone(d).(*pb.Drill)
 	long.Length, long.Trouble = length.String(), nil
 	once := settings.Duration(d.Length, length)
 	for at := time.Duration(0); at < length; at += once {
 		for _, t := range d.Trouble {
-			t = proto.Clone(t).(*wpb.Trouble)
+			t = proto.Clone(t).(*pb.Trouble)
 			t.At = (at + settings.Duration(t.At, 0)).String()
 			long.Trouble = append(long.Trouble, t)
 		}
--- a/internal/drill/drill_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"time"
 
 	"weirhaven/internal/audit"
-	"weirhaven/internal/edge"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/plan/serve"
+	"weirhaven/internal/controlplane/server"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/gateway"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
-	"weirhaven/internal/wpb"
 	"weirhaven/policy"
 )
 
@@ -22,8 +22,8 @@
 // host breaks on purpose.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "planner" { // never the tests again, whatever stands behind it
-		c := serve.Command{Config: os.Args[len(os.Args)-1], Bound: true}
-		if err := c.Execute(edge.Logger); err != nil {
+		c := server.Command{Config: os.Args[len(os.Args)-1], Bound: true}
+		if err := c.Execute(gateway.Logger); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -31,10 +31,10 @@
 	}
 	if len(os.Args) > 1 && os.Args[1] == "edge" {
 		wrong, _ := strconv.Atoi(os.Getenv("WRONG"))
-		c := edge.Command{Config: os.Args[len(os.Args)-1], Bound: true}
-		start := edge.Start
+		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
+		start := gateway.Start
 		if wrong > 0 {
-			start = func(h policy.Host, s policy.Settings) hostloop.Decider { return newWrong(wrong, h, s) }
+			start = func(h policy.Host, s policy.Settings) engine.Decider { return newWrong(wrong, h, s) }
 		}
 		if err := c.Execute(start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -109,13 +109,13 @@
 }
 
 // short is the bad day cut down to a few seconds with the troubles given.
-func short(t testing.TB, length string, troubles string) *wpb.Drill {
+func short(t testing.TB, length string, troubles string) *pb.Drill {
 	t.Helper()
 	d, err := Load("bad-day")
 	if err != nil {
 		t.Fatal(err)
 	}
-	extra := &wpb.Drill{}
+	extra := &pb.Drill{}
 	if err := settings.Parse("troubles", []byte(troubles), extra); err != nil && extra.Trouble == nil && troubles != "" {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 	return d
 }
 
-func play(t *testing.T, d *wpb.Drill, o Options) *Result {
+func play(t *testing.T, d *pb.Drill, o Options) *Result {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
@@ -195,14 +195,14 @@
 
 // The list service goes and comes, tells half a list, an empty one, an old one, while a brick drains: service goes on and all rules hold.
 // Hosts that hear of bricks from the planner alone, while it is killed again and again and comes back with an old disk, with none, and
-// stalls: all rules kept, and served as if it had been left in peace. The whole day is weirctl drill run planner-killed --calm.
+// stalls: all rules kept, and served as if it had been left in peace. The whole day is weirhavenctl drill run planner-killed --calm.
 func TestPlannerKilled(t *testing.T) {
 	t.Parallel()
 	d, err := Load("planner-killed")
 	if err != nil {
 		t.Fatal(err)
 	}
-	extra := &wpb.Drill{}
+	extra := &pb.Drill{}
 	settings.Parse("troubles", []byte(`
 		trouble { kind: PLANNER_KILL at: "300ms" length: "4s" extra: 1.2 back: "100ms" }
 		trouble { kind: PREEMPT at: "1500ms" length: "600ms" on: 1 back: "300ms" }
@@ -224,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	extra := &wpb.Drill{}
+	extra := &pb.Drill{}
 	settings.Parse("troubles", []byte(`
 		trouble { kind: ANSWER_LOST at: "500ms" length: "1s" size: 0.1 part: 0.4 }
 		trouble { kind: HOST_CRASH at: "1s" on: 1 back: "300ms" }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -19,7 +19,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Fault is one thing wrong with a settings file.
@@ -113,9 +113,9 @@
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		fd := fields.Get(i)
-		rule, _ := proto.GetExtension(fd.Options(), wpb.E_Allowed).(*wpb.Allowed)
+		rule, _ := proto.GetExtension(fd.Options(), pb.E_Allowed).(*pb.Allowed)
 		if rule == nil {
-			rule = &wpb.Allowed{}
+			rule = &pb.Allowed{}
 		}
 		name := path + string(fd.Name())
 		var own []*ast.Node
@@ -171,7 +171,7 @@
 	return line, nil
 }
 
-func (c *checker) value(v protoreflect.Value, fd protoreflect.FieldDescriptor, rule *wpb.Allowed, name string,
+func (c *checker) value(v protoreflect.Value, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string,
 	below []*ast.Node, line int) {
 	c.lines[name] = line
 	switch fd.Kind() {
@@ -200,7 +200,7 @@
 	return x
 }
 
-func (c *checker) text(s string, rule *wpb.Allowed, name string, line int) {
+func (c *checker) text(s string, rule *pb.Allowed, name string, line int) {
 	switch {
 	case rule.Duration:
 		d, err := time.ParseDuration(s)
@@ -233,7 +233,7 @@
 	}
 }
 
-func bounds(rule *wpb.Allowed) string {
+func bounds(rule *pb.Allowed) string {
 	switch {
 	case rule.Min != "" && rule.Max != "":
 		return fmt.Sprintf("; allowed: %s to %s", rule.Min, rule.Max)
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -13,13 +13,13 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	"weirhaven/internal/fleet/decide"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
 	"weirhaven/policy"
 )
 
 // LoadEdge reads and checks a host's settings.
-func LoadEdge(file string) (*wpb.Edge, error) {
+func LoadEdge(file string) (*pb.Edge, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
@@ -28,8 +28,8 @@
 }
 
 // ParseEdge is LoadEdge on a text.
-func ParseEdge(file string, text []byte) (*wpb.Edge, error) {
-	e := &wpb.Edge{}
+func ParseEdge(file string, text []byte) (*pb.Edge, error) {
+	e := &pb.Edge{}
 	c, err := parse(file, text, e)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // edge checks what no single field tells.
-func (c *checker) edge(e *wpb.Edge) {
+func (c *checker) edge(e *pb.Edge) {
 	plans := map[string]bool{}
 	for i, p := range e.Plan {
 		plans[p.Name] = true
@@ -72,7 +72,7 @@
 	}
 	if o := e.Objects; o != nil {
 		for field, name := range map[string]string{"objects.read_type": o.ReadType, "objects.write_type": o.WriteType} {
-			i := slices.IndexFunc(e.QueueType, func(q *wpb.QueueType) bool { return q.Name == name })
+			i := slices.IndexFunc(e.QueueType, func(q *pb.QueueType) bool { return q.Name == name })
 			if i < 0 {
 				c.across(field, strconv.Quote(name), "no queue type of that name")
 			} else if e.QueueType[i].Writes != (field == "objects.write_type") {
@@ -100,7 +100,7 @@
 		if timeout <= 4*resolution {
 			c.across(field+"command_timeout", q.CommandTimeout, "allowed: more than four times the resolution %s", f.Resolution)
 		}
-		if q.Semantics == wpb.Semantics_TAGGED && Duration(q.TagWindow, 0) <= 0 {
+		if q.Semantics == pb.Semantics_TAGGED && Duration(q.TagWindow, 0) <= 0 {
 			c.across(field+"tag_window", "", "missing; a tagged queue type needs one")
 		}
 	}
@@ -128,13 +128,13 @@
 
 var marshal = prototext.MarshalOptions{Multiline: true}
 
-var semantics = map[wpb.Semantics]policy.Semantics{wpb.Semantics_RETRYABLE: policy.Retryable,
-	wpb.Semantics_TAGGED: policy.Tagged, wpb.Semantics_NON_RETRYABLE: policy.NonRetryable}
+var semantics = map[pb.Semantics]policy.Semantics{pb.Semantics_RETRYABLE: policy.Retryable,
+	pb.Semantics_TAGGED: policy.Tagged, pb.Semantics_NON_RETRYABLE: policy.NonRetryable}
 
-var groups = map[wpb.Group]string{wpb.Group_ALL: "all", wpb.Group_ZONE: "zone", wpb.Group_CELL: "cell"}
+var groups = map[pb.Group]string{pb.Group_ALL: "all", pb.Group_ZONE: "zone", pb.Group_CELL: "cell"}
 
 // Policy hands checked settings over to the module; seed is used where they name none.
-func Policy(e *wpb.Edge, seed int64) policy.Settings {
+func Policy(e *pb.Edge, seed int64) policy.Settings {
 	f := e.Fleet
 	if e.Seed != 0 {
 		seed = e.Seed
@@ -168,8 +168,8 @@
 }
 
 // Beliefs are the rules by which a host believes lines about bricks.
-func Beliefs(e *wpb.Edge) (decide.Rules, error) {
-	r := decide.Rules{Fresh: Duration(e.ListFresh, 5*time.Minute), Dead: Duration(e.ListDead, 90*24*time.Hour), Blur: 500 * time.Millisecond,
+func Beliefs(e *pb.Edge) (endpointstate.Rules, error) {
+	r := endpointstate.Rules{Fresh: Duration(e.ListFresh, 5*time.Minute), Dead: Duration(e.ListDead, 90*24*time.Hour), Blur: 500 * time.Millisecond,
 		Recent: 5 * time.Second}
 	if len(e.Network) == 0 {
 		return r, nil
@@ -194,9 +194,9 @@
 }
 
 // Bounds fills in what is absent.
-func Bounds(b *wpb.Bounds) Limits {
+func Bounds(b *pb.Bounds) Limits {
 	if b == nil {
-		b = &wpb.Bounds{}
+		b = &pb.Bounds{}
 	}
 	or := func(n uint32, none int) int {
 		if n > 0 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 const good = `name: "host-0"
@@ -96,7 +96,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	if err := Load(filepath.Join(t.TempDir(), "none"), &wpb.Edge{}); err == nil {
+	if err := Load(filepath.Join(t.TempDir(), "none"), &pb.Edge{}); err == nil {
 		t.Error("a file that is not there was read")
 	}
 	file := filepath.Join(t.TempDir(), "e.txtpb")
--- a/internal/benchwire/host.go
+++ b/internal/simulatorwire/host.go
@@ -1,4 +1,4 @@
-package benchwire
+package simulatorwire
 
 import (
 	"encoding/base64"
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"weirhaven/internal/platform/conf"
+	"weirhaven/internal/httpgateway/config"
 	"weirhaven/policy"
 )
 
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := conf.Settings(e.Get("profile_data"), seed)
+	s, err := config.Settings(e.Get("profile_data"), seed)
 	if err != nil {
 		return fmt.Errorf("profile_data: %w", err)
 	}
--- a/internal/benchwire/benchwire.go
+++ b/internal/simulatorwire/simulatorwire.go
@@ -1,5 +1,5 @@
-// Package benchwire turns the bench's wire into calls of the module and the module's calls into its wire.
-package benchwire
+// Package simulatorwire turns the bench's wire into calls of the module and the module's calls into its wire.
+package simulatorwire
 
 import (
 	"bufio"
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/simulatorwire/simulatorwire_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simulatorwire
 
 import (
 	"bytes"
--- a/internal/soak/trouble.go
+++ b/internal/soak/fault.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"weirhaven/internal/standin/agent"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/standin/proxy"
+	"weirhaven/internal/fake/agent"
+	"weirhaven/internal/fake/proxy"
+	"weirhaven/internal/fake/storagenode"
 )
 
 // trouble is one entry of the menu: it plays until ctx ends, and puts things right again.
@@ -352,40 +352,40 @@
 }
 
 // during sets conditions of some servers until ctx ends.
-func (r *run) during(ctx context.Context, rng *rand.Rand, part int, set func(*brick.Conditions)) {
+func (r *run) during(ctx context.Context, rng *rand.Rand, part int, set func(*storagenode.Conditions)) {
 	chosen := some(rng, r.inService(), part)
 	for _, s := range chosen {
 		s.brick.Set(set)
 	}
 	<-ctx.Done()
 	for _, s := range chosen {
-		s.brick.Set(func(c *brick.Conditions) { *c = brick.Conditions{} })
+		s.brick.Set(func(c *storagenode.Conditions) { *c = storagenode.Conditions{} })
 	}
 }
 
 func hangServers(ctx context.Context, r *run, rng *rand.Rand) {
-	r.during(ctx, rng, 2, func(c *brick.Conditions) { c.Pause, c.PauseEvery = time.Hour, 2*time.Hour })
+	r.during(ctx, rng, 2, func(c *storagenode.Conditions) { c.Pause, c.PauseEvery = time.Hour, 2*time.Hour })
 }
 
 func failServer(ctx context.Context, r *run, rng *rand.Rand) {
-	r.during(ctx, rng, 4, func(c *brick.Conditions) { c.Errors = 0.7 })
+	r.during(ctx, rng, 4, func(c *storagenode.Conditions) { c.Errors = 0.7 })
 }
 
 func loseAnswers(ctx context.Context, r *run, rng *rand.Rand) {
 	reset := rng.Intn(2) == 0
-	r.during(ctx, rng, 2, func(c *brick.Conditions) { c.Lost, c.Reset = 0.2, reset })
+	r.during(ctx, rng, 2, func(c *storagenode.Conditions) { c.Lost, c.Reset = 0.2, reset })
 }
 
 func copyAnswers(ctx context.Context, r *run, rng *rand.Rand) {
-	r.during(ctx, rng, 1, func(c *brick.Conditions) { c.Copies = 0.2 })
+	r.during(ctx, rng, 1, func(c *storagenode.Conditions) { c.Copies = 0.2 })
 }
 
 func endlessAnswers(ctx context.Context, r *run, rng *rand.Rand) {
-	r.during(ctx, rng, 2, func(c *brick.Conditions) { c.Endless = 0.2 })
+	r.during(ctx, rng, 2, func(c *storagenode.Conditions) { c.Endless = 0.2 })
 }
 
 func closeIdle(ctx context.Context, r *run, rng *rand.Rand) {
-	r.during(ctx, rng, 1, func(c *brick.Conditions) { c.CloseIdle = true })
+	r.during(ctx, rng, 1, func(c *storagenode.Conditions) { c.CloseIdle = true })
 }
 
 func (r *run) proxies(ctx context.Context, rng *rand.Rand, part int, t proxy.Trouble) {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"weirhaven/internal/audit"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
-	"weirhaven/internal/wpb"
 )
 
 const (
@@ -21,7 +21,7 @@
 // judge judges the whole record, and the processes' own checks.
 func (r *run) judge() *Report {
 	seen, rules := r.rec.All(), header(r.options.Seed, len(r.processes))
-	if err := record.Write(r.folder, rules, seen); err != nil { // weirctl audit judges it again
+	if err := record.Write(r.folder, rules, seen); err != nil { // weirhavenctl audit judges it again
 		r.violated(Violation{Rule: "soak", Detail: err.Error()})
 	}
 	verdict := audit.Judge(rules, seen)
@@ -43,13 +43,13 @@
 }
 
 // judgeTimes checks each attempt against the time that its client had left, and against the moment at which it left.
-func (r *run) judgeTimes(seen []*wpb.Seen) {
-	asked := map[uint64]*wpb.Seen{}
+func (r *run) judgeTimes(seen []*pb.Seen) {
+	asked := map[uint64]*pb.Seen{}
 	for _, s := range seen {
 		switch s.What {
-		case wpb.Seen_ASKED:
+		case pb.Seen_ASKED:
 			asked[s.Command] = s
-		case wpb.Seen_REACHED:
+		case pb.Seen_REACHED:
 			if q := asked[s.Command]; q != nil {
 				r.judgeAttempt(q, s)
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-func (r *run) judgeAttempt(asked, reached *wpb.Seen) {
+func (r *run) judgeAttempt(asked, reached *pb.Seen) {
 	at := time.Duration(reached.At)
 	left := time.Duration(asked.At+asked.Timeout) - at
 	p := r.processes[asked.Host]
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
+	"weirhaven/internal/fake/storagenode"
 	"weirhaven/internal/http1"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // usualRate is the mean number of requests a second that each process sees.
@@ -206,7 +206,7 @@
 		io.WriteString(c.nc, text[:last])
 		time.Sleep(30 * time.Millisecond)
 	}
-	seen := &wpb.Seen{What: wpb.Seen_ASKED, Host: uint32(q.process), Incarnation: c.incarnation, Command: q.number, First: q.number,
+	seen := &pb.Seen{What: pb.Seen_ASKED, Host: uint32(q.process), Incarnation: c.incarnation, Command: q.number, First: q.number,
 		Volume: q.volume, Plan: uint32(q.plan), QueueType: uint32(q.class), Units: float64(q.units), Cell: int32(q.cell), Timeout: int64(requestTime)}
 	l.r.rec.See(seen)
 	if _, err := io.WriteString(c.nc, text[last:]); err != nil {
@@ -237,7 +237,7 @@
 // hear waits for the answer, and half a second beyond the request's time.
 func (l *load) hear(q request, c *connection) {
 	late := time.AfterFunc(requestTime, func() {
-		l.r.rec.See(&wpb.Seen{What: wpb.Seen_GIVEN_UP, Host: uint32(q.process), Command: q.number})
+		l.r.rec.See(&pb.Seen{What: pb.Seen_GIVEN_UP, Host: uint32(q.process), Command: q.number})
 	})
 	defer late.Stop()
 	c.nc.SetReadDeadline(time.Now().Add(requestTime + answerSlack + 2*blur))
@@ -277,8 +277,8 @@
 	if how == "" {
 		how = lineproto.Abort
 	}
-	l.r.rec.See(&wpb.Seen{What: wpb.Seen_ANSWERED, Host: uint32(q.process), Command: q.number, How: how})
-	if h.Status == 200 && string(body) != brick.AnswerTo(q.number) {
+	l.r.rec.See(&pb.Seen{What: pb.Seen_ANSWERED, Host: uint32(q.process), Command: q.number, How: how})
+	if h.Status == 200 && string(body) != storagenode.AnswerTo(q.number) {
 		l.r.violated(Violation{Rule: "another request's answer", Request: q.number, Process: l.r.processes[q.process].name(), At: l.r.rec.Now(),
 			Detail: fmt.Sprintf("got %.40q", body), Log: l.r.processes[q.process].file(".log")})
 	}
@@ -294,7 +294,7 @@
 	case c.used, l.habits.crowding.Load():
 		how = "client" // it crossed the end between two requests, or met a full process: to be sent once more
 	}
-	l.r.rec.See(&wpb.Seen{What: wpb.Seen_UNANSWERED, Host: uint32(q.process), Command: q.number, How: how})
+	l.r.rec.See(&pb.Seen{What: pb.Seen_UNANSWERED, Host: uint32(q.process), Command: q.number, How: how})
 }
 
 // idle holds connections to a process that say nothing, or half of a request, until ctx ends.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"weirhaven/internal/standin/agent"
-	"weirhaven/internal/standin/loopback"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/fake/agent"
+	"weirhaven/internal/fake/loopback"
+	"weirhaven/internal/pb"
 )
 
 // process is one gateway process and its agent.
@@ -195,7 +195,7 @@
 	for _, s := range known.Members {
 		p.r.seeListed(p, s)
 	}
-	p.r.rec.See(&wpb.Seen{What: wpb.Seen_HOST_UP, Host: uint32(p.number), Incarnation: p.incarnation.Load()})
+	p.r.rec.See(&pb.Seen{What: pb.Seen_HOST_UP, Host: uint32(p.number), Incarnation: p.incarnation.Load()})
 	p.serving.Store(true)
 	return nil
 }
@@ -283,7 +283,7 @@
 		return false
 	}
 	p.ended = true
-	p.r.rec.See(&wpb.Seen{What: wpb.Seen_HOST_DOWN, Host: uint32(p.number), Incarnation: p.incarnation.Load(), How: how})
+	p.r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.number), Incarnation: p.incarnation.Load(), How: how})
 	return true
 }
 
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"weirhaven/internal/standin/agent"
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/fake/agent"
+	"weirhaven/internal/pb"
 )
 
 // The fleet of a run.
@@ -30,23 +30,23 @@
 	killGrace    = 700 * time.Millisecond
 )
 
-var serverKind = &wpb.BrickKind{Name: "usual", UnitWork: unitWork.String(), Vary: 0.3, Queue: 200, ColdFrom: coldFrom, ColdFor: coldFor.String(),
-	Cancel: wpb.BrickKind_DROPS_WAITING, DropsExpired: true}
+var serverKind = &pb.BrickKind{Name: "usual", UnitWork: unitWork.String(), Vary: 0.3, Queue: 200, ColdFrom: coldFrom, ColdFor: coldFor.String(),
+	Cancel: pb.BrickKind_DROPS_WAITING, DropsExpired: true}
 
 // class is one class of requests.
 type class struct {
 	name      string
 	method    string
 	semantics string
-	judged    wpb.Semantics
+	judged    pb.Semantics
 	tagged    bool
 	share     float64
 }
 
 var classes = []class{
-	{name: "read", method: "GET", semantics: "repeatable", judged: wpb.Semantics_RETRYABLE, share: 0.6},
-	{name: "write", method: "PUT", semantics: "once", judged: wpb.Semantics_NON_RETRYABLE, share: 0.25},
-	{name: "append", method: "PUT", semantics: "by_key", judged: wpb.Semantics_TAGGED, tagged: true, share: 0.15},
+	{name: "read", method: "GET", semantics: "repeatable", judged: pb.Semantics_RETRYABLE, share: 0.6},
+	{name: "write", method: "PUT", semantics: "once", judged: pb.Semantics_NON_RETRYABLE, share: 0.25},
+	{name: "append", method: "PUT", semantics: "by_key", judged: pb.Semantics_TAGGED, tagged: true, share: 0.15},
 }
 
 func writes() map[string]bool {
@@ -59,18 +59,18 @@
 
 const limitedPlan = 1
 
-var plans = []*wpb.Plan{
+var plans = []*pb.Plan{
 	{Name: "open", Nominal: 20, Reservation: 4, Weight: 1, Importance: 1},
 	{Name: "limited", Nominal: 10, Limit: 12, Depth: 36, Slack: 12, Weight: 1, Importance: 1},
 }
 
 // header is what the audit judges by.
-func header(seed int64, processes int) *wpb.Header {
-	h := &wpb.Header{Seed: seed, Drill: "soak", Hosts: uint32(processes), Plan: plans, Blur: int64(blur),
-		Fleet: &wpb.Fleet{Cancel: true, MaxDispatches: maxAttempts, AnswerSlack: answerSlack.String(), Resolution: "2ms", DrainGrace: drainGrace.String(),
+func header(seed int64, processes int) *pb.Header {
+	h := &pb.Header{Seed: seed, Drill: "soak", Hosts: uint32(processes), Plan: plans, Blur: int64(blur),
+		Fleet: &pb.Fleet{Cancel: true, MaxDispatches: maxAttempts, AnswerSlack: answerSlack.String(), Resolution: "2ms", DrainGrace: drainGrace.String(),
 			ColdFrom: coldFrom, ColdFor: coldFor.String(), ColdUnits: coldUnits, FallMultiple: fallMultiple, FallAfter: fallAfter.String(), UsualUnits: usualUnits, MostUnits: 8}}
 	for _, c := range classes {
-		h.QueueType = append(h.QueueType, &wpb.QueueType{Name: c.name, ServiceTarget: "400ms", CommandTimeout: requestTime.String(), TagWindow: tagWindow.String(),
+		h.QueueType = append(h.QueueType, &pb.QueueType{Name: c.name, ServiceTarget: "400ms", CommandTimeout: requestTime.String(), TagWindow: tagWindow.String(),
 			Importance: 1, Semantics: c.judged, Writes: c.method == "PUT"})
 	}
 	return h
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
+	"weirhaven/internal/fake/agent"
+	"weirhaven/internal/fake/proxy"
+	"weirhaven/internal/fake/storagenode"
+	"weirhaven/internal/pb"
 	"weirhaven/internal/record"
-	"weirhaven/internal/standin/agent"
-	"weirhaven/internal/standin/brick"
-	"weirhaven/internal/standin/proxy"
-	"weirhaven/internal/wpb"
 )
 
 // Options are what a run is made of.
@@ -77,7 +77,7 @@
 // server is one stand-in server behind its proxy.
 type server struct {
 	cell    int
-	brick   *brick.Brick
+	brick   *storagenode.Brick
 	proxy   *proxy.Proxy
 	entry   agent.Server
 	retired bool // it drains, or has gone
@@ -185,7 +185,7 @@
 	id := fmt.Sprintf("s-%d", r.serial)
 	seed := r.options.Seed*1000 + int64(r.serial)
 	r.mu.Unlock()
-	b, err := brick.Start(brick.Config{Name: id, Zone: "a", Address: "127.0.0.1:0", Cell: cell, Kind: serverKind, Speed: 1, Seed: seed, Cold: cold,
+	b, err := storagenode.Start(storagenode.Config{Name: id, Zone: "a", Address: "127.0.0.1:0", Cell: cell, Kind: serverKind, Speed: 1, Seed: seed, Cold: cold,
 		FallMultiple: fallMultiple, FallAfter: fallAfter, TagWindow: tagWindow, Writes: writes(), Record: r.rec, Elsewhere: true, AttemptOf: r.attempt})
 	if err != nil {
 		return nil, err
@@ -228,5 +228,5 @@
 	if s.UpSince > 0 {
 		age = int64(time.Since(time.UnixMilli(s.UpSince)))
 	}
-	r.rec.See(&wpb.Seen{What: wpb.Seen_LISTED, Host: uint32(p.number), Incarnation: p.incarnation.Load(), Brick: s.ID, How: how, Started: age, Cell: int32(s.Cell)})
+	r.rec.See(&pb.Seen{What: pb.Seen_LISTED, Host: uint32(p.number), Incarnation: p.incarnation.Load(), Brick: s.ID, How: how, Started: age, Cell: int32(s.Cell)})
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/edge"
-	"weirhaven/internal/hostloop"
-	"weirhaven/internal/platform"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/gateway"
+	"weirhaven/internal/httpgateway"
 	"weirhaven/policy"
 )
 
@@ -26,11 +26,11 @@
 		os.Exit(m.Run())
 	}
 	fault := faults[os.Getenv(faultVariable)]
-	start := edge.Start
+	start := gateway.Start
 	if fault.decider != nil {
 		start = fault.decider
 	}
-	c := platform.Command{Config: os.Getenv("EDGE_CONFIG"), State: time.Second, Debug: os.Getenv("EDGE_DEBUG") != "", Customize: func(h *platform.Host) {
+	c := httpgateway.Command{Config: os.Getenv("EDGE_CONFIG"), State: time.Second, Debug: os.Getenv("EDGE_DEBUG") != "", Customize: func(h *httpgateway.Host) {
 		if fault.toServer != nil {
 			h.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 				nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
@@ -64,7 +64,7 @@
 	rate     float64
 	toServer func(nc net.Conn, address string) net.Conn
 	toClient func(nc net.Conn) net.Conn
-	decider  func(policy.Host, policy.Settings) hostloop.Decider
+	decider  func(policy.Host, policy.Settings) engine.Decider
 	process  func()
 }
 
@@ -78,11 +78,11 @@
 	"sent twice at once": {wanted: "no effect twice", menu: []string{"server-hangs"},
 		toServer: func(nc net.Conn, address string) net.Conn { return &doubling{nc, address} }},
 	"drains ignored": {wanted: "drains kept", menu: []string{"drain"},
-		decider: func(h policy.Host, s policy.Settings) hostloop.Decider { return &deafToDrains{policy.New(h, s)} }},
+		decider: func(h policy.Host, s policy.Settings) engine.Decider { return &deafToDrains{policy.New(h, s)} }},
 	"cold servers flooded": {wanted: "no cold brick pushed over", menu: []string{"drain"}, rate: 100,
 		toServer: func(nc net.Conn, address string) net.Conn { return &flooding{nc, address} }},
 	"limits not shared": {wanted: "limits", menu: []string{"clients-slow"},
-		decider: func(h policy.Host, s policy.Settings) hostloop.Decider { return &alone{policy.New(h, s)} }},
+		decider: func(h policy.Host, s policy.Settings) engine.Decider { return &alone{policy.New(h, s)} }},
 	"ends by itself": {wanted: "ended by itself", menu: []string{"clients-slow"},
 		process: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
 }
--- a/internal/keys/keys.go
+++ b/internal/tlskeys/tlskeys.go
@@ -1,6 +1,6 @@
-// Package keys is TLS between the programs: both sides show a certificate, names are checked, files are read again when they change, and
+// Package tlskeys is TLS between the programs: both sides show a certificate, names are checked, files are read again when they change, and
 // what is refused is refused with its reason. It also makes keys for tests and first installations.
-package keys
+package tlskeys
 
 import (
 	"crypto/ecdsa"
@@ -22,12 +22,12 @@
 	"sync"
 	"time"
 
-	"weirhaven/internal/wpb"
+	"weirhaven/internal/pb"
 )
 
 // Files are keys on disk, read again when one of them changes. What can't be read leaves the ones before in use.
 type Files struct {
-	conf *wpb.Keys
+	conf *pb.Keys
 	log  *slog.Logger
 	now  func() time.Time
 
@@ -39,7 +39,7 @@
 }
 
 // Load reads them.
-func Load(conf *wpb.Keys, log *slog.Logger) (*Files, error) {
+func Load(conf *pb.Keys, log *slog.Logger) (*Files, error) {
 	f := &Files{conf: conf, log: log, now: time.Now}
 	f.mu.Lock()
 	defer f.mu.Unlock()
