--- /dev/null
+++ b/internal/fleet/store/stored_data_test.go
@@ -0,0 +1,98 @@
+package store
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"weirhaven/internal/fleet/decide"
+	"weirhaven/internal/fleet/member"
+)
+
+// storedBeliefs are the lines of the sample, in the order of their names.
+func storedBeliefs() []decide.Belief {
+	const moment = 1_790_000_000 * time.Second
+	return []decide.Belief{
+		{From: decide.List, Line: decide.Line{Name: "brick-1", Address: "127.0.0.1:7101", Zone: "north", Cell: 3, Serving: true,
+			Started: moment - 48*time.Hour, At: moment}},
+		{From: decide.Own, Drained: moment - time.Hour, Since: moment - 90*time.Second, Why: "draining, told by itself",
+			Line: decide.Line{Name: "brick-2", Address: "127.0.0.1:7102", Zone: "south", Cell: 4, Started: moment - time.Hour, At: moment - time.Second}},
+		{From: decide.Peer, Drained: -1, Since: moment - 2*time.Minute, Why: "gone, told by peer",
+			Line: decide.Line{Name: "brick-3", Address: "[::1]:7103", Cell: -1, Gone: true, At: moment - 2*time.Minute}},
+		{From: decide.Saved, Line: decide.Line{Name: "brick-4", Address: "127.0.0.1:7104", Zone: "north", Serving: true, At: 1}},
+		{From: decide.Settings, Line: decide.Line{Name: "brick-5", Address: "127.0.0.1:7105", Cell: 1_000_000, Serving: true}},
+	}
+}
+
+func storedGeneration() decide.Generation {
+	return decide.Generation{Epoch: "list-service-life-9", Number: 4711}
+}
+
+// storedHosts are the members of the sample, one in each state.
+func storedHosts() []member.Member {
+	return []member.Member{
+		{Name: "edge-a", Ordinal: 0, Address: "127.0.0.1:7201", Planned: 4, Incarnation: 1_790_000_000_000_000_001, State: member.Alive},
+		{Name: "edge-b", Ordinal: 1, Address: "127.0.0.1:7202", Planned: 4, Incarnation: 2, State: member.Suspect},
+		{Name: "edge-c", Ordinal: 2, Address: "127.0.0.1:7203", Planned: 3, Incarnation: 3, State: member.Removed},
+		{Name: "edge-d", Ordinal: 65535, Address: "[::1]:7204", Planned: 65535, Incarnation: 1<<64 - 1, State: member.Left},
+	}
+}
+
+// storedFile is a copy of the sample.
+func storedFile(t *testing.T) string {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", "fleet.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "fleet.db")
+	if err := os.WriteFile(file, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// A host that ran version a32f63c wrote what it believed of the fleet and who its members were. Every later version must start from it
+// as if it had written it itself.
+func TestStoredDataIsRead(t *testing.T) {
+	file := storedFile(t)
+	s, aside := mustOpen(t, file, "edge-a")
+	if aside != "" {
+		t.Fatalf("set aside: %s", aside)
+	}
+	beliefs, last, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(beliefs, storedBeliefs()) {
+		t.Errorf("beliefs:\n%+v\nwanted\n%+v", beliefs, storedBeliefs())
+	}
+	if last != storedGeneration() {
+		t.Errorf("generation %+v, wanted %+v", last, storedGeneration())
+	}
+	hosts, err := s.Hosts()
+	if err != nil || !slices.Equal(hosts, storedHosts()) {
+		t.Errorf("%v, members:\n%+v\nwanted\n%+v", err, hosts, storedHosts())
+	}
+}
+
+// The file that version a32f63c wrote is gone on with: what has not changed is not written again, and what is dropped is gone.
+func TestStoredDataIsGoneOnWith(t *testing.T) {
+	file := storedFile(t)
+	s, _ := mustOpen(t, file, "edge-a")
+	if written, err := s.Save(storedBeliefs(), storedGeneration()); written != 0 || err != nil {
+		t.Errorf("%d lines written though nothing changed: %v", written, err)
+	}
+	if written, err := s.Save(storedBeliefs()[1:], storedGeneration()); written != 1 || err != nil {
+		t.Errorf("%d lines written for one dropped: %v", written, err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	beliefs, hosts, last, err := Dump(file, "edge-a")
+	if err != nil || !slices.Equal(beliefs, storedBeliefs()[1:]) || !slices.Equal(hosts, storedHosts()) || last != storedGeneration() {
+		t.Errorf("%v, left after it:\n%+v\n%+v\n%+v", err, beliefs, hosts, last)
+	}
+}
