--- /dev/null
+++ b/internal/object/index/stored_data_test.go
@@ -0,0 +1,202 @@
+package index
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/object/decide"
+	"weirhaven/internal/wpb"
+)
+
+const (
+	storedMoment = 1_790_000_000 * time.Second // when the sample's newest object was written, since 1970
+	storedTag    = "9e107d9d372bb6826bd81d3542a419d6"
+	storedPart1  = "e4d909c290d0fb1ca068ffaddf22cbd0"
+	storedPart2  = "d41d8cd98f00b204e9800998ecf8427e"
+	storedUpload = "upload-1"
+)
+
+// storedObjects are those of volume-1, in the order of their names.
+func storedObjects() []*wpb.ObjectRecord {
+	return []*wpb.ObjectRecord{
+		{Volume: "volume-1", Name: "drawings/bridge.dwg", Etag: storedTag, Size: 262144 + 17, Modified: int64(storedMoment), ContentType: "image/vnd.dwg",
+			Meta: map[string]string{"author": "Ada", "title": "Brücke über die Aare"}, Extent: []*wpb.ExtentRecord{
+				{Id: "extent-b", Cell: 7, Size: 262144, Sum: 0xdeadbeef}, {Id: "extent-a", Cell: 3, Size: 17, Sum: 1}}},
+		{Volume: "volume-1", Name: "drawings/empty", Etag: storedPart2, Modified: int64(storedMoment - time.Hour)},
+		{Volume: "volume-1", Name: "records/2026-09-21", Etag: storedTag + "-2", Size: 1, Modified: int64(storedMoment - time.Second),
+			ContentType: "text/plain; charset=utf-8", Extent: []*wpb.ExtentRecord{{Id: "extent-c", Cell: 1_000_000, Size: 1, Sum: 1<<32 - 1}}},
+	}
+}
+
+// storedOther is the one object of volume-2; it has the name of one of volume-1.
+func storedOther() *wpb.ObjectRecord {
+	return &wpb.ObjectRecord{Volume: "volume-2", Name: "drawings/bridge.dwg", Etag: storedTag, Size: 5, Modified: int64(storedMoment - time.Minute),
+		Extent: []*wpb.ExtentRecord{{Id: "extent-d", Size: 5, Sum: 55}}}
+}
+
+func storedUploads() []*wpb.UploadRecord {
+	return []*wpb.UploadRecord{
+		{Volume: "volume-1", Name: "records/large", Id: storedUpload, Begun: int64(storedMoment - 2*time.Hour), ContentType: "application/zip",
+			Meta: map[string]string{"year": "2026"}},
+		{Volume: "volume-2", Name: "zeta", Id: "upload-0", Begun: int64(storedMoment - 3*time.Hour)},
+	}
+}
+
+// storedParts are those of the first upload.
+func storedParts() []*wpb.PartRecord {
+	return []*wpb.PartRecord{
+		{Number: 1, Etag: storedPart1, Size: 5 << 20, Modified: int64(storedMoment - 100*time.Minute),
+			Extent: []*wpb.ExtentRecord{{Id: "extent-e", Cell: 2, Size: 4 << 20, Sum: 21}, {Id: "extent-f", Cell: 4, Size: 1 << 20, Sum: 22}}},
+		{Number: 10, Etag: storedPart2, Size: 3, Modified: int64(storedMoment - 90*time.Minute),
+			Extent: []*wpb.ExtentRecord{{Id: "extent-g", Cell: 2, Size: 3, Sum: 23}}},
+	}
+}
+
+// storedLoose are extents that nothing holds: one on its way, one given up before it was held, one of an object that was replaced.
+func storedLoose() []*wpb.LooseRecord {
+	return []*wpb.LooseRecord{
+		{Extent: &wpb.ExtentRecord{Id: "loose-1", Cell: 5, Size: 9, Sum: 31}, Volume: "volume-1", Since: int64(storedMoment - 30*time.Minute)},
+		{Extent: &wpb.ExtentRecord{Id: "loose-2", Cell: 6, Size: 10, Sum: 32}, Volume: "volume-2", Since: int64(storedMoment - 20*time.Minute), Doomed: true},
+		{Extent: &wpb.ExtentRecord{Id: "loose-3", Cell: 7, Size: 11, Sum: 33}, Volume: "volume-1", Since: int64(storedMoment), Doomed: true},
+	}
+}
+
+// openStored opens a copy of the sample.
+func openStored(t *testing.T) *Index {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", "index.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "index.db")
+	if err := os.WriteFile(file, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return open(t, file)
+}
+
+// same checks messages one by one, in their order.
+func same[M proto.Message](t *testing.T, what string, got, want []M) {
+	t.Helper()
+	if len(got) != len(want) {
+		t.Errorf("%s: %d, wanted %d: %v", what, len(got), len(want), got)
+		return
+	}
+	for i := range want {
+		if !proto.Equal(got[i], want[i]) {
+			t.Errorf("%s %d: %v\nwanted %v", what, i, got[i], want[i])
+		}
+	}
+}
+
+// Version a32f63c wrote the names of objects and where their bytes lie. Every later version must find each object under its name with
+// the very same extents, and list them in the same order.
+func TestStoredObjectsAreRead(t *testing.T) {
+	x := openStored(t)
+	for _, want := range append(storedObjects(), storedOther()) {
+		if got, err := x.Get(want.Volume, want.Name); err != nil || !proto.Equal(got, want) {
+			t.Errorf("%v: %v\nwanted %v", err, got, want)
+		}
+	}
+	if got, err := x.Get("volume-1", "drawings/bridge"); got != nil || err != nil {
+		t.Errorf("an object that was never there: %v %v", got, err)
+	}
+	all, err := x.List("volume-1", "", "", "", 1000)
+	if err != nil || all.Next != "" || len(all.Prefixes) > 0 {
+		t.Errorf("%v %+v", err, all)
+	}
+	same(t, "object", all.Objects, storedObjects())
+	folders, err := x.List("volume-1", "", "/", "", 1000)
+	if err != nil || len(folders.Objects) > 0 || len(folders.Prefixes) != 2 || folders.Prefixes[0] != "drawings/" || folders.Prefixes[1] != "records/" {
+		t.Errorf("%v %+v", err, folders)
+	}
+	other, err := x.List("volume-2", "", "", "", 1000)
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "object of volume-2", other.Objects, []*wpb.ObjectRecord{storedOther()})
+}
+
+// Version a32f63c wrote uploads that were open and the parts that had come. Every later version must know them.
+func TestStoredUploadsAreRead(t *testing.T) {
+	x := openStored(t)
+	uploads, err := x.Uploads("")
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "upload", uploads, storedUploads())
+	u, err := x.Upload("volume-1", "records/large", storedUpload)
+	if err != nil || !proto.Equal(u, storedUploads()[0]) {
+		t.Errorf("%v %v", err, u)
+	}
+	parts, err := x.Parts("volume-1", "records/large", storedUpload)
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "part", parts, storedParts())
+	aged, err := x.Aged(2*time.Hour, storedMoment) // of the first, the newest part came 90 minutes before
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "upload of an age", aged, storedUploads()[1:])
+}
+
+// Version a32f63c wrote down extents that nothing holds. Every later version must sweep just these, each at its time.
+func TestStoredLooseExtentsAreRead(t *testing.T) {
+	x := openStored(t)
+	want := storedLoose()
+	for _, c := range []struct {
+		age, reader time.Duration
+		want        []*wpb.LooseRecord
+	}{
+		{time.Minute, storedMoment + 1, want},
+		{time.Minute, storedMoment, want[:2]},
+		{time.Hour, storedMoment + 1, want[1:]},
+		{time.Hour, 0, nil},
+	} {
+		remove, all, err := x.Sweepable(c.age, storedMoment, c.reader, 1000)
+		if err != nil || all != len(want) {
+			t.Errorf("%v, %d loose, wanted %d", err, all, len(want))
+		}
+		same(t, "extent to sweep", remove, c.want)
+	}
+}
+
+// The file that version a32f63c wrote is gone on with: an upload begun there becomes an object, an extent that was on its way can be held,
+// one that was given up can't, and every extent is held or loose as it should be.
+func TestStoredDataIsGoneOnWith(t *testing.T) {
+	x := openStored(t)
+	parts, loose, now := storedParts(), storedLoose(), storedMoment+time.Second
+	o, err := x.Complete("volume-1", "records/large", storedUpload, []decide.Named{{Number: 1, ETag: storedPart1}, {Number: 10, ETag: storedPart2}},
+		5<<20, nil, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if o.Size != 5<<20+3 || o.ContentType != "application/zip" || o.Meta["year"] != "2026" || o.Modified != int64(now) {
+		t.Errorf("%v", o)
+	}
+	same(t, "extent", o.Extent, append(parts[0].Extent, parts[1].Extent...))
+	fresh := &wpb.ObjectRecord{Volume: "volume-1", Name: "fresh", Etag: storedTag, Size: 9, Extent: []*wpb.ExtentRecord{loose[0].Extent}}
+	if err := x.Commit(fresh, nil, now); err != nil {
+		t.Errorf("an extent on its way: %v", err)
+	}
+	late := &wpb.ObjectRecord{Volume: "volume-1", Name: "late", Etag: storedTag, Size: 11, Extent: []*wpb.ExtentRecord{loose[2].Extent}}
+	if err := x.Commit(late, nil, now); !errors.Is(err, ErrExtentsGone) {
+		t.Errorf("an extent that was given up: %v", err)
+	}
+	if existed, err := x.Delete("volume-2", "drawings/bridge.dwg", nil, now); !existed || err != nil {
+		t.Errorf("deleting an object: %v, it was there: %v", err, existed)
+	}
+	removed := &wpb.LooseRecord{Extent: storedOther().Extent[0], Volume: "volume-2", Since: int64(now), Doomed: true}
+	remove, _, err := x.Sweepable(time.Hour, now, now+1, 1000)
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "extent to sweep", remove, []*wpb.LooseRecord{removed, loose[1], loose[2]})
+	consistent(t, x, "volume-1") // of volume-2 nothing is left that holds extents
+}
