--- /dev/null
+++ b/internal/capture/stored_data_test.go
@@ -0,0 +1,184 @@
+package capture
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/hostloop"
+	"weirhaven/internal/wpb"
+	"weirhaven/policy"
+)
+
+const (
+	storedMoment = 1_790_000_000 * time.Second // when the sample's first command came, since 1970
+	storedKey    = "stored data test key"      // by which objects are hashed
+	storedDigest = "0c0421bdc1aa25fa"          // of that key
+	storedBridge = 0x405cedf306751f93          // hash of the object "drawings/bridge.dwg"
+	storedTunnel = 0xb3f26edb1e34cce5          // hash of the object "drawings/tunnel.dwg"
+)
+
+func storedHead() *wpb.CaptureHead {
+	return &wpb.CaptureHead{Version: 1, Host: "edge-a", Ordinal: 2, Zone: "north", Life: int64(storedMoment - time.Hour), Key: storedDigest, Hosts: 3,
+		Fleet: &wpb.Fleet{Cancel: true, MaxDispatches: 3, Resolution: "10ms", Budget: &wpb.Budget{Free: 3, Share: 0.25, Span: "3s"}, UsualUnits: 2, MostUnits: 8},
+		QueueType: []*wpb.QueueType{{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3, LateShare: 0.15},
+			{Name: "order", ServiceTarget: "250ms", CommandTimeout: "1200ms", TagWindow: "2s", Semantics: wpb.Semantics_TAGGED, Group: wpb.Group_CELL, Writes: true}},
+		Plan: []*wpb.Plan{{Name: "basic", Nominal: 14, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8}}}
+}
+
+// storedBricks are the lines about bricks. They stand in the first block, behind the head.
+func storedBricks() []*wpb.Captured {
+	started := int64(storedMoment - 48*time.Hour)
+	brick := func(at time.Duration, b *wpb.CapturedBrick) *wpb.Captured {
+		b.Host = "edge-a"
+		return &wpb.Captured{At: int64(at), What: &wpb.Captured_Brick{Brick: b}}
+	}
+	return []*wpb.Captured{
+		brick(storedMoment-2*time.Second, &wpb.CapturedBrick{Name: "brick-1", Zone: "north", Cell: 3, Serving: true, Started: started}),
+		brick(storedMoment-time.Second, &wpb.CapturedBrick{Name: "brick-2", Zone: "south", Cell: 4, Started: started + 5}),
+	}
+}
+
+// storedPast are the commands as the host loop told them.
+func storedPast() []*hostloop.Past {
+	return []*hostloop.Past{
+		{Volume: "volume-1", Plan: "basic", QueueType: "read", Object: "drawings/bridge.dwg", Cell: 3, Body: 64, Units: 2.5, At: storedMoment,
+			Took: 12 * time.Millisecond, Timeout: time.Second, How: hostloop.Completed, Tries: []hostloop.Try{
+				{Brick: "brick-2", At: storedMoment + 5, Took: time.Millisecond, How: policy.Errored},
+				{Brick: "brick-1", At: storedMoment + 2_000_000, Took: 9 * time.Millisecond, How: policy.Completed}}},
+		{Volume: "volume-2", Plan: "basic", QueueType: "order", Cell: -1, Units: 1, Repeat: true, At: storedMoment + time.Millisecond,
+			Took: time.Second, Timeout: 1200 * time.Millisecond, How: hostloop.BusyReplied, Tries: []hostloop.Try{
+				{Brick: "brick-1", At: storedMoment + 2*time.Millisecond, Took: 3, How: policy.Turned},
+				{Brick: "brick-1", At: storedMoment + 3*time.Millisecond, Took: 4, How: policy.TimedOut},
+				{Brick: "brick-1", At: storedMoment + 4*time.Millisecond, Took: 5, How: policy.Unconnected}}},
+		{Volume: "volume-1", Plan: "basic", QueueType: "read", Object: "drawings/tunnel.dwg", Cell: 4, Units: 8, At: storedMoment + 2*time.Millisecond,
+			Took: 7, Timeout: time.Second, How: hostloop.Aborted, Tries: []hostloop.Try{
+				{Brick: "brick-2", At: storedMoment + 3*time.Millisecond, Took: 6, How: policy.Broken},
+				{Brick: "brick-2", At: storedMoment + 4*time.Millisecond, Took: 7, How: policy.CalledOff},
+				{Brick: "brick-2", At: storedMoment + 5*time.Millisecond, How: policy.Unsent}}},
+		{Volume: "volume-1", Plan: "basic", QueueType: "read", Object: "drawings/bridge.dwg", Cell: 3, Units: 1, At: storedMoment + 3*time.Millisecond,
+			Took: 8, Timeout: time.Second, How: hostloop.LeftBy},
+	}
+}
+
+// storedCommands are the same as they are read: two blocks of two.
+func storedCommands() []*wpb.Captured {
+	command := func(at time.Duration, c *wpb.CapturedCommand) *wpb.Captured {
+		c.Host, c.Plan = "edge-a", "basic"
+		return &wpb.Captured{At: int64(at), What: &wpb.Captured_Command{Command: c}}
+	}
+	return []*wpb.Captured{
+		command(storedMoment, &wpb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 2.5, Cell: 3, Object: storedBridge, Timeout: 1_000_000_000,
+			Took: 12_000_000, Final: wpb.CapturedCommand_COMPLETED, Body: 64, Dispatch: []*wpb.CapturedDispatch{
+				{Brick: "brick-2", After: 5, Took: 1_000_000, How: 1}, {Brick: "brick-1", After: 2_000_000, Took: 9_000_000, How: 0}}}),
+		command(storedMoment+time.Millisecond, &wpb.CapturedCommand{Volume: "volume-2", QueueType: "order", Units: 1, Cell: -1, Repeat: true,
+			Timeout: 1_200_000_000, Took: 1_000_000_000, Final: wpb.CapturedCommand_BUSY_REPLIED, Dispatch: []*wpb.CapturedDispatch{
+				{Brick: "brick-1", After: 1_000_000, Took: 3, How: 2}, {Brick: "brick-1", After: 2_000_000, Took: 4, How: 3},
+				{Brick: "brick-1", After: 3_000_000, Took: 5, How: 4}}}),
+		command(storedMoment+2*time.Millisecond, &wpb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 8, Cell: 4, Object: storedTunnel,
+			Timeout: 1_000_000_000, Took: 7, Final: wpb.CapturedCommand_ABORTED, Dispatch: []*wpb.CapturedDispatch{
+				{Brick: "brick-2", After: 1_000_000, Took: 6, How: 5}, {Brick: "brick-2", After: 2_000_000, Took: 7, How: 6},
+				{Brick: "brick-2", After: 3_000_000, How: 7}}}),
+		command(storedMoment+3*time.Millisecond, &wpb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 1, Cell: 3, Object: storedBridge,
+			Timeout: 1_000_000_000, Took: 8, Final: wpb.CapturedCommand_LEFT}),
+	}
+}
+
+func stored(name string) string { return filepath.Join("testdata", "stored", name) }
+
+func readStored(t *testing.T, paths ...string) *Load {
+	t.Helper()
+	l, err := Read(paths...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+func sameLines(t *testing.T, got, want []*wpb.Captured) {
+	t.Helper()
+	if len(got) != len(want) {
+		t.Fatalf("%d lines, wanted %d: %v", len(got), len(want), got)
+	}
+	for i := range want {
+		if !proto.Equal(got[i], want[i]) {
+			t.Errorf("line %d: %v\nwanted %v", i, got[i], want[i])
+		}
+	}
+}
+
+// A host of version a32f63c captured its load; the disk was full at first, which cost three lines. Every later version must read the head
+// and each line, in their order, with nothing lost or torn but what the capture itself tells.
+func TestStoredCaptureIsRead(t *testing.T) {
+	l := readStored(t, stored("whole"))
+	if len(l.Heads) != 1 || !proto.Equal(l.Heads[0], storedHead()) {
+		t.Errorf("heads %v\nwanted %v", l.Heads, storedHead())
+	}
+	if l.Files != 1 || l.Torn != (Torn{}) || l.Lost != 3 {
+		t.Errorf("%d files, torn %+v, %d lost", l.Files, l.Torn, l.Lost)
+	}
+	sameLines(t, l.Lines, append(storedBricks(), storedCommands()...))
+	if from, to := l.Span(); from != storedMoment || to != storedMoment+3*time.Millisecond {
+		t.Errorf("from %v to %v", from, to)
+	}
+}
+
+// The same capture, torn in the middle of its last block, as a host that was killed leaves it. Every later version must read all whole
+// blocks and tell that one was torn.
+func TestStoredCaptureCutOffIsRead(t *testing.T) {
+	l := readStored(t, stored("cut-off.wcap"))
+	if l.Torn != (Torn{Blocks: 1, Bytes: 84}) {
+		t.Errorf("torn: %+v", l.Torn)
+	}
+	sameLines(t, l.Lines, append(storedBricks(), storedCommands()[:2]...))
+}
+
+// The same capture with a byte spoilt in the middle of its second block. Every later version must leave out just that block and read those
+// before and after it.
+func TestStoredCaptureSpoiltIsRead(t *testing.T) {
+	l := readStored(t, stored("spoilt.wcap"))
+	if l.Torn != (Torn{Blocks: 1, Bytes: 228}) {
+		t.Errorf("torn: %+v", l.Torn)
+	}
+	sameLines(t, l.Lines, append(storedBricks(), storedCommands()[2:]...))
+}
+
+// Version a32f63c wrote the capture again as one merged file, as weirctl does. Every later version must find the same lines in it.
+func TestStoredMergedCaptureIsRead(t *testing.T) {
+	l := readStored(t, stored("merged.wcap"))
+	if len(l.Heads) != 1 || !proto.Equal(l.Heads[0], storedHead()) || l.Torn != (Torn{}) || l.Lost != 3 {
+		t.Errorf("heads %v, torn %+v, %d lost", l.Heads, l.Torn, l.Lost)
+	}
+	sameLines(t, l.Lines, append(storedBricks(), storedCommands()...))
+}
+
+// The folder that version a32f63c wrote is gone on with: a later version's segment stands behind the one there, and by the same key the same
+// objects have the same hashes.
+func TestStoredCaptureIsGoneOnWith(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(stored("whole"))); err != nil {
+		t.Fatal(err)
+	}
+	w := open(t, Config{Folder: dir, Key: []byte(storedKey), Head: storedHead()})
+	w.Start()
+	for _, p := range storedPast() {
+		w.Over(p)
+	}
+	w.Close()
+	for _, name := range []string{"edge-a.000002.wcap", "edge-a.000003.wcap"} {
+		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
+			t.Error(err)
+		}
+	}
+	l := readStored(t, filepath.Join(dir, "edge-a.000003.wcap"))
+	if len(l.Heads) != 1 || !proto.Equal(l.Heads[0], storedHead()) {
+		t.Errorf("heads %v\nwanted %v", l.Heads, storedHead())
+	}
+	sameLines(t, l.Lines, storedCommands())
+	if both := readStored(t, dir); both.Files != 2 || len(both.Lines) != len(storedBricks())+2*len(storedCommands()) {
+		t.Errorf("%d files, %d lines", both.Files, len(both.Lines))
+	}
+}
