--- /dev/null
+++ b/internal/plan/store/stored_data_test.go
@@ -0,0 +1,100 @@
+package store
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/wpb"
+)
+
+const storedGeneration = 1<<40 + 17
+
+func storedTenure() *wpb.Tenure { return &wpb.Tenure{Term: 12, Planner: "planner-b"} }
+
+// storedItems are one of each kind, and some that are gone, in the order of the file.
+func storedItems() []*wpb.Item {
+	const started = 1_790_000_000_000_000_000
+	return []*wpb.Item{
+		{Kind: wpb.Item_BRICK, Name: "brick-1", Generation: 5, Term: 11,
+			Brick: &wpb.PlanBrick{Address: "127.0.0.1:7101", Zone: "north", Cell: 3, Serving: true, Started: started}},
+		{Kind: wpb.Item_BRICK, Name: "brick-2", Generation: 6, Term: 12,
+			Brick: &wpb.PlanBrick{Address: "[::1]:7102", Zone: "south", Cell: 4, Started: started, Drained: started}},
+		{Kind: wpb.Item_BRICK, Name: "brick-3", Generation: 7, Term: 12, Gone: true, Brick: &wpb.PlanBrick{Cell: -1, Drained: -1}},
+		{Kind: wpb.Item_VOLUME, Name: "volume-1", Generation: 1<<40 + 16, Term: 12,
+			Volume: &wpb.PlanVolume{Plan: "basic", Hosts: 3, Cell: []uint32{4, 3, 1_000_000}}},
+		{Kind: wpb.Item_VOLUME, Name: "volume-2", Generation: 9, Term: 10, Gone: true},
+		{Kind: wpb.Item_PLAN, Name: "basic", Generation: 2, Term: 1,
+			Plan: &wpb.Plan{Name: "basic", Nominal: 14, Reservation: 2.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8}},
+		{Kind: wpb.Item_HOSTS, Generation: 3, Term: 2, Hosts: 65535},
+		{Kind: wpb.Item_PLACE, Name: "volume-1/drawings/bridge.dwg", Generation: 1<<40 + 17, Term: 12,
+			Place: &wpb.PlanPlace{Volume: "volume-1", Cell: 4, Edge: "edge-a"}},
+	}
+}
+
+// storedFile is a copy of the sample.
+func storedFile(t *testing.T) string {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", "plan.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "plan.db")
+	if err := os.WriteFile(file, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+func mustOpen(t *testing.T, file string) (*Store, Saved) {
+	t.Helper()
+	s, saved, aside, err := Open(file)
+	if err != nil || aside != "" {
+		t.Fatalf("%v, set aside: %q", err, aside)
+	}
+	t.Cleanup(func() { s.Close() })
+	return s, saved
+}
+
+func sameItems(t *testing.T, got, want []*wpb.Item) {
+	t.Helper()
+	if len(got) != len(want) {
+		t.Fatalf("%d items, wanted %d: %v", len(got), len(want), got)
+	}
+	for i := range want {
+		if !proto.Equal(got[i], want[i]) {
+			t.Errorf("item %d: %v\nwanted %v", i, got[i], want[i])
+		}
+	}
+}
+
+// A planner of version a32f63c wrote its tenure, generation and items. Every later version must take them back, each value as it was.
+func TestStoredDataIsRead(t *testing.T) {
+	_, saved := mustOpen(t, storedFile(t))
+	if !proto.Equal(saved.Tenure, storedTenure()) || saved.Generation != storedGeneration {
+		t.Errorf("tenure %v, generation %d; wanted %v, %d", saved.Tenure, saved.Generation, storedTenure(), uint64(storedGeneration))
+	}
+	sameItems(t, saved.Items, storedItems())
+}
+
+// The file that version a32f63c wrote is gone on with: a later tenure and a changed item replace what stood there, the rest stays.
+func TestStoredDataIsGoneOnWith(t *testing.T) {
+	file := storedFile(t)
+	s, _ := mustOpen(t, file)
+	want := storedItems()
+	want[0].Generation, want[0].Brick.Serving = storedGeneration+1, false
+	tenure := &wpb.Tenure{Term: 13, Planner: "planner-a"}
+	if err := s.Keep(tenure, storedGeneration+1, want[:1]); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	_, saved := mustOpen(t, file)
+	if !proto.Equal(saved.Tenure, tenure) || saved.Generation != storedGeneration+1 {
+		t.Errorf("tenure %v, generation %d", saved.Tenure, saved.Generation)
+	}
+	sameItems(t, saved.Items, want)
+}
