--- /dev/null
+++ b/internal/settings/stored_data_test.go
@@ -0,0 +1,146 @@
+package settings
+
+import (
+	"net/netip"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/wpb"
+	"weirhaven/policy"
+)
+
+func storedEdge() *wpb.Edge {
+	return &wpb.Edge{Name: "edge-a", Listen: "127.0.0.1:7001", ListService: "127.0.0.1:7002", PeerListen: "127.0.0.1:7003",
+		Peer: []*wpb.Peer{{Address: "127.0.0.1:7103"}, {Ordinal: 1, Address: "[::1]:7203"}},
+		Brick: []*wpb.BrickLine{{Name: "brick-1", Address: "127.0.0.1:7301", Zone: "north", Cell: 3},
+			{Name: "brick-2", Address: "127.0.0.1:7302", Zone: "south", Cell: 4}},
+		Zone: "north", Ordinal: 2, Hosts: 3, Seed: -42,
+		Fleet: &wpb.Fleet{ListAsked: true, AskWithin: "5s", SecondCopies: true, Cancel: true, Probe: true, Peers: true, MaxPause: "500ms",
+			ClientsMarkRepeats: true, MaxDispatches: 3, AnswerSlack: "30ms", Resolution: "10ms", DrainGrace: "250ms", ColdFrom: 0.2, ColdFor: "4s",
+			ColdUnits: 40, FallMultiple: 2, FallAfter: "1s", Budget: &wpb.Budget{Free: 3, Share: 0.25, Span: "3s"}, KeyRest: "200ms",
+			Meter: "500ms", TellsElsewhere: true, UsualUnits: 2, MostUnits: 8.5},
+		QueueType: []*wpb.QueueType{
+			{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3, LateShare: 0.15, Streaming: true},
+			{Name: "order", ServiceTarget: "250ms", CommandTimeout: "1200ms", TagWindow: "2s", Importance: 4, LateShare: 0.1,
+				Semantics: wpb.Semantics_TAGGED, Group: wpb.Group_CELL, Writes: true},
+			{Name: "log", ServiceTarget: "400ms", CommandTimeout: "1500ms", Importance: 2, LateShare: 0.2,
+				Semantics: wpb.Semantics_NON_RETRYABLE, Group: wpb.Group_ZONE, InOrder: true, Writes: true}},
+		Plan: []*wpb.Plan{{Name: "basic", Nominal: 14, Reservation: 1.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8},
+			{Name: "priority", Nominal: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		Volume: []*wpb.Volume{{Name: "volume-1", Plan: "basic", Hosts: 2}, {Name: "volume-2", Plan: "priority", Hosts: 3}},
+		Bounds: &wpb.Bounds{CommandsAConnection: 100, Connections: 200, LoopQueue: 300, BrickQueue: 400, Body: 500000, Idle: "31s", Stall: "6s",
+			Connect: "260ms", Probe: "270ms"},
+		Log: &wpb.Log{Level: "debug", Form: "json", State: "10s"}, Store: "/var/lib/weirhaven/fleet.db", ListFresh: "6m", ListDead: "2000h",
+		Network: []string{"127.0.0.0/8", "::1/128"},
+		Capture: &wpb.Capture{Folder: "/var/lib/weirhaven/capture", MostBytes: 1 << 40, Key: "/etc/weirhaven/capture.key", On: true, Queue: 9000},
+		Planner: &wpb.Planner{Address: []string{"127.0.0.1:7401", "127.0.0.1:7402"}, Keys: &wpb.Keys{Certificate: "/etc/weirhaven/edge-a.pem",
+			Key: "/etc/weirhaven/edge-a.key", Trusted: "/etc/weirhaven/trusted.pem", Peer: []string{"weirplan*"}}, Plain: true, ServerName: "weirplan"},
+		Objects: &wpb.ObjectApi{Listen: "127.0.0.1:7501", Index: "/var/lib/weirhaven/index.db", Access: "/etc/weirhaven/access", ReadType: "read",
+			WriteType: "order", Extent: 262144, Unit: 65536, Window: 9, Requests: 257, UploadAge: "25h", LooseAge: "2h", Skew: "16m"}}
+}
+
+func storedPolicy() policy.Settings {
+	return policy.Settings{Seed: -42, Ordinal: 2, Hosts: 3, Zone: "north",
+		QueueTypes: []policy.QueueType{
+			{Name: "read", ServiceTarget: 200 * time.Millisecond, CommandTimeout: time.Second, Importance: 3, LateShare: 0.15,
+				Semantics: policy.Retryable, Group: "all", Streaming: true},
+			{Name: "order", ServiceTarget: 250 * time.Millisecond, CommandTimeout: 1200 * time.Millisecond, Window: 2 * time.Second, Importance: 4,
+				LateShare: 0.1, Semantics: policy.Tagged, Group: "cell", Writes: true},
+			{Name: "log", ServiceTarget: 400 * time.Millisecond, CommandTimeout: 1500 * time.Millisecond, Importance: 2, LateShare: 0.2,
+				Semantics: policy.NonRetryable, Group: "zone", InOrder: true, Writes: true}},
+		Plans: []policy.Plan{{Name: "basic", Nominal: 14, Reservation: 1.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8},
+			{Name: "priority", Nominal: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		Asks: true, SecondCopies: true, Cancel: true, Probe: true, Peers: true, MaxPause: 500 * time.Millisecond, MarksRepeat: true, MaxDispatch: 3,
+		AnswerSlack: 30 * time.Millisecond, Resolution: 10 * time.Millisecond, AskWithin: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
+		ColdFrom: 0.2, ColdFor: 4 * time.Second, ColdUnits: 40, FallMultiple: 2, FallAfter: time.Second, Budgeted: true, BudgetFree: 3,
+		BudgetShare: 0.25, BudgetSpan: 3 * time.Second, KeyRest: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
+		UsualUnits: 2, UnitsTop: 8.5}
+}
+
+// An edge's settings as users of version a32f63c have them, by hand (edge.txtpb) and as its programs wrote them (edge-written.txtpb). Every
+// later version must read the same from both: each field, and what the module, the beliefs and the bounds are made of.
+func TestStoredEdgeSettingsAreRead(t *testing.T) {
+	for _, name := range []string{"edge.txtpb", "edge-written.txtpb"} {
+		e, err := LoadEdge(filepath.Join("testdata", "stored", name))
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if !proto.Equal(e, storedEdge()) {
+			t.Errorf("%s: %v\nwanted %v", name, e, storedEdge())
+		}
+		if got := Policy(e, 7); !reflect.DeepEqual(got, storedPolicy()) {
+			t.Errorf("%s: %+v\nwanted %+v", name, got, storedPolicy())
+		}
+		if got, want := Bounds(e.Bounds), (Limits{Commands: 100, Connections: 200, LoopQueue: 300, BrickQueue: 400, Body: 500000, Idle: 31 * time.Second,
+			Stall: 6 * time.Second, Connect: 260 * time.Millisecond, Probe: 270 * time.Millisecond}); got != want {
+			t.Errorf("%s: %+v\nwanted %+v", name, got, want)
+		}
+		r, err := Beliefs(e)
+		if err != nil || r.Fresh != 6*time.Minute || r.Dead != 2000*time.Hour || !r.Networks.Contains(netip.MustParseAddr("127.0.0.9")) ||
+			!r.Networks.Contains(netip.MustParseAddr("::1")) || r.Networks.Contains(netip.MustParseAddr("10.0.0.1")) {
+			t.Errorf("%s: %v %+v", name, err, r)
+		}
+	}
+}
+
+// A planner's settings as users of version a32f63c have them. Every later version must read each field.
+func TestStoredPlannerSettingsAreRead(t *testing.T) {
+	want := &wpb.PlannerConf{Name: "planner-b", Listen: "127.0.0.1:7401", ListService: "127.0.0.1:7002", Store: "/var/lib/weirhaven/plan.db",
+		Keys: &wpb.Keys{Certificate: "/etc/weirhaven/weirplan.pem", Key: "/etc/weirhaven/weirplan.key", Trusted: "/etc/weirhaven/trusted.pem",
+			Peer: []string{"edge-*", "weirctl"}},
+		Plain: true, Fleet: &wpb.Fleet{MaxDispatches: 3, Resolution: "10ms", UsualUnits: 2, MostUnits: 8},
+		Plan:   []*wpb.Plan{{Name: "basic", Nominal: 14, Limit: 24, Depth: 40, Weight: 1}},
+		Volume: []*wpb.PlannedVolume{{Name: "volume-1", Plan: "basic", Hosts: 2, Cell: []uint32{4, 3, 1_000_000}}},
+		Edges:  3, Lease: "4s", AtOnce: 17, Recover: "6s", Log: &wpb.Log{Level: "warn", Form: "text", State: "1m"}}
+	got := &wpb.PlannerConf{}
+	if err := Load(filepath.Join("testdata", "stored", "planner.txtpb"), got); err != nil {
+		t.Fatal(err)
+	}
+	if !proto.Equal(got, want) {
+		t.Errorf("%v\nwanted %v", got, want)
+	}
+}
+
+func storedCapacityFleet() *wpb.CapacityFleet {
+	return &wpb.CapacityFleet{Rules: &wpb.Fleet{MaxDispatches: 3, Resolution: "10ms", UsualUnits: 2, MostUnits: 8},
+		QueueType: []*wpb.QueueType{{Name: "read", ServiceTarget: "200ms", CommandTimeout: "1s", Importance: 3, LateShare: 0.15}},
+		Plan:      []*wpb.Plan{{Name: "basic", Nominal: 14, Limit: 24, Depth: 40, Weight: 1}},
+		Kind: []*wpb.ServerKind{{Name: "single", Cores: 2, Queue: 40, Cost: 1.5, Cancel: wpb.BrickCancel_CANCEL_DROPS_WAITING, Speed: 1.25, DropsExpired: true},
+			{Name: "double", Cancel: wpb.BrickCancel_CANCEL_STOPS}},
+		Brick:  []*wpb.Server{{Name: "brick-1", Kind: "single", Zone: "north", Cell: 3}, {Name: "brick-2", Kind: "double", Zone: "south", Cell: 4}},
+		Host:   []*wpb.HostLine{{Name: "edge-a", Zone: "north", Commands: 5000}},
+		Volume: []*wpb.PlacedVolume{{Name: "volume-1", Plan: "basic", Hosts: 2, Cell: []uint32{4, 3}}},
+		Bounds: &wpb.Bounds{Connections: 200},
+		Client: &wpb.CapacityModel_ClientModel{Repeats: 0.5, Wait: 0.08, Firsts: 100, Folded: 7, Leaves: 0.03, Most: 2, Stays: true}}
+}
+
+func storedCapacityModel() *wpb.CapacityModel {
+	return &wpb.CapacityModel{Version: 1, Capture: "0123456789abcdef",
+		Kind: []*wpb.CapacityModel_KindModel{{Name: "single", Way: 0.0004, Remembers: 2, Saves: 0.4, Deferred: 0.3, Flush: 0.9, Pause: 0.12, PauseEvery: 0.6,
+			Errors: 0.001, Work: []*wpb.CapacityModel_Work{{QueueType: "read", Base: 0.0005, Unit: 0.004, Vary: 0.5, Samples: 1000}},
+			Fit: &wpb.CapacityModel_Fit{Samples: 1000, Busy: 400, Explained: 0.93, UseSeen: 0.55, UseTold: 0.56}}},
+		Brick:  []*wpb.CapacityModel_BrickSpeed{{Name: "brick-1", Kind: "single", Speed: 1.3, Samples: 500}},
+		Client: &wpb.CapacityModel_ClientModel{Repeats: 0.5, Wait: 0.08, Firsts: 100, Folded: 7, Leaves: 0.03, Most: 2, Stays: true}}
+}
+
+// A fleet described and a model learnt of it, as weirctl of version a32f63c wrote such files. Every later version must read each field.
+func TestStoredCapacityFilesAreRead(t *testing.T) {
+	fleet, model := &wpb.CapacityFleet{}, &wpb.CapacityModel{}
+	if err := Load(filepath.Join("testdata", "stored", "fleet.txtpb"), fleet); err != nil {
+		t.Error(err)
+	}
+	if !proto.Equal(fleet, storedCapacityFleet()) {
+		t.Errorf("%v\nwanted %v", fleet, storedCapacityFleet())
+	}
+	if err := Load(filepath.Join("testdata", "stored", "model.txtpb"), model); err != nil {
+		t.Error(err)
+	}
+	if !proto.Equal(model, storedCapacityModel()) {
+		t.Errorf("%v\nwanted %v", model, storedCapacityModel())
+	}
+}
