--- a/internal/object/index/stored_data_test.go
+++ b/internal/object/index/stored_data_test.go
@@ -167,6 +167,31 @@
 	}
 }
 
+// An upload that was open when version a32f63c stopped takes a part again: the new one stands in the place of the one before, whose bytes
+// are given up.
+func TestStoredUploadTakesAPartAgain(t *testing.T) {
+	x := openStored(t)
+	parts, now := storedParts(), storedMoment+time.Second
+	again := &wpb.PartRecord{Number: 10, Etag: storedTag, Size: 4, Modified: int64(now), Extent: []*wpb.ExtentRecord{{Id: "extent-h", Cell: 1, Size: 4, Sum: 24}}}
+	if err := x.Intend("volume-1", again.Extent, now); err != nil {
+		t.Fatal(err)
+	}
+	if err := x.PutPart("volume-1", "records/large", storedUpload, again, now); err != nil {
+		t.Fatal(err)
+	}
+	got, err := x.Parts("volume-1", "records/large", storedUpload)
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "part", got, []*wpb.PartRecord{parts[0], again})
+	given := &wpb.LooseRecord{Extent: parts[1].Extent[0], Volume: "volume-1", Since: int64(now), Doomed: true}
+	remove, _, err := x.Sweepable(time.Hour, now, now+1, 1000)
+	if err != nil {
+		t.Error(err)
+	}
+	same(t, "extent to sweep", remove, append([]*wpb.LooseRecord{given}, storedLoose()[1:]...))
+}
+
 // The file that version a32f63c wrote is gone on with: an upload begun there becomes an object, an extent that was on its way can be held,
 // one that was given up can't, and every extent is held or loose as it should be.
 func TestStoredDataIsGoneOnWith(t *testing.T) {
