--- a/client/client_test.go
+++ b/client/client_test.go
@@ -29,14 +29,14 @@
 type memory struct{ data sync.Map }
 
 func (m *memory) Cells(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
-func (m *memory) Gone(*engine.Task)                    {}
-func (m *memory) Take(t *engine.Task) bool {
-	if t.QueueType == "put" {
+func (m *memory) Gone(*engine.Request)                 {}
+func (m *memory) Take(t *engine.Request) bool {
+	if t.Class == "put" {
 		m.data.Store(t.Object, bytes.Clone(t.Body))
 	}
 	b, _ := m.data.Load(t.Object)
 	body, _ := b.([]byte)
-	go t.Answer(engine.Answer{How: engine.Completed, Body: body})
+	go t.Respond(engine.Response{Result: engine.Served, Body: body})
 	return true
 }
 
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -41,9 +41,9 @@
 	// Block is the length by which results are kept apart. 0: 1 s.
 	Block time.Duration
 	// Start makes the module; nil: the module itself.
-	Start func(policy.Host, policy.Settings) engine.Decider
+	Start func(policy.Runtime, policy.Settings) engine.Scheduler
 	// Tap hears what a host would have captured; nil: nothing.
-	Tap func(host string) engine.Tap
+	Tap func(host string) engine.Observer
 }
 
 // Key is a plan and a queue type.
@@ -292,7 +292,7 @@
 		s.Block = time.Second
 	}
 	if s.Start == nil {
-		s.Start = func(h policy.Host, p policy.Settings) engine.Decider { return policy.New(h, p) }
+		s.Start = func(h policy.Runtime, p policy.Settings) engine.Scheduler { return policy.New(h, p) }
 	}
 	w := &world{s: s, rng: rand.New(rand.NewSource(s.Seed)), now: epoch, byHost: map[string]*host{},
 		kinds: map[string]*pb.CapacityModel_KindModel{}, servers: map[string]*pb.ServerKind{}, writes: map[string]bool{},
@@ -423,7 +423,7 @@
 	h.core = engine.New(settings.Policy(e, 1), rules, w.s.Start, h, w.volumeOf, 250*time.Millisecond, w.now)
 	h.up, h.wake = true, 0
 	if w.s.Tap != nil {
-		h.core.Tap(w.s.Tap(h.line.Name))
+		h.core.Observe(w.s.Tap(h.line.Name))
 	}
 	h.list(true)
 	h.next()
@@ -475,15 +475,15 @@
 
 // list tells a host what there is.
 func (h *host) list(whole bool) {
-	var lines []engine.BrickLine
+	var lines []engine.EndpointEntry
 	for _, b := range h.w.bricks {
 		l := h.w.s.Fleet.Brick[b.no]
-		x := engine.BrickLine{Name: b.name, Address: b.address, Zone: l.Zone, Cell: int(l.Cell), Serving: b.up || b.silent, Gone: !b.up && !b.silent, Dated: true,
+		x := engine.EndpointEntry{Name: b.name, Address: b.address, Zone: l.Zone, Shard: int(l.Cell), Serving: b.up || b.silent, Gone: !b.up && !b.silent, HasStart: true,
 			Age: h.w.now - b.started}
 		lines = append(lines, x)
 	}
 	h.w.list++
-	h.core.List(endpointstate.Generation{Epoch: "list", Number: h.w.list}, whole, lines)
+	h.core.EndpointList(endpointstate.Generation{Epoch: "list", Number: h.w.list}, whole, lines)
 }
 
 // strike takes something away, or brings it back.
@@ -535,7 +535,7 @@
 func (w *world) fall(b *brick) {
 	b.up = false
 	for _, j := range b.m.Held() {
-		w.end(b, w.hosts[j.Host], j.ID, policy.Broken)
+		w.end(b, w.hosts[j.Host], j.ID, policy.ConnectionReset)
 	}
 }
 
@@ -569,9 +569,9 @@
 func (w *world) count(h *host) {
 	if h.up {
 		n := h.core.Counts()
-		w.r.Dispatches += n.Dispatches
-		w.r.Further += n.Further
-		w.r.Commands += n.Taken
+		w.r.Dispatches += n.Attempts
+		w.r.Further += n.Retries
+		w.r.Commands += n.Received
 	}
 }
 
@@ -581,7 +581,7 @@
 	first time.Duration
 	until time.Duration
 	asked int
-	task  *engine.Task
+	task  *engine.Request
 	over  bool
 	host  *host
 	tally *Tally
@@ -611,7 +611,7 @@
 			if !o.over {
 				o.over = true
 				o.tally.Left++
-				o.host.in(func(c *engine.Core) { c.Gone(o.task) })
+				o.host.in(func(c *engine.Core) { c.ClientDisconnected(o.task) })
 			}
 		})
 	}
@@ -636,7 +636,7 @@
 			}
 		}
 		if !o.host.up {
-			w.over(o, engine.Aborted)
+			w.over(o, engine.Failed)
 			return
 		}
 	}
@@ -645,33 +645,33 @@
 	x, h := o.w, o.host
 	h.taken++
 	cell := x.Cell
-	o.task = &engine.Task{Volume: x.Volume, QueueType: x.Type, Object: fmt.Sprintf("%x", x.Object), Cell: cell, Units: x.Units,
-		Timeout: o.until - w.now, Repeat: o.asked > 1 && w.s.Fleet.Rules.ClientsMarkRepeats}
-	o.task.Answer = func(a engine.Answer) { w.answered(o, a) }
+	o.task = &engine.Request{Volume: x.Volume, Class: x.Type, Object: fmt.Sprintf("%x", x.Object), Shard: cell, Units: x.Units,
+		Timeout: o.until - w.now, Retry: o.asked > 1 && w.s.Fleet.Rules.ClientsMarkRepeats}
+	o.task.Respond = func(a engine.Response) { w.answered(o, a) }
 	h.in(func(c *engine.Core) {
-		c.Take(o.task)
-		w.r.InFlight = max(w.r.InFlight, c.Counts().Held)
+		c.Submit(o.task)
+		w.r.InFlight = max(w.r.InFlight, c.Counts().Open)
 	})
 	asked := o.asked
 	w.at(o.until, func() { // it gives up, with or without an answer on its way
 		if !o.over && o.asked == asked {
-			w.over(o, engine.Aborted)
+			w.over(o, engine.Failed)
 		}
 	})
 }
 
-func (w *world) answered(o *open, a engine.Answer) {
+func (w *world) answered(o *open, a engine.Response) {
 	if o.over {
 		return
 	}
-	if a.How == engine.Completed {
-		w.over(o, a.How)
+	if a.Result == engine.Served {
+		w.over(o, a.Result)
 		return
 	}
-	if !a.MayHaveRun && w.again(o, a.Pause) {
+	if !a.MayHaveRun && w.again(o, a.RetryAfter) {
 		return
 	}
-	w.over(o, a.How)
+	w.over(o, a.Result)
 }
 
 // clients is how they behave: as the capture shows, or as the description says where it shows nothing.
@@ -692,7 +692,7 @@
 	}
 	if c.GetRepeats() <= 0 || w.now+wait >= o.until || w.rng.Float64() >= c.GetRepeats() || o.asked > most {
 		if !o.over && !o.host.up {
-			w.over(o, engine.Aborted)
+			w.over(o, engine.Failed)
 		}
 		return false
 	}
@@ -700,20 +700,20 @@
 	return true
 }
 
-func (w *world) over(o *open, how engine.Final) {
+func (w *world) over(o *open, how engine.Result) {
 	o.over = true
 	took := w.now - o.first
 	switch {
-	case how == engine.Completed && took <= w.targets[o.w.Type]:
+	case how == engine.Served && took <= w.targets[o.w.Type]:
 		o.tally.InTarget++
-	case how == engine.Completed:
+	case how == engine.Served:
 		o.tally.Late++
-	case how == engine.BusyReplied:
+	case how == engine.Rejected:
 		o.tally.Busy++
 	default:
 		o.tally.Aborted++
 	}
-	if how == engine.Completed {
+	if how == engine.Served {
 		o.tally.Took = append(o.tally.Took, took)
 	}
 }
@@ -725,7 +725,7 @@
 	name string
 }
 
-func (h *host) Line(name, address string) engine.Line {
+func (h *host) Connect(name, address string) engine.EndpointConn {
 	for _, b := range h.w.bricks {
 		if b.address == address {
 			return &line{h, b, name}
@@ -734,35 +734,35 @@
 	return &line{h, nil, name}
 }
 
-func (l *line) Dispatch(id uint64, t *engine.Task, n int, left, _ time.Duration) {
+func (l *line) Send(id uint64, t *engine.Request, n int, left, _ time.Duration) {
 	w, b, h := l.h.w, l.b, l.h
 	if n > 0 {
 		h.budget()
 	}
 	if b == nil || !b.up {
 		w.at(w.now+20*time.Microsecond, func() {
-			h.in(func(c *engine.Core) { c.Outcome(l.name, id, policy.Unconnected, nil, 0, 0) })
+			h.in(func(c *engine.Core) { c.AttemptEnded(l.name, id, policy.ConnectFailed, nil, 0, 0) })
 		})
 		return
 	}
-	j := &model.Job{ID: id, Host: h.no, Queue: t.QueueType, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Until: w.now + left}
+	j := &model.Job{ID: id, Host: h.no, Queue: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Until: w.now + left}
 	w.at(w.now+b.way/2, func() {
 		if !b.up {
-			w.end(b, h, id, policy.Broken)
+			w.end(b, h, id, policy.ConnectionReset)
 			return
 		}
 		w.work(b)
 		switch {
 		case b.errors > 0 && w.rng.Float64() < b.errors:
-			w.end(b, h, id, policy.Errored)
+			w.end(b, h, id, policy.ErrorResponse)
 		case !b.m.Arrive(j, w.now):
 			if b.m.Fell {
 				w.r.Fell++
 				w.fall(b)
 				w.tell()
-				w.end(b, h, id, policy.Broken)
+				w.end(b, h, id, policy.ConnectionReset)
 			} else {
-				w.end(b, h, id, policy.Turned)
+				w.end(b, h, id, policy.Rejected)
 			}
 		}
 		w.rouse(b)
@@ -785,7 +785,7 @@
 	for len(h.again) > 0 && h.w.now-h.again[0] > span {
 		h.again = h.again[1:]
 	}
-	rate := float64(h.core.Counts().Taken) / math.Max((h.w.now-epoch).Seconds(), span.Seconds()) * span.Seconds()
+	rate := float64(h.core.Counts().Received) / math.Max((h.w.now-epoch).Seconds(), span.Seconds()) * span.Seconds()
 	h.w.r.Budget = math.Max(h.w.r.Budget, float64(len(h.again))/math.Max(b.Free+b.Share*rate, 1e-9))
 }
 
@@ -813,7 +813,7 @@
 					metered = 1 + 100*v.units[no]/w.meter.Seconds()/math.Max(v.nominal, 1e-9)
 				}
 			}
-			h.in(func(c *engine.Core) { c.Outcome(b.name, j.ID, policy.Completed, nil, elsewhere, metered) })
+			h.in(func(c *engine.Core) { c.AttemptEnded(b.name, j.ID, policy.Served, nil, elsewhere, metered) })
 		})
 	})
 }
@@ -834,8 +834,8 @@
 	})
 }
 
-func (w *world) end(b *brick, h *host, id uint64, how policy.Ending) {
-	w.at(w.now+b.way/2, func() { h.in(func(c *engine.Core) { c.Outcome(b.name, id, how, nil, 0, 0) }) })
+func (w *world) end(b *brick, h *host, id uint64, how policy.Outcome) {
+	w.at(w.now+b.way/2, func() { h.in(func(c *engine.Core) { c.AttemptEnded(b.name, id, how, nil, 0, 0) }) })
 }
 
 func (l *line) Cancel(id uint64) {
@@ -848,42 +848,42 @@
 	}
 }
 
-func (l *line) Probe(id uint64) {
+func (l *line) CheckHealth(id uint64) {
 	w, h, b := l.h.w, l.h, l.b
-	how := policy.Completed
+	how := policy.Served
 	if b == nil || !b.up {
-		how = policy.Unconnected
+		how = policy.ConnectFailed
 	}
 	if b != nil {
-		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.ProbeOutcome(b.name, id, how) }) })
+		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.HealthChecked(b.name, id, how) }) })
 	}
 }
 
-func (l *line) Greet() {
+func (l *line) RequestGreeting() {
 	w, h, b := l.h.w, l.h, l.b
 	if b != nil && b.up {
-		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.OwnWord(b.name, b.address, true, w.now-b.started, false) }) })
+		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.Greeted(b.name, b.address, true, w.now-b.started, false) }) })
 	}
 }
 
 func (l *line) Withdraw(uint64) bool { return false }
-func (l *line) Forget(uint64)        {}
+func (l *line) Abandon(uint64)       {}
 func (l *line) CloseIdle()           {}
 func (l *line) Close()               {}
 
-func (h *host) Watch(bool) {}
+func (h *host) RequestEndpointList(bool) {}
 func (h *host) ListAll() {
 	h.w.at(h.w.now+h.w.s.Notice, func() { h.in(func(*engine.Core) { h.list(true) }) })
 }
-func (h *host) Tell(peer int, data []byte) {
+func (h *host) SendNote(peer int, data []byte) {
 	if peer < 0 || peer >= len(h.w.hosts) {
 		return
 	}
 	to := h.w.hosts[peer]
 	data = slices.Clone(data)
-	h.w.at(h.w.now+time.Millisecond, func() { to.in(func(c *engine.Core) { c.Heard(h.no, data) }) })
+	h.w.at(h.w.now+time.Millisecond, func() { to.in(func(c *engine.Core) { c.GossipReceived(h.no, data) }) })
 }
-func (h *host) Gossip(string, membership.Message)                 {}
-func (h *host) Share(string, time.Duration, []endpointstate.Line) {}
-func (h *host) Members([]membership.Member)                       {}
-func (h *host) Log(string)                                        {}
+func (h *host) SendMembership(string, membership.Message)                   {}
+func (h *host) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
+func (h *host) MembersChanged([]membership.Member)                          {}
+func (h *host) Log(string)                                                  {}
--- a/internal/capacity/learn/learn.go
+++ b/internal/capacity/learn/learn.go
@@ -47,7 +47,7 @@
 	units    float64
 	object   uint64
 	first    bool
-	how      policy.Ending
+	how      policy.Outcome
 }
 
 // Model learns one. Bricks that the fleet does not name are taken for its first kind.
@@ -76,7 +76,7 @@
 		}
 		for n, d := range c.Dispatch {
 			from := time.Duration(l.At + d.After)
-			bricks[d.Brick] = append(bricks[d.Brick], dispatch{from, from + time.Duration(d.Took), q, c.Units, c.Object, n == 0, policy.Ending(d.How)})
+			bricks[d.Brick] = append(bricks[d.Brick], dispatch{from, from + time.Duration(d.Took), q, c.Units, c.Object, n == 0, policy.Outcome(d.How)})
 		}
 	}
 	names := make([]string, 0, len(bricks))
@@ -120,13 +120,13 @@
 	const blur = 300 * time.Microsecond
 	for _, d := range all {
 		switch d.how {
-		case policy.Completed:
+		case policy.Served:
 			ran++
-		case policy.Errored:
+		case policy.ErrorResponse:
 			errors++
 			ran++
 			continue // it failed at once, as far as can be told
-		case policy.TimedOut, policy.CalledOff, policy.Broken:
+		case policy.TimedOut, policy.Canceled, policy.ConnectionReset:
 			for i := range free {
 				blind[i] = true
 			}
--- a/internal/capacity/learn/learn_test.go
+++ b/internal/capacity/learn/learn_test.go
@@ -25,7 +25,7 @@
 	byID := map[uint64]*pb.Captured{}
 	done := func(j *model.Job, at time.Duration) {
 		d := byID[j.ID].GetCommand().Dispatch[0]
-		d.Took, d.How = int64(at+way)-byID[j.ID].At, int32(policy.Completed)
+		d.Took, d.How = int64(at+way)-byID[j.ID].At, int32(policy.Served)
 		if j.ID%200 == 199 { // now and then the answer is lost
 			d.Took, d.How = int64(time.Second), int32(policy.TimedOut)
 		}
@@ -121,7 +121,7 @@
 	// All dispatches lost: nothing is made up.
 	lines := work("a0", &pb.CapacityModel_KindModel{Work: []*pb.CapacityModel_Work{{QueueType: "read", Unit: 0.001, Samples: 1}}}, 1, 1, 50, 100, 1)
 	for _, l := range lines {
-		l.GetCommand().Dispatch[0].How = int32(policy.Broken)
+		l.GetCommand().Dispatch[0].How = int32(policy.ConnectionReset)
 	}
 	if m, err := Model(lines, fleet, nil); err == nil {
 		t.Error(m)
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -184,16 +184,16 @@
 	to   *[]*pb.Captured
 }
 
-func (t tap) On() bool                                                            { return true }
-func (t tap) Brick(string, string, int, bool, bool, time.Duration, time.Duration) {}
-func (t tap) Over(p *engine.Past) {
-	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.QueueType, Units: p.Units, Cell: int64(p.Cell), Repeat: p.Repeat, Timeout: int64(p.Timeout),
-		Took: int64(p.Took), Final: pb.CapturedCommand_Final(p.How), Host: t.host}
+func (t tap) Enabled() bool                                                                 { return true }
+func (t tap) EndpointChanged(string, string, int, bool, bool, time.Duration, time.Duration) {}
+func (t tap) RequestEnded(p *engine.RequestRecord) {
+	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.Class, Units: p.Units, Cell: int64(p.Shard), Repeat: p.Retry, Timeout: int64(p.Timeout),
+		Took: int64(p.Duration), Final: pb.CapturedCommand_Final(p.Result), Host: t.host}
 	fmt.Sscanf(p.Object, "%x", &c.Object)
-	for _, x := range p.Tries {
-		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: x.Brick, After: int64(x.At - p.At), Took: int64(x.Took), How: int32(x.How)})
+	for _, x := range p.Attempts {
+		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: x.Endpoint, After: int64(x.SentAt - p.ReceivedAt), Took: int64(x.Duration), How: int32(x.Outcome)})
 	}
-	*t.to = append(*t.to, &pb.Captured{At: int64(p.At), What: &pb.Captured_Command{Command: c}})
+	*t.to = append(*t.to, &pb.Captured{At: int64(p.ReceivedAt), What: &pb.Captured_Command{Command: c}})
 }
 
 // A capture of an overloaded day holds far more commands than clients wanted: the wants, how clients repeat and how bricks work come
@@ -203,7 +203,7 @@
 	m.Client.Repeats, m.Client.Wait = 0.9, 0.1
 	w := load(1300, 0, 8*time.Second, "basic", 0, 8)
 	var lines []*pb.Captured
-	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) engine.Tap { return tap{h, &lines} }}); err != nil {
+	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) engine.Observer { return tap{h, &lines} }}); err != nil {
 		t.Fatal(err)
 	}
 	byTime(lines)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -21,10 +21,10 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func past(i int) *engine.Past {
-	return &engine.Past{Volume: fmt.Sprint("v", i%7), Plan: "basic", QueueType: "read", Object: fmt.Sprint("secret-object-", i%5), Units: 2, Cell: i % 3,
-		At: time.Duration(i) * time.Millisecond, Took: time.Millisecond, Timeout: time.Second,
-		Tries: []engine.Try{{Brick: "b1", At: time.Duration(i)*time.Millisecond + 5, Took: 900, How: policy.Errored}}}
+func past(i int) *engine.RequestRecord {
+	return &engine.RequestRecord{Volume: fmt.Sprint("v", i%7), Plan: "basic", Class: "read", Object: fmt.Sprint("secret-object-", i%5), Units: 2, Shard: i % 3,
+		ReceivedAt: time.Duration(i) * time.Millisecond, Duration: time.Millisecond, Timeout: time.Second,
+		Attempts: []engine.AttemptRecord{{Endpoint: "b1", SentAt: time.Duration(i)*time.Millisecond + 5, Duration: 900, Outcome: policy.ErrorResponse}}}
 }
 
 func open(t testing.TB, c Config) *Writer {
@@ -46,13 +46,13 @@
 func TestWriteAndRead(t *testing.T) {
 	dir := t.TempDir()
 	w := open(t, Config{Folder: dir, Queue: 5000})
-	w.Brick("b1", "north", 4, true, false, 55, 60) // before it was on: needed all the same
-	if w.On() {
+	w.EndpointChanged("b1", "north", 4, true, false, 55, 60) // before it was on: needed all the same
+	if w.Enabled() {
 		t.Error("on before Start")
 	}
 	w.Start()
 	for i := range 2000 {
-		w.Over(past(i))
+		w.RequestEnded(past(i))
 	}
 	w.Stop()
 	s := w.State()
@@ -68,7 +68,7 @@
 	for _, c := range l.Lines {
 		started = max(started, c.GetBrick().GetStarted())
 		if x := c.GetCommand(); x != nil {
-			if x.Host != "host-0" || c.At != int64(n)*1e6 || x.Dispatch[0].How != int32(policy.Errored) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
+			if x.Host != "host-0" || c.At != int64(n)*1e6 || x.Dispatch[0].How != int32(policy.ErrorResponse) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
 				t.Fatalf("%d: %v", n, c)
 			}
 			same[x.Object] = true
@@ -93,7 +93,7 @@
 	w := open(t, Config{Folder: dir})
 	w.Start()
 	for i := range 300 {
-		w.Over(past(i))
+		w.RequestEnded(past(i))
 		if i%100 == 99 {
 			w.Stop() // a block
 			w.Start()
@@ -148,7 +148,7 @@
 		w := open(t, Config{Folder: dir, Most: 64 << 10, Queue: 100})
 		w.Start()
 		for i := range 4000 {
-			w.Over(past(life*4000 + i))
+			w.RequestEnded(past(life*4000 + i))
 			if i%40 == 39 {
 				w.Stop()
 				w.Start()
@@ -202,7 +202,7 @@
 	w := open(t, Config{Folder: t.TempDir(), Queue: 100, Create: func(string) (io.WriteCloser, error) { return g, nil }})
 	w.Start()
 	for i := range 20000 { // must come back though nothing is ever written; a block is full somewhere on the way
-		w.Over(past(i))
+		w.RequestEnded(past(i))
 	}
 	lost := w.State().Lost
 	if lost == 0 {
@@ -210,7 +210,7 @@
 	}
 	close(g.open)
 	w.Stop()
-	w.Over(past(1))
+	w.RequestEnded(past(1))
 	w.Close()
 	told := uint64(0)
 	_, _, err := Segment(bytes.NewReader(g.got.Bytes()), func(c *pb.Captured) error {
@@ -234,7 +234,7 @@
 	}})
 	w.Start()
 	for i := range 50 {
-		w.Over(past(i))
+		w.RequestEnded(past(i))
 	}
 	w.Stop()
 	if s := w.State(); s.Lost != 50 || !strings.Contains(s.LastError, "no space") {
@@ -243,7 +243,7 @@
 	fails = false // the writer has nothing to do: Stop came back
 	w.Start()
 	for i := range 50 {
-		w.Over(past(i))
+		w.RequestEnded(past(i))
 	}
 	w.Stop()
 	w.Close()
@@ -267,13 +267,13 @@
 	for h, off := range []time.Duration{0, time.Hour} {
 		w := open(t, Config{Folder: dir, Head: &pb.CaptureHead{Host: fmt.Sprint("host-", h), Life: int64(h + 1)}})
 		for b := range 5 {
-			w.Brick(fmt.Sprint("b", b), "north", b, true, false, time.Duration(1e15+b*1000)+off, 1e15)
+			w.EndpointChanged(fmt.Sprint("b", b), "north", b, true, false, time.Duration(1e15+b*1000)+off, 1e15)
 		}
 		w.Start()
 		for i := range 100 {
 			p := past(2*i + h)
-			p.At += off + 1e15
-			w.Over(p)
+			p.ReceivedAt += off + 1e15
+			w.RequestEnded(p)
 		}
 		w.Close()
 	}
@@ -330,7 +330,7 @@
 	w := open(b, Config{Folder: b.TempDir(), Queue: 1 << 20})
 	w.Start()
 	for i := 0; b.Loop(); i++ {
-		w.Over(past(i))
+		w.RequestEnded(past(i))
 	}
 	b.StopTimer()
 	w.Close()
--- a/internal/capture/stored_data_test.go
+++ b/internal/capture/stored_data_test.go
@@ -43,24 +43,24 @@
 }
 
 // storedPast are the commands as the host loop told them.
-func storedPast() []*engine.Past {
-	return []*engine.Past{
-		{Volume: "volume-1", Plan: "basic", QueueType: "read", Object: "drawings/bridge.dwg", Cell: 3, Body: 64, Units: 2.5, At: storedMoment,
-			Took: 12 * time.Millisecond, Timeout: time.Second, How: engine.Completed, Tries: []engine.Try{
-				{Brick: "brick-2", At: storedMoment + 5, Took: time.Millisecond, How: policy.Errored},
-				{Brick: "brick-1", At: storedMoment + 2_000_000, Took: 9 * time.Millisecond, How: policy.Completed}}},
-		{Volume: "volume-2", Plan: "basic", QueueType: "order", Cell: -1, Units: 1, Repeat: true, At: storedMoment + time.Millisecond,
-			Took: time.Second, Timeout: 1200 * time.Millisecond, How: engine.BusyReplied, Tries: []engine.Try{
-				{Brick: "brick-1", At: storedMoment + 2*time.Millisecond, Took: 3, How: policy.Turned},
-				{Brick: "brick-1", At: storedMoment + 3*time.Millisecond, Took: 4, How: policy.TimedOut},
-				{Brick: "brick-1", At: storedMoment + 4*time.Millisecond, Took: 5, How: policy.Unconnected}}},
-		{Volume: "volume-1", Plan: "basic", QueueType: "read", Object: "drawings/tunnel.dwg", Cell: 4, Units: 8, At: storedMoment + 2*time.Millisecond,
-			Took: 7, Timeout: time.Second, How: engine.Aborted, Tries: []engine.Try{
-				{Brick: "brick-2", At: storedMoment + 3*time.Millisecond, Took: 6, How: policy.Broken},
-				{Brick: "brick-2", At: storedMoment + 4*time.Millisecond, Took: 7, How: policy.CalledOff},
-				{Brick: "brick-2", At: storedMoment + 5*time.Millisecond, How: policy.Unsent}}},
-		{Volume: "volume-1", Plan: "basic", QueueType: "read", Object: "drawings/bridge.dwg", Cell: 3, Units: 1, At: storedMoment + 3*time.Millisecond,
-			Took: 8, Timeout: time.Second, How: engine.LeftBy},
+func storedPast() []*engine.RequestRecord {
+	return []*engine.RequestRecord{
+		{Volume: "volume-1", Plan: "basic", Class: "read", Object: "drawings/bridge.dwg", Shard: 3, BodyBytes: 64, Units: 2.5, ReceivedAt: storedMoment,
+			Duration: 12 * time.Millisecond, Timeout: time.Second, Result: engine.Served, Attempts: []engine.AttemptRecord{
+				{Endpoint: "brick-2", SentAt: storedMoment + 5, Duration: time.Millisecond, Outcome: policy.ErrorResponse},
+				{Endpoint: "brick-1", SentAt: storedMoment + 2_000_000, Duration: 9 * time.Millisecond, Outcome: policy.Served}}},
+		{Volume: "volume-2", Plan: "basic", Class: "order", Shard: -1, Units: 1, Retry: true, ReceivedAt: storedMoment + time.Millisecond,
+			Duration: time.Second, Timeout: 1200 * time.Millisecond, Result: engine.Rejected, Attempts: []engine.AttemptRecord{
+				{Endpoint: "brick-1", SentAt: storedMoment + 2*time.Millisecond, Duration: 3, Outcome: policy.Rejected},
+				{Endpoint: "brick-1", SentAt: storedMoment + 3*time.Millisecond, Duration: 4, Outcome: policy.TimedOut},
+				{Endpoint: "brick-1", SentAt: storedMoment + 4*time.Millisecond, Duration: 5, Outcome: policy.ConnectFailed}}},
+		{Volume: "volume-1", Plan: "basic", Class: "read", Object: "drawings/tunnel.dwg", Shard: 4, Units: 8, ReceivedAt: storedMoment + 2*time.Millisecond,
+			Duration: 7, Timeout: time.Second, Result: engine.Failed, Attempts: []engine.AttemptRecord{
+				{Endpoint: "brick-2", SentAt: storedMoment + 3*time.Millisecond, Duration: 6, Outcome: policy.ConnectionReset},
+				{Endpoint: "brick-2", SentAt: storedMoment + 4*time.Millisecond, Duration: 7, Outcome: policy.Canceled},
+				{Endpoint: "brick-2", SentAt: storedMoment + 5*time.Millisecond, Outcome: policy.NotSent}}},
+		{Volume: "volume-1", Plan: "basic", Class: "read", Object: "drawings/bridge.dwg", Shard: 3, Units: 1, ReceivedAt: storedMoment + 3*time.Millisecond,
+			Duration: 8, Timeout: time.Second, Result: engine.ClientDisconnected},
 	}
 }
 
@@ -165,7 +165,7 @@
 	w := open(t, Config{Folder: dir, Key: []byte(storedKey), Head: storedHead()})
 	w.Start()
 	for _, p := range storedPast() {
-		w.Over(p)
+		w.RequestEnded(p)
 	}
 	w.Close()
 	for _, name := range []string{"edge-a.000002.wcap", "edge-a.000003.wcap"} {
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -188,13 +188,13 @@
 }
 
 // On tells whether lines are taken; the loop makes none otherwise.
-func (w *Writer) On() bool { return w.on.Load() }
+func (w *Writer) Enabled() bool { return w.on.Load() }
 
 // Over takes a command that is over.
-func (w *Writer) Over(p *engine.Past) { w.offer(p) }
+func (w *Writer) RequestEnded(p *engine.RequestRecord) { w.offer(p) }
 
 // Brick takes what is known of a brick. It is kept also while the writer is off: a capture that begins later needs it.
-func (w *Writer) Brick(name, zone string, cell int, serving, gone bool, started, now time.Duration) {
+func (w *Writer) EndpointChanged(name, zone string, cell int, serving, gone bool, started, now time.Duration) {
 	w.offer(&pb.Captured{At: int64(now), What: &pb.Captured_Brick{Brick: &pb.CapturedBrick{Name: name, Zone: zone, Cell: int64(cell),
 		Serving: serving, Gone: gone, Started: int64(started)}}})
 }
@@ -245,7 +245,7 @@
 		if w.on.Load() || w.pack.lines > 0 {
 			w.line(l)
 		}
-	case *engine.Past:
+	case *engine.RequestRecord:
 		w.line(w.captured(l))
 	}
 }
@@ -270,13 +270,13 @@
 	return binary.LittleEndian.Uint64(w.mac.Sum(nil)) | 1
 }
 
-func (w *Writer) captured(p *engine.Past) *pb.Captured {
-	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.QueueType, Units: p.Units, Cell: int64(p.Cell), Repeat: p.Repeat,
-		Object: w.hash(p.Object), Timeout: int64(p.Timeout), Took: int64(p.Took), Final: pb.CapturedCommand_Final(p.How), Body: uint32(p.Body)}
-	for _, t := range p.Tries {
-		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: t.Brick, After: int64(t.At - p.At), Took: int64(t.Took), How: int32(t.How)})
+func (w *Writer) captured(p *engine.RequestRecord) *pb.Captured {
+	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.Class, Units: p.Units, Cell: int64(p.Shard), Repeat: p.Retry,
+		Object: w.hash(p.Object), Timeout: int64(p.Timeout), Took: int64(p.Duration), Final: pb.CapturedCommand_Final(p.Result), Body: uint32(p.BodyBytes)}
+	for _, t := range p.Attempts {
+		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: t.Endpoint, After: int64(t.SentAt - p.ReceivedAt), Took: int64(t.Duration), How: int32(t.Outcome)})
 	}
-	return &pb.Captured{At: int64(p.At), What: &pb.Captured_Command{Command: c}}
+	return &pb.Captured{At: int64(p.ReceivedAt), What: &pb.Captured_Command{Command: c}}
 }
 
 // flush writes a block. Where that fails its lines are lost and counted, and the next block goes to a new segment.
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -101,4 +101,4 @@
 // nobody is told of beliefs that are only shown.
 type nobody struct{}
 
-func (nobody) BrickIs(string, string, string, int, bool, bool, time.Duration) {}
+func (nobody) EndpointChanged(string, string, string, int, bool, bool, time.Duration) {}
--- a/internal/controlplane/server/bench_test.go
+++ b/internal/controlplane/server/bench_test.go
@@ -111,7 +111,7 @@
 	p, address, stop := start(b, c, Options{})
 	c.Listen = address
 	c.Store = filepath.Join(filepath.Dir(c.Store), "a.db")
-	lines := make([]engine.BrickLine, 1000)
+	lines := make([]engine.EndpointEntry, 1000)
 	for i := range lines {
 		lines[i] = brick(i, true)
 	}
@@ -184,7 +184,7 @@
 	stop()
 	p, _, stop = start(b, c, Options{})
 	begin = time.Now()
-	lists := make([]engine.BrickLine, 1000)
+	lists := make([]engine.EndpointEntry, 1000)
 	for i := range lists {
 		lists[i] = brick(i, true)
 	}
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -201,8 +201,8 @@
 		if b.Drained == -1 {
 			drained = now()
 		}
-		all = append(all, fleetdecide.Belief{From: fleetdecide.Saved, Drained: drained, Why: "as written", Line: fleetdecide.Line{Name: x.Name, Address: b.Address,
-			Zone: b.Zone, Cell: int(b.Cell), Serving: b.Serving, Gone: x.Gone, Started: time.Duration(b.Started), At: now()}})
+		all = append(all, fleetdecide.Belief{Source: fleetdecide.Saved, DrainedUpTo: drained, Reason: "as written", Report: fleetdecide.Report{Name: x.Name, Address: b.Address,
+			Zone: b.Zone, Shard: int(b.Cell), Serving: b.Serving, Gone: x.Gone, Started: time.Duration(b.Started), ObservedAt: now()}})
 	}
 	p.beliefs.Restore(all, fleetdecide.Generation{}, now())
 }
@@ -210,27 +210,27 @@
 // wants is the planner as its beliefs see it: what they tell becomes what it wants to write.
 type wants Planner
 
-func (w *wants) BrickIs(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
+func (w *wants) EndpointChanged(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
 	b := &pb.PlanBrick{Address: address, Zone: zone, Cell: int64(cell), Serving: serving && !gone}
 	if x, ok := w.beliefs.Belief(name); ok {
-		b.Started, b.Drained = int64(x.Started), int64(x.Drained)
+		b.Started, b.Drained = int64(x.Started), int64(x.DrainedUpTo)
 	}
 	w.state.Want(&pb.Item{Kind: pb.Item_BRICK, Name: name, Gone: gone, Brick: b})
 }
 
 // List, ListFailed and ListHolds are what the list service says.
-func (p *Planner) List(g fleetdecide.Generation, whole bool, lines []engine.BrickLine) {
+func (p *Planner) List(g fleetdecide.Generation, whole bool, lines []engine.EndpointEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
-	all := make([]fleetdecide.Line, len(lines))
+	all := make([]fleetdecide.Report, len(lines))
 	for i, l := range lines {
-		all[i] = fleetdecide.Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: l.Cell, Serving: l.Serving && !l.Gone, Gone: l.Gone, At: at}
-		if l.Dated {
+		all[i] = fleetdecide.Report{Name: l.Name, Address: l.Address, Zone: l.Zone, Shard: l.Shard, Serving: l.Serving && !l.Gone, Gone: l.Gone, ObservedAt: at}
+		if l.HasStart {
 			all[i].Started = at - max(l.Age, 0)
 		}
 	}
-	p.beliefs.ListIs(g, whole, all, at)
+	p.beliefs.ListReceived(g, whole, all, at)
 	p.lists++
 	p.write()
 	p.wake()
@@ -239,7 +239,7 @@
 func (p *Planner) ListHolds() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.beliefs.ListHolds(now())
+	p.beliefs.ListUnchanged(now())
 }
 
 // write writes what is wanted, if it may, and wakes all streams. Under mu.
@@ -274,7 +274,7 @@
 		}
 		p.mu.Lock()
 		p.state.Beat(now())
-		p.beliefs.Age(now())
+		p.beliefs.Tick(now())
 		p.write()
 		p.wake()
 		p.mu.Unlock()
@@ -469,11 +469,11 @@
 // evidence is what is believed of bricks, as items of no generation. Under mu.
 func (p *Planner) evidence() (all []*pb.Item) {
 	for _, b := range p.beliefs.Beliefs() {
-		if b.From == fleetdecide.Saved { // what it held itself is no news
+		if b.Source == fleetdecide.Saved { // what it held itself is no news
 			continue
 		}
-		all = append(all, &pb.Item{Kind: pb.Item_BRICK, Name: b.Name, Gone: b.Gone, Brick: &pb.PlanBrick{Address: b.Address, Zone: b.Zone, Cell: int64(b.Cell),
-			Serving: b.Serving && !b.Gone, Started: int64(b.Started), Drained: int64(b.Drained)}})
+		all = append(all, &pb.Item{Kind: pb.Item_BRICK, Name: b.Name, Gone: b.Gone, Brick: &pb.PlanBrick{Address: b.Address, Zone: b.Zone, Cell: int64(b.Shard),
+			Serving: b.Serving && !b.Gone, Started: int64(b.Started), Drained: int64(b.DrainedUpTo)}})
 	}
 	return all
 }
@@ -522,17 +522,17 @@
 
 // heard lets the beliefs know what an edge told of bricks; its drains count, whatever the list says. Under mu.
 func (p *Planner) heard(items []*pb.Item) {
-	var lines []fleetdecide.Line
+	var lines []fleetdecide.Report
 	for _, x := range items {
 		b := x.GetBrick()
 		if b == nil || !snapshot.Drained(b) {
 			continue
 		}
-		lines = append(lines, fleetdecide.Line{Name: x.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Started: max(time.Duration(b.Started), time.Duration(b.Drained)),
-			At: now()})
+		lines = append(lines, fleetdecide.Report{Name: x.Name, Address: b.Address, Zone: b.Zone, Shard: int(b.Cell), Started: max(time.Duration(b.Started), time.Duration(b.Drained)),
+			ObservedAt: now()})
 	}
 	if len(lines) > 0 {
-		p.beliefs.PeerSays(lines, now())
+		p.beliefs.PeerReported(lines, now())
 		p.write()
 	}
 }
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -234,12 +234,12 @@
 	e.last, e.term = g, tenure.GetTerm()
 }
 
-func list(p *Planner, number int64, whole bool, lines ...engine.BrickLine) {
+func list(p *Planner, number int64, whole bool, lines ...engine.EndpointEntry) {
 	p.List(fleetdecide.Generation{Epoch: "list", Number: number}, whole, lines)
 }
 
-func brick(i int, serving bool) engine.BrickLine {
-	return engine.BrickLine{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i), Zone: []string{"n", "s"}[i%2], Cell: i, Serving: serving}
+func brick(i int, serving bool) engine.EndpointEntry {
+	return engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i), Zone: []string{"n", "s"}[i%2], Shard: i, Serving: serving}
 }
 
 func TestViews(t *testing.T) {
@@ -496,7 +496,7 @@
 	p.mu.Unlock()
 	for n := range 20 { // bricks are replaced one after the other
 		at := int64(2 + 2*n)
-		list(p, at, false, engine.BrickLine{Name: fmt.Sprint("b", n), Gone: true, Address: "127.0.0.1:1", Zone: "n"})
+		list(p, at, false, engine.EndpointEntry{Name: fmt.Sprint("b", n), Gone: true, Address: "127.0.0.1:1", Zone: "n"})
 		list(p, at+1, false, brick(n+2, true))
 	}
 	until(t, "the last brick", func() bool { return stays.holds(pb.Item_BRICK, "b21") != nil })
@@ -617,7 +617,7 @@
 	e := follower(t, "e", filepath.Join(t.TempDir(), "e"), address)
 	follower(t, "f", filepath.Join(t.TempDir(), "f"), address) // a majority without the slow one, whatever it does
 	follower(t, "g", filepath.Join(t.TempDir(), "g"), address)
-	lines := make([]engine.BrickLine, 6000) // a view of hundreds of KB: more than a stream takes unread
+	lines := make([]engine.EndpointEntry, 6000) // a view of hundreds of KB: more than a stream takes unread
 	for i := range lines {
 		lines[i] = brick(i, true)
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -23,7 +23,7 @@
 
 // Sink hears of lists. No call may block for long.
 type Sink interface {
-	List(g endpointstate.Generation, whole bool, lines []engine.BrickLine)
+	List(g endpointstate.Generation, whole bool, lines []engine.EndpointEntry)
 	ListFailed()
 	ListHolds() // the connection stands: what was told last still holds
 }
@@ -196,7 +196,7 @@
 
 // Parse reads a LIST. Each line of its body is: name address zone cell state started, where started is on
 // the clock that the field Clock reads, in microseconds, 0 where it is not known.
-func Parse(m *lineproto.Message) (g endpointstate.Generation, whole bool, lines []engine.BrickLine, err error) {
+func Parse(m *lineproto.Message) (g endpointstate.Generation, whole bool, lines []engine.EndpointEntry, err error) {
 	clock, err1 := m.Whole("Clock", 0)
 	number, err2 := m.Whole("Number", 0)
 	if err := errors.Join(err1, err2); err != nil {
@@ -218,7 +218,7 @@
 		if _, _, err := net.SplitHostPort(f[1]); err != nil {
 			return g, false, nil, fmt.Errorf("list line %d: %w", no, err)
 		}
-		b := engine.BrickLine{Name: f[0], Address: f[1], Zone: f[2], Cell: cell}
+		b := engine.EndpointEntry{Name: f[0], Address: f[1], Zone: f[2], Shard: cell}
 		switch f[4] {
 		case "serving":
 			b.Serving = true
@@ -233,7 +233,7 @@
 		}
 		seen[b.Name] = true
 		if started != 0 {
-			b.Dated = true
+			b.HasStart = true
 			b.Age = time.Duration(clock-started) * time.Microsecond
 		}
 		lines = append(lines, b)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestParseList(t *testing.T) {
-	parse := func(clock, body string) (endpointstate.Generation, bool, []engine.BrickLine, error) {
+	parse := func(clock, body string) (endpointstate.Generation, bool, []engine.EndpointEntry, error) {
 		var o lineproto.Out
 		m, err := lineproto.NewReader(strings.NewReader(string(o.Start(lineproto.List, 0).Text("Clock", clock).Text("Whole", "yes").
 			End([]byte(body)).B)), 1<<20).Read()
--- a/internal/endpointconn/endpointconn.go
+++ b/internal/endpointconn/endpointconn.go
@@ -48,7 +48,7 @@
 }
 
 // Line is the way to one brick.
-func (s *Lines) Line(brick, address string) engine.Line {
+func (s *Lines) Connect(brick, address string) engine.EndpointConn {
 	return &line{lines: s, brick: brick, address: address}
 }
 
@@ -93,22 +93,22 @@
 	return c
 }
 
-func (l *line) Dispatch(id uint64, t *engine.Task, n int, left, _ time.Duration) {
+func (l *line) Send(id uint64, t *engine.Request, n int, left, _ time.Duration) {
 	var o lineproto.Out
 	o.B = make([]byte, 0, 256+len(t.Body))
-	o.Start(lineproto.Run, id).Text("Volume", t.Volume).Text("Queue-Type", t.QueueType).Text("Object", t.Object).
-		Text("Tag", t.Tag).Text("Trace", t.Trace).Whole("Cell", int64(t.Cell)).Number("Units", t.Units).
+	o.Start(lineproto.Run, id).Text("Volume", t.Volume).Text("Queue-Type", t.Class).Text("Object", t.Object).
+		Text("Tag", t.Tag).Text("Trace", t.Trace).Whole("Cell", int64(t.Shard)).Number("Units", t.Units).
 		Micros("Timeout", left)
 	if n > 0 {
 		o.Whole("Dispatch", int64(n))
 	}
-	if t.Repeat {
+	if t.Retry {
 		o.Whole("Repeat", 1)
 	}
 	l.send(id, o.End(t.Body).B, false)
 }
 
-func (l *line) Probe(id uint64) {
+func (l *line) CheckHealth(id uint64) {
 	var o lineproto.Out
 	l.send(id, o.Start(lineproto.Probe, id).End(nil).B, true)
 }
@@ -133,7 +133,7 @@
 		l.lines.wg.Add(1)
 		go func() {
 			defer l.lines.wg.Done()
-			l.report(id, policy.Unconnected, probe, nil)
+			l.report(id, policy.ConnectFailed, probe, nil)
 		}()
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 // Greet makes a new connection, for the brick's greeting, unless something is out on the present one.
-func (l *line) Greet() {
+func (l *line) RequestGreeting() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil && len(l.conn.out) == 0 && l.conn.greeted {
@@ -166,7 +166,7 @@
 func (l *line) Withdraw(uint64) bool { return false }
 
 // Forget tells that the loop waits no longer for the answer.
-func (l *line) Forget(id uint64) {
+func (l *line) Abandon(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (l *line) report(id uint64, how policy.Ending, probe bool, m *lineproto.Message) {
+func (l *line) report(id uint64, how policy.Outcome, probe bool, m *lineproto.Message) {
 	var elsewhere, metered float64
 	var body []byte
 	if m != nil {
@@ -202,9 +202,9 @@
 	}
 	l.lines.loop.Post(func(c *engine.Core) {
 		if probe {
-			c.ProbeOutcome(l.brick, id, how)
+			c.HealthChecked(l.brick, id, how)
 		} else {
-			c.Outcome(l.brick, id, how, body, elsewhere, metered)
+			c.AttemptEnded(l.brick, id, how, body, elsewhere, metered)
 		}
 	})
 }
@@ -227,9 +227,9 @@
 		l.lines.log.Debug("brick connection ended", "brick", l.brick, "address", l.address, "out", len(out), "err", err)
 	}
 	for id, at := range out {
-		how := policy.Unconnected
+		how := policy.ConnectFailed
 		if c.sender.MayHaveLeft(at) {
-			how = policy.Broken
+			how = policy.ConnectionReset
 		}
 		l.report(id, how, probes[id], nil)
 	}
@@ -252,7 +252,7 @@
 		return fmt.Errorf("brick %s at %s: %w", l.brick, l.address, err)
 	}
 	if name := hello.Get("Name"); name != l.brick {
-		l.lines.loop.Post(func(c *engine.Core) { c.Wrong(l.brick, l.address) })
+		l.lines.loop.Post(func(c *engine.Core) { c.WrongEndpoint(l.brick, l.address) })
 		return fmt.Errorf("brick %s: at its address %s is %q now; the list is out of date", l.brick, l.address, name)
 	}
 	age, err := hello.Micros("Age", 0)
@@ -260,7 +260,7 @@
 		return fmt.Errorf("brick %s: %w", l.brick, err)
 	}
 	dated, draining := hello.Get("Age") != "", hello.Get("State") == "draining"
-	l.lines.loop.Post(func(c *engine.Core) { c.OwnWord(l.brick, l.address, dated, age, draining) })
+	l.lines.loop.Post(func(c *engine.Core) { c.Greeted(l.brick, l.address, dated, age, draining) })
 	l.mu.Lock()
 	c.greeted = true
 	l.mu.Unlock()
@@ -288,17 +288,17 @@
 	return !c.since.IsZero() && time.Since(c.since) < c.line.lines.limits.Idle
 }
 
-var endings = map[string]policy.Ending{lineproto.Done: policy.Completed, lineproto.Busy: policy.Turned,
-	lineproto.Abort: policy.Errored, lineproto.Probed: policy.Completed, lineproto.Bad: policy.Errored}
+var endings = map[string]policy.Outcome{lineproto.Done: policy.Served, lineproto.Busy: policy.Rejected,
+	lineproto.Abort: policy.ErrorResponse, lineproto.Probed: policy.Served, lineproto.Bad: policy.ErrorResponse}
 
 func (c *conn) take(m *lineproto.Message) error {
 	l := c.line
 	switch m.Verb {
 	case lineproto.Drain:
-		l.lines.loop.Post(func(c *engine.Core) { c.Draining(l.brick) })
+		l.lines.loop.Post(func(c *engine.Core) { c.EndpointDraining(l.brick) })
 		return nil
 	case lineproto.Begun:
-		l.lines.loop.Post(func(c *engine.Core) { c.Begun(l.brick, m.ID) })
+		l.lines.loop.Post(func(c *engine.Core) { c.ResponseStarted(l.brick, m.ID) })
 		return nil
 	}
 	how, ok := endings[m.Verb]
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -19,162 +19,164 @@
 )
 
 // Decider is the module as the loop calls it; *policy.Instance is one.
-type Decider interface {
-	ListBegins(whole bool)
-	Listed(b *policy.Brick, zone string, cell int, serving, gone bool, boot time.Duration)
-	ListEnds()
-	ListFailed()
-	Taken(c *policy.Command, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration,
+type Scheduler interface {
+	BeginEndpointList(whole bool)
+	UpdateEndpoint(b *policy.Endpoint, zone string, cell int, serving, gone bool, boot time.Duration)
+	EndEndpointList()
+	EndpointListFailed()
+	RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration,
 		repeat bool) error
-	Begun(d *policy.Dispatch)
-	Ended(d *policy.Dispatch, how policy.Ending, took time.Duration, last bool, elsewhere, meter float64)
-	Left(c *policy.Command)
-	Probed(b *policy.Brick, how policy.Ending, took time.Duration)
-	Heard(sender int, data []byte)
-	Hosts(serving, parts int)
-	VolumeHosts(v *policy.Volume, hosts int)
+	ResponseStarted(d *policy.Attempt)
+	AttemptEnded(d *policy.Attempt, how policy.Outcome, took time.Duration, last bool, elsewhere, meter float64)
+	ClientDisconnected(c *policy.Request)
+	HealthChecked(b *policy.Endpoint, how policy.Outcome, took time.Duration)
+	GossipReceived(sender int, data []byte)
+	SetGateways(serving, parts int)
+	SetVolumeGateways(v *policy.Volume, hosts int)
 }
 
 // Line is the way to one brick. Every call returns at once. A dispatch or probe that is not answered by the brick is
 // reported by Core.Outcome or Core.ProbeOutcome once the line knows how it ended; none is reported twice.
-type Line interface {
+type EndpointConn interface {
 	// by is on the loop's clock: a dispatch that has not begun by then must not; 0: any time.
-	Dispatch(id uint64, t *Task, n int, left, by time.Duration)
+	Send(id uint64, t *Request, n int, left, by time.Duration)
 	Cancel(id uint64)
 	Withdraw(id uint64) bool // true: no byte of the dispatch was written, and none ever will be
-	Greet()                  // hear the brick's own word, on a new connection if need be
-	Forget(id uint64)        // its time ran out: no answer is waited for
-	Probe(id uint64)
+	RequestGreeting()        // hear the brick's own word, on a new connection if need be
+	Abandon(id uint64)       // its time ran out: no answer is waited for
+	CheckHealth(id uint64)
 	CloseIdle()
 	Close()
 }
 
 // Ways are the loop's ways out, besides the bricks. No call may block.
-type Ways interface {
-	Line(brick, address string) Line
-	Watch(on bool)
+type Outbound interface {
+	Connect(brick, address string) EndpointConn
+	RequestEndpointList(on bool)
 	ListAll()
-	Tell(peer int, data []byte)
-	Gossip(address string, m membership.Message)
-	Share(address string, now time.Duration, lines []endpointstate.Line)
-	Members(all []membership.Member) // as they change
+	SendNote(peer int, data []byte)
+	SendMembership(address string, m membership.Message)
+	SendEndpoints(address string, now time.Duration, lines []endpointstate.Report)
+	MembersChanged(all []membership.Member) // as they change
 	Log(line string)
 }
 
 // Tap hears of each command once it is over and of what is known of bricks. No call may block.
-type Tap interface {
-	On() bool
-	Over(p *Past)
-	Brick(name, zone string, cell int, serving, gone bool, started, now time.Duration)
+type Observer interface {
+	Enabled() bool
+	RequestEnded(p *RequestRecord)
+	EndpointChanged(name, zone string, cell int, serving, gone bool, started, now time.Duration)
 }
 
 // Past is a command that is over.
-type Past struct {
-	Volume, Plan, QueueType, Object string
-	Cell, Body                      int
-	Units                           float64
-	Repeat                          bool
-	At, Took, Timeout               time.Duration
-	How                             Final // LeftBy: its client went away first
-	Tries                           []Try
+type RequestRecord struct {
+	Volume, Plan, Class, Object   string
+	Shard, BodyBytes              int
+	Units                         float64
+	Retry                         bool
+	ReceivedAt, Duration, Timeout time.Duration
+	Result                        Result // LeftBy: its client went away first
+	Attempts                      []AttemptRecord
 }
 
 // Try is one of its dispatches.
-type Try struct {
-	Brick    string
-	At, Took time.Duration
-	How      policy.Ending
+type AttemptRecord struct {
+	Endpoint         string
+	SentAt, Duration time.Duration
+	Outcome          policy.Outcome
 }
 
 // Answer is a final answer.
-type Answer struct {
-	How        Final
+type Response struct {
+	Result     Result
 	Body       []byte        // of a completed command
-	Pause      time.Duration // of a busy reply: when to come back, 0: no advice
+	RetryAfter time.Duration // of a busy reply: when to come back, 0: no advice
 	MayHaveRun bool          // of an abort
 	Reason     string        // of an abort that the module did not decide
 }
 
 // Final is the kind of a final answer.
-type Final int
+type Result int
 
 const (
-	Completed Final = iota
-	BusyReplied
-	Aborted
-	LeftBy // no answer: the client went away
+	Served Result = iota
+	Rejected
+	Failed
+	ClientDisconnected // no answer: the client went away
 )
 
-func (f Final) String() string { return [...]string{"completed", "busy-replied", "aborted", "left"}[f] }
+func (f Result) String() string {
+	return [...]string{"completed", "busy-replied", "aborted", "left"}[f]
+}
 
 // Task is a command as a client sent it.
-type Task struct {
-	Volume, QueueType, Object, Tag, Trace string
-	Plan                                  string // with Hosts, where VolumeOf is nil: as each command tells
-	Hosts                                 int
-	Cell                                  int // -1: a new object
-	Units                                 float64
-	Timeout                               time.Duration // 0: that of the queue type
-	Arrived                               time.Duration // from when the time-out counts; 0: from now
-	Lead                                  []byte        // what its front wrote for the lines to bricks; not looked at here
-	Repeat                                bool
-	Body                                  []byte
+type Request struct {
+	Volume, Class, Object, Tag, Trace string
+	Plan                              string // with Hosts, where VolumeOf is nil: as each command tells
+	Gateways                          int
+	Shard                             int // -1: a new object
+	Units                             float64
+	Timeout                           time.Duration // 0: that of the queue type
+	ReceivedAt                        time.Duration // from when the time-out counts; 0: from now
+	Header                            []byte        // what its front wrote for the lines to bricks; not looked at here
+	Retry                             bool
+	Body                              []byte
 	// Release, where a line set it, is to be called once the answer's body is needed no more; whoever takes it clears it.
 	Release func()
 	// Answer is called once, from the loop. It must not block.
-	Answer func(Answer)
+	Respond func(Response)
 	// Begun is called when a streamed answer begins; may be nil.
-	Begun func()
+	ResponseStarted func()
 
 	// ClientGone, where a front set it, looks whether the client has closed its connection, noticed or not. It is safe for
 	// concurrent use and does not wait.
-	ClientGone func() bool
+	ClientClosed func() bool
 	// Deadline, on the loop's clock, is set by Take: the request's client waits no longer.
 	Deadline time.Duration
 
-	cmd   *command
-	gone  bool // its client went away before the loop's turn
-	ended atomic.Int64
+	cmd        *command
+	clientGone bool // its client went away before the loop's turn
+	ended      atomic.Int64
 }
 
 // End notes, on the loop's clock, that nothing is owed for the task any more: its client has gone or has its final
 // answer. Nothing may begin for it afterwards. It is safe for concurrent use; the first call counts.
-func (t *Task) End(now time.Duration) { t.ended.CompareAndSwap(0, int64(now)) }
+func (t *Request) End(now time.Duration) { t.ended.CompareAndSwap(0, int64(now)) }
 
 // EndedAt is when the task ended; ok is false while it has not.
-func (t *Task) EndedAt() (at time.Duration, ok bool) {
+func (t *Request) EndedAt() (at time.Duration, ok bool) {
 	at = time.Duration(t.ended.Load())
 	return at, at != 0
 }
 
 // VolumeOf tells the plan of a volume and through how many hosts it works; ok is false for a volume nobody knows.
-type VolumeOf func(name string) (plan string, hosts int, ok bool)
+type VolumeLookup func(name string) (plan string, hosts int, ok bool)
 
 // Counts are running totals.
 type Counts struct {
-	Taken, Completed, BusyReplied, Aborted, Left  int64
-	Dispatches, Further, Late, Misfit, Overflowed int64
-	Overlapping                                   int64 // attempts begun beside another one that settings forbid; must stay 0
-	Held                                          int   // commands without a final answer
-	Out                                           int   // dispatches without an outcome
-	Timers                                        int
-	Ended                                         [policy.Unsent + 1]int64 // dispatches, by how
+	Received, Served, Rejected, Failed, ClientDisconnected          int64
+	Attempts, Retries, LateOutcomes, MismatchedOutcomes, Overflowed int64
+	Overlapping                                                     int64 // attempts begun beside another one that settings forbid; must stay 0
+	Open                                                            int   // commands without a final answer
+	InFlight                                                        int   // dispatches without an outcome
+	Timers                                                          int
+	Outcomes                                                        [policy.NotSent + 1]int64 // dispatches, by how
 }
 
 type command struct {
-	policy.Command
-	task   *Task
+	policy.Request
+	task   *Request
 	giveUp time.Duration
 	outs   []*dispatch
 	sent   int
 	ran    bool // a dispatch may have run
 	over   bool
 	begun  bool
-	past   *Past // nil: nobody hears of it
+	past   *RequestRecord // nil: nobody hears of it
 }
 
 type dispatch struct {
-	*policy.Dispatch
+	*policy.Attempt
 	id   uint64
 	cmd  *command
 	to   *brick // nil: a brick that was dropped
@@ -189,8 +191,8 @@
 }
 
 type brick struct {
-	policy.Brick
-	line    Line
+	policy.Endpoint
+	line    EndpointConn
 	address string
 	zone    string
 	cell    int
@@ -227,9 +229,9 @@
 
 // Core is one host's state beside the module. It is not safe for concurrent use.
 type Core struct {
-	in         Decider
-	ways       Ways
-	volumeOf   VolumeOf
+	in         Scheduler
+	ways       Outbound
+	volumeOf   VolumeLookup
 	timeouts   map[string]time.Duration // by queue type
 	max        int                      // dispatches of a command
 	oneAtATime bool                     // settings allow no second attempt of a command while one is out
@@ -252,30 +254,30 @@
 	ids        uint64
 	closing    bool
 	counts     Counts
-	tap        Tap // nil: nobody hears of what is over
+	tap        Observer // nil: nobody hears of what is over
 
 	// Overlapped, if set, hears of each attempt that began beside another one of its request where settings forbid that.
-	Overlapped func(request string)
+	OnOverlap func(request string)
 }
 
 // New makes a Core whose module is made by start, at a clock that stands at now.
-func New(s policy.Settings, rules endpointstate.Rules, start func(policy.Host, policy.Settings) Decider, ways Ways,
-	volumeOf VolumeOf, probeFor, now time.Duration) *Core {
-	c := &Core{ways: ways, volumeOf: volumeOf, timeouts: map[string]time.Duration{}, max: s.MaxDispatch, oneAtATime: !s.SecondCopies,
+func New(s policy.Settings, rules endpointstate.Rules, start func(policy.Runtime, policy.Settings) Scheduler, ways Outbound,
+	volumeOf VolumeLookup, probeFor, now time.Duration) *Core {
+	c := &Core{ways: ways, volumeOf: volumeOf, timeouts: map[string]time.Duration{}, max: s.MaxAttempts, oneAtATime: !s.Hedging,
 		probeFor: probeFor, now: now, commands: map[int64]*command{}, dispatches: map[uint64]*dispatch{},
 		bricks: map[string]*brick{}, volumes: map[string]*volume{}}
-	for _, q := range s.QueueTypes {
-		c.timeouts[q.Name] = q.CommandTimeout
+	for _, q := range s.Classes {
+		c.timeouts[q.Name] = q.Timeout
 	}
 	c.rng = rand.New(rand.NewSource(s.Seed + 1))
 	c.fleet = endpointstate.New(rules, c, ways.Log)
-	c.in = start((*host)(c), s)
+	c.in = start((*schedulerRuntime)(c), s)
 	c.age()
 	return c
 }
 
 // Tap lets t hear of what is over from now on.
-func (c *Core) Tap(t Tap) { c.tap = t }
+func (c *Core) Observe(t Observer) { c.tap = t }
 
 // Advance moves the clock, never back, and fires what is due. Call it before each event and at Next.
 func (c *Core) Advance(now time.Duration) {
@@ -329,22 +331,22 @@
 }
 
 // Take hands a command to the module. A command that can't be handed over is aborted at once.
-func (c *Core) Take(t *Task) {
-	if t.gone {
+func (c *Core) Submit(t *Request) {
+	if t.clientGone {
 		return
 	}
-	plan, hosts, key := t.Plan, t.Hosts, t.Volume+" "+t.Plan // a wrong plan must not bind a volume for others
+	plan, hosts, key := t.Plan, t.Gateways, t.Volume+" "+t.Plan // a wrong plan must not bind a volume for others
 	if c.volumeOf != nil {
 		var ok bool
 		if plan, hosts, ok = c.volumeOf(t.Volume); !ok {
-			t.Answer(Answer{How: Aborted, Reason: fmt.Sprintf("unknown volume %q", t.Volume)})
+			t.Respond(Response{Result: Failed, Reason: fmt.Sprintf("unknown volume %q", t.Volume)})
 			return
 		}
 		key = t.Volume
 	}
-	timeout, ok := c.timeouts[t.QueueType]
+	timeout, ok := c.timeouts[t.Class]
 	if !ok {
-		t.Answer(Answer{How: Aborted, Reason: fmt.Sprintf("unknown queue type %q", t.QueueType)})
+		t.Respond(Response{Result: Failed, Reason: fmt.Sprintf("unknown queue type %q", t.Class)})
 		return
 	}
 	if t.Timeout > 0 {
@@ -357,24 +359,24 @@
 	}
 	if v.hosts != hosts {
 		v.hosts = hosts
-		c.in.VolumeHosts(&v.Volume, hosts)
+		c.in.SetVolumeGateways(&v.Volume, hosts)
 	}
 	c.ids++
 	from := c.now
-	if t.Arrived > 0 {
-		from = min(from, t.Arrived)
+	if t.ReceivedAt > 0 {
+		from = min(from, t.ReceivedAt)
 	}
-	x := &command{Command: policy.Command{ID: int64(c.ids), Volume: &v.Volume}, task: t, giveUp: from + timeout}
+	x := &command{Request: policy.Request{ID: int64(c.ids), Volume: &v.Volume}, task: t, giveUp: from + timeout}
 	t.cmd, t.Deadline = x, x.giveUp
-	if c.tap != nil && c.tap.On() {
-		x.past = &Past{Volume: t.Volume, Plan: plan, QueueType: t.QueueType, Object: t.Object, Cell: t.Cell, Body: len(t.Body), Units: t.Units,
-			Repeat: t.Repeat, At: c.now, Timeout: timeout, Tries: make([]Try, 0, 1)}
+	if c.tap != nil && c.tap.Enabled() {
+		x.past = &RequestRecord{Volume: t.Volume, Plan: plan, Class: t.Class, Object: t.Object, Shard: t.Shard, BodyBytes: len(t.Body), Units: t.Units,
+			Retry: t.Retry, ReceivedAt: c.now, Timeout: timeout, Attempts: make([]AttemptRecord, 0, 1)}
 	}
 	c.commands[x.ID] = x
-	c.counts.Taken++
-	c.counts.Held++
-	if err := c.in.Taken(&x.Command, t.QueueType, plan, t.Object, t.Cell, hosts, t.Units, x.giveUp, t.Repeat); err != nil {
-		c.answer(x, Answer{How: Aborted, Reason: err.Error()})
+	c.counts.Received++
+	c.counts.Open++
+	if err := c.in.RequestReceived(&x.Request, t.Class, plan, t.Object, t.Shard, hosts, t.Units, x.giveUp, t.Retry); err != nil {
+		c.answer(x, Response{Result: Failed, Reason: err.Error()})
 		c.forget(x)
 	}
 	c.settle()
@@ -382,8 +384,8 @@
 
 // Gone tells that the client of a command went away: nothing is owed any more, and nothing is begun for it. It may come
 // before Take.
-func (c *Core) Gone(t *Task) {
-	t.gone = true
+func (c *Core) ClientDisconnected(t *Request) {
+	t.clientGone = true
 	t.End(c.now)
 	x := t.cmd
 	if x == nil || x.over {
@@ -394,11 +396,11 @@
 	}
 	x.over = true
 	if x.past != nil {
-		x.past.How, x.past.Took = LeftBy, c.now-x.past.At
+		x.past.Result, x.past.Duration = ClientDisconnected, c.now-x.past.ReceivedAt
 	}
-	c.counts.Left++
-	c.counts.Held--
-	c.in.Left(&x.Command)
+	c.counts.ClientDisconnected++
+	c.counts.Open--
+	c.in.ClientDisconnected(&x.Request)
 	c.forget(x)
 	c.settle()
 }
@@ -408,36 +410,36 @@
 	if d.over || d.to == nil || d.to.line == nil || !d.to.line.Withdraw(d.id) {
 		return false
 	}
-	c.later = append(c.later, func() { c.ended(d, c.now, policy.Unsent, nil, 0, 0) })
+	c.later = append(c.later, func() { c.ended(d, c.now, policy.NotSent, nil, 0, 0) })
 	return true
 }
 
 // answer is the one place where a final answer goes out. What has not begun by then never does, whatever settings let
 // the module call off.
-func (c *Core) answer(x *command, a Answer) {
+func (c *Core) answer(x *command, a Response) {
 	if x.over {
 		return
 	}
 	x.over = true
 	x.task.End(c.now)
 	if x.past != nil {
-		x.past.How, x.past.Took = a.How, c.now-x.past.At
-	}
-	c.counts.Held--
-	switch a.How {
-	case Completed:
-		c.counts.Completed++
-	case BusyReplied:
-		c.counts.BusyReplied++
+		x.past.Result, x.past.Duration = a.Result, c.now-x.past.ReceivedAt
+	}
+	c.counts.Open--
+	switch a.Result {
+	case Served:
+		c.counts.Served++
+	case Rejected:
+		c.counts.Rejected++
 	default:
-		c.counts.Aborted++
+		c.counts.Failed++
 	}
 	a.MayHaveRun = x.ran
 	for _, d := range x.outs {
 		a.MayHaveRun = !c.withdraw(d) || a.MayHaveRun
 	}
-	a.MayHaveRun = a.MayHaveRun && a.How == Aborted
-	x.task.Answer(a)
+	a.MayHaveRun = a.MayHaveRun && a.Result == Failed
+	x.task.Respond(a)
 	x.task.Body = nil
 }
 
@@ -445,27 +447,27 @@
 	if x.over && len(x.outs) == 0 {
 		delete(c.commands, x.ID)
 		if x.past != nil {
-			c.tap.Over(x.past)
+			c.tap.RequestEnded(x.past)
 			x.past = nil
 		}
 	}
 }
 
 // Outcome tells how a dispatch ended. What is over already, or went to another brick, is counted and thrown away.
-func (c *Core) Outcome(from string, id uint64, how policy.Ending, body []byte, elsewhere, metered float64) {
-	c.OutcomeAt(c.now, from, id, how, body, elsewhere, metered)
+func (c *Core) AttemptEnded(from string, id uint64, how policy.Outcome, body []byte, elsewhere, metered float64) {
+	c.AttemptEndedAt(c.now, from, id, how, body, elsewhere, metered)
 }
 
 // OutcomeAt is Outcome with the time at which it was seen on the connection: what it then waited for the loop's turn
 // says nothing of the brick.
-func (c *Core) OutcomeAt(at time.Duration, from string, id uint64, how policy.Ending, body []byte, elsewhere, metered float64) {
+func (c *Core) AttemptEndedAt(at time.Duration, from string, id uint64, how policy.Outcome, body []byte, elsewhere, metered float64) {
 	d := c.dispatches[id]
 	if d == nil {
-		c.counts.Late++
+		c.counts.LateOutcomes++
 		return
 	}
-	if d.Brick.Name != from {
-		c.counts.Misfit++
+	if d.Endpoint.Name != from {
+		c.counts.MismatchedOutcomes++
 		return
 	}
 	c.ended(d, at, how, body, elsewhere, metered)
@@ -473,23 +475,23 @@
 }
 
 // Begun tells that a brick has begun to stream the answer of a dispatch.
-func (c *Core) Begun(from string, id uint64) {
+func (c *Core) ResponseStarted(from string, id uint64) {
 	d := c.dispatches[id]
-	if d == nil || d.Brick.Name != from || d.cmd.over || d.cmd.begun {
-		c.counts.Late++
+	if d == nil || d.Endpoint.Name != from || d.cmd.over || d.cmd.begun {
+		c.counts.LateOutcomes++
 		return
 	}
 	d.cmd.begun = true
-	if d.cmd.task.Begun != nil {
-		d.cmd.task.Begun()
+	if d.cmd.task.ResponseStarted != nil {
+		d.cmd.task.ResponseStarted()
 	}
-	c.in.Begun(d.Dispatch)
+	c.in.ResponseStarted(d.Attempt)
 	c.settle()
 }
 
-func (c *Core) ended(d *dispatch, at time.Duration, how policy.Ending, body []byte, elsewhere, metered float64) {
+func (c *Core) ended(d *dispatch, at time.Duration, how policy.Outcome, body []byte, elsewhere, metered float64) {
 	if d.over {
-		c.counts.Late++
+		c.counts.LateOutcomes++
 		return
 	}
 	x := d.cmd
@@ -499,32 +501,32 @@
 	}
 	d.over = true
 	delete(c.dispatches, d.id)
-	c.counts.Out--
-	c.counts.Ended[how]++
+	c.counts.InFlight--
+	c.counts.Outcomes[how]++
 	x.outs = slices.DeleteFunc(x.outs, func(o *dispatch) bool { return o == d })
 	if x.past != nil {
-		x.past.Tries[d.try].Took, x.past.Tries[d.try].How = at-d.at, how
+		x.past.Attempts[d.try].Duration, x.past.Attempts[d.try].Outcome = at-d.at, how
 	}
 	if how == policy.TimedOut && d.to != nil && d.to.line != nil {
-		d.to.line.Forget(d.id)
+		d.to.line.Abandon(d.id)
 	}
 	switch how {
-	case policy.Turned, policy.Unconnected, policy.Unsent:
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 	default:
 		x.ran = true
 	}
 	switch {
-	case how == policy.Completed:
-		c.answer(x, Answer{How: Completed, Body: body})
+	case how == policy.Served:
+		c.answer(x, Response{Result: Served, Body: body})
 	case x.begun && !x.over: // the break of a stream is the client's
-		c.answer(x, Answer{How: Aborted, Reason: "the answer broke off"})
+		c.answer(x, Response{Result: Failed, Reason: "the answer broke off"})
 	}
-	c.in.Ended(d.Dispatch, how, at-d.at, x.over, elsewhere, metered)
+	c.in.AttemptEnded(d.Attempt, how, at-d.at, x.over, elsewhere, metered)
 	c.forget(x)
 	if d.to != nil {
-		if d.to.out--; how == policy.Completed && c.now-d.to.alive >= time.Second {
+		if d.to.out--; how == policy.Served && c.now-d.to.alive >= time.Second {
 			d.to.alive = c.now
-			c.fleet.Alive(d.to.Name, c.now)
+			c.fleet.Answered(d.to.Name, c.now)
 			c.told()
 		}
 		c.drop(d.to)
@@ -532,43 +534,43 @@
 }
 
 // ProbeOutcome is how a probe ended; one that is over is ignored.
-func (c *Core) ProbeOutcome(from string, id uint64, how policy.Ending) {
+func (c *Core) HealthChecked(from string, id uint64, how policy.Outcome) {
 	b := c.bricks[from]
 	if b == nil || id == 0 || b.probe != id {
-		c.counts.Late++
+		c.counts.LateOutcomes++
 		return
 	}
 	b.probe = 0
 	if how == policy.TimedOut {
-		b.line.Forget(id)
+		b.line.Abandon(id)
 	}
-	c.in.Probed(&b.Brick, how, c.now-b.probed)
+	c.in.HealthChecked(&b.Endpoint, how, c.now-b.probed)
 	c.settle()
 }
 
 // Heard is a short message of another host.
-func (c *Core) Heard(sender int, data []byte) {
-	c.in.Heard(sender, data)
+func (c *Core) GossipReceived(sender int, data []byte) {
+	c.in.GossipReceived(sender, data)
 	c.settle()
 }
 
 // BrickLine is one line of a list.
-type BrickLine struct {
+type EndpointEntry struct {
 	Name, Address, Zone string
-	Cell                int
+	Shard               int
 	Serving, Gone       bool
-	Dated               bool          // its start is known
+	HasStart            bool          // its start is known
 	Age                 time.Duration // since its start, on the teller's clock
 	Started             time.Duration // for Told, where all go by one clock; 0: long ago
 	Unreadable          bool          // for Told: nothing but the name could be read
 }
 
 // lines puts starts on this host's clock.
-func (c *Core) lines(told []BrickLine) []endpointstate.Line {
-	all := make([]endpointstate.Line, len(told))
+func (c *Core) lines(told []EndpointEntry) []endpointstate.Report {
+	all := make([]endpointstate.Report, len(told))
 	for i, l := range told {
-		all[i] = endpointstate.Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: l.Cell, Serving: l.Serving && !l.Gone, Gone: l.Gone, At: c.now}
-		if l.Dated {
+		all[i] = endpointstate.Report{Name: l.Name, Address: l.Address, Zone: l.Zone, Shard: l.Shard, Serving: l.Serving && !l.Gone, Gone: l.Gone, ObservedAt: c.now}
+		if l.HasStart {
 			all[i].Started = c.now - max(l.Age, 0)
 		}
 	}
@@ -576,17 +578,17 @@
 }
 
 // List is a list of the list service, or the changes of one.
-func (c *Core) List(g endpointstate.Generation, whole bool, lines []BrickLine) {
-	c.in.ListBegins(false) // what a whole list takes away the beliefs tell line by line
-	c.fleet.ListIs(g, whole, c.lines(lines), c.now)
+func (c *Core) EndpointList(g endpointstate.Generation, whole bool, lines []EndpointEntry) {
+	c.in.BeginEndpointList(false) // what a whole list takes away the beliefs tell line by line
+	c.fleet.ListReceived(g, whole, c.lines(lines), c.now)
 	c.moved = true
 	c.told()
 }
 
 // Told is a list, or the changes of one, of a teller whose word is taken as it is: the module hears it line by line, at
 // once, and no belief is formed.
-func (c *Core) Told(whole bool, lines []BrickLine) {
-	c.in.ListBegins(whole)
+func (c *Core) AuthoritativeList(whole bool, lines []EndpointEntry) {
+	c.in.BeginEndpointList(whole)
 	if whole {
 		for _, b := range c.bricks {
 			b.gone = true
@@ -597,7 +599,7 @@
 			c.suspend(l.Name, l.Started)
 			continue
 		}
-		c.BrickIs(l.Name, l.Address, l.Zone, l.Cell, l.Serving, l.Gone, l.Started)
+		c.EndpointChanged(l.Name, l.Address, l.Zone, l.Shard, l.Serving, l.Gone, l.Started)
 	}
 	c.moved = true
 	c.told()
@@ -608,16 +610,16 @@
 func (c *Core) suspend(name string, boot time.Duration) {
 	if b := c.bricks[name]; b != nil {
 		c.ways.Log("an entry that can't be read; nothing new goes to " + name)
-		c.BrickIs(name, b.address, b.zone, b.cell, false, false, boot)
+		c.EndpointChanged(name, b.address, b.zone, b.cell, false, false, boot)
 	}
 }
 
 // ListHolds tells that the list service still has nothing new.
-func (c *Core) ListHolds() { c.fleet.ListHolds(c.now) }
+func (c *Core) EndpointListUnchanged() { c.fleet.ListUnchanged(c.now) }
 
 // Known are bricks that settings name.
-func (c *Core) Known(lines []BrickLine) {
-	c.fleet.Known(c.lines(lines), c.now)
+func (c *Core) KnownEndpoints(lines []EndpointEntry) {
+	c.fleet.Configured(c.lines(lines), c.now)
 	c.told()
 }
 
@@ -632,70 +634,70 @@
 func (c *Core) Fleet() *endpointstate.Fleet { return c.fleet }
 
 // ForgetBrick is an operator's word.
-func (c *Core) ForgetBrick(name string) bool {
+func (c *Core) ForgetEndpoint(name string) bool {
 	ok := c.fleet.Forget(name, c.now)
 	c.told()
 	return ok
 }
 
 // ForgetHost is an operator's word: the host named sends nothing any more, so nothing is kept for it.
-func (c *Core) ForgetHost(name string) bool {
+func (c *Core) ForgetGateway(name string) bool {
 	ok := c.group != nil && c.group.Forget(name, c.now)
 	c.settle()
 	return ok
 }
 
 // OwnWord is a brick's greeting.
-func (c *Core) OwnWord(name, address string, dated bool, age time.Duration, draining bool) {
+func (c *Core) Greeted(name, address string, dated bool, age time.Duration, draining bool) {
 	started := time.Duration(0)
 	if dated {
 		started = c.now - max(age, 0)
 		if b := c.bricks[name]; c.tap != nil && b != nil {
-			c.tap.Brick(name, b.zone, b.cell, b.serving && !draining, b.gone, started, c.now)
+			c.tap.EndpointChanged(name, b.zone, b.cell, b.serving && !draining, b.gone, started, c.now)
 		}
 	}
-	c.fleet.OwnWord(name, address, started, draining, c.now)
+	c.fleet.Greeted(name, address, started, draining, c.now)
 	c.told()
 }
 
 // Wrong tells that another brick is at a brick's address.
-func (c *Core) Wrong(name, address string) {
-	c.fleet.Wrong(name, address, c.now)
+func (c *Core) WrongEndpoint(name, address string) {
+	c.fleet.WrongEndpoint(name, address, c.now)
 	c.told()
 }
 
 // Draining tells that a brick itself said that it takes nothing new.
-func (c *Core) Draining(name string) {
+func (c *Core) EndpointDraining(name string) {
 	if b := c.bricks[name]; b != nil {
-		c.fleet.OwnWord(name, b.address, 0, true, c.now)
+		c.fleet.Greeted(name, b.address, 0, true, c.now)
 		c.told()
 	}
 }
 
 // BrickIs is how the beliefs tell the module of a brick.
-func (c *Core) BrickIs(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
+func (c *Core) EndpointChanged(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
 	b := c.bricks[name]
 	if b == nil {
 		if gone {
 			return
 		}
-		b = &brick{Brick: policy.Brick{Name: name}}
+		b = &brick{Endpoint: policy.Endpoint{Name: name}}
 		c.bricks[name] = b
 	}
 	if address != b.address && !gone {
 		if b.line != nil {
 			b.line.Close()
 		}
-		b.address, b.line = address, c.ways.Line(name, address)
+		b.address, b.line = address, c.ways.Connect(name, address)
 	}
 	if b.serving && !serving { // a drain is worth telling at once
 		c.shareAt = c.now
 	}
 	b.gone, b.serving, b.zone, b.cell, c.moved = gone, serving, zone, cell, true
 	if c.tap != nil {
-		c.tap.Brick(name, zone, cell, serving, gone, boot, c.now)
+		c.tap.EndpointChanged(name, zone, cell, serving, gone, boot, c.now)
 	}
-	c.in.Listed(&b.Brick, zone, cell, serving, gone, boot)
+	c.in.UpdateEndpoint(&b.Endpoint, zone, cell, serving, gone, boot)
 	if !serving { // what still waits for a connection there would begin after the brick is told to drain
 		for _, d := range c.dispatches {
 			if d.to == b {
@@ -711,8 +713,8 @@
 		return
 	}
 	c.shareAt = c.now + shareEvery
-	all := c.fleet.Tellings()
-	slices.SortStableFunc(all, func(a, b endpointstate.Line) int {
+	all := c.fleet.Reports()
+	slices.SortStableFunc(all, func(a, b endpointstate.Report) int {
 		switch {
 		case a.Serving == b.Serving:
 			return 0
@@ -730,9 +732,9 @@
 		c.shared++
 		lines = append(lines, rest[c.shared%len(rest)])
 	}
-	to := c.group.Some(shareHosts)
+	to := c.group.RandomAddresses(shareHosts)
 	for _, a := range to {
-		c.ways.Share(a, c.now, lines)
+		c.ways.SendEndpoints(a, c.now, lines)
 	}
 }
 
@@ -740,8 +742,8 @@
 const shareEvery, shareLines, shareHosts = 2 * time.Second, 48, 3
 
 // PeerSays is what another host believes.
-func (c *Core) PeerSays(lines []endpointstate.Line) {
-	c.fleet.PeerSays(lines, c.now)
+func (c *Core) EndpointsFromPeer(lines []endpointstate.Report) {
+	c.fleet.PeerReported(lines, c.now)
 	c.told()
 }
 
@@ -749,7 +751,7 @@
 func (c *Core) told() {
 	if c.moved {
 		c.moved = false
-		c.in.ListEnds()
+		c.in.EndEndpointList()
 		for _, b := range c.bricks {
 			c.drop(b)
 		}
@@ -760,7 +762,7 @@
 
 // age lets beliefs grow older, and asks those in doubt for their own word, each at a time of this host's own.
 func (c *Core) age() {
-	c.fleet.Age(c.now)
+	c.fleet.Tick(c.now)
 	c.greet()
 	c.told()
 	c.after(time.Second, timer{f: c.age})
@@ -768,7 +770,7 @@
 
 // Join lets this host find the others, and count them.
 func (c *Core) Join(self membership.Member, rules membership.Rules, seeds []string) {
-	c.group = membership.New(self, rules, seeds, (*groupWays)(c), rand.New(rand.NewSource(c.rng.Int63())), c.now)
+	c.group = membership.New(self, rules, seeds, (*membershipOutbound)(c), rand.New(rand.NewSource(c.rng.Int63())), c.now)
 	c.tick()
 }
 
@@ -778,7 +780,7 @@
 }
 
 // Gossip is another host's word on which hosts there are.
-func (c *Core) Gossip(m membership.Message) {
+func (c *Core) MembershipReceived(m membership.Message) {
 	if c.group != nil {
 		c.group.Receive(m, c.now)
 		c.settle()
@@ -786,32 +788,34 @@
 }
 
 // Group is the membership; nil: none. To be used in the loop only.
-func (c *Core) Group() *membership.Group { return c.group }
+func (c *Core) Membership() *membership.Group { return c.group }
 
 // groupWays is the Core as the membership sees it.
-type groupWays Core
+type membershipOutbound Core
 
-func (w *groupWays) Send(address string, m membership.Message) { w.ways.Gossip(address, m) }
-func (w *groupWays) Log(line string)                           { w.ways.Log(line) }
+func (w *membershipOutbound) Send(address string, m membership.Message) {
+	w.ways.SendMembership(address, m)
+}
+func (w *membershipOutbound) Log(line string) { w.ways.Log(line) }
 
 // Changed tells the module at the next turn: the group may be in the middle of a call of this Core.
-func (w *groupWays) Changed(v membership.View) {
+func (w *membershipOutbound) MembershipChanged(v membership.Counts) {
 	c := (*Core)(w)
 	c.later = append(c.later, func() {
 		c.ways.Log(fmt.Sprintf("hosts: %d serve, parts for %d", v.Serving, v.Parts))
-		c.in.Hosts(v.Serving, v.Parts)
+		c.in.SetGateways(v.Serving, v.Parts)
 		if c.group != nil {
-			c.ways.Members(c.group.Members())
+			c.ways.MembersChanged(c.group.Members())
 		}
 	})
 }
 
 func (c *Core) greet() {
-	for _, d := range c.fleet.Doubts() {
+	for _, d := range c.fleet.Doubtful() {
 		name := d[0]
 		c.after(time.Duration(c.rng.Int63n(int64(200*time.Millisecond))), timer{f: func() {
 			if b := c.bricks[name]; b != nil && b.line != nil && !b.gone {
-				b.line.Greet()
+				b.line.RequestGreeting()
 			}
 		}})
 	}
@@ -831,8 +835,8 @@
 }
 
 // ListFailed tells that an ask or a watch failed.
-func (c *Core) ListFailed() {
-	c.in.ListFailed()
+func (c *Core) EndpointListFailed() {
+	c.in.EndpointListFailed()
 	c.settle()
 }
 
@@ -847,25 +851,25 @@
 }
 
 // host is the Core as the module sees it.
-type host Core
+type schedulerRuntime Core
 
-func (h *host) Now() time.Duration { return h.now }
+func (h *schedulerRuntime) Now() time.Duration { return h.now }
 
-func (h *host) After(wait time.Duration, f func()) { (*Core)(h).after(wait, timer{f: f}) }
+func (h *schedulerRuntime) After(wait time.Duration, f func()) { (*Core)(h).after(wait, timer{f: f}) }
 
-func (h *host) Dispatch(d *policy.Dispatch, timeout time.Duration) {
+func (h *schedulerRuntime) Send(d *policy.Attempt, timeout time.Duration) {
 	c := (*Core)(h)
-	x := c.commands[d.Cmd.ID]
+	x := c.commands[d.Request.ID]
 	c.ids++
-	b := c.bricks[d.Brick.Name]
-	o := &dispatch{Dispatch: d, id: c.ids, cmd: x, to: b, at: c.now}
+	b := c.bricks[d.Endpoint.Name]
+	o := &dispatch{Attempt: d, id: c.ids, cmd: x, to: b, at: c.now}
 	c.dispatches[o.id] = o
 	x.outs = append(x.outs, o)
 	if x.past != nil {
-		o.try = len(x.past.Tries)
-		x.past.Tries = append(x.past.Tries, Try{Brick: d.Brick.Name, At: c.now})
+		o.try = len(x.past.Attempts)
+		x.past.Attempts = append(x.past.Attempts, AttemptRecord{Endpoint: d.Endpoint.Name, SentAt: c.now})
 	}
-	c.counts.Out++
+	c.counts.InFlight++
 	if b != nil {
 		b.out++
 	}
@@ -874,17 +878,17 @@
 		left = min(left, timeout)
 	}
 	if x.over || left <= 0 || x.sent >= c.max || b == nil || b.line == nil || c.closing {
-		c.later = append(c.later, func() { c.ended(o, c.now, policy.Unsent, nil, 0, 0) })
+		c.later = append(c.later, func() { c.ended(o, c.now, policy.NotSent, nil, 0, 0) })
 		return
 	}
 	x.sent++
 	c.checkOverlap(x, o)
-	c.counts.Dispatches++
-	if d.N > 0 {
-		c.counts.Further++
+	c.counts.Attempts++
+	if d.Number > 0 {
+		c.counts.Retries++
 	}
 	c.after(left, timer{d: o})
-	b.line.Dispatch(o.id, x.task, d.N, left, d.By)
+	b.line.Send(o.id, x.task, d.Number, left, d.StartBy)
 }
 
 // checkOverlap counts an attempt that begins while another of its command is out and the settings forbid that.
@@ -892,40 +896,40 @@
 	overlaps := func(o *dispatch) bool { return o != begun && !o.over }
 	if c.oneAtATime && slices.ContainsFunc(x.outs, overlaps) {
 		c.counts.Overlapping++
-		if c.Overlapped != nil {
-			c.Overlapped(x.task.Trace)
+		if c.OnOverlap != nil {
+			c.OnOverlap(x.task.Trace)
 		}
 	}
 }
 
-func (h *host) BusyReply(p *policy.Command, pause time.Duration) {
+func (h *schedulerRuntime) Reject(p *policy.Request, pause time.Duration) {
 	c := (*Core)(h)
 	if x := c.commands[p.ID]; x != nil {
-		c.answer(x, Answer{How: BusyReplied, Pause: pause})
+		c.answer(x, Response{Result: Rejected, RetryAfter: pause})
 		c.forget(x)
 	}
 }
 
-func (h *host) Abort(p *policy.Command) {
+func (h *schedulerRuntime) Fail(p *policy.Request) {
 	c := (*Core)(h)
 	if x := c.commands[p.ID]; x != nil {
-		c.answer(x, Answer{How: Aborted})
+		c.answer(x, Response{Result: Failed})
 		c.forget(x)
 	}
 }
 
-func (h *host) Cancel(d *policy.Dispatch) {
+func (h *schedulerRuntime) Cancel(d *policy.Attempt) {
 	c := (*Core)(h)
-	x := c.commands[d.Cmd.ID]
+	x := c.commands[d.Request.ID]
 	if x == nil {
 		return
 	}
 	for _, o := range x.outs {
-		if o.Dispatch == d && !o.over {
-			how := policy.CalledOff
+		if o.Attempt == d && !o.over {
+			how := policy.Canceled
 			if o.to != nil && o.to.line != nil {
 				if o.to.line.Withdraw(o.id) {
-					how = policy.Unsent
+					how = policy.NotSent
 				} else {
 					o.to.line.Cancel(o.id)
 				}
@@ -936,27 +940,27 @@
 	}
 }
 
-func (h *host) Probe(p *policy.Brick) {
+func (h *schedulerRuntime) CheckHealth(p *policy.Endpoint) {
 	c := (*Core)(h)
 	b := c.bricks[p.Name]
 	if b == nil || b.line == nil {
-		c.later = append(c.later, func() { c.in.Probed(p, policy.Unconnected, 0) })
+		c.later = append(c.later, func() { c.in.HealthChecked(p, policy.ConnectFailed, 0) })
 		return
 	}
 	c.ids++
 	id := c.ids
 	b.probe, b.probed = id, c.now
-	c.after(c.probeFor, timer{f: func() { c.ProbeOutcome(p.Name, id, policy.TimedOut) }})
-	b.line.Probe(id)
+	c.after(c.probeFor, timer{f: func() { c.HealthChecked(p.Name, id, policy.TimedOut) }})
+	b.line.CheckHealth(id)
 }
 
-func (h *host) CloseIdle(p *policy.Brick) {
+func (h *schedulerRuntime) CloseIdle(p *policy.Endpoint) {
 	if b := h.bricks[p.Name]; b != nil && b.line != nil {
 		b.line.CloseIdle()
 	}
 }
 
-func (h *host) Watch(on bool)              { h.ways.Watch(on) }
-func (h *host) ListAll()                   { h.ways.ListAll() }
-func (h *host) Tell(peer int, data []byte) { h.ways.Tell(peer, data) }
-func (h *host) Log(line string)            { h.ways.Log(line) }
+func (h *schedulerRuntime) RequestEndpointList(on bool)      { h.ways.RequestEndpointList(on) }
+func (h *schedulerRuntime) ListAll()                         { h.ways.ListAll() }
+func (h *schedulerRuntime) SendGossip(peer int, data []byte) { h.ways.SendNote(peer, data) }
+func (h *schedulerRuntime) Log(line string)                  { h.ways.Log(line) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -18,13 +18,13 @@
 const ms = time.Millisecond
 
 func settings() policy.Settings {
-	return policy.Settings{Seed: 1, Hosts: 1, Cancel: true, MaxDispatch: 3, Resolution: 5 * ms, UsualUnits: 1, UnitsTop: 8,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, ColdUnits: 8, FallMultiple: 2, FallAfter: time.Second, MaxPause: time.Second,
-		QueueTypes: []policy.QueueType{
-			{Name: "read", ServiceTarget: 200 * ms, CommandTimeout: time.Second, Importance: 1},
-			{Name: "once", ServiceTarget: 200 * ms, CommandTimeout: time.Second, Importance: 1, Semantics: policy.NonRetryable},
-			{Name: "stream", ServiceTarget: 200 * ms, CommandTimeout: 300 * ms, Importance: 1, Streaming: true}},
-		Plans: []policy.Plan{{Name: "plain", Nominal: 10, Weight: 1, Importance: 1}}}
+	return policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, MaxAttempts: 3, TimerResolution: 5 * ms, TypicalUnits: 1, UnitsTop: 8,
+		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, SlowStartUnits: 8, OverloadFactor: 2, OverloadWindow: time.Second, MaxRetryAfter: time.Second,
+		Classes: []policy.RequestClass{
+			{Name: "read", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1},
+			{Name: "once", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1, Idempotency: policy.NotIdempotent},
+			{Name: "stream", LatencyObjective: 200 * ms, Timeout: 300 * ms, PriorityWeight: 1, Streaming: true}},
+		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1, Importance: 1}}}
 }
 
 // rig is a Core in virtual time whose ways out are noted, not taken.
@@ -42,44 +42,44 @@
 	}
 }
 
-func (r *rig) Line(brick, address string) Line                   { return &noted{r, brick} }
-func (r *rig) Watch(on bool)                                     {}
-func (r *rig) ListAll()                                          {}
-func (r *rig) Tell(int, []byte)                                  {}
-func (r *rig) Gossip(string, membership.Message)                 {}
-func (r *rig) Share(string, time.Duration, []endpointstate.Line) {}
-func (r *rig) Members([]membership.Member)                       {}
-func (r *rig) Log(line string)                                   { r.say("log: %s", line) }
+func (r *rig) Connect(brick, address string) EndpointConn                  { return &noted{r, brick} }
+func (r *rig) RequestEndpointList(on bool)                                 {}
+func (r *rig) ListAll()                                                    {}
+func (r *rig) SendNote(int, []byte)                                        {}
+func (r *rig) SendMembership(string, membership.Message)                   {}
+func (r *rig) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
+func (r *rig) MembersChanged([]membership.Member)                          {}
+func (r *rig) Log(line string)                                             { r.say("log: %s", line) }
 
 type noted struct {
 	r     *rig
 	brick string
 }
 
-func (n *noted) Dispatch(id uint64, t *Task, no int, left, _ time.Duration) {
+func (n *noted) Send(id uint64, t *Request, no int, left, _ time.Duration) {
 	n.r.sent = append(n.r.sent, id)
 	n.r.say("%s.%d goes to %s, %v left", t.Trace, no, n.brick, left)
 }
-func (n *noted) Cancel(uint64) { n.r.say("cancel at %s", n.brick) }
-func (n *noted) Forget(uint64) {}
+func (n *noted) Cancel(uint64)  { n.r.say("cancel at %s", n.brick) }
+func (n *noted) Abandon(uint64) {}
 func (n *noted) Withdraw(id uint64) bool {
 	if n.r.unwritten[id] {
 		n.r.say("take back at %s", n.brick)
 	}
 	return n.r.unwritten[id]
 }
-func (n *noted) Greet()       { n.r.say("greet %s", n.brick) }
-func (n *noted) Probe(uint64) { n.r.say("probe %s", n.brick) }
-func (n *noted) CloseIdle()   {}
-func (n *noted) Close()       { n.r.say("close the line to %s", n.brick) }
+func (n *noted) RequestGreeting()   { n.r.say("greet %s", n.brick) }
+func (n *noted) CheckHealth(uint64) { n.r.say("probe %s", n.brick) }
+func (n *noted) CloseIdle()         {}
+func (n *noted) Close()             { n.r.say("close the line to %s", n.brick) }
 
 const start = time.Duration(1e18) // a wall clock
 
 func newRig(s policy.Settings) *rig {
 	r := &rig{answers: map[string]int{}}
-	r.Core = New(s, endpointstate.Rules{Fresh: time.Hour, Dead: 9 * time.Hour, Blur: 500 * ms}, func(h policy.Host, s policy.Settings) Decider { return policy.New(h, s) }, r,
+	r.Core = New(s, endpointstate.Rules{Fresh: time.Hour, Expire: 9 * time.Hour, StartTolerance: 500 * ms}, func(h policy.Runtime, s policy.Settings) Scheduler { return policy.New(h, s) }, r,
 		func(name string) (string, int, bool) { return "plain", 1, name != "nobody" }, 100*ms, start)
-	r.List(endpointstate.Generation{}, true, []BrickLine{{Name: "a", Address: "1", Cell: 0, Serving: true}})
+	r.EndpointList(endpointstate.Generation{}, true, []EndpointEntry{{Name: "a", Address: "1", Shard: 0, Serving: true}})
 	return r
 }
 
@@ -94,27 +94,27 @@
 	}
 }
 
-func (r *rig) take(trace, queue string) *Task {
-	t := &Task{Volume: "v", QueueType: queue, Object: trace, Trace: trace, Units: 1}
-	t.Answer = func(a Answer) {
+func (r *rig) take(trace, queue string) *Request {
+	t := &Request{Volume: "v", Class: queue, Object: trace, Trace: trace, Units: 1}
+	t.Respond = func(a Response) {
 		r.answers[trace]++
-		r.say("%s", strings.TrimSpace(fmt.Sprintf("%s %v, may have run %v %s", trace, a.How, a.MayHaveRun, a.Reason)))
+		r.say("%s", strings.TrimSpace(fmt.Sprintf("%s %v, may have run %v %s", trace, a.Result, a.MayHaveRun, a.Reason)))
 	}
-	t.Begun = func() { r.say("%s begins to stream", trace) }
-	r.Take(t)
+	t.ResponseStarted = func() { r.say("%s begins to stream", trace) }
+	r.Submit(t)
 	return t
 }
 
-func (r *rig) outcome(i int, how policy.Ending) { r.Outcome("a", r.sent[i], how, nil, 0, 0) }
+func (r *rig) outcome(i int, how policy.Outcome) { r.AttemptEnded("a", r.sent[i], how, nil, 0, 0) }
 
 // The answer of a dispatch that timed out comes late: it is counted and thrown away.
 func Example_answerAfterTheTimeout() {
 	s := settings()
-	s.Cancel = false
+	s.CanCancel = false
 	r := newRig(s)
 	r.take("x", "read")
 	r.run(1100 * ms)
-	r.outcome(0, policy.Completed)
+	r.outcome(0, policy.Served)
 	fmt.Printf("%+v\n", r.Counts())
 	// Output:
 	//     0 ms  x.0 goes to a, 1s left
@@ -127,12 +127,12 @@
 	r := newRig(settings())
 	t := r.take("x", "read")
 	r.run(50 * ms)
-	r.Gone(t)
-	r.outcome(0, policy.Completed)
+	r.ClientDisconnected(t)
+	r.outcome(0, policy.Served)
 	u := r.take("y", "read")
-	r.outcome(1, policy.Completed)
-	r.Gone(u)
-	fmt.Println(r.Counts().Left, r.Counts().Late, r.Counts().Held, r.Counts().Out)
+	r.outcome(1, policy.Served)
+	r.ClientDisconnected(u)
+	fmt.Println(r.Counts().ClientDisconnected, r.Counts().LateOutcomes, r.Counts().Open, r.Counts().InFlight)
 	// Output:
 	//     0 ms  x.0 goes to a, 1s left
 	//    50 ms  cancel at a
@@ -146,10 +146,10 @@
 func Example_reset() {
 	r := newRig(settings())
 	r.take("x", "once")
-	r.outcome(0, policy.Broken)
+	r.outcome(0, policy.ConnectionReset)
 	r.run(100 * ms)
 	r.take("y", "once")
-	r.outcome(1, policy.Unconnected)
+	r.outcome(1, policy.ConnectFailed)
 	r.run(1100 * ms)
 	// Output:
 	//     0 ms  x.0 goes to a, 1s left
@@ -167,19 +167,19 @@
 	r.run(20 * time.Second)
 	r.quiet = false
 	told := func(state string, age time.Duration) {
-		r.List(endpointstate.Generation{}, false, []BrickLine{{Name: "a", Address: "1", Serving: state == "serving", Gone: state == "gone",
-			Dated: age >= 0, Age: age}})
+		r.EndpointList(endpointstate.Generation{}, false, []EndpointEntry{{Name: "a", Address: "1", Serving: state == "serving", Gone: state == "gone",
+			HasStart: age >= 0, Age: age}})
 	}
 	told("serving", 2*time.Second)
 	r.run(300 * ms)
 	told("serving", 2*time.Second+290*ms) // was under way 10 ms longer
-	r.Draining("a")
+	r.EndpointDraining("a")
 	told("serving", 2*time.Second)
 	r.take("x", "read")
 	r.run(300 * ms)
 	told("serving", 0)
 	r.take("y", "read")
-	r.outcome(0, policy.Completed)
+	r.outcome(0, policy.Served)
 	told("gone", -1)
 	// Output:
 	// 20000 ms  log: ramp a: started 2s ago, warm within 10s
@@ -200,10 +200,10 @@
 	r := newRig(settings())
 	r.take("x", "stream")
 	r.run(100 * ms)
-	r.Begun("a", r.sent[0])
-	r.Begun("a", r.sent[0])
+	r.ResponseStarted("a", r.sent[0])
+	r.ResponseStarted("a", r.sent[0])
 	r.run(2000 * ms)
-	r.outcome(0, policy.Broken)
+	r.outcome(0, policy.ConnectionReset)
 	// Output:
 	//     0 ms  x.0 goes to a, 300ms left
 	//   100 ms  x begins to stream
@@ -213,15 +213,15 @@
 // What the module can't be handed is aborted at once; an answer from another brick than was asked counts for nothing.
 func Example_misfits() {
 	r := newRig(settings())
-	t := &Task{Volume: "nobody", QueueType: "read", Units: 1, Answer: func(a Answer) { r.say("%v: %s", a.How, a.Reason) }}
-	r.Take(t)
-	t.Volume, t.QueueType = "v", "strange"
-	r.Take(t)
+	t := &Request{Volume: "nobody", Class: "read", Units: 1, Respond: func(a Response) { r.say("%v: %s", a.Result, a.Reason) }}
+	r.Submit(t)
+	t.Volume, t.Class = "v", "strange"
+	r.Submit(t)
 	r.take("x", "read")
-	r.Outcome("b", r.sent[0], policy.Completed, nil, 0, 0)
-	r.outcome(0, policy.Completed)
-	r.outcome(0, policy.Completed)
-	fmt.Println(r.Counts().Misfit, r.Counts().Late)
+	r.AttemptEnded("b", r.sent[0], policy.Served, nil, 0, 0)
+	r.outcome(0, policy.Served)
+	r.outcome(0, policy.Served)
+	fmt.Println(r.Counts().MismatchedOutcomes, r.Counts().LateOutcomes)
 	// Output:
 	//     0 ms  aborted: unknown volume "nobody"
 	//     0 ms  aborted: unknown queue type "strange"
@@ -238,18 +238,18 @@
 		x := uint64(seed)*2654435761 + 12345
 		draw := func(n int) int { x = x*6364136223846793005 + 1442695040888963407; return int(x>>33) % n }
 		gone := map[string]bool{}
-		var tasks []*Task
+		var tasks []*Request
 		for i := range 60 {
 			tasks = append(tasks, r.take(fmt.Sprint("c", i), []string{"read", "once"}[draw(2)]))
 			r.run(time.Duration(draw(40)) * ms)
 			for range draw(4) {
 				if len(r.sent) > 0 {
-					r.outcome(draw(len(r.sent)), policy.Ending(draw(8)))
+					r.outcome(draw(len(r.sent)), policy.Outcome(draw(8)))
 				}
 			}
 			if k := draw(len(tasks)); draw(6) == 0 && r.answers[tasks[k].Trace] == 0 && !gone[tasks[k].Trace] {
 				gone[tasks[k].Trace] = true
-				r.Gone(tasks[k])
+				r.ClientDisconnected(tasks[k])
 			}
 		}
 		r.run(3 * time.Second)
@@ -258,7 +258,7 @@
 				t.Fatalf("seed %d: %s got %d answers, gone %v", seed, k.Trace, r.answers[k.Trace], gone[k.Trace])
 			}
 		}
-		if n := r.Counts(); n.Held != 0 || n.Out != 0 || len(r.commands) != 0 || len(r.dispatches) != 0 {
+		if n := r.Counts(); n.Open != 0 || n.InFlight != 0 || len(r.commands) != 0 || len(r.dispatches) != 0 {
 			t.Fatalf("seed %d: something is left: %+v", seed, n)
 		}
 	}
@@ -273,7 +273,7 @@
 			r.take(fmt.Sprint("c", i), "read")
 			r.run(time.Duration(i%7) * 5 * ms)
 			if i%3 == 0 && len(r.sent) > 0 {
-				r.outcome(len(r.sent)-1, policy.Completed)
+				r.outcome(len(r.sent)-1, policy.Served)
 			}
 		}
 		return r.sent
@@ -287,7 +287,7 @@
 func TestLoop(t *testing.T) {
 	l := NewLoop(2)
 	r := newRig(settings())
-	if !l.Offer(func(*Core) {}) || !l.Offer(func(*Core) {}) || l.Offer(func(*Core) {}) {
+	if !l.TryPost(func(*Core) {}) || !l.TryPost(func(*Core) {}) || l.TryPost(func(*Core) {}) {
 		t.Error("a queue of two takes two")
 	}
 	if l.Now() < time.Duration(1e18) {
@@ -315,10 +315,10 @@
 	r := newRig(settings())
 	r.quiet = true
 	var order []string
-	gone := &Task{Volume: "v", QueueType: "read", Object: "o", Units: 1, Answer: func(Answer) { t.Error("an answer for nobody") }}
+	gone := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) { t.Error("an answer for nobody") }}
 	l.Post(func(*Core) { order = append(order, "queued") })
-	l.Post(func(c *Core) { c.Take(gone) })
-	l.First(func(c *Core) { c.Gone(gone); order = append(order, "first") })
+	l.Post(func(c *Core) { c.Submit(gone) })
+	l.PostUrgent(func(c *Core) { c.ClientDisconnected(gone); order = append(order, "first") })
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx, r.Core)
 	done := make(chan bool)
@@ -326,7 +326,7 @@
 	<-done
 	stop()
 	<-l.Done()
-	if !slices.Equal(order, []string{"first", "queued"}) || len(r.sent) > 0 || r.Counts().Taken > 0 {
+	if !slices.Equal(order, []string{"first", "queued"}) || len(r.sent) > 0 || r.Counts().Received > 0 {
 		t.Errorf("%v, %d sent, %+v", order, len(r.sent), r.Counts())
 	}
 }
@@ -334,20 +334,22 @@
 // What waits for its connection never begins once its client left or its brick drains, also where settings let nothing
 // be called off; what was written goes on.
 func TestWithdrawn(t *testing.T) {
-	for name, happens := range map[string]func(*rig, *Task){
-		"left":  func(r *rig, x *Task) { r.Gone(x) },
-		"drain": func(r *rig, _ *Task) { r.Told(false, []BrickLine{{Name: "a", Address: "1", Cell: 0}}) },
+	for name, happens := range map[string]func(*rig, *Request){
+		"left": func(r *rig, x *Request) { r.ClientDisconnected(x) },
+		"drain": func(r *rig, _ *Request) {
+			r.AuthoritativeList(false, []EndpointEntry{{Name: "a", Address: "1", Shard: 0}})
+		},
 	} {
 		for _, written := range []bool{false, true} {
 			s := settings()
-			s.Cancel = false
+			s.CanCancel = false
 			r := newRig(s)
 			r.quiet = true
-			x := &Task{Volume: "v", QueueType: "read", Object: "o", Units: 1, Answer: func(Answer) {}}
-			r.Take(x)
+			x := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) {}}
+			r.Submit(x)
 			r.unwritten = map[uint64]bool{r.sent[0]: !written}
 			happens(r, x)
-			if n := r.Counts(); (n.Out == 0) == written || (n.Ended[policy.Unsent] == 1) == written {
+			if n := r.Counts(); (n.InFlight == 0) == written || (n.Outcomes[policy.NotSent] == 1) == written {
 				t.Errorf("%s, written %v: %+v", name, written, n)
 			}
 		}
@@ -367,7 +369,7 @@
 	round := func() {
 		for range 5000 {
 			r.take("x", "read")
-			r.outcome(len(r.sent)-1, policy.Completed)
+			r.outcome(len(r.sent)-1, policy.Served)
 			r.sent = r.sent[:0]
 			r.run(2 * ms)
 		}
@@ -388,9 +390,9 @@
 	r.quiet = true
 	b.ReportAllocs()
 	for b.Loop() {
-		t := &Task{Volume: "v", QueueType: "read", Object: "o", Units: 1, Answer: func(Answer) {}}
-		r.Take(t)
-		r.outcome(len(r.sent)-1, policy.Completed)
+		t := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) {}}
+		r.Submit(t)
+		r.outcome(len(r.sent)-1, policy.Served)
 		r.sent = r.sent[:0]
 		r.Advance(r.Now() + 50*time.Microsecond)
 	}
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -78,7 +78,7 @@
 
 // First queues an event that goes before all of Offer and Post: news after which what is queued must not be begun. It
 // waits for room and fails only once the loop has ended.
-func (l *Loop) First(f func(*Core)) bool {
+func (l *Loop) PostUrgent(f func(*Core)) bool {
 	select {
 	case l.first <- f:
 		return true
@@ -88,7 +88,7 @@
 }
 
 // Offer queues an event unless the queue is full.
-func (l *Loop) Offer(f func(*Core)) bool {
+func (l *Loop) TryPost(f func(*Core)) bool {
 	select {
 	case l.events <- f:
 		return true
--- a/internal/fake/direct/direct.go
+++ b/internal/fake/direct/direct.go
@@ -11,12 +11,12 @@
 )
 
 type decider struct {
-	host   policy.Host
+	host   policy.Runtime
 	rng    *rand.Rand
 	bricks []*entry
-	out    map[*policy.Command]*policy.Dispatch
+	out    map[*policy.Request]*policy.Attempt
 	early  time.Duration
-	plans  map[string]policy.Plan
+	plans  map[string]policy.ServicePlan
 	stores map[*policy.Volume]*store
 }
 
@@ -26,36 +26,36 @@
 }
 
 type entry struct {
-	brick *policy.Brick
+	brick *policy.Endpoint
 	cell  int
 	up    bool
 }
 
 // Start makes one in place of the module.
-func Start(h policy.Host, s policy.Settings) engine.Decider {
-	plans := map[string]policy.Plan{}
+func Start(h policy.Runtime, s policy.Settings) engine.Scheduler {
+	plans := map[string]policy.ServicePlan{}
 	for _, p := range s.Plans {
 		plans[p.Name] = p
 	}
-	if s.Asks {
-		h.After(0, func() { h.Watch(true) })
+	if s.PollEndpointList {
+		h.After(0, func() { h.RequestEndpointList(true) })
 	}
-	return &decider{host: h, rng: rand.New(rand.NewSource(s.Seed)), out: map[*policy.Command]*policy.Dispatch{},
-		early: 2 * s.Resolution, plans: plans, stores: map[*policy.Volume]*store{}}
+	return &decider{host: h, rng: rand.New(rand.NewSource(s.Seed)), out: map[*policy.Request]*policy.Attempt{},
+		early: 2 * s.TimerResolution, plans: plans, stores: map[*policy.Volume]*store{}}
 }
 
 // passes takes a command's units from this host's even part of its volume's limit.
-func (d *decider) passes(v *policy.Volume, p policy.Plan, hosts, units float64) bool {
+func (d *decider) passes(v *policy.Volume, p policy.ServicePlan, hosts, units float64) bool {
 	if p.Limit == 0 {
 		return true
 	}
 	now := d.host.Now()
 	s := d.stores[v]
 	if s == nil {
-		s = &store{p.Slack / hosts, now}
+		s = &store{p.InitialBurst / hosts, now}
 		d.stores[v] = s
 	}
-	s.level, s.at = min(s.level+p.Limit/hosts*(now-s.at).Seconds(), p.Depth/hosts), now
+	s.level, s.at = min(s.level+p.Limit/hosts*(now-s.at).Seconds(), p.Burst/hosts), now
 	if s.level < units {
 		return false
 	}
@@ -63,13 +63,13 @@
 	return true
 }
 
-func (d *decider) ListBegins(whole bool) {
+func (d *decider) BeginEndpointList(whole bool) {
 	if whole {
 		d.bricks = nil
 	}
 }
 
-func (d *decider) Listed(b *policy.Brick, _ string, cell int, serving, gone bool, _ time.Duration) {
+func (d *decider) UpdateEndpoint(b *policy.Endpoint, _ string, cell int, serving, gone bool, _ time.Duration) {
 	for _, e := range d.bricks {
 		if e.brick == b {
 			e.up = serving && !gone
@@ -79,53 +79,53 @@
 	d.bricks = append(d.bricks, &entry{b, cell, serving && !gone})
 }
 
-func (d *decider) ListEnds() {}
-func (d *decider) ListFailed() {
-	d.host.After(time.Second, func() { d.host.Watch(true) })
+func (d *decider) EndEndpointList() {}
+func (d *decider) EndpointListFailed() {
+	d.host.After(time.Second, func() { d.host.RequestEndpointList(true) })
 }
 
-func (d *decider) Taken(c *policy.Command, _, plan, _ string, cell, hosts int, units float64, giveUp time.Duration, _ bool) error {
-	var at []*policy.Brick
+func (d *decider) RequestReceived(c *policy.Request, _, plan, _ string, cell, hosts int, units float64, giveUp time.Duration, _ bool) error {
+	var at []*policy.Endpoint
 	for _, e := range d.bricks {
 		if e.up && (cell < 0 || e.cell == cell) {
 			at = append(at, e.brick)
 		}
 	}
 	if len(at) == 0 || !d.passes(c.Volume, d.plans[plan], float64(hosts), units) {
-		d.host.BusyReply(c, 0)
+		d.host.Reject(c, 0)
 		return nil
 	}
-	x := &policy.Dispatch{Cmd: c, Brick: at[d.rng.Intn(len(at))]}
+	x := &policy.Attempt{Request: c, Endpoint: at[d.rng.Intn(len(at))]}
 	d.out[c] = x
 	d.host.After(giveUp-d.early-d.host.Now(), func() {
 		if d.out[c] == x {
 			delete(d.out, c)
-			d.host.Abort(c)
+			d.host.Fail(c)
 		}
 	})
-	d.host.Dispatch(x, 0)
+	d.host.Send(x, 0)
 	return nil
 }
 
-func (d *decider) Begun(*policy.Dispatch) {}
+func (d *decider) ResponseStarted(*policy.Attempt) {}
 
-func (d *decider) Ended(x *policy.Dispatch, how policy.Ending, _ time.Duration, last bool, _, _ float64) {
-	c := x.Cmd
+func (d *decider) AttemptEnded(x *policy.Attempt, how policy.Outcome, _ time.Duration, last bool, _, _ float64) {
+	c := x.Request
 	if d.out[c] != x {
 		return
 	}
 	delete(d.out, c)
 	switch {
 	case last:
-	case how == policy.Turned || how == policy.Unconnected || how == policy.Unsent:
-		d.host.BusyReply(c, 0)
+	case how == policy.Rejected || how == policy.ConnectFailed || how == policy.NotSent:
+		d.host.Reject(c, 0)
 	default:
-		d.host.Abort(c)
+		d.host.Fail(c)
 	}
 }
 
-func (d *decider) Left(c *policy.Command)                             { delete(d.out, c) }
-func (d *decider) Probed(*policy.Brick, policy.Ending, time.Duration) {}
-func (d *decider) Heard(int, []byte)                                  {}
-func (d *decider) Hosts(int, int)                                     {}
-func (d *decider) VolumeHosts(*policy.Volume, int)                    {}
+func (d *decider) ClientDisconnected(c *policy.Request)                          { delete(d.out, c) }
+func (d *decider) HealthChecked(*policy.Endpoint, policy.Outcome, time.Duration) {}
+func (d *decider) GossipReceived(int, []byte)                                    {}
+func (d *decider) SetGateways(int, int)                                          {}
+func (d *decider) SetVolumeGateways(*policy.Volume, int)                         {}
--- a/internal/fleet/endpointstate/endpointstate.go
+++ b/internal/fleet/endpointstate/endpointstate.go
@@ -34,7 +34,7 @@
 	Saved
 	Peer
 	List
-	Own // the brick itself
+	SelfReported // the brick itself
 )
 
 func (s Source) String() string { return [...]string{"settings", "saved", "peer", "list", "itself"}[s] }
@@ -51,43 +51,43 @@
 func (t Trust) String() string { return [...]string{"doubted", "trusted", "barred"}[t] }
 
 // Line is what a source tells of one brick. Times are on the host's clock.
-type Line struct {
+type Report struct {
 	Name, Address, Zone string
-	Cell                int
+	Shard               int
 	Serving             bool // false: draining or gone
 	Gone                bool
 	Started             time.Duration // 0: not known, long ago
-	At                  time.Duration // when it was true
+	ObservedAt          time.Duration // when it was true
 }
 
 // Belief is what is held of one brick.
 type Belief struct {
-	Line
-	From    Source
-	Trust   Trust
-	Why     string
-	Drained time.Duration // starts up to this were drained; 0: none. It stays when a later start serves
-	Since   time.Duration // when the drain was told
-	Heard   time.Duration // when its own word was last heard
-	Missing int           // whole lists in a row that did not name it
-	absent  bool          // a whole list did not name it; a later one that does brings it back
-	told    Line
-	toldAt  bool
-	boot    time.Duration // as the module was told
+	Report
+	Source       Source
+	Trust        Trust
+	Reason       string
+	DrainedUpTo  time.Duration // starts up to this were drained; 0: none. It stays when a later start serves
+	DrainKnownAt time.Duration // when the drain was told
+	GreetedAt    time.Duration // when its own word was last heard
+	MissedLists  int           // whole lists in a row that did not name it
+	absent       bool          // a whole list did not name it; a later one that does brings it back
+	told         Report
+	toldAt       bool
+	boot         time.Duration // as the module was told
 }
 
 // Module is told of beliefs as they change.
-type Module interface {
-	BrickIs(name, address, zone string, cell int, serving, gone bool, boot time.Duration)
+type Sink interface {
+	EndpointChanged(name, address, zone string, cell int, serving, gone bool, boot time.Duration)
 }
 
 // Rules are the figures of the rules above.
 type Rules struct {
-	Fresh, Dead time.Duration
+	Fresh, Expire time.Duration
 	// Blur is how far apart two tellings of one start may lie.
-	Blur time.Duration
+	StartTolerance time.Duration
 	// Recent is how old a brick's own word may be to spare it the ramp of one just started when others contradict it.
-	Recent time.Duration
+	GreetingValid time.Duration
 	// Networks where bricks may be; nil: anywhere.
 	Networks *netipx.IPSet
 }
@@ -101,7 +101,7 @@
 // Fleet is what one host believes. It is not safe for concurrent use.
 type Fleet struct {
 	rules   Rules
-	module  Module
+	module  Sink
 	log     func(string)
 	bricks  map[string]*Belief
 	last    Generation
@@ -110,7 +110,7 @@
 }
 
 // New believes nothing yet.
-func New(r Rules, m Module, log func(line string)) *Fleet {
+func New(r Rules, m Sink, log func(line string)) *Fleet {
 	return &Fleet{rules: r, module: m, log: log, bricks: map[string]*Belief{}, refused: map[string]bool{}}
 }
 
@@ -118,7 +118,7 @@
 func (f *Fleet) Last() Generation { return f.last }
 
 // Heard tells whether a list was believed since the start.
-func (f *Fleet) Heard() bool { return f.heard }
+func (f *Fleet) EverNotified() bool { return f.heard }
 
 // Beliefs are all that is held, by name.
 func (f *Fleet) Beliefs() []Belief {
@@ -142,15 +142,15 @@
 func (f *Fleet) Restore(saved []Belief, last Generation, now time.Duration) {
 	f.last = last
 	for _, s := range saved {
-		if !f.allowed(s.Line, "saved") {
+		if !f.allowed(s.Report, "saved") {
 			continue
 		}
-		s.From = Saved
-		if s.At > now { // the clock was set back since: nothing tells how old this is
-			s.At = 0
+		s.Source = Saved
+		if s.ObservedAt > now { // the clock was set back since: nothing tells how old this is
+			s.ObservedAt = 0
 		}
-		s.told, s.toldAt, s.boot, s.Missing, s.Heard = Line{}, false, 0, 0, 0
-		s.absent = !s.Serving && s.Drained == 0
+		s.told, s.toldAt, s.boot, s.MissedLists, s.GreetedAt = Report{}, false, 0, 0, 0
+		s.absent = !s.Serving && s.DrainedUpTo == 0
 		b := &s
 		f.bricks[s.Name] = b
 		f.settle(b, now)
@@ -158,15 +158,15 @@
 }
 
 // Known takes lines that need no proof of their age, such as settings.
-func (f *Fleet) Known(lines []Line, now time.Duration) {
+func (f *Fleet) Configured(lines []Report, now time.Duration) {
 	for _, l := range lines {
-		l.At = now
+		l.ObservedAt = now
 		f.line(l, Settings, now)
 	}
 }
 
 // ListIs takes a list of the list service, or the changes of one. It returns whether it was believed.
-func (f *Fleet) ListIs(g Generation, whole bool, lines []Line, now time.Duration) bool {
+func (f *Fleet) ListReceived(g Generation, whole bool, lines []Report, now time.Duration) bool {
 	old := g.Epoch == f.last.Epoch && g.Number <= f.last.Number && g != (Generation{}) && f.last != (Generation{})
 	if old && !(g == f.last && !f.heard) { // the list of before the restart, told again, is as good as new
 		f.log(fmt.Sprintf("list %d is older than %d, which is known; only drains are taken from it", g.Number, f.last.Number))
@@ -174,7 +174,7 @@
 			if !l.Serving {
 				f.line(l, List, now)
 			} else if f.bricks[l.Name] == nil {
-				l.At = 0
+				l.ObservedAt = 0
 				f.line(l, List, now)
 			}
 		}
@@ -184,7 +184,7 @@
 	named := map[string]bool{}
 	for _, l := range lines {
 		named[l.Name] = true
-		l.At = now
+		l.ObservedAt = now
 		f.line(l, List, now)
 	}
 	if whole {
@@ -194,10 +194,10 @@
 }
 
 // ListHolds tells that the list service is there and has nothing new: what it told last is as true as then.
-func (f *Fleet) ListHolds(now time.Duration) {
+func (f *Fleet) ListUnchanged(now time.Duration) {
 	for _, b := range f.bricks {
-		if b.From == List && !f.barred(b) && b.Missing == 0 && b.At != 0 && f.heard {
-			b.At = now
+		if b.Source == List && !f.barred(b) && b.MissedLists == 0 && b.ObservedAt != 0 && f.heard {
+			b.ObservedAt = now
 		}
 	}
 }
@@ -217,18 +217,18 @@
 	for _, b := range f.sorted() {
 		switch {
 		case named[b.Name]:
-			b.Missing = 0
+			b.MissedLists = 0
 		case f.barred(b): // as it is
 		default:
-			b.Missing++
-			if implausible && b.Missing < 2 {
-				if b.From != Own { // its own word stands
-					b.At = 0
+			b.MissedLists++
+			if implausible && b.MissedLists < 2 {
+				if b.Source != SelfReported { // its own word stands
+					b.ObservedAt = 0
 				}
 				f.settle(b, now)
 				continue
 			}
-			b.absent, b.Serving, b.Gone, b.Since, b.Why = true, false, true, now, "not in the list any more"
+			b.absent, b.Serving, b.Gone, b.DrainKnownAt, b.Reason = true, false, true, now, "not in the list any more"
 			f.settle(b, now)
 		}
 	}
@@ -238,23 +238,23 @@
 }
 
 // PeerSays takes another host's lines: each as old as it says.
-func (f *Fleet) PeerSays(lines []Line, now time.Duration) {
+func (f *Fleet) PeerReported(lines []Report, now time.Duration) {
 	for _, l := range lines {
-		l.At = min(l.At, now)
+		l.ObservedAt = min(l.ObservedAt, now)
 		f.line(l, Peer, now)
 	}
 }
 
 // Tellings are the lines that are worth telling another host: what is trusted, and each drain, by the latest start that it bars.
-func (f *Fleet) Tellings() (all []Line) {
+func (f *Fleet) Reports() (all []Report) {
 	for _, b := range f.sorted() {
-		l := b.Line
+		l := b.Report
 		switch {
 		case b.absent: // no drain of a life: others hear of it from the list
 			continue
 		case b.Trust == Barred:
-			l.Serving, l.Gone, l.Started = false, b.Gone, b.Drained
-		case b.Trust == Doubted || b.From == Settings:
+			l.Serving, l.Gone, l.Started = false, b.Gone, b.DrainedUpTo
+		case b.Trust == Doubted || b.Source == Settings:
 			continue
 		}
 		all = append(all, l)
@@ -263,29 +263,29 @@
 }
 
 // OwnWord takes a brick's greeting: it is there, at this address, started then, and drains or not.
-func (f *Fleet) OwnWord(name, address string, started time.Duration, draining bool, now time.Duration) {
+func (f *Fleet) Greeted(name, address string, started time.Duration, draining bool, now time.Duration) {
 	b := f.bricks[name]
 	if b == nil {
 		return // no list names it: what it holds is not known
 	}
-	l := b.Line
+	l := b.Report
 	if address != l.Address && address != "" {
 		return // an old connection's word
 	}
-	l.At, l.Serving, l.Gone = now, !draining, false
+	l.ObservedAt, l.Serving, l.Gone = now, !draining, false
 	if started != 0 {
 		l.Started = started
 	}
-	f.line(l, Own, now)
+	f.line(l, SelfReported, now)
 }
 
 // Wrong tells that at a brick's address is another one now: the line about it is worth nothing.
-func (f *Fleet) Wrong(name, address string, now time.Duration) {
-	if b := f.bricks[name]; b != nil && b.Address == address && b.From != Own {
-		if b.At != 0 {
+func (f *Fleet) WrongEndpoint(name, address string, now time.Duration) {
+	if b := f.bricks[name]; b != nil && b.Address == address && b.Source != SelfReported {
+		if b.ObservedAt != 0 {
 			f.log(fmt.Sprintf("doubt %s: at its address %s is another brick", name, address))
 		}
-		b.At = 0
+		b.ObservedAt = 0
 		f.settle(b, now)
 	}
 }
@@ -302,10 +302,10 @@
 }
 
 // Age lets time pass: what was trusted may be doubted now, what was doubted for long is dropped.
-func (f *Fleet) Age(now time.Duration) {
+func (f *Fleet) Tick(now time.Duration) {
 	for _, b := range f.sorted() {
 		f.settle(b, now)
-		if now-b.At > f.rules.Dead && b.From != Settings && now-b.Since > f.rules.Dead && b.At != 0 {
+		if now-b.ObservedAt > f.rules.Expire && b.Source != Settings && now-b.DrainKnownAt > f.rules.Expire && b.ObservedAt != 0 {
 			f.tell(b, false, true, b.boot)
 			delete(f.bricks, b.Name)
 		}
@@ -313,7 +313,7 @@
 }
 
 // Doubts are the bricks whose own word would settle something: name and address.
-func (f *Fleet) Doubts() (all [][2]string) {
+func (f *Fleet) Doubtful() (all [][2]string) {
 	for _, b := range f.sorted() {
 		if b.Trust == Doubted {
 			all = append(all, [2]string{b.Name, b.Address})
@@ -331,7 +331,7 @@
 	return all
 }
 
-func (f *Fleet) allowed(l Line, from string) bool {
+func (f *Fleet) allowed(l Report, from string) bool {
 	if f.rules.Networks == nil {
 		return true
 	}
@@ -347,16 +347,16 @@
 }
 
 // line weighs one line against what is held.
-func (f *Fleet) line(l Line, from Source, now time.Duration) {
+func (f *Fleet) line(l Report, from Source, now time.Duration) {
 	b := f.bricks[l.Name]
 	if b == nil {
 		if !l.Serving && l.Gone && l.Address == "" || !f.allowed(l, from.String()) {
 			return
 		}
-		b = &Belief{Line: l, From: from}
+		b = &Belief{Report: l, Source: from}
 		f.bricks[l.Name] = b
 		if !l.Serving {
-			b.At = 0 // it was never known to serve
+			b.ObservedAt = 0 // it was never known to serve
 			f.drain(b, from, "draining", l.Started, now)
 		}
 		f.settle(b, now)
@@ -364,7 +364,7 @@
 	}
 	if !l.Serving {
 		// Does it tell of the start that is held, or of one before? A drain of an earlier life is past.
-		if l.Started != 0 && b.Started != 0 && l.Started < b.Started-f.rules.Blur {
+		if l.Started != 0 && b.Started != 0 && l.Started < b.Started-f.rules.StartTolerance {
 			return
 		}
 		b.Gone = b.Gone || l.Gone
@@ -372,39 +372,39 @@
 		f.settle(b, now)
 		return
 	}
-	anew := l.Started > b.Started+f.rules.Blur && l.Started != 0
+	anew := l.Started > b.Started+f.rules.StartTolerance && l.Started != 0
 	if b.absent && from != List && !anew {
 		return // a list took it away; a list gives it back
 	}
-	if b.Drained > 0 {
-		if l.Started != 0 && l.Started <= b.Drained+f.rules.Blur || l.Started == 0 && b.Started <= b.Drained+f.rules.Blur {
+	if b.DrainedUpTo > 0 {
+		if l.Started != 0 && l.Started <= b.DrainedUpTo+f.rules.StartTolerance || l.Started == 0 && b.Started <= b.DrainedUpTo+f.rules.StartTolerance {
 			return // rule 1
 		}
 	}
-	if b.From == Own && from != Own && !anew && l.At <= b.At {
+	if b.Source == SelfReported && from != SelfReported && !anew && l.ObservedAt <= b.ObservedAt {
 		return // rule 2
 	}
-	if l.At < b.At && !anew || !f.allowed(l, from.String()) {
+	if l.ObservedAt < b.ObservedAt && !anew || !f.allowed(l, from.String()) {
 		return // rule 3
 	}
 	started := b.Started
 	if anew || started == 0 {
 		started = l.Started
 	}
-	if from == Own && l.Started != 0 {
+	if from == SelfReported && l.Started != 0 {
 		started = l.Started
 	}
-	b.Line, b.From, b.Missing, b.absent = l, from, 0, false // l is of a serving brick, so it is gone no more
+	b.Report, b.Source, b.MissedLists, b.absent = l, from, 0, false // l is of a serving brick, so it is gone no more
 	b.Started = started
-	if from == Own {
-		b.Heard = now
+	if from == SelfReported {
+		b.GreetedAt = now
 	}
 	f.settle(b, now)
 }
 
 // barred tells whether the life that is held of a brick was drained.
 func (f *Fleet) barred(b *Belief) bool {
-	return b.absent || b.Drained > 0 && b.Started <= b.Drained+f.rules.Blur
+	return b.absent || b.DrainedUpTo > 0 && b.Started <= b.DrainedUpTo+f.rules.StartTolerance
 }
 
 // drain bars the life of a brick that a line speaks of. A life whose start nobody told goes back to before it was last known to
@@ -412,26 +412,26 @@
 func (f *Fleet) drain(b *Belief, from Source, why string, started, now time.Duration) {
 	life := max(started, b.Started)
 	if life == 0 {
-		life = b.At
+		life = b.ObservedAt
 	}
 	if life == 0 {
 		life = now
 	}
 	if !f.barred(b) {
-		b.Since = now
+		b.DrainKnownAt = now
 	}
-	b.Drained = max(b.Drained, life, 1)
+	b.DrainedUpTo = max(b.DrainedUpTo, life, 1)
 	b.Serving = false
-	b.Why = fmt.Sprintf("%s, told by %s", why, from)
+	b.Reason = fmt.Sprintf("%s, told by %s", why, from)
 }
 
 // Alive takes an answer of a brick on a connection that it greeted: it is there. A drain stands.
-func (f *Fleet) Alive(name string, now time.Duration) {
+func (f *Fleet) Answered(name string, now time.Duration) {
 	b := f.bricks[name]
 	if b == nil || f.barred(b) {
 		return
 	}
-	b.At, b.From, b.Heard = now, Own, now
+	b.ObservedAt, b.Source, b.GreetedAt = now, SelfReported, now
 	if b.Trust == Doubted {
 		f.settle(b, now)
 	}
@@ -444,31 +444,31 @@
 	case f.barred(b):
 		b.Trust = Barred
 		f.tell(b, false, b.Gone, b.Started)
-	case b.From == Settings || b.At != 0 && now-b.At <= f.rules.Fresh:
-		b.Trust, b.Why = Trusted, "told by "+b.From.String()
+	case b.Source == Settings || b.ObservedAt != 0 && now-b.ObservedAt <= f.rules.Fresh:
+		b.Trust, b.Reason = Trusted, "told by "+b.Source.String()
 		f.tell(b, true, false, b.Started)
 	default:
-		b.Trust, b.Why = Doubted, "old or contradicted; its own word is wanted"
+		b.Trust, b.Reason = Doubted, "old or contradicted; its own word is wanted"
 		boot := b.boot
 		if was != Doubted || !toldBefore {
-			boot = now                                                                        // as just started
-			if toldBefore && was == Trusted && b.Heard > 0 && now-b.Heard <= f.rules.Recent { // it was at work a moment ago
+			boot = now                                                                                       // as just started
+			if toldBefore && was == Trusted && b.GreetedAt > 0 && now-b.GreetedAt <= f.rules.GreetingValid { // it was at work a moment ago
 				boot = b.Started
 			}
 		}
 		f.tell(b, true, false, boot)
 	}
 	if toldBefore && was != b.Trust {
-		f.log(fmt.Sprintf("%s %s: %s", b.Trust, b.Name, b.Why))
+		f.log(fmt.Sprintf("%s %s: %s", b.Trust, b.Name, b.Reason))
 	}
 }
 
 // tell passes a line on to the module if it is not what the module knows.
 func (f *Fleet) tell(b *Belief, serving, gone bool, boot time.Duration) {
-	l := Line{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: b.Cell, Serving: serving, Gone: gone}
+	l := Report{Name: b.Name, Address: b.Address, Zone: b.Zone, Shard: b.Shard, Serving: serving, Gone: gone}
 	if b.toldAt && l == b.told && boot == b.boot {
 		return
 	}
 	b.told, b.toldAt, b.boot = l, true, boot
-	f.module.BrickIs(b.Name, b.Address, b.Zone, b.Cell, serving, gone, boot)
+	f.module.EndpointChanged(b.Name, b.Address, b.Zone, b.Shard, serving, gone, boot)
 }
--- a/internal/fleet/endpointstate/endpointstate_test.go
+++ b/internal/fleet/endpointstate/endpointstate_test.go
@@ -32,13 +32,13 @@
 	lines   []string
 }
 
-func (m *module) BrickIs(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
+func (m *module) EndpointChanged(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
 	m.serving[name], m.boot[name] = serving, boot
 	m.lines = append(m.lines, fmt.Sprintf("%s %s serving %v gone %v boot %v", name, address, serving, gone, boot))
 }
 
 func rules() Rules {
-	return Rules{Fresh: 60 * s, Dead: 1000 * s, Blur: 500 * time.Millisecond, Recent: 100 * s}
+	return Rules{Fresh: 60 * s, Expire: 1000 * s, StartTolerance: 500 * time.Millisecond, GreetingValid: 100 * s}
 }
 
 func newFleet(r Rules) (*Fleet, *module, *[]string) {
@@ -47,11 +47,11 @@
 	return New(r, m, func(l string) { *log = append(*log, l) }), m, log
 }
 
-func line(name string, serving bool, started time.Duration) Line {
-	return Line{Name: name, Address: "127.0.0.1:1" + name[1:], Serving: serving, Started: started}
+func line(name string, serving bool, started time.Duration) Report {
+	return Report{Name: name, Address: "127.0.0.1:1" + name[1:], Serving: serving, Started: started}
 }
 
-func list(names ...string) (all []Line) {
+func list(names ...string) (all []Report) {
 	for _, n := range names {
 		all = append(all, line(n, true, 0))
 	}
@@ -61,7 +61,7 @@
 // A saved list is trusted by its age; what is doubted goes out as just started, and a brick's own word puts it right.
 func TestSavedListByAge(t *testing.T) {
 	f, _, _ := newFleet(rules())
-	f.ListIs(Generation{"e", 7}, true, list("b1", "b2"), 1000*s)
+	f.ListReceived(Generation{"e", 7}, true, list("b1", "b2"), 1000*s)
 	saved, last := f.Beliefs(), f.Last()
 	for age, want := range map[time.Duration]Trust{5 * s: Trusted, 100 * s: Doubted, -50 * s: Doubted} {
 		f, m, _ := newFleet(rules())
@@ -69,11 +69,11 @@
 		if b := f.Beliefs()[0]; b.Trust != want || !m.serving["b1"] || want == Doubted && m.boot["b1"] != 1000*s+age {
 			t.Errorf("age %v: %v, boot %v", age, b.Trust, m.boot["b1"])
 		}
-		f.OwnWord("b1", "127.0.0.1:11", 300*s, false, 1001*s+age)
-		if b := f.Beliefs()[0]; b.Trust != Trusted || m.boot["b1"] != 300*s || b.From != Own {
+		f.Greeted("b1", "127.0.0.1:11", 300*s, false, 1001*s+age)
+		if b := f.Beliefs()[0]; b.Trust != Trusted || m.boot["b1"] != 300*s || b.Source != SelfReported {
 			t.Errorf("age %v: its own word was not taken: %+v", age, b)
 		}
-		f.OwnWord("b2", "127.0.0.1:12", 0, true, 1001*s+age)
+		f.Greeted("b2", "127.0.0.1:12", 0, true, 1001*s+age)
 		if f.Beliefs()[1].Trust != Barred || m.serving["b2"] {
 			t.Error("a brick that says it drains is not barred")
 		}
@@ -83,13 +83,13 @@
 // The drain wins over every older line, whoever tells it, and ends only with a later start.
 func TestDrainWins(t *testing.T) {
 	f, m, _ := newFleet(rules())
-	f.ListIs(Generation{"e", 1}, true, []Line{line("b1", true, 100*s), line("b2", true, 0)}, 200*s)
-	f.PeerSays([]Line{{Name: "b1", At: 210 * s, Started: 100 * s}}, 211*s)
-	f.ListIs(Generation{"e", 2}, false, []Line{line("b2", false, 0)}, 212*s)
-	f.ListIs(Generation{"e", 3}, true, []Line{line("b1", true, 100*s), line("b2", true, 0)}, 220*s)
-	f.OwnWord("b1", "127.0.0.1:11", 100*s+time.Millisecond, false, 230*s)
-	f.OwnWord("b2", "127.0.0.1:12", 90*s, false, 230*s)
-	f.Alive("b1", 231*s)
+	f.ListReceived(Generation{"e", 1}, true, []Report{line("b1", true, 100*s), line("b2", true, 0)}, 200*s)
+	f.PeerReported([]Report{{Name: "b1", ObservedAt: 210 * s, Started: 100 * s}}, 211*s)
+	f.ListReceived(Generation{"e", 2}, false, []Report{line("b2", false, 0)}, 212*s)
+	f.ListReceived(Generation{"e", 3}, true, []Report{line("b1", true, 100*s), line("b2", true, 0)}, 220*s)
+	f.Greeted("b1", "127.0.0.1:11", 100*s+time.Millisecond, false, 230*s)
+	f.Greeted("b2", "127.0.0.1:12", 90*s, false, 230*s)
+	f.Answered("b1", 231*s)
 	if m.serving["b1"] || m.serving["b2"] {
 		t.Fatal("a drained brick serves again without a new start")
 	}
@@ -99,18 +99,18 @@
 	if m.serving["b1"] || m.serving["b2"] {
 		t.Fatal("a restart forgot the drains")
 	}
-	f.ListIs(Generation{"e", 4}, false, []Line{line("b1", true, 235*s), line("b2", true, 236*s)}, 241*s)
+	f.ListReceived(Generation{"e", 4}, false, []Report{line("b1", true, 235*s), line("b2", true, 236*s)}, 241*s)
 	if !m.serving["b1"] || !m.serving["b2"] || m.boot["b1"] != 235*s {
 		t.Errorf("started anew, but %+v", f.Beliefs())
 	}
-	f.PeerSays([]Line{{Name: "b1", At: 242 * s, Started: 100 * s}}, 242*s)
+	f.PeerReported([]Report{{Name: "b1", ObservedAt: 242 * s, Started: 100 * s}}, 242*s)
 	if !m.serving["b1"] {
 		t.Error("the drain of an earlier life bars a later one")
 	}
-	if f.ListIs(Generation{"e", 5}, false, []Line{line("b1", false, 235*s)}, 250*s); m.serving["b1"] || !f.Forget("b1", 251*s) || f.Forget("b1", 251*s) {
+	if f.ListReceived(Generation{"e", 5}, false, []Report{line("b1", false, 235*s)}, 250*s); m.serving["b1"] || !f.Forget("b1", 251*s) || f.Forget("b1", 251*s) {
 		t.Error("forget")
 	}
-	if f.ListIs(Generation{"e", 6}, false, []Line{line("b1", true, 235*s)}, 252*s); !m.serving["b1"] {
+	if f.ListReceived(Generation{"e", 6}, false, []Report{line("b1", true, 235*s)}, 252*s); !m.serving["b1"] {
 		t.Error("an operator's forget did not lift the drain")
 	}
 }
@@ -118,33 +118,33 @@
 // A number that does not rise is an old list, whatever the clock; half a list, or an empty one, takes nothing away at once.
 func TestListsThatCantBe(t *testing.T) {
 	f, m, log := newFleet(rules())
-	f.ListIs(Generation{"e", 9}, true, list("b1", "b2", "b3", "b4"), 10*s)
-	if f.ListIs(Generation{"e", 3}, true, append(list("b1"), line("b2", false, 0), line("b9", true, 0)), 20*s) {
+	f.ListReceived(Generation{"e", 9}, true, list("b1", "b2", "b3", "b4"), 10*s)
+	if f.ListReceived(Generation{"e", 3}, true, append(list("b1"), line("b2", false, 0), line("b9", true, 0)), 20*s) {
 		t.Error("an old list was believed")
 	}
 	if !m.serving["b3"] || m.serving["b2"] || f.Beliefs()[4].Trust != Doubted {
 		t.Errorf("%+v", f.Beliefs())
 	}
-	f.ListIs(Generation{"e", 10}, true, nil, 30*s)
+	f.ListReceived(Generation{"e", 10}, true, nil, 30*s)
 	if !m.serving["b1"] || f.Beliefs()[0].Trust != Doubted || m.boot["b1"] != 30*s {
 		t.Errorf("an empty list took all away, or was taken for nothing: %+v", f.Beliefs()[0])
 	}
-	f.OwnWord("b1", "127.0.0.1:11", 1*s, false, 31*s)
-	f.ListIs(Generation{"e", 11}, true, list("b1", "b3", "b4"), 40*s)
+	f.Greeted("b1", "127.0.0.1:11", 1*s, false, 31*s)
+	f.ListReceived(Generation{"e", 11}, true, list("b1", "b3", "b4"), 40*s)
 	if b := f.Beliefs(); b[0].Trust != Trusted || b[2].Trust != Trusted || m.serving["b9"] && b[4].Trust == Trusted {
 		t.Errorf("%+v", b)
 	}
-	f.ListIs(Generation{"e", 12}, true, nil, 50*s)
-	f.ListIs(Generation{"e", 13}, true, nil, 60*s)
+	f.ListReceived(Generation{"e", 12}, true, nil, 50*s)
+	f.ListReceived(Generation{"e", 13}, true, nil, 60*s)
 	if m.serving["b1"] || m.serving["b3"] {
 		t.Error("told twice that all are gone, and still they serve")
 	}
-	f.OwnWord("b1", "127.0.0.1:11", 1*s, false, 61*s)
-	f.PeerSays([]Line{line("b3", true, 0)}, 61*s)
+	f.Greeted("b1", "127.0.0.1:11", 1*s, false, 61*s)
+	f.PeerReported([]Report{line("b3", true, 0)}, 61*s)
 	if m.serving["b1"] || m.serving["b3"] {
 		t.Error("a list took them away, and another's word brought them back")
 	}
-	f.ListIs(Generation{"e", 14}, true, list("b1", "b3"), 70*s)
+	f.ListReceived(Generation{"e", 14}, true, list("b1", "b3"), 70*s)
 	if !m.serving["b1"] || !m.serving["b3"] {
 		t.Error("a later list names them, and they stay away")
 	}
@@ -160,37 +160,37 @@
 	b.AddPrefix(netip.MustParsePrefix("127.0.0.0/8"))
 	r.Networks, _ = b.IPSet()
 	f, m, log := newFleet(r)
-	far := Line{Name: "x1", Address: "192.0.2.1:80", Serving: true}
+	far := Report{Name: "x1", Address: "192.0.2.1:80", Serving: true}
 	for n := range 3 {
-		f.ListIs(Generation{"e", int64(n + 1)}, false, []Line{far, line("b1", true, 0), {Name: "x2", Address: "nonsense", Serving: true}}, 10*s)
+		f.ListReceived(Generation{"e", int64(n + 1)}, false, []Report{far, line("b1", true, 0), {Name: "x2", Address: "nonsense", Serving: true}}, 10*s)
 	}
 	if len(f.Beliefs()) != 1 || len(*log) != 2 {
 		t.Errorf("%+v %q", f.Beliefs(), *log)
 	}
-	f.OwnWord("b7", "127.0.0.1:17", 0, false, 11*s)
-	f.Wrong("b1", "127.0.0.1:99", 11*s)
+	f.Greeted("b7", "127.0.0.1:17", 0, false, 11*s)
+	f.WrongEndpoint("b1", "127.0.0.1:99", 11*s)
 	if len(f.Beliefs()) != 1 || f.Beliefs()[0].Trust != Trusted {
 		t.Error("an old connection's word was taken")
 	}
-	f.Wrong("b1", "127.0.0.1:11", 12*s)
-	if f.Beliefs()[0].Trust != Doubted || len(f.Doubts()) != 1 {
+	f.WrongEndpoint("b1", "127.0.0.1:11", 12*s)
+	if f.Beliefs()[0].Trust != Doubted || len(f.Doubtful()) != 1 {
 		t.Error("another brick is at the address, and the line is not doubted")
 	}
-	f.Alive("b1", 13*s)
-	f.Age(60 * s)
+	f.Answered("b1", 13*s)
+	f.Tick(60 * s)
 	if f.Beliefs()[0].Trust != Trusted {
 		t.Error("it answered a minute ago")
 	}
-	f.Age(80 * s)
+	f.Tick(80 * s)
 	if f.Beliefs()[0].Trust != Doubted || m.boot["b1"] != 0 {
 		t.Errorf("doubted by age, it was at work: no new ramp; %v", m.boot["b1"])
 	}
-	f.Age(2000 * s)
+	f.Tick(2000 * s)
 	if len(f.Beliefs()) != 0 || m.serving["b1"] {
 		t.Error("what nobody spoke of for so long is still there")
 	}
-	f.Known([]Line{line("b1", true, 0)}, 2000*s)
-	f.Age(9000 * s)
+	f.Configured([]Report{line("b1", true, 0)}, 2000*s)
+	f.Tick(9000 * s)
 	if len(f.Beliefs()) != 1 || f.Beliefs()[0].Trust != Trusted {
 		t.Error("what settings name needs no list")
 	}
@@ -207,20 +207,20 @@
 		at      time.Duration
 	}
 	apply := func(f *Fleet, p piece, now time.Duration) {
-		l := Line{Name: "b1", Address: "127.0.0.1:1", Serving: p.serving, Started: p.started, At: p.at}
+		l := Report{Name: "b1", Address: "127.0.0.1:1", Serving: p.serving, Started: p.started, ObservedAt: p.at}
 		switch p.kind {
 		case 0:
-			f.ListIs(Generation{"e", p.number}, false, []Line{l}, now)
+			f.ListReceived(Generation{"e", p.number}, false, []Report{l}, now)
 		case 1:
-			f.PeerSays([]Line{l}, now)
+			f.PeerReported([]Report{l}, now)
 		case 2:
-			f.OwnWord("b1", "127.0.0.1:1", p.started, !p.serving, now)
+			f.Greeted("b1", "127.0.0.1:1", p.started, !p.serving, now)
 		case 3:
 			saved, last := f.Beliefs(), f.Last()
 			*f = *New(rules(), f.module, f.log)
 			f.Restore(saved, last, now)
 		default:
-			f.Alive("b1", now)
+			f.Answered("b1", now)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -231,7 +231,7 @@
 				at: time.Duration(rapid.IntRange(300, 400).Draw(t, "at")) * s}
 		}), 1, 25).Draw(t, "news")
 		f, m, _ := newFleet(rules())
-		f.ListIs(Generation{"e", 1}, true, []Line{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: lives[0]}}, 400*s)
+		f.ListReceived(Generation{"e", 1}, true, []Report{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: lives[0]}}, 400*s)
 		drained := time.Duration(0)
 		held := lives[0]
 		for i, p := range pieces {
@@ -255,7 +255,7 @@
 		var got [2]bool
 		for i, order := range [][]piece{news, other} {
 			f, m, _ := newFleet(rules())
-			f.ListIs(Generation{"e", 1}, true, []Line{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: 50 * s}}, 400*s)
+			f.ListReceived(Generation{"e", 1}, true, []Report{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: 50 * s}}, 400*s)
 			for _, p := range order {
 				apply(f, p, 1000*s)
 			}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -49,50 +49,50 @@
 const (
 	Ping Kind = iota
 	Ack
-	Ask  // ping About for me
-	Join // tell me all that differs from Sums
-	Sync // what differs
+	PingRequest // ping About for me
+	Join        // tell me all that differs from Sums
+	Sync        // what differs
 )
 
 // Message is what hosts send each other. Any may be lost, doubled or late.
 type Message struct {
-	Kind  Kind
-	Seq   uint64
-	From  Member
-	About string   // of Ask, and of an Ack that answers one
-	Total int      // of Sync: how many members its sender knows
-	Sums  []uint64 // of Join: what its sender knows, in parts by name; none: it knows nothing
-	News  []Member
+	Kind      Kind
+	Seq       uint64
+	From      Member
+	About     string   // of Ask, and of an Ack that answers one
+	Total     int      // of Sync: how many members its sender knows
+	Checksums []uint64 // of Join: what its sender knows, in parts by name; none: it knows nothing
+	Updates   []Member
 }
 
 // Parts into which what is known is summed up for Join: one news missed costs one part of the whole, not all of it.
 const sums = 32
 
 // Ways are the group's ways out. No call may block or come back.
-type Ways interface {
+type Outbound interface {
 	Send(address string, m Message)
-	Changed(v View)
+	MembershipChanged(v Counts)
 	Log(line string)
 }
 
 // View is what the group amounts to.
-type View struct{ Serving, Parts int }
+type Counts struct{ Serving, Parts int }
 
 // Rules are the figures.
 type Rules struct {
-	Every   time.Duration // between two pings of a host
-	Wait    time.Duration // for an answer, before others are asked to try
-	Suspect time.Duration // suspicion, times log10 of the count
-	Forget  time.Duration // members that have left or were removed so long ago; parts of removed ones end only by it
-	Helpers int           // asked to try
-	News    int           // pieces in a message; four times as many while much waits
-	Whole   int           // each so many turns all that is known is asked for, so that lost news is made up for
+	PingInterval      time.Duration // between two pings of a host
+	AckTimeout        time.Duration // for an answer, before others are asked to try
+	SuspicionTimeout  time.Duration // suspicion, times log10 of the count
+	RetainRemoved     time.Duration // members that have left or were removed so long ago; parts of removed ones end only by it
+	IndirectPings     int           // asked to try
+	UpdatesPerMessage int           // pieces in a message; four times as many while much waits
+	FullSyncTurns     int           // each so many turns all that is known is asked for, so that lost news is made up for
 }
 
 // Usual figures: a silent host is removed within some seconds.
-func Usual() Rules {
-	return Rules{Every: 500 * time.Millisecond, Wait: 150 * time.Millisecond, Suspect: 5 * time.Second, Forget: 24 * time.Hour,
-		Helpers: 3, News: 8, Whole: 10}
+func DefaultRules() Rules {
+	return Rules{PingInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 5 * time.Second, RetainRemoved: 24 * time.Hour,
+		IndirectPings: 3, UpdatesPerMessage: 8, FullSyncTurns: 10}
 }
 
 type entry struct {
@@ -118,7 +118,7 @@
 type Group struct {
 	self    Member
 	rules   Rules
-	ways    Ways
+	ways    Outbound
 	rng     *rand.Rand
 	members map[string]*entry
 	order   []string
@@ -132,7 +132,7 @@
 	stale   bool // the view may have changed
 	seeds   []string
 	joined  bool
-	view    View
+	view    Counts
 	gone    bool
 }
 
@@ -144,9 +144,9 @@
 }
 
 // New starts alone. The incarnation of self must be above that of its last life.
-func New(self Member, r Rules, seeds []string, w Ways, rng *rand.Rand, now time.Duration) *Group {
+func New(self Member, r Rules, seeds []string, w Outbound, rng *rand.Rand, now time.Duration) *Group {
 	g := &Group{self: self, rules: r, ways: w, rng: rng, members: map[string]*entry{}, asks: map[uint64]ask{}, seeds: seeds, stale: true}
-	g.next = now + time.Duration(rng.Int63n(int64(r.Every)))
+	g.next = now + time.Duration(rng.Int63n(int64(r.PingInterval)))
 	g.tell()
 	return g
 }
@@ -175,7 +175,7 @@
 }
 
 // View is the present one.
-func (g *Group) View() View { return g.view }
+func (g *Group) Counts() Counts { return g.view }
 
 // Settled tells whether every member that may be sending counts this host.
 func (g *Group) Settled() bool {
@@ -195,7 +195,7 @@
 		return
 	}
 	g.stale = false
-	v := View{Serving: 1, Parts: 1}
+	v := Counts{Serving: 1, Parts: 1}
 	planned := g.self.Planned
 	for _, e := range g.members {
 		if e.State != Left {
@@ -215,14 +215,14 @@
 	}
 	if v != g.view {
 		g.view = v
-		g.ways.Changed(v)
+		g.ways.MembershipChanged(v)
 	}
 }
 
 // Next is when Tick wants to be called.
 func (g *Group) Next() time.Duration {
 	if p := g.probe; p != nil && !p.asked {
-		return min(g.next, p.at+g.rules.Wait)
+		return min(g.next, p.at+g.rules.AckTimeout)
 	}
 	return g.next
 }
@@ -232,16 +232,16 @@
 	if g.gone {
 		return
 	}
-	if p := g.probe; p != nil && !p.asked && now >= p.at+g.rules.Wait {
+	if p := g.probe; p != nil && !p.asked && now >= p.at+g.rules.AckTimeout {
 		p.asked = true
-		for _, e := range g.some(g.rules.Helpers, p.name) {
-			g.send(e.Address, Message{Kind: Ask, Seq: p.seq, About: p.name})
+		for _, e := range g.some(g.rules.IndirectPings, p.name) {
+			g.send(e.Address, Message{Kind: PingRequest, Seq: p.seq, About: p.name})
 		}
 	}
 	if now < g.next {
 		return
 	}
-	g.next = now + g.rules.Every
+	g.next = now + g.rules.PingInterval
 	var again *entry // a turn lost says little where messages are lost: the host has another before all are told to suspect it
 	if p := g.probe; p != nil {
 		g.probe = nil
@@ -255,9 +255,9 @@
 	g.expire(now)
 	if g.turns++; !g.joined && len(g.seeds) > 0 {
 		g.send(g.seeds[g.rng.Intn(len(g.seeds))], Message{Kind: Join})
-	} else if g.turns%g.rules.Whole == 0 {
+	} else if g.turns%g.rules.FullSyncTurns == 0 {
 		for _, e := range g.some(1, "") {
-			g.send(e.Address, Message{Kind: Join, Sums: g.sums()})
+			g.send(e.Address, Message{Kind: Join, Checksums: g.sums()})
 		}
 	}
 	e := again
@@ -274,10 +274,10 @@
 
 // expire ends suspicions, and forgets what is long over.
 func (g *Group) expire(now time.Duration) {
-	bound := time.Duration(float64(g.rules.Suspect) * math.Max(1, math.Log10(float64(len(g.members)+1))))
+	bound := time.Duration(float64(g.rules.SuspicionTimeout) * math.Max(1, math.Log10(float64(len(g.members)+1))))
 	var due []string
 	for name, e := range g.members {
-		if e.State == Suspect && now-e.since >= bound || e.State >= Removed && now-e.since >= g.rules.Forget {
+		if e.State == Suspect && now-e.since >= bound || e.State >= Removed && now-e.since >= g.rules.RetainRemoved {
 			due = append(due, name)
 		}
 	}
@@ -334,7 +334,7 @@
 }
 
 // Some are the addresses of up to n members that are there.
-func (g *Group) Some(n int) (addresses []string) {
+func (g *Group) RandomAddresses(n int) (addresses []string) {
 	for _, e := range g.some(n, "") {
 		addresses = append(addresses, e.Address)
 	}
@@ -358,7 +358,7 @@
 // send adds news that waits, in turn.
 func (g *Group) send(address string, m Message) {
 	m.From = g.self
-	most, k := 3+int(4*math.Log10(float64(len(g.members)+1))), g.rules.News
+	most, k := 3+int(4*math.Log10(float64(len(g.members)+1))), g.rules.UpdatesPerMessage
 	if len(g.queue) > 4*k {
 		k *= 4
 	}
@@ -366,7 +366,7 @@
 	first := g.queue[:k]
 	g.queue = slices.Clone(g.queue[k:])
 	for _, n := range first {
-		m.News = append(m.News, n.m)
+		m.Updates = append(m.Updates, n.m)
 		if n.sent++; n.sent < most {
 			g.queue = append(g.queue, n)
 		}
@@ -382,7 +382,7 @@
 	from := m.From
 	from.State = Alive // it speaks
 	g.apply(from, now)
-	for _, n := range m.News {
+	for _, n := range m.Updates {
 		g.apply(n, now)
 	}
 	e := g.members[from.Name]
@@ -395,30 +395,30 @@
 	}
 	switch m.Kind {
 	case Ping:
-		g.send(from.Address, Message{Kind: Ack, Seq: m.Seq, News: about})
+		g.send(from.Address, Message{Kind: Ack, Seq: m.Seq, Updates: about})
 	case Join:
 		all, mine := g.Members(), []uint64(nil)
-		if len(m.Sums) == sums {
+		if len(m.Checksums) == sums {
 			mine = g.sums()
 		}
 		differ := slices.DeleteFunc(slices.Clone(all), func(x Member) bool {
 			i, _ := sum(x)
-			return mine != nil && mine[i] == m.Sums[i]
+			return mine != nil && mine[i] == m.Checksums[i]
 		})
 		if len(differ) == 0 {
 			g.send(from.Address, Message{Kind: Sync, Seq: m.Seq, Total: len(all)})
 		}
-		for part := range slices.Chunk(differ, 4*g.rules.News) {
-			g.send(from.Address, Message{Kind: Sync, Seq: m.Seq, Total: len(all), News: part})
+		for part := range slices.Chunk(differ, 4*g.rules.UpdatesPerMessage) {
+			g.send(from.Address, Message{Kind: Sync, Seq: m.Seq, Total: len(all), Updates: part})
 		}
 	case Sync:
 		g.stale = g.stale || !e.acked || !g.joined
 		g.joined = g.joined || len(g.members)+1 >= m.Total
 		e.acked = true
-	case Ask:
+	case PingRequest:
 		if about := g.members[m.About]; about != nil && len(g.asks) < 1024 {
 			g.seq++
-			g.asks[g.seq] = ask{from.Address, m.Seq, m.About, now + 2*g.rules.Every}
+			g.asks[g.seq] = ask{from.Address, m.Seq, m.About, now + 2*g.rules.PingInterval}
 			g.send(about.Address, Message{Kind: Ping, Seq: g.seq})
 		}
 	case Ack:
@@ -498,7 +498,7 @@
 }
 
 // Plan is how many hosts there are to be, as a planner says; it only ever raises what settings say.
-func (g *Group) Plan(hosts int) {
+func (g *Group) SetPlanned(hosts int) {
 	if hosts > g.self.Planned {
 		g.self.Planned, g.stale = hosts, true
 		g.tell()
@@ -512,10 +512,10 @@
 	m.State = Left
 	told := 0
 	for _, name := range g.order { // a goodbye that nobody hears keeps a part for a day: the suspected hear it too, each twice
-		if e := g.members[name]; e != nil && e.State <= Suspect && told < 2*g.rules.Helpers+2 {
+		if e := g.members[name]; e != nil && e.State <= Suspect && told < 2*g.rules.IndirectPings+2 {
 			told++
 			for range 2 {
-				g.ways.Send(e.Address, Message{Kind: Ping, From: g.self, News: []Member{m}})
+				g.ways.Send(e.Address, Message{Kind: Ping, From: g.self, Updates: []Member{m}})
 			}
 		}
 	}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -28,7 +28,7 @@
 	no   int
 	g    *Group
 	down bool
-	view View
+	view Counts
 	life int
 }
 
@@ -66,7 +66,7 @@
 
 func (x *node) Send(address string, m Message) {
 	n := x.net
-	n.bytes += 40 + 28*(1+len(m.News)) + 9*len(m.Sums) // what the names, numbers and states take on the wire, about
+	n.bytes += 40 + 28*(1+len(m.Updates)) + 9*len(m.Checksums) // what the names, numbers and states take on the wire, about
 	var to int
 	fmt.Sscan(address, &to)
 	for range 1 + n.rng.Intn(20)/19 { // now and then one is doubled
@@ -80,7 +80,7 @@
 		})
 	}
 }
-func (x *node) Changed(v View) { x.view = v }
+func (x *node) MembershipChanged(v Counts) { x.view = v }
 func (x *node) Log(line string) {
 	x.net.log = append(x.net.log, fmt.Sprintf("%v %d: %s", x.net.now, x.no, line))
 }
@@ -90,7 +90,7 @@
 	x.down = false
 	life := x.life
 	x.g = New(Member{Name: fmt.Sprint("h", x.no), Ordinal: x.no, Address: fmt.Sprint(x.no), Planned: planned, Incarnation: uint64(x.life) << 20},
-		Usual(), []string{"0", "1"}, x, rand.New(rand.NewSource(int64(x.no*100+x.life))), x.net.now)
+		DefaultRules(), []string{"0", "1"}, x, rand.New(rand.NewSource(int64(x.no*100+x.life))), x.net.now)
 	var tick func()
 	tick = func() {
 		if !x.down && x.life == life {
@@ -240,11 +240,11 @@
 	g := n.nodes[0].g
 	old := Member{Name: "h1", Ordinal: 1, Address: "1", Incarnation: 1, State: Removed}
 	from := Member{Name: "h2", Ordinal: 2, Address: "2", Incarnation: 2 << 20}
-	g.Receive(Message{Kind: Ping, From: from, News: []Member{old, {Name: "h0", Incarnation: 5 << 20, State: Removed}}}, n.now)
-	if v := g.View(); v.Serving != 3 || g.Members()[0].Incarnation != 5<<20+1 {
+	g.Receive(Message{Kind: Ping, From: from, Updates: []Member{old, {Name: "h0", Incarnation: 5 << 20, State: Removed}}}, n.now)
+	if v := g.Counts(); v.Serving != 3 || g.Members()[0].Incarnation != 5<<20+1 {
 		t.Errorf("%+v %+v", v, g.Members()[0])
 	}
-	if !g.Forget("h1", n.now) || g.View().Serving != 2 || g.Forget("nobody", n.now) {
+	if !g.Forget("h1", n.now) || g.Counts().Serving != 2 || g.Forget("nobody", n.now) {
 		t.Error("an operator's word was not taken")
 	}
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -150,9 +150,9 @@
 			if err := proto.Unmarshal(v, x); err != nil || x.Name != string(k) {
 				return fmt.Errorf("the line of brick %q can't be read", k)
 			}
-			all = append(all, endpointstate.Belief{From: endpointstate.Source(x.From), Drained: time.Duration(x.Drained), Since: time.Duration(x.Since), Why: x.Why,
-				Line: endpointstate.Line{Name: x.Name, Address: x.Address, Zone: x.Zone, Cell: int(x.Cell), Serving: x.Serving, Gone: x.Gone,
-					Started: time.Duration(x.Started), At: time.Duration(x.At)}})
+			all = append(all, endpointstate.Belief{Source: endpointstate.Source(x.From), DrainedUpTo: time.Duration(x.Drained), DrainKnownAt: time.Duration(x.Since), Reason: x.Why,
+				Report: endpointstate.Report{Name: x.Name, Address: x.Address, Zone: x.Zone, Shard: int(x.Cell), Serving: x.Serving, Gone: x.Gone,
+					Started: time.Duration(x.Started), ObservedAt: time.Duration(x.At)}})
 			return nil
 		})
 	})
@@ -204,8 +204,8 @@
 			return err
 		}
 		for _, b := range put {
-			v, err := proto.Marshal(&pb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Cell), Serving: b.Serving,
-				Gone: b.Gone, Started: int64(b.Started), At: int64(b.At), From: int32(b.From), Drained: int64(b.Drained), Since: int64(b.Since), Why: b.Why})
+			v, err := proto.Marshal(&pb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Shard), Serving: b.Serving,
+				Gone: b.Gone, Started: int64(b.Started), At: int64(b.ObservedAt), From: int32(b.Source), Drained: int64(b.DrainedUpTo), Since: int64(b.DrainKnownAt), Why: b.Reason})
 			if err != nil {
 				return err
 			}
@@ -307,6 +307,6 @@
 const Grain = 30 * time.Second
 
 func differ(a, b endpointstate.Belief) bool {
-	return a.Address != b.Address || a.Zone != b.Zone || a.Cell != b.Cell || a.Serving != b.Serving || a.Gone != b.Gone ||
-		a.Started != b.Started || a.Drained != b.Drained || b.At-a.At >= Grain || b.At < a.At
+	return a.Address != b.Address || a.Zone != b.Zone || a.Shard != b.Shard || a.Serving != b.Serving || a.Gone != b.Gone ||
+		a.Started != b.Started || a.DrainedUpTo != b.DrainedUpTo || b.ObservedAt-a.ObservedAt >= Grain || b.ObservedAt < a.ObservedAt
 }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -21,8 +21,8 @@
 
 func bricks(n int, at time.Duration) (all []endpointstate.Belief) {
 	for i := range n {
-		all = append(all, endpointstate.Belief{From: endpointstate.List, Line: endpointstate.Line{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i),
-			Zone: "north", Cell: i, Serving: true, Started: time.Duration(i), At: at}})
+		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i),
+			Zone: "north", Shard: i, Serving: true, Started: time.Duration(i), ObservedAt: at}})
 	}
 	return all
 }
@@ -41,7 +41,7 @@
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
 	all := bricks(5, time.Hour)
-	all[2].Drained, all[2].Why, all[2].Serving = 7, "draining, told by list", false
+	all[2].DrainedUpTo, all[2].Reason, all[2].Serving = 7, "draining, told by list", false
 	gen := endpointstate.Generation{Epoch: "e", Number: 9}
 	for want, in := range map[int][]endpointstate.Belief{5: all} {
 		if n, err := s.Save(in, gen); n != want || err != nil {
@@ -59,7 +59,7 @@
 	s.Close()
 	s, aside := mustOpen(t, file, "h")
 	got, last, err := s.Load()
-	if err != nil || aside != "" || last != gen || len(got) != 4 || got[1].Drained != 7 || got[0].Line != all[1].Line {
+	if err != nil || aside != "" || last != gen || len(got) != 4 || got[1].DrainedUpTo != 7 || got[0].Report != all[1].Report {
 		t.Errorf("%v %q %v %+v", err, aside, last, got)
 	}
 	if n, err := s.Save(all[2:], gen); n != 1 || err != nil { // what was kept by an earlier life can be dropped by this one
--- a/internal/fleet/store/stored_data_test.go
+++ b/internal/fleet/store/stored_data_test.go
@@ -15,14 +15,14 @@
 func storedBeliefs() []endpointstate.Belief {
 	const moment = 1_790_000_000 * time.Second
 	return []endpointstate.Belief{
-		{From: endpointstate.List, Line: endpointstate.Line{Name: "brick-1", Address: "127.0.0.1:7101", Zone: "north", Cell: 3, Serving: true,
-			Started: moment - 48*time.Hour, At: moment}},
-		{From: endpointstate.Own, Drained: moment - time.Hour, Since: moment - 90*time.Second, Why: "draining, told by itself",
-			Line: endpointstate.Line{Name: "brick-2", Address: "127.0.0.1:7102", Zone: "south", Cell: 4, Started: moment - time.Hour, At: moment - time.Second}},
-		{From: endpointstate.Peer, Drained: -1, Since: moment - 2*time.Minute, Why: "gone, told by peer",
-			Line: endpointstate.Line{Name: "brick-3", Address: "[::1]:7103", Cell: -1, Gone: true, At: moment - 2*time.Minute}},
-		{From: endpointstate.Saved, Line: endpointstate.Line{Name: "brick-4", Address: "127.0.0.1:7104", Zone: "north", Serving: true, At: 1}},
-		{From: endpointstate.Settings, Line: endpointstate.Line{Name: "brick-5", Address: "127.0.0.1:7105", Cell: 1_000_000, Serving: true}},
+		{Source: endpointstate.List, Report: endpointstate.Report{Name: "brick-1", Address: "127.0.0.1:7101", Zone: "north", Shard: 3, Serving: true,
+			Started: moment - 48*time.Hour, ObservedAt: moment}},
+		{Source: endpointstate.SelfReported, DrainedUpTo: moment - time.Hour, DrainKnownAt: moment - 90*time.Second, Reason: "draining, told by itself",
+			Report: endpointstate.Report{Name: "brick-2", Address: "127.0.0.1:7102", Zone: "south", Shard: 4, Started: moment - time.Hour, ObservedAt: moment - time.Second}},
+		{Source: endpointstate.Peer, DrainedUpTo: -1, DrainKnownAt: moment - 2*time.Minute, Reason: "gone, told by peer",
+			Report: endpointstate.Report{Name: "brick-3", Address: "[::1]:7103", Shard: -1, Gone: true, ObservedAt: moment - 2*time.Minute}},
+		{Source: endpointstate.Saved, Report: endpointstate.Report{Name: "brick-4", Address: "127.0.0.1:7104", Zone: "north", Serving: true, ObservedAt: 1}},
+		{Source: endpointstate.Settings, Report: endpointstate.Report{Name: "brick-5", Address: "127.0.0.1:7105", Shard: 1_000_000, Serving: true}},
 	}
 }
 
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -28,7 +28,7 @@
 		e.taping = nil
 		return nil
 	}
-	core.Tap(e.taping)
+	core.Observe(e.taping)
 	if c.On {
 		e.taping.Start()
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Log *slog.Logger
 	// Start makes the module; nil: policy.New. Tests and baselines put something else here.
-	Start func(policy.Host, policy.Settings) engine.Decider
+	Start func(policy.Runtime, policy.Settings) engine.Scheduler
 	// Objects is called with the address of the object API, if there is one.
 	Objects func(address string)
 	// Ready is called with the address clients reach and the one peers reach.
@@ -37,7 +37,7 @@
 }
 
 // Start makes the module itself.
-func Start(h policy.Host, s policy.Settings) engine.Decider { return policy.New(h, s) }
+func Start(h policy.Runtime, s policy.Settings) engine.Scheduler { return policy.New(h, s) }
 
 // Edge is one host while it runs.
 type Edge struct {
@@ -103,7 +103,7 @@
 		defer e.taping.Close()
 	}
 	if len(conf.Brick) > 0 {
-		core.Known(known(conf.Brick))
+		core.KnownEndpoints(known(conf.Brick))
 	}
 	e.peerNetworks = rules.Networks
 	if e.peers.conn != nil {
@@ -112,7 +112,7 @@
 			seeds = append(seeds, p.Address)
 		}
 		core.Join(membership.Member{Name: conf.Name, Ordinal: int(conf.Ordinal), Address: e.peers.address(), Planned: int(conf.Hosts),
-			Incarnation: uint64(time.Now().UnixMilli())}, membership.Usual(), seeds)
+			Incarnation: uint64(time.Now().UnixMilli())}, membership.DefaultRules(), seeds)
 	}
 	keep := &keeper{edge: e}
 	if err := keep.open(core); err != nil {
@@ -167,8 +167,8 @@
 	e.closeSessions()
 	e.lines.Close()
 	e.wg.Wait()
-	e.log.Info("stopped", "taken", counts.Taken, "completed", counts.Completed, "busy-replied", counts.BusyReplied,
-		"aborted", counts.Aborted, "held", counts.Held, "late answers", counts.Late)
+	e.log.Info("stopped", "taken", counts.Received, "completed", counts.Served, "busy-replied", counts.Rejected,
+		"aborted", counts.Failed, "held", counts.Open, "late answers", counts.LateOutcomes)
 	return nil
 }
 
@@ -176,15 +176,15 @@
 func (e *Edge) stop(l net.Listener) {
 	e.stopping.Store(true)
 	l.Close()
-	e.log.Info("stopping: nothing new is taken", "held", e.Counts().Held)
+	e.log.Info("stopping: nothing new is taken", "held", e.Counts().Open)
 	until := time.After(e.longest() + time.Second)
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for e.Counts().Held > 0 || !e.quiet() {
+	for e.Counts().Open > 0 || !e.quiet() {
 		select {
 		case <-tick.C:
 		case <-until:
-			e.log.Warn("stopping with something left", "held", e.Counts().Held)
+			e.log.Warn("stopping with something left", "held", e.Counts().Open)
 			return
 		}
 	}
@@ -211,8 +211,8 @@
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		n := e.Counts()
-		e.log.Info("state", "heap", m.HeapInuse, "goroutines", runtime.NumGoroutine(), "held", n.Held, "out", n.Out,
-			"timers", n.Timers, "taken", n.Taken)
+		e.log.Info("state", "heap", m.HeapInuse, "goroutines", runtime.NumGoroutine(), "held", n.Open, "out", n.InFlight,
+			"timers", n.Timers, "taken", n.Received)
 	}
 }
 
@@ -237,30 +237,32 @@
 	}()
 }
 
-func known(bricks []*pb.BrickLine) []engine.BrickLine {
-	lines := make([]engine.BrickLine, len(bricks))
+func known(bricks []*pb.BrickLine) []engine.EndpointEntry {
+	lines := make([]engine.EndpointEntry, len(bricks))
 	for i, b := range bricks {
-		lines[i] = engine.BrickLine{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Serving: true}
+		lines[i] = engine.EndpointEntry{Name: b.Name, Address: b.Address, Zone: b.Zone, Shard: int(b.Cell), Serving: true}
 	}
 	return lines
 }
 
 // Line, Watch, ListAll, Tell and Log are the loop's ways out.
 
-func (e *Edge) Line(brick, address string) engine.Line { return e.lines.Line(brick, address) }
-func (e *Edge) Watch(on bool)                          { e.lister.Watch(on) }
-func (e *Edge) ListAll()                               { e.lister.All() }
-func (e *Edge) Tell(peer int, data []byte)             { e.peers.tell(peer, data) }
-func (e *Edge) Log(line string)                        { e.log.Info(line, "from", "module") }
+func (e *Edge) Connect(brick, address string) engine.EndpointConn {
+	return e.lines.Connect(brick, address)
+}
+func (e *Edge) RequestEndpointList(on bool)    { e.lister.Watch(on) }
+func (e *Edge) ListAll()                       { e.lister.All() }
+func (e *Edge) SendNote(peer int, data []byte) { e.peers.tell(peer, data) }
+func (e *Edge) Log(line string)                { e.log.Info(line, "from", "module") }
 
 // listSink hands what the list service says to the loop.
 type listSink struct{ loop *engine.Loop }
 
-func (l listSink) List(g endpointstate.Generation, whole bool, lines []engine.BrickLine) {
-	l.loop.Post(func(c *engine.Core) { c.List(g, whole, lines) })
+func (l listSink) List(g endpointstate.Generation, whole bool, lines []engine.EndpointEntry) {
+	l.loop.Post(func(c *engine.Core) { c.EndpointList(g, whole, lines) })
 }
-func (l listSink) ListFailed() { l.loop.Post(func(c *engine.Core) { c.ListFailed() }) }
-func (l listSink) ListHolds()  { l.loop.Offer(func(c *engine.Core) { c.ListHolds() }) }
+func (l listSink) ListFailed() { l.loop.Post(func(c *engine.Core) { c.EndpointListFailed() }) }
+func (l listSink) ListHolds()  { l.loop.TryPost(func(c *engine.Core) { c.EndpointListUnchanged() }) }
 
 func (e *Edge) accept(ctx context.Context, l net.Listener) {
 	full := false
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -262,14 +262,14 @@
 	now := time.Duration(time.Now().UnixNano())
 	var all []endpointstate.Belief
 	for i := range 1000 {
-		l := endpointstate.Line{Name: fmt.Sprint("b", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%900), Cell: i, Serving: true, At: now - time.Hour}
+		l := endpointstate.Report{Name: fmt.Sprint("b", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%900), Shard: i, Serving: true, ObservedAt: now - time.Hour}
 		switch i {
 		case 0:
 			l.Address = b.l.Addr().String()
 		case 1:
 			l.Address = other.l.Addr().String()
 		}
-		all = append(all, endpointstate.Belief{From: endpointstate.List, Line: l})
+		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: l})
 	}
 	if _, err := s.Save(all, endpointstate.Generation{Epoch: "e", Number: 3}); err != nil {
 		t.Fatal(err)
@@ -304,7 +304,7 @@
 		want(t, show.read(t), verb, uint64(n+2))
 	}
 	stop()
-	if all, _, _, err := store.Dump(file, "h"); err != nil || len(all) != 999 || all[0].From != endpointstate.Own {
+	if all, _, _, err := store.Dump(file, "h"); err != nil || len(all) != 999 || all[0].Source != endpointstate.SelfReported {
 		t.Errorf("%v %d %+v", err, len(all), all[0])
 	}
 	address, _ = host(t, fmt.Sprintf("store: %q\n", filepath.Join(dir, "none", "fleet.db")), newBrick(t, "z"))
@@ -517,7 +517,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, done := make(chan string, 1), make(chan error, 1)
-	start := func(h policy.Host, s policy.Settings) engine.Decider {
+	start := func(h policy.Runtime, s policy.Settings) engine.Scheduler {
 		return &stuck{policy.New(h, s), block, blocked}
 	}
 	go func() {
@@ -548,17 +548,17 @@
 
 // stuck is a module that stands still at its first command.
 type stuck struct {
-	*policy.Instance
+	*policy.Scheduler
 	block, blocked chan bool
 }
 
-func (s *stuck) Taken(c *policy.Command, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration, repeat bool) error {
+func (s *stuck) RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration, repeat bool) error {
 	if s.blocked != nil {
 		close(s.blocked)
 		s.blocked = nil
 		<-s.block
 	}
-	return s.Instance.Taken(c, queue, plan, object, cell, hosts, units, giveUp, repeat)
+	return s.Scheduler.RequestReceived(c, queue, plan, object, cell, hosts, units, giveUp, repeat)
 }
 
 // An operator turns the capture on while the host serves; what was answered until "stop" came back is on disk, and names no object.
@@ -597,8 +597,8 @@
 	for _, x := range l.Lines {
 		if m := x.GetCommand(); m != nil {
 			n++
-			if m.Volume != "v" || m.Plan != "plain" || m.Object == 0 || len(m.Dispatch) != 2 || m.Dispatch[0].How != int32(policy.Errored) ||
-				m.Dispatch[1].How != int32(policy.Completed) || m.Dispatch[1].Brick != "b0" || m.Took <= m.Dispatch[0].Took {
+			if m.Volume != "v" || m.Plan != "plain" || m.Object == 0 || len(m.Dispatch) != 2 || m.Dispatch[0].How != int32(policy.ErrorResponse) ||
+				m.Dispatch[1].How != int32(policy.Served) || m.Dispatch[1].Brick != "b0" || m.Took <= m.Dispatch[0].Took {
 				t.Error(m)
 			}
 		} else if m := x.GetBrick(); m != nil && m.Name == "b0" {
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -53,12 +53,12 @@
 	if err != nil {
 		return fmt.Errorf("store %s: %w", file, err)
 	}
-	if g := core.Group(); g != nil {
+	if g := core.Membership(); g != nil {
 		g.Restore(hosts, core.Now())
 	}
 	oldest := time.Duration(0)
 	for _, b := range saved {
-		oldest = max(oldest, core.Now()-b.At)
+		oldest = max(oldest, core.Now()-b.ObservedAt)
 	}
 	k.edge.log.Info("took back what was believed", "bricks", len(saved), "hosts", len(hosts), "list", last.Number, "oldest", oldest.Round(time.Second))
 	return nil
@@ -104,7 +104,7 @@
 	done := make(chan bool, 1)
 	if !e.loop.Post(func(c *engine.Core) {
 		all, last = c.Fleet().Beliefs(), c.Fleet().Last()
-		if g := c.Group(); g != nil {
+		if g := c.Membership(); g != nil {
 			hosts = g.Members()
 		}
 		done <- true
@@ -130,10 +130,10 @@
 		if x.Started > 0 {
 			up = (now - x.Started).Round(time.Second).String()
 		}
-		if x.At > 0 {
-			known = (now - x.At).Round(time.Second).String() + " ago"
+		if x.ObservedAt > 0 {
+			known = (now - x.ObservedAt).Round(time.Second).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", x.Name, x.Address, x.Zone, x.Cell, x.Trust, known, x.From, up, x.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", x.Name, x.Address, x.Zone, x.Shard, x.Trust, known, x.Source, up, x.Reason)
 	}
 	if len(hosts) > 0 {
 		fmt.Fprintln(w, "\nHOST\tADDRESS\tNUMBER\tSTATE\tPLANS FOR")
@@ -152,7 +152,7 @@
 	f := &pb.CapacityFleet{Rules: c.Fleet, QueueType: c.QueueType, Plan: c.Plan, Bounds: c.Bounds, Kind: []*pb.ServerKind{{Name: "brick", Cores: 1}}}
 	for _, b := range all {
 		if !b.Gone {
-			f.Brick = append(f.Brick, &pb.Server{Name: b.Name, Kind: "brick", Zone: b.Zone, Cell: uint32(max(b.Cell, 0))})
+			f.Brick = append(f.Brick, &pb.Server{Name: b.Name, Kind: "brick", Zone: b.Zone, Cell: uint32(max(b.Shard, 0))})
 		}
 	}
 	for _, h := range hosts {
@@ -200,9 +200,9 @@
 	case lineproto.Forget:
 		done := make(chan bool, 1)
 		name, host := m.Get("Brick"), m.Get("Host")
-		forget := func(c *engine.Core) { done <- c.ForgetBrick(name) }
+		forget := func(c *engine.Core) { done <- c.ForgetEndpoint(name) }
 		if host != "" {
-			forget = func(c *engine.Core) { done <- c.ForgetHost(host) }
+			forget = func(c *engine.Core) { done <- c.ForgetGateway(host) }
 		}
 		if !s.edge.loop.Post(forget) {
 			return
--- a/internal/gateway/main.go
+++ b/internal/gateway/main.go
@@ -22,7 +22,7 @@
 }
 
 // Execute runs a host until SIGTERM or SIGINT. It prints READY with its addresses once it serves.
-func (c *Command) Execute(start func(policy.Host, policy.Settings) engine.Decider) error {
+func (c *Command) Execute(start func(policy.Runtime, policy.Settings) engine.Scheduler) error {
 	conf, err := settings.LoadEdge(c.Config)
 	if err != nil {
 		return err
--- a/internal/gateway/objects.go
+++ b/internal/gateway/objects.go
@@ -133,8 +133,8 @@
 func (o *objects) learn(all []endpointstate.Belief) {
 	cells := []uint32{}
 	for _, b := range all {
-		if b.Serving && !b.Gone && b.Trust != endpointstate.Barred && b.Cell >= 0 && !slices.Contains(cells, uint32(b.Cell)) {
-			cells = append(cells, uint32(b.Cell))
+		if b.Serving && !b.Gone && b.Trust != endpointstate.Barred && b.Shard >= 0 && !slices.Contains(cells, uint32(b.Shard)) {
+			cells = append(cells, uint32(b.Shard))
 		}
 	}
 	slices.Sort(cells)
@@ -142,12 +142,12 @@
 }
 
 // Take, Gone and Cells are the gate's way to the loop.
-func (o *objects) Take(t *engine.Task) bool {
-	return !o.edge.stopping.Load() && o.edge.loop.Offer(func(c *engine.Core) { c.Take(t) })
+func (o *objects) Take(t *engine.Request) bool {
+	return !o.edge.stopping.Load() && o.edge.loop.TryPost(func(c *engine.Core) { c.Submit(t) })
 }
 
-func (o *objects) Gone(t *engine.Task) {
-	o.edge.loop.First(func(c *engine.Core) { c.Gone(t) })
+func (o *objects) Gone(t *engine.Request) {
+	o.edge.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(t) })
 }
 
 // Cells are those that the planner names for the volume, of them the ones that serve; else all that serve.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -74,7 +74,7 @@
 }
 
 // Members are where the module's news goes from now on.
-func (e *Edge) Members(all []membership.Member) {
+func (e *Edge) MembersChanged(all []membership.Member) {
 	p := e.peers
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,13 +91,13 @@
 }
 
 // Gossip sends one message of the membership.
-func (e *Edge) Gossip(address string, m membership.Message) {
+func (e *Edge) SendMembership(address string, m membership.Message) {
 	a, err := netip.ParseAddrPort(address)
 	if e.peers.conn == nil || err != nil || e.peerNetworks != nil && !e.peerNetworks.Contains(a.Addr().Unmap()) {
 		return
 	}
-	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.About, Total: int64(m.Total), Sums: m.Sums}
-	for _, n := range m.News {
+	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.About, Total: int64(m.Total), Sums: m.Checksums}
+	for _, n := range m.Updates {
 		g.News = append(g.News, gossipHost(n))
 	}
 	body, err := proto.Marshal(g)
@@ -109,15 +109,15 @@
 }
 
 // Share tells another host lines about bricks; times go as ages.
-func (e *Edge) Share(address string, now time.Duration, lines []endpointstate.Line) {
+func (e *Edge) SendEndpoints(address string, now time.Duration, lines []endpointstate.Report) {
 	a, err := netip.ParseAddrPort(address)
 	if e.peers.conn == nil || err != nil || len(lines) == 0 {
 		return
 	}
 	m := &pb.Lines{}
 	for _, l := range lines {
-		x := &pb.Lines_Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: int64(l.Cell), Serving: l.Serving, Gone: l.Gone, Up: -1,
-			Age: int64(now - l.At)}
+		x := &pb.Lines_Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: int64(l.Shard), Serving: l.Serving, Gone: l.Gone, Up: -1,
+			Age: int64(now - l.ObservedAt)}
 		if l.Started != 0 {
 			x.Up = int64(now - l.Started)
 		}
@@ -132,7 +132,7 @@
 }
 
 // linesOf puts another host's lines on this host's clock. What no host would tell is left out.
-func linesOf(body []byte, now time.Duration) (lines []endpointstate.Line) {
+func linesOf(body []byte, now time.Duration) (lines []endpointstate.Report) {
 	m := &pb.Lines{}
 	if proto.Unmarshal(body, m) != nil {
 		return nil
@@ -142,8 +142,8 @@
 		if err != nil || x.Name == "" || len(x.Name) > 64 || x.Cell < 0 || x.Cell > 1<<30 || x.Age < 0 {
 			continue
 		}
-		l := endpointstate.Line{Name: x.Name, Address: x.Address, Zone: x.Zone, Cell: int(x.Cell), Serving: x.Serving && !x.Gone, Gone: x.Gone,
-			At: max(now-time.Duration(x.Age), 1)}
+		l := endpointstate.Report{Name: x.Name, Address: x.Address, Zone: x.Zone, Shard: int(x.Cell), Serving: x.Serving && !x.Gone, Gone: x.Gone,
+			ObservedAt: max(now-time.Duration(x.Age), 1)}
 		if x.Up >= 0 {
 			l.Started = max(now-time.Duration(x.Up), 1)
 		}
@@ -171,13 +171,13 @@
 	if proto.Unmarshal(body, g) != nil || g.Kind < 0 || g.Kind > int32(membership.Sync) {
 		return m, false
 	}
-	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, About: g.About, Total: int(g.Total), Sums: g.Sums}
+	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, About: g.About, Total: int(g.Total), Checksums: g.Sums}
 	if m.From, ok = memberOf(g.From); !ok {
 		return m, false
 	}
 	for _, n := range g.News {
 		if x, ok := memberOf(n); ok {
-			m.News = append(m.News, x)
+			m.Updates = append(m.Updates, x)
 		}
 	}
 	return m, true
@@ -202,12 +202,12 @@
 		}
 		if m.Verb == lineproto.Gossip {
 			if g, ok := messageOf(m.Body); ok {
-				p.edge.loop.Offer(func(c *engine.Core) { c.Gossip(g) })
+				p.edge.loop.TryPost(func(c *engine.Core) { c.MembershipReceived(g) })
 			}
 			continue
 		}
 		if m.Verb == lineproto.Lines {
-			p.edge.loop.Offer(func(c *engine.Core) { c.PeerSays(linesOf(m.Body, c.Now())) })
+			p.edge.loop.TryPost(func(c *engine.Core) { c.EndpointsFromPeer(linesOf(m.Body, c.Now())) })
 			continue
 		}
 		if m.Verb != lineproto.News {
@@ -217,6 +217,6 @@
 		if err != nil || from < 0 {
 			continue
 		}
-		p.edge.loop.Offer(func(c *engine.Core) { c.Heard(int(from), m.Body) })
+		p.edge.loop.TryPost(func(c *engine.Core) { c.GossipReceived(int(from), m.Body) })
 	}
 }
--- a/internal/gateway/planner.go
+++ b/internal/gateway/planner.go
@@ -136,21 +136,21 @@
 		return
 	}
 	p.edge.loop.Post(func(c *engine.Core) {
-		if g := c.Group(); g != nil && hosts > 0 {
-			g.Plan(hosts)
+		if g := c.Membership(); g != nil && hosts > 0 {
+			g.SetPlanned(hosts)
 		}
-		c.PeerSays(brickLines(lines, c.Now()-age))
+		c.EndpointsFromPeer(brickLines(lines, c.Now()-age))
 	})
 }
 
 // brickLines are a view's bricks as lines, true at a time. A drain is told as one of the life that it speaks of.
-func brickLines(items []*pb.Item, at time.Duration) (all []endpointstate.Line) {
+func brickLines(items []*pb.Item, at time.Duration) (all []endpointstate.Report) {
 	for _, x := range items {
 		b := x.GetBrick()
 		if b == nil {
 			continue
 		}
-		l := endpointstate.Line{Name: x.Name, Address: b.Address, Zone: b.Zone, Cell: int(b.Cell), Serving: b.Serving && !x.Gone, Gone: x.Gone, Started: time.Duration(b.Started), At: at}
+		l := endpointstate.Report{Name: x.Name, Address: b.Address, Zone: b.Zone, Shard: int(b.Cell), Serving: b.Serving && !x.Gone, Gone: x.Gone, Started: time.Duration(b.Started), ObservedAt: at}
 		if snapshot.Drained(b) {
 			l.Serving, l.Gone = false, false
 			if b.Drained > 0 {
@@ -170,8 +170,8 @@
 		return
 	}
 	for _, b := range all {
-		if b.Drained > 0 {
-			p.follower.Learn(b.Name, int64(b.Drained))
+		if b.DrainedUpTo > 0 {
+			p.follower.Learn(b.Name, int64(b.DrainedUpTo))
 		}
 	}
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -20,12 +20,12 @@
 	sender *lineproto.Sender
 
 	mu    sync.Mutex
-	tasks map[uint64]*engine.Task // in flight, by the client's id
+	tasks map[uint64]*engine.Request // in flight, by the client's id
 }
 
 func newSession(e *Edge, c net.Conn) *session {
 	return &session{edge: e, conn: c, sender: lineproto.NewSender(4*e.limits.Body+1<<20, e.limits.Stall),
-		tasks: map[uint64]*engine.Task{}}
+		tasks: map[uint64]*engine.Request{}}
 }
 
 // run reads until the connection ends; what is then in flight has lost its client.
@@ -49,7 +49,7 @@
 		s.edge.log.Info("client connection ended", "client", hello.Get("Name"), "in flight", len(left), "err", err)
 	}
 	for _, t := range left {
-		s.edge.loop.First(func(c *engine.Core) { c.Gone(t) })
+		s.edge.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(t) })
 	}
 }
 
@@ -80,7 +80,7 @@
 			delete(s.tasks, m.ID)
 			s.mu.Unlock()
 			if t != nil {
-				s.edge.loop.First(func(c *engine.Core) { c.Gone(t) })
+				s.edge.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(t) })
 			}
 		case lineproto.Fleet, lineproto.Forget, lineproto.Tape:
 			s.operate(m)
@@ -130,20 +130,20 @@
 		return nil
 	}
 	id := m.ID
-	t.Answer = func(a engine.Answer) { s.answer(id, t, a) }
-	t.Begun = func() {
+	t.Respond = func(a engine.Response) { s.answer(id, t, a) }
+	t.ResponseStarted = func() {
 		var o lineproto.Out
 		s.sender.Send(o.Start(lineproto.Begun, id).End(nil).B)
 	}
 	// What is not taken is busy-replied at once: it never reached the module, so trying again is harmless.
-	if s.edge.stopping.Load() || !s.edge.loop.Offer(func(c *engine.Core) { c.Take(t) }) {
-		t.Answer(engine.Answer{How: engine.BusyReplied})
+	if s.edge.stopping.Load() || !s.edge.loop.TryPost(func(c *engine.Core) { c.Submit(t) }) {
+		t.Respond(engine.Response{Result: engine.Rejected})
 	}
 	return nil
 }
 
-func task(m *lineproto.Message) (*engine.Task, error) {
-	t := &engine.Task{Volume: m.Get("Volume"), QueueType: m.Get("Queue-Type"), Object: m.Get("Object"),
+func task(m *lineproto.Message) (*engine.Request, error) {
+	t := &engine.Request{Volume: m.Get("Volume"), Class: m.Get("Queue-Type"), Object: m.Get("Object"),
 		Tag: m.Get("Tag"), Trace: m.Get("Trace"), Body: m.Body}
 	cell, err1 := m.Whole("Cell", -1)
 	units, err2 := m.Number("Units", 1)
@@ -152,22 +152,22 @@
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return nil, err
 	}
-	if t.Volume == "" || t.QueueType == "" {
+	if t.Volume == "" || t.Class == "" {
 		return nil, errors.New("RUN needs the fields Volume and Queue-Type")
 	}
 	if units <= 0 || cell < -1 || cell > 1<<30 || timeout < 0 {
 		return nil, fmt.Errorf("units %v, cell %d, timeout %v: allowed are units above 0, a cell from 0 or -1, no negative time",
 			units, cell, timeout)
 	}
-	t.Cell, t.Units, t.Timeout, t.Repeat = int(cell), units, timeout, repeat != 0
+	t.Shard, t.Units, t.Timeout, t.Retry = int(cell), units, timeout, repeat != 0
 	return t, nil
 }
 
-var finals = map[engine.Final]string{engine.Completed: lineproto.Done, engine.BusyReplied: lineproto.Busy,
-	engine.Aborted: lineproto.Abort}
+var finals = map[engine.Result]string{engine.Served: lineproto.Done, engine.Rejected: lineproto.Busy,
+	engine.Failed: lineproto.Abort}
 
 // answer writes a final answer. It runs in the loop, so it never waits: a client that reads nothing is cut off.
-func (s *session) answer(id uint64, t *engine.Task, a engine.Answer) {
+func (s *session) answer(id uint64, t *engine.Request, a engine.Response) {
 	s.mu.Lock()
 	known := s.tasks[id] == t
 	if known {
@@ -178,11 +178,11 @@
 		return
 	}
 	o := lineproto.Out{B: make([]byte, 0, 64+len(a.Body))}
-	o.Start(finals[a.How], id)
-	if a.How == engine.BusyReplied && a.Pause > 0 {
-		o.Micros("Back", max(a.Pause, time.Microsecond))
+	o.Start(finals[a.Result], id)
+	if a.Result == engine.Rejected && a.RetryAfter > 0 {
+		o.Micros("Back", max(a.RetryAfter, time.Microsecond))
 	}
-	if a.How == engine.Aborted {
+	if a.Result == engine.Failed {
 		may := "no"
 		if a.MayHaveRun {
 			may = "yes"
--- a/internal/httpgateway/buffers_test.go
+++ b/internal/httpgateway/buffers_test.go
@@ -41,20 +41,20 @@
 	h := newHost(t, &brick{l: l})
 	loop := engine.NewLoop(10)
 	p := upstream.New(upstream.Options{Loop: loop, MaxConnections: 4, Connect: time.Second, Idle: time.Second, Log: slog.New(slog.DiscardHandler)})
-	core := engine.New(h.config.Settings, endpointstate.Rules{}, func(p policy.Host, s policy.Settings) engine.Decider {
+	core := engine.New(h.config.Settings, endpointstate.Rules{}, func(p policy.Runtime, s policy.Settings) engine.Scheduler {
 		return &watched{policy.New(p, s), h.ended}
-	}, ways{&Host{pool: p, Log: slog.New(slog.DiscardHandler)}}, nil, time.Second, loop.Now())
+	}, outbound{&Host{pool: p, Log: slog.New(slog.DiscardHandler)}}, nil, time.Second, loop.Now())
 	ctx, stop := context.WithCancel(context.Background())
 	go loop.Run(ctx, core)
-	answered := make(chan engine.Answer, 1)
+	answered := make(chan engine.Response, 1)
 	loop.Post(func(c *engine.Core) {
-		c.Told(true, h.config.Known.Lines)
-		c.Take(&engine.Task{Volume: "v", Plan: "plain", Hosts: 1, QueueType: "write", Units: 1, Lead: []byte("PUT / HTTP/1.1\r\n"),
-			Body: make([]byte, 16<<20), Answer: func(a engine.Answer) { answered <- a }}) // more than all buffers between hold
+		c.AuthoritativeList(true, h.config.Known.Lines)
+		c.Submit(&engine.Request{Volume: "v", Plan: "plain", Gateways: 1, Class: "write", Units: 1, Header: []byte("PUT / HTTP/1.1\r\n"),
+			Body: make([]byte, 16<<20), Respond: func(a engine.Response) { answered <- a }}) // more than all buffers between hold
 	})
-	h.how(policy.Unconnected)
-	if a := <-answered; a.How != engine.BusyReplied {
-		t.Errorf("%v, wanted a busy reply", a.How)
+	h.how(policy.ConnectFailed)
+	if a := <-answered; a.Result != engine.Rejected {
+		t.Errorf("%v, wanted a busy reply", a.Result)
 	}
 	stop()
 	<-loop.Done()
--- a/internal/httpgateway/config/config.go
+++ b/internal/httpgateway/config/config.go
@@ -38,7 +38,7 @@
 type List struct {
 	Revision int64
 	Whole    bool
-	Lines    []engine.BrickLine
+	Lines    []engine.EndpointEntry
 }
 
 const maxFile = 4 << 20
@@ -117,21 +117,21 @@
 const MinSockets = 64
 
 func check(s policy.Settings) error {
-	if len(s.QueueTypes) == 0 || len(s.Plans) == 0 {
+	if len(s.Classes) == 0 || len(s.Plans) == 0 {
 		return errors.New("no classes or no plans")
 	}
-	for i, q := range s.QueueTypes {
-		if q.Name == "" || q.ServiceTarget <= 0 || q.CommandTimeout <= 0 {
+	for i, q := range s.Classes {
+		if q.Name == "" || q.LatencyObjective <= 0 || q.Timeout <= 0 {
 			return fmt.Errorf("classes[%d]: name, aim_us and give_up_us are wanted", i)
 		}
 	}
 	for i, p := range s.Plans {
-		if p.Name == "" || p.Limit < 0 || p.Reservation < 0 || p.Nominal < 0 {
+		if p.Name == "" || p.Limit < 0 || p.Reservation < 0 || p.NominalRate < 0 {
 			return fmt.Errorf("plans[%d]: a name is wanted, and no rate below 0", i)
 		}
 	}
-	if s.MaxDispatch < 1 {
-		return fmt.Errorf("limits.max_attempts: %d, wanted at least 1", s.MaxDispatch)
+	if s.MaxAttempts < 1 {
+		return fmt.Errorf("limits.max_attempts: %d, wanted at least 1", s.MaxAttempts)
 	}
 	return nil
 }
@@ -143,18 +143,18 @@
 	if err != nil {
 		return List{}, fmt.Errorf("not JSON: %w", err)
 	}
-	return list(v, func(entry engine.BrickLine, _ error) (engine.BrickLine, error) {
-		return engine.BrickLine{Name: entry.Name, Unreadable: true}, nil
+	return list(v, func(entry engine.EndpointEntry, _ error) (engine.EndpointEntry, error) {
+		return engine.EndpointEntry{Name: entry.Name, Unreadable: true}, nil
 	})
 }
 
 // known reads the list of a configuration, which has to be readable as a whole.
 func known(v *fastjson.Value) (List, error) {
-	return list(v, func(entry engine.BrickLine, err error) (engine.BrickLine, error) { return entry, err })
+	return list(v, func(entry engine.EndpointEntry, err error) (engine.EndpointEntry, error) { return entry, err })
 }
 
 // list reads a list; unreadable tells what becomes of an entry with an error.
-func list(v *fastjson.Value, unreadable func(engine.BrickLine, error) (engine.BrickLine, error)) (List, error) {
+func list(v *fastjson.Value, unreadable func(engine.EndpointEntry, error) (engine.EndpointEntry, error)) (List, error) {
 	if v.Type() != fastjson.TypeObject {
 		return List{}, errors.New("not an object")
 	}
@@ -179,9 +179,9 @@
 }
 
 // entry reads one server of a list. An error names the field; the server's name is there if it can be read.
-func entry(m *fastjson.Value) (engine.BrickLine, error) {
-	b := engine.BrickLine{Name: string(m.GetStringBytes("id")), Address: string(m.GetStringBytes("host_port")),
-		Zone: string(m.GetStringBytes("locality")), Cell: -1}
+func entry(m *fastjson.Value) (engine.EndpointEntry, error) {
+	b := engine.EndpointEntry{Name: string(m.GetStringBytes("id")), Address: string(m.GetStringBytes("host_port")),
+		Zone: string(m.GetStringBytes("locality")), Shard: -1}
 	phase := string(m.GetStringBytes("phase"))
 	b.Serving, b.Gone = phase == "in_service", phase == "terminated"
 	if phase != "in_service" && phase != "terminating" && phase != "terminated" {
@@ -194,7 +194,7 @@
 		return b, fmt.Errorf("host_port: %q is no address with a port", b.Address)
 	}
 	if n, err := strconv.Atoi(cellText(m.Get("cell"))); err == nil && n >= 0 {
-		b.Cell = n
+		b.Shard = n
 	} else if !b.Gone {
 		return b, errors.New("cell: no whole number from 0")
 	}
--- a/internal/httpgateway/config/config_test.go
+++ b/internal/httpgateway/config/config_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Settings.Hosts != 3 || c.Settings.MaxPause != 2*time.Second || c.Idle != 30*time.Second || c.Limits.Sockets != 256 ||
+	if c.Settings.Gateways != 3 || c.Settings.MaxRetryAfter != 2*time.Second || c.Idle != 30*time.Second || c.Limits.Sockets != 256 ||
 		uint64(c.Settings.Seed) != 0x8c1f30d27a5be964 {
 		t.Errorf("%+v", c)
 	}
@@ -69,7 +69,7 @@
 		var p fastjson.Parser
 		if l, err := ParseList(&p, in); err == nil {
 			for _, b := range l.Lines {
-				if b.Name == "" || b.Started < 0 || !b.Gone && !b.Unreadable && b.Cell < 0 || b.Unreadable && b.Serving {
+				if b.Name == "" || b.Started < 0 || !b.Gone && !b.Unreadable && b.Shard < 0 || b.Unreadable && b.Serving {
 					t.Fatalf("%+v", b)
 				}
 			}
--- a/internal/httpgateway/config/stored_data_test.go
+++ b/internal/httpgateway/config/stored_data_test.go
@@ -12,21 +12,21 @@
 
 func storedSettings() policy.Settings {
 	seed := uint64(0x8c1f30d27a5be964)
-	return policy.Settings{Seed: int64(seed), Ordinal: 2, Hosts: 3, Zone: "north",
-		QueueTypes: []policy.QueueType{
-			{Name: "read", ServiceTarget: 500 * time.Millisecond, CommandTimeout: 3 * time.Second, Importance: 3, LateShare: 0.15,
-				Semantics: policy.Retryable, Streaming: true},
-			{Name: "append", ServiceTarget: 250 * time.Millisecond, CommandTimeout: 1200 * time.Millisecond, Window: 2 * time.Second, Importance: 4,
-				LateShare: 0.1, Semantics: policy.Tagged, Group: "cell", Writes: true},
-			{Name: "write", ServiceTarget: 400 * time.Millisecond, CommandTimeout: 1500 * time.Millisecond, Importance: 2, LateShare: 0.2,
-				Semantics: policy.NonRetryable, Group: "zone", InOrder: true, Writes: true}},
-		Plans: []policy.Plan{{Name: "plain", Nominal: 14, Reservation: 1.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8},
-			{Name: "priority", Nominal: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
-		Asks: true, SecondCopies: true, Cancel: true, Probe: true, Peers: true, MaxPause: 2 * time.Second, MarksRepeat: true, MaxDispatch: 4,
-		AnswerSlack: 30 * time.Millisecond, Resolution: 10 * time.Millisecond, AskWithin: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
-		ColdFrom: 0.2, ColdFor: 4 * time.Second, ColdUnits: 40, FallMultiple: 2, FallAfter: time.Second, Budgeted: true, BudgetFree: 3,
-		BudgetShare: 0.25, BudgetSpan: 3 * time.Second, KeyRest: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
-		UsualUnits: 1.5, UnitsTop: 8.5}
+	return policy.Settings{Seed: int64(seed), Ordinal: 2, Gateways: 3, Zone: "north",
+		Classes: []policy.RequestClass{
+			{Name: "read", LatencyObjective: 500 * time.Millisecond, Timeout: 3 * time.Second, PriorityWeight: 3, LateValue: 0.15,
+				Idempotency: policy.Idempotent, Streaming: true},
+			{Name: "append", LatencyObjective: 250 * time.Millisecond, Timeout: 1200 * time.Millisecond, IdempotencyWindow: 2 * time.Second, PriorityWeight: 4,
+				LateValue: 0.1, Idempotency: policy.IdempotentByKey, IdempotencyScope: "cell", Writes: true},
+			{Name: "write", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, PriorityWeight: 2, LateValue: 0.2,
+				Idempotency: policy.NotIdempotent, IdempotencyScope: "zone", Ordered: true, Writes: true}},
+		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 14, Reservation: 1.5, Limit: 24, Burst: 40, InitialBurst: 8, Weight: 1, Importance: 0.8},
+			{Name: "priority", NominalRate: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		PollEndpointList: true, Hedging: true, CanCancel: true, HealthChecks: true, Gossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, MaxAttempts: 4,
+		AnswerSlack: 30 * time.Millisecond, TimerResolution: 10 * time.Millisecond, MaxListAge: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
+		SlowStartShare: 0.2, SlowStartTime: 4 * time.Second, SlowStartUnits: 40, OverloadFactor: 2, OverloadWindow: time.Second, RetryBudget: true, RetryBudgetFree: 3,
+		RetryBudgetRatio: 0.25, RetryBudgetWindow: 3 * time.Second, OrderingCooldown: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
+		TypicalUnits: 1.5, UnitsTop: 8.5}
 }
 
 // A configuration as the platform gives it to a host of version a32f63c. Every later version must read the same from it: each value, and
@@ -37,10 +37,10 @@
 		t.Fatal(err)
 	}
 	want := &Config{Name: "host-1", Listen: "127.0.0.1:7001", Discovery: "[::1]:7002", Limits: Limits{Cores: 0.25, MemoryMB: 64, Sockets: 256},
-		Known: List{Revision: 41, Whole: true, Lines: []engine.BrickLine{
-			{Name: "brick-1", Address: "127.0.0.1:7301", Zone: "north", Cell: 3, Serving: true, Started: 1_790_000_000_123 * time.Millisecond},
-			{Name: "brick-2", Address: "[::1]:7302", Zone: "south", Cell: 4},
-			{Name: "brick-3", Cell: -1, Gone: true}}},
+		Known: List{Revision: 41, Whole: true, Lines: []engine.EndpointEntry{
+			{Name: "brick-1", Address: "127.0.0.1:7301", Zone: "north", Shard: 3, Serving: true, Started: 1_790_000_000_123 * time.Millisecond},
+			{Name: "brick-2", Address: "[::1]:7302", Zone: "south", Shard: 4},
+			{Name: "brick-3", Shard: -1, Gone: true}}},
 		Settings: storedSettings(), Connect: 250 * time.Millisecond, Idle: 30 * time.Second}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwanted %+v", got, want)
--- a/internal/httpgateway/downstream/conn.go
+++ b/internal/httpgateway/downstream/conn.go
@@ -25,7 +25,7 @@
 	nc       net.Conn
 	inbox    *inbox
 	in       *http1.Reader
-	answers  chan engine.Answer
+	answers  chan engine.Response
 	deadline time.Time     // the request being read must be whole
 	until    time.Time     // the answer must be taken; zero: write from now
 	queued   time.Duration // it may have waited so long, with its first request, to be accepted
@@ -35,7 +35,7 @@
 
 	// What finish checks: a request that was read whole is owed an answer, unless its client has gone.
 	owed     string // the request's id
-	task     *engine.Task
+	task     *engine.Request
 	gone     bool
 	reason   metrics.Reason // why the connection ends
 	answered bool           // its last answer was written just now
@@ -60,7 +60,7 @@
 var longAgo = time.Unix(1, 0)
 
 func newConn(f *Front, nc net.Conn) *conn {
-	c := &conn{front: f, nc: nc, answers: make(chan engine.Answer, 1), deadline: time.Now().Add(requestTimeout)}
+	c := &conn{front: f, nc: nc, answers: make(chan engine.Response, 1), deadline: time.Now().Add(requestTimeout)}
 	c.inbox = &inbox{r: c, now: f.options.Loop.Now, room: &f.room}
 	c.in = http1.NewReader(c.inbox)
 	return c
@@ -208,7 +208,7 @@
 	if !c.ordered() {
 		return c.fault(errBeyond)
 	}
-	t.Arrived = arrived
+	t.ReceivedAt = arrived
 	if until := time.Duration(f.until.Load()); until > 0 {
 		t.Timeout = max(min(t.Timeout, until-arrived), 1)
 	}
@@ -216,7 +216,7 @@
 }
 
 // serve hands a task to the loop and passes its answer on.
-func (c *conn) serve(t *engine.Task) bool {
+func (c *conn) serve(t *engine.Request) bool {
 	f, id := c.front, t.Trace
 	if !f.admit(c) {
 		c.last = true
@@ -225,12 +225,12 @@
 	if !f.ids.claim(id) {
 		return c.fault(&http1.Error{Status: 409, What: "the id is in use or was a moment ago"})
 	}
-	t.Answer = func(a engine.Answer) {
+	t.Respond = func(a engine.Response) {
 		c.release, t.Release = t.Release, nil
 		c.nc.SetReadDeadline(longAgo) // first: whoever has the answer sets the next deadline
 		c.answers <- a                // takes one without waiting
 	}
-	t.ClientGone = func() bool { return socket.Peek(c.nc) == socket.Ended }
+	t.ClientClosed = func() bool { return socket.Peek(c.nc) == socket.Ended }
 	if c.inbox.err != nil { // the client has gone, as is known from behind what it sent
 		f.ids.release(id, false)
 		c.gone, c.reason = true, metrics.ClientClosed
@@ -241,12 +241,12 @@
 	f.mu.Lock()
 	f.counts.Requests++
 	f.mu.Unlock()
-	if !f.options.Loop.Offer(func(core *engine.Core) { core.Take(t) }) {
+	if !f.options.Loop.TryPost(func(core *engine.Core) { core.Submit(t) }) {
 		c.waiting = false
 		f.ids.release(id, false)
 		return c.refuse(metrics.QueueFull)
 	}
-	f.options.Log.Debug("taken", "request", id, "class", t.QueueType, "plan", t.Plan, "units", t.Units, "left", t.Timeout)
+	f.options.Log.Debug("taken", "request", id, "class", t.Class, "plan", t.Plan, "units", t.Units, "left", t.Timeout)
 	c.task = t
 	err := c.wait()
 	c.waiting = false
@@ -262,7 +262,7 @@
 	a := <-c.answers
 	f.ids.release(id, true)
 	defer c.free()
-	c.until = time.Now().Add(max(t.Arrived+t.Timeout-f.options.Loop.Now(), 0) + writeTimeout)
+	c.until = time.Now().Add(max(t.ReceivedAt+t.Timeout-f.options.Loop.Now(), 0) + writeTimeout)
 	return c.answer(a)
 }
 
@@ -278,7 +278,7 @@
 	c.task = nil
 	t.End(loop.Now())
 	done := make(chan bool)
-	if loop.First(func(core *engine.Core) { core.Gone(t); close(done) }) {
+	if loop.PostUrgent(func(core *engine.Core) { core.ClientDisconnected(t); close(done) }) {
 		select {
 		case <-done: // from here on there is no answer, or it lies here
 			c.free()
@@ -322,18 +322,18 @@
 	}
 }
 
-func (c *conn) answer(a engine.Answer) bool {
-	c.front.options.Observe.Count(metrics.Answered, metrics.Reason(a.How.String()))
-	switch a.How {
-	case engine.Completed:
+func (c *conn) answer(a engine.Response) bool {
+	c.front.options.Observe.Count(metrics.Answered, metrics.Reason(a.Result.String()))
+	switch a.Result {
+	case engine.Served:
 		return c.respond(200, "", a.Body)
-	case engine.BusyReplied:
+	case engine.Rejected:
 		more := ""
-		if a.Pause > 0 {
-			more = "Retry-After: " + strconv.FormatFloat(a.Pause.Seconds(), 'f', 3, 64) + "\r\n"
+		if a.RetryAfter > 0 {
+			more = "Retry-After: " + strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 		}
 		return c.respond(503, more, nil)
-	case engine.Aborted:
+	case engine.Failed:
 		if a.Reason != "" {
 			c.front.refused(500, a.Reason)
 		}
--- a/internal/httpgateway/downstream/downstream.go
+++ b/internal/httpgateway/downstream/downstream.go
@@ -23,8 +23,8 @@
 // Loop takes events.
 type Loop interface {
 	Now() time.Duration
-	Offer(f func(*engine.Core)) bool
-	First(f func(*engine.Core)) bool
+	TryPost(f func(*engine.Core)) bool
+	PostUrgent(f func(*engine.Core)) bool
 	Done() <-chan struct{}
 }
 
@@ -51,7 +51,7 @@
 // Front is the clients' side of a gateway process.
 type Front struct {
 	options Options
-	queues  map[string]policy.QueueType
+	queues  map[string]policy.RequestClass
 	plans   map[string]bool
 	ids     *requestIDs
 	ready   atomic.Bool
@@ -85,10 +85,10 @@
 
 // New makes a front.
 func New(o Options) *Front {
-	f := &Front{options: o, queues: map[string]policy.QueueType{}, plans: map[string]bool{}, conns: map[*conn]bool{},
+	f := &Front{options: o, queues: map[string]policy.RequestClass{}, plans: map[string]bool{}, conns: map[*conn]bool{},
 		ids: newRequestIDs(), closedOne: make(chan struct{}, 1)}
 	f.room.Store(o.Ahead)
-	for _, q := range o.Settings.QueueTypes {
+	for _, q := range o.Settings.Classes {
 		f.queues[q.Name] = q
 	}
 	for _, p := range o.Settings.Plans {
--- a/internal/httpgateway/downstream/request.go
+++ b/internal/httpgateway/downstream/request.go
@@ -21,7 +21,7 @@
 
 // task makes a command of a request's head, or says why it can't be one. Nothing of a request that fails here reaches
 // the module.
-func (f *Front) task(h *http1.Head) (*engine.Task, string, error) {
+func (f *Front) task(h *http1.Head) (*engine.Request, string, error) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
@@ -54,19 +54,19 @@
 	if !ok || ms > math.MaxInt32 {
 		return nil, "", no(400, "the time left is no whole number")
 	}
-	t := &engine.Task{Volume: volume, QueueType: queue, Object: object, Trace: id, Plan: h.Get("Tier"),
-		Timeout: max(time.Duration(ms)*time.Millisecond, 1), Repeat: h.Get("X-Resent") == "1"}
+	t := &engine.Request{Volume: volume, Class: queue, Object: object, Trace: id, Plan: h.Get("Tier"),
+		Timeout: max(time.Duration(ms)*time.Millisecond, 1), Retry: h.Get("X-Resent") == "1"}
 	if !shape(t, h.Get("Io-Info")) {
 		return nil, "", no(400, "units, shard or hosts are missing or out of range")
 	}
 	b := make([]byte, 0, 128+len(h.Target))
 	b = append(append(append(append(b, h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
-	t.Lead = h.AppendForward(b, "X-Remaining-Ms")
+	t.Header = h.AppendForward(b, "X-Remaining-Ms")
 	return t, id, nil
 }
 
 // shape reads how large a command is, where its data lies and through how many hosts its volume works.
-func shape(t *engine.Task, info string) bool {
+func shape(t *engine.Request, info string) bool {
 	var units, shard, hosts bool
 	for _, part := range strings.Split(info, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -82,13 +82,13 @@
 			if shard || err != nil || n < -1 || n > maxCell {
 				return false
 			}
-			t.Cell, shard = n, true
+			t.Shard, shard = n, true
 		case "hosts":
 			n, ok := http1.Whole(value)
 			if hosts || !ok || n < 1 || n > maxHosts {
 				return false
 			}
-			t.Hosts, hosts = int(n), true
+			t.Gateways, hosts = int(n), true
 		}
 	}
 	return units && shard && hosts
--- a/internal/httpgateway/httpgateway.go
+++ b/internal/httpgateway/httpgateway.go
@@ -40,7 +40,7 @@
 }
 
 // Execute serves until SIGTERM or SIGINT.
-func (c *Command) Execute(start func(policy.Host, policy.Settings) engine.Decider) error {
+func (c *Command) Execute(start func(policy.Runtime, policy.Settings) engine.Scheduler) error {
 	// Before all else: a signal that comes early must not end the program.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -102,7 +102,7 @@
 type Host struct {
 	Config *config.Config
 	Log    *slog.Logger
-	Start  func(policy.Host, policy.Settings) engine.Decider
+	Start  func(policy.Runtime, policy.Settings) engine.Scheduler
 	State  time.Duration
 	Up     func(net.Addr)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)     // to bricks; nil: TCP
@@ -155,12 +155,12 @@
 	}
 	h.pool = upstream.New(upstream.Options{Loop: h.loop, MaxConnections: usable - clients, Connect: connect, Idle: c.Idle / 2, Log: h.Log, Observe: h.observe, Dial: h.Dial,
 		Bodies: int64(c.Limits.MemoryMB) << 20 / bodiesPart})
-	core := engine.New(c.Settings, endpointstate.Rules{}, h.Start, ways{h}, nil, time.Second, h.loop.Now())
-	core.Overlapped = func(request string) {
+	core := engine.New(c.Settings, endpointstate.Rules{}, h.Start, outbound{h}, nil, time.Second, h.loop.Now())
+	core.OnOverlap = func(request string) {
 		h.observe.Violated(metrics.OneAttempt, request, "an attempt began beside another one")
 	}
 	dates := slowstart.New() // used in the loop only, once that runs
-	core.Told(true, dates.Date(true, c.Known.Lines, h.times(-1)))
+	core.AuthoritativeList(true, dates.Date(true, c.Known.Lines, h.times(-1)))
 	inner, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	var wg sync.WaitGroup
@@ -175,7 +175,7 @@
 	current := make(chan struct{})
 	w := discovery.New(discovery.Options{Address: c.Discovery, Last: c.Known.Revision, Log: h.Log, Current: func() { close(current) }, Told: func(l config.List, quiet time.Duration) {
 		at := h.times(quiet)
-		h.loop.First(func(core *engine.Core) { core.Told(l.Whole, dates.Date(l.Whole, l.Lines, at)) })
+		h.loop.PostUrgent(func(core *engine.Core) { core.AuthoritativeList(l.Whole, dates.Date(l.Whole, l.Lines, at)) })
 	}})
 	spawn(func() { w.Run(inner) })
 	f := downstream.New(downstream.Options{Loop: h.loop, Settings: c.Settings, MaxConnections: clients, Log: h.Log, Observe: h.observe,
@@ -237,8 +237,8 @@
 }
 
 func longest(s policy.Settings) (d time.Duration) {
-	for _, q := range s.QueueTypes {
-		d = max(d, q.CommandTimeout)
+	for _, q := range s.Classes {
+		d = max(d, q.Timeout)
 	}
 	return d
 }
@@ -279,22 +279,24 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	cpu := time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	b, a := h.pool.Counts(), f.Counts()
-	h.Log.Info("state", "taken", n.Taken, "completed", n.Completed, "busy-replied", n.BusyReplied, "aborted", n.Aborted, "left", n.Left,
-		"held", n.Held, "out", n.Out, "dispatches", n.Dispatches, "further", n.Further, "late", n.Late,
-		"completed/errored/turned/timed out/not connected/broken/called off/unsent", fmt.Sprint(n.Ended), "lag", lag, "cpu", cpu,
+	h.Log.Info("state", "taken", n.Received, "completed", n.Served, "busy-replied", n.Rejected, "aborted", n.Failed, "left", n.ClientDisconnected,
+		"held", n.Open, "out", n.InFlight, "dispatches", n.Attempts, "further", n.Retries, "late", n.LateOutcomes,
+		"completed/errored/turned/timed out/not connected/broken/called off/unsent", fmt.Sprint(n.Outcomes), "lag", lag, "cpu", cpu,
 		"heap", m.HeapAlloc, "sys", m.Sys, "goroutines", runtime.NumGoroutine(), "clients", a.Open, "accepted", a.Accepted,
 		"evicted", a.Evicted, "refused", a.Refused, "shed", a.Shed, "violations", h.observe.Violations(), "to bricks", b.Open, "opened", b.Opened,
 		"stale", b.Stale, "spoilt", b.Spoilt, "extra", b.Extra, "exhausted", b.Exhausted)
 }
 
 // ways are the loop's ways out. Of these the platform has bricks and a log; its watch is always on, and hosts don't talk.
-type ways struct{ *Host }
+type outbound struct{ *Host }
 
-func (w ways) Line(brick, address string) engine.Line            { return w.pool.Line(brick, address) }
-func (w ways) Log(line string)                                   { w.Host.Log.Info(line, "from", "module") }
-func (w ways) Watch(bool)                                        {}
-func (w ways) ListAll()                                          {}
-func (w ways) Tell(int, []byte)                                  {}
-func (w ways) Gossip(string, membership.Message)                 {}
-func (w ways) Share(string, time.Duration, []endpointstate.Line) {}
-func (w ways) Members([]membership.Member)                       {}
+func (w outbound) Connect(brick, address string) engine.EndpointConn {
+	return w.pool.Connect(brick, address)
+}
+func (w outbound) Log(line string)                                             { w.Host.Log.Info(line, "from", "module") }
+func (w outbound) RequestEndpointList(bool)                                    {}
+func (w outbound) ListAll()                                                    {}
+func (w outbound) SendNote(int, []byte)                                        {}
+func (w outbound) SendMembership(string, membership.Message)                   {}
+func (w outbound) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
+func (w outbound) MembersChanged([]membership.Member)                          {}
--- a/internal/httpgateway/httpgateway_test.go
+++ b/internal/httpgateway/httpgateway_test.go
@@ -213,7 +213,7 @@
 	say(c, read("a1"))
 	<-b.seen
 	c.Close()
-	h.how(policy.CalledOff)
+	h.how(policy.Canceled)
 }
 
 // What comes back from a brick, and how the dispatch ended. Nothing but the whole answer to it reaches a client.
@@ -221,22 +221,22 @@
 	for name, x := range map[string]struct {
 		text   string
 		end    func(net.Conn) bool // after the text
-		how    policy.Ending
+		how    policy.Outcome
 		status int
 	}{
-		"error":                 {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", nil, policy.Errored, 504},
-		"turned away":           {"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", nil, policy.Turned, 503},
-		"unmarked":              {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", nil, policy.Errored, 504},
-		"interim before":        {"HTTP/1.1 102 X\r\n\r\n" + good("y"), nil, policy.Completed, 200},
-		"unreadable figures":    {"HTTP/1.1 200 X\r\nOther-Hosts: NaN\r\nX-Pressure: ,=,\r\nContent-Length: 0\r\n\r\n", nil, policy.Completed, 200},
-		"noise":                 {"\x00\xff\r\n\r\n", nil, policy.Errored, 504},
-		"endless head":          {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 10000), nil, policy.Errored, 504},
-		"said to be huge":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx", nil, policy.Errored, 504},
-		"no length, reset":      {"HTTP/1.1 200 OK\r\n\r\nxx", reset, policy.Broken, 504},
-		"no length, ended":      {"HTTP/1.1 200 OK\r\n\r\n", func(net.Conn) bool { return false }, policy.Completed, 200},
-		"both lengths":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nxx", nil, policy.Errored, 504},
-		"cut":                   {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nxx", func(net.Conn) bool { return false }, policy.Broken, 504},
-		"reset after all bytes": {"", reset, policy.Broken, 504},
+		"error":                 {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", nil, policy.ErrorResponse, 504},
+		"turned away":           {"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", nil, policy.Rejected, 503},
+		"unmarked":              {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", nil, policy.ErrorResponse, 504},
+		"interim before":        {"HTTP/1.1 102 X\r\n\r\n" + good("y"), nil, policy.Served, 200},
+		"unreadable figures":    {"HTTP/1.1 200 X\r\nOther-Hosts: NaN\r\nX-Pressure: ,=,\r\nContent-Length: 0\r\n\r\n", nil, policy.Served, 200},
+		"noise":                 {"\x00\xff\r\n\r\n", nil, policy.ErrorResponse, 504},
+		"endless head":          {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 10000), nil, policy.ErrorResponse, 504},
+		"said to be huge":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx", nil, policy.ErrorResponse, 504},
+		"no length, reset":      {"HTTP/1.1 200 OK\r\n\r\nxx", reset, policy.ConnectionReset, 504},
+		"no length, ended":      {"HTTP/1.1 200 OK\r\n\r\n", func(net.Conn) bool { return false }, policy.Served, 200},
+		"both lengths":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nxx", nil, policy.ErrorResponse, 504},
+		"cut":                   {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nxx", func(net.Conn) bool { return false }, policy.ConnectionReset, 504},
+		"reset after all bytes": {"", reset, policy.ConnectionReset, 504},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBrick(t, func(c net.Conn, n int) bool { say(c, x.text); return x.end == nil || x.end(c) })
@@ -286,7 +286,7 @@
 	c := h.dial()
 	for i := range 20 {
 		want(t, c, write(fmt.Sprint("a", i), "x"), 200, fmt.Sprint("answer ", i))
-		h.how(policy.Completed)
+		h.how(policy.Served)
 		<-closed
 	}
 }
@@ -300,7 +300,7 @@
 	if s, _ := ask(h.dial(), write("a1", "x")); s != 503 {
 		t.Errorf("%d, wanted 503", s)
 	}
-	h.how(policy.Unconnected)
+	h.how(policy.ConnectFailed)
 }
 
 // A connection that comes up and stays silent: the command is answered in time, its dispatch may run yet.
@@ -329,7 +329,7 @@
 	say(c, read("a1"))
 	<-b.seen
 	c.Close()
-	h.how(policy.CalledOff)
+	h.how(policy.Canceled)
 	close(late)
 	want(t, h.dial(), read("a2"), 200, "answer 1")
 }
--- a/internal/httpgateway/races_test.go
+++ b/internal/httpgateway/races_test.go
@@ -38,7 +38,7 @@
 	t.Parallel()
 	g := &gate{make(chan bool, 100), make(chan bool, 100)}
 	h := aHost(t, b)
-	h.toBrick, h.config.Settings.Cancel = g.dial, cancel
+	h.toBrick, h.config.Settings.CanCancel = g.dial, cancel
 	h.start()
 	return h, g
 }
@@ -54,7 +54,7 @@
 			say(c, read("a1"))
 			<-g.asked
 			c.Close()
-			h.how(policy.Unsent)
+			h.how(policy.NotSent)
 			for range 4 {
 				g.let <- true
 			}
@@ -77,7 +77,7 @@
 	if s, _ := hear(c); s != 503 {
 		t.Errorf("%d, wanted 503", s)
 	}
-	h.how(policy.Unsent)
+	h.how(policy.NotSent)
 	for range 4 {
 		g.let <- true
 	}
@@ -96,7 +96,7 @@
 	<-g.asked
 	<-h.agent.asked
 	h.agent.tell(8, false, b.line("b0", 0, "terminating"))
-	h.how(policy.Unsent)
+	h.how(policy.NotSent)
 	for range 4 {
 		g.let <- true
 	}
@@ -229,7 +229,7 @@
 	if s, _ := hear(c); s != 400 {
 		t.Errorf("%d, wanted 400", s)
 	}
-	other.how(policy.CalledOff)
+	other.how(policy.Canceled)
 	c = other.dial()
 	say(c, read("b2"))
 	<-slow.seen
@@ -237,7 +237,7 @@
 		say(c, read(fmt.Sprint("c", i)))
 	}
 	c.Close()
-	other.how(policy.CalledOff)
+	other.how(policy.Canceled)
 	want(t, other.dial(), read("b3"), 200, "answer 2")
 	if s := <-slow.seen; !strings.Contains(s, "b3") {
 		t.Errorf("%s was sent though its client had left", s)
