--- a/internal/httpgateway/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -209,13 +209,13 @@
 
 // watched is the module, with its dispatches' outcomes told to the test.
 type watched struct {
-	*policy.Instance
-	ended chan policy.Ending
+	*policy.Scheduler
+	ended chan policy.Outcome
 }
 
-func (w *watched) Ended(d *policy.Dispatch, how policy.Ending, took time.Duration, last bool, elsewhere, meter float64) {
+func (w *watched) AttemptEnded(d *policy.Attempt, how policy.Outcome, took time.Duration, last bool, elsewhere, meter float64) {
 	w.ended <- how
-	w.Instance.Ended(d, how, took, last, elsewhere, meter)
+	w.Scheduler.AttemptEnded(d, how, took, last, elsewhere, meter)
 }
 
 // host is a host of the platform under test.
@@ -223,7 +223,7 @@
 	t       *testing.T
 	address string
 	agent   *agent
-	ended   chan policy.Ending
+	ended   chan policy.Outcome
 	reloads chan *config.Config
 	config  *config.Config
 	toBrick func(ctx context.Context, address string) (net.Conn, error)     // to bricks
@@ -243,20 +243,20 @@
 
 // aHost is one that has not started.
 func aHost(t *testing.T, bricks ...*brick) *host {
-	h := &host{t: t, agent: newAgent(t), ended: make(chan policy.Ending, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
+	h := &host{t: t, agent: newAgent(t), ended: make(chan policy.Outcome, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
 	h.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), Connect: 2 * time.Second, Idle: 20 * time.Second,
 		Limits: config.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, Known: config.List{Revision: 7, Whole: true},
-		Settings: policy.Settings{Seed: 1, Hosts: 1, Cancel: true, MarksRepeat: true, MaxDispatch: 3, Resolution: 2 * ms, UsualUnits: 1,
-			UnitsTop: 8, MaxPause: time.Second, DrainGrace: 250 * ms,
-			QueueTypes: []policy.QueueType{
-				{Name: "read", ServiceTarget: 400 * ms, CommandTimeout: time.Second, Importance: 1},
-				{Name: "write", ServiceTarget: 400 * ms, CommandTimeout: time.Second, Importance: 1, Writes: true,
-					Semantics: policy.NonRetryable}},
-			Plans: []policy.Plan{{Name: "plain", Nominal: 10, Weight: 1, Importance: 1},
-				{Name: "capped", Nominal: 1, Limit: 1, Depth: 1, Slack: 1, Weight: 1, Importance: 1}}}}
+		Settings: policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, TimerResolution: 2 * ms, TypicalUnits: 1,
+			UnitsTop: 8, MaxRetryAfter: time.Second, DrainGrace: 250 * ms,
+			Classes: []policy.RequestClass{
+				{Name: "read", LatencyObjective: 400 * ms, Timeout: time.Second, PriorityWeight: 1},
+				{Name: "write", LatencyObjective: 400 * ms, Timeout: time.Second, PriorityWeight: 1, Writes: true,
+					Idempotency: policy.NotIdempotent}},
+			Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1, Importance: 1},
+				{Name: "capped", NominalRate: 1, Limit: 1, Burst: 1, InitialBurst: 1, Weight: 1, Importance: 1}}}}
 	for i, b := range bricks {
-		h.config.Known.Lines = append(h.config.Known.Lines, engine.BrickLine{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
-			Cell: i, Serving: true})
+		h.config.Known.Lines = append(h.config.Known.Lines, engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
+			Shard: i, Serving: true})
 	}
 	return h
 }
@@ -265,7 +265,7 @@
 	t := h.t
 	up := make(chan net.Addr, 1)
 	run := &Host{Config: h.config, Log: slog.New(slog.NewTextHandler(h.log(), &slog.HandlerOptions{Level: slog.LevelError})), Up: func(a net.Addr) { up <- a }, Dial: h.toBrick, Listen: h.listen,
-		Start: func(p policy.Host, s policy.Settings) engine.Decider { return &watched{policy.New(p, s), h.ended} }}
+		Start: func(p policy.Runtime, s policy.Settings) engine.Scheduler { return &watched{policy.New(p, s), h.ended} }}
 	h.run = run
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
@@ -341,7 +341,7 @@
 	}
 }
 
-func (h *host) how(want ...policy.Ending) {
+func (h *host) how(want ...policy.Outcome) {
 	h.t.Helper()
 	for _, w := range want {
 		select {
--- a/internal/httpgateway/same_test.go
+++ b/internal/httpgateway/same_test.go
@@ -138,7 +138,7 @@
 
 // noting is a host's ways out that note what goes out and answer after the same times.
 type noting struct {
-	ways
+	outbound
 	core  *engine.Core
 	trace []string
 	due   []func()
@@ -150,28 +150,28 @@
 	brick string
 }
 
-func (n *noting) Line(brick, address string) engine.Line            { return &notedLine{n, brick} }
-func (n *noting) Log(string)                                        {}
-func (n *noting) Gossip(string, membership.Message)                 {}
-func (n *noting) Share(string, time.Duration, []endpointstate.Line) {}
+func (n *noting) Connect(brick, address string) engine.EndpointConn           { return &notedLine{n, brick} }
+func (n *noting) Log(string)                                                  {}
+func (n *noting) SendMembership(string, membership.Message)                   {}
+func (n *noting) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
 func (n *noting) say(format string, args ...any) {
 	n.trace = append(n.trace, fmt.Sprintf(format, args...))
 }
 func (n *noting) add(at time.Duration, f func()) { n.at, n.due = append(n.at, at), append(n.due, f) }
 func (l *notedLine) Cancel(uint64)               {}
 func (l *notedLine) Withdraw(uint64) bool        { return false }
-func (l *notedLine) Greet()                      {}
-func (l *notedLine) Forget(uint64)               {}
-func (l *notedLine) Probe(uint64)                {}
+func (l *notedLine) RequestGreeting()            {}
+func (l *notedLine) Abandon(uint64)              {}
+func (l *notedLine) CheckHealth(uint64)          {}
 func (l *notedLine) CloseIdle()                  {}
 func (l *notedLine) Close()                      {}
-func (l *notedLine) Dispatch(id uint64, t *engine.Task, _ int, _, _ time.Duration) {
+func (l *notedLine) Send(id uint64, t *engine.Request, _ int, _, _ time.Duration) {
 	now, rid := l.n.core.Now(), int64(0)
 	fmt.Sscan(t.Trace, &rid)
 	l.n.say("%d dispatch %d %s", (now - origin).Microseconds(), rid, l.brick)
 	took, how := service(rid)
-	ending := map[string]policy.Ending{"S": policy.Completed, "E": policy.Errored, "F": policy.Turned}[how]
-	l.n.add(now+took, func() { l.n.core.OutcomeAt(now+took, l.brick, id, ending, nil, 1, 0) })
+	ending := map[string]policy.Outcome{"S": policy.Served, "E": policy.ErrorResponse, "F": policy.Rejected}[how]
+	l.n.add(now+took, func() { l.n.core.AttemptEndedAt(now+took, l.brick, id, ending, nil, 1, 0) })
 }
 
 // byHost plays the script through the host loop as the platform drives it.
@@ -181,24 +181,24 @@
 		t.Fatal(err)
 	}
 	n := &noting{}
-	n.core = engine.New(s, endpointstate.Rules{}, func(h policy.Host, s policy.Settings) engine.Decider { return policy.New(h, s) }, n, nil,
+	n.core = engine.New(s, endpointstate.Rules{}, func(h policy.Runtime, s policy.Settings) engine.Scheduler { return policy.New(h, s) }, n, nil,
 		time.Second, origin-ms)
 	for _, h := range script() {
 		if h.list != nil {
-			var lines []engine.BrickLine
+			var lines []engine.EndpointEntry
 			for i, name := range []string{"a", "b"} {
-				lines = append(lines, engine.BrickLine{Name: name, Address: name, Zone: "hall", Cell: i, Serving: slices.Contains(h.list, name)})
+				lines = append(lines, engine.EndpointEntry{Name: name, Address: name, Zone: "hall", Shard: i, Serving: slices.Contains(h.list, name)})
 			}
-			n.add(h.at, func() { n.core.Told(true, lines) })
+			n.add(h.at, func() { n.core.AuthoritativeList(true, lines) })
 			continue
 		}
 		n.add(h.at, func() {
-			n.core.Take(&engine.Task{Volume: "v", Plan: h.plan, Hosts: 2, QueueType: h.queue, Object: fmt.Sprint("o", h.rid), Trace: fmt.Sprint(h.rid),
-				Cell: h.cell, Units: float64(h.units), Timeout: time.Second, Arrived: h.at, Answer: func(a engine.Answer) {
-					switch a.How {
-					case engine.BusyReplied:
+			n.core.Submit(&engine.Request{Volume: "v", Plan: h.plan, Gateways: 2, Class: h.queue, Object: fmt.Sprint("o", h.rid), Trace: fmt.Sprint(h.rid),
+				Shard: h.cell, Units: float64(h.units), Timeout: time.Second, ReceivedAt: h.at, Respond: func(a engine.Response) {
+					switch a.Result {
+					case engine.Rejected:
 						n.say("%d busy %d", (n.core.Now() - origin).Microseconds(), h.rid)
-					case engine.Aborted:
+					case engine.Failed:
 						n.say("%d abort %d", (n.core.Now() - origin).Microseconds(), h.rid)
 					}
 				}})
--- a/internal/httpgateway/slowstart/slowstart.go
+++ b/internal/httpgateway/slowstart/slowstart.go
@@ -37,12 +37,12 @@
 func New() *Dates { return &Dates{servers: map[string]date{}} }
 
 // Date returns the lines of a list with their starts on the process's clock. A server that has gone is forgotten.
-func (d *Dates) Date(whole bool, lines []engine.BrickLine, t Times) []engine.BrickLine {
+func (d *Dates) Date(whole bool, lines []engine.EndpointEntry, t Times) []engine.EndpointEntry {
 	known := d.servers
 	if whole {
 		d.servers = map[string]date{}
 	}
-	dated := make([]engine.BrickLine, len(lines))
+	dated := make([]engine.EndpointEntry, len(lines))
 	for i, line := range lines {
 		before, listed := known[line.Name]
 		switch {
--- a/internal/httpgateway/slowstart/slowstart_test.go
+++ b/internal/httpgateway/slowstart/slowstart_test.go
@@ -13,8 +13,8 @@
 	hour = time.Hour
 )
 
-func one(started time.Duration) []engine.BrickLine {
-	return []engine.BrickLine{{Name: "s", Started: started, Serving: true}}
+func one(started time.Duration) []engine.EndpointEntry {
+	return []engine.EndpointEntry{{Name: "s", Started: started, Serving: true}}
 }
 
 func TestStart(t *testing.T) {
@@ -53,8 +53,8 @@
 
 func TestForgets(t *testing.T) {
 	d := New()
-	d.Date(true, append(one(now), engine.BrickLine{Name: "other"}), Times{Now: now, Wall: now})
-	d.Date(false, []engine.BrickLine{{Name: "s", Gone: true}}, Times{Now: now, Wall: now})
+	d.Date(true, append(one(now), engine.EndpointEntry{Name: "other"}), Times{Now: now, Wall: now})
+	d.Date(false, []engine.EndpointEntry{{Name: "s", Gone: true}}, Times{Now: now, Wall: now})
 	if d.Date(true, nil, Times{Now: now, Wall: now}); len(d.servers) != 0 {
 		t.Errorf("%d servers are remembered", len(d.servers))
 	}
--- a/internal/httpgateway/starts_test.go
+++ b/internal/httpgateway/starts_test.go
@@ -18,12 +18,12 @@
 	t.Cleanup(func() { close(hold) })
 	h := aHost(t, b)
 	s := &h.config.Settings
-	s.ColdFrom, s.ColdFor, s.ColdUnits, s.FallMultiple, s.FallAfter = 0.2, 10*time.Second, 4, 2, time.Second
-	h.config.Known.Lines = []engine.BrickLine{{Name: "b0", Address: b.l.Addr().String(), Serving: true,
+	s.SlowStartShare, s.SlowStartTime, s.SlowStartUnits, s.OverloadFactor, s.OverloadWindow = 0.2, 10*time.Second, 4, 2, time.Second
+	h.config.Known.Lines = []engine.EndpointEntry{{Name: "b0", Address: b.l.Addr().String(), Serving: true,
 		Started: time.Duration(time.Now().Add(-24 * time.Hour).UnixNano())}}
 	h.start()
-	time.Sleep(s.FallAfter) // a host that has just started sends nothing to servers that it may have filled before
-	h.agent.tell(8, false)  // nothing has changed until here
+	time.Sleep(s.OverloadWindow) // a host that has just started sends nothing to servers that it may have filled before
+	h.agent.tell(8, false)       // nothing has changed until here
 	started := time.Now().Add(-time.Hour).UnixMilli()
 	h.agent.lines <- fmt.Sprintf(`{"revision":9,"complete":false,"members":[{"id":"b0","host_port":%q,"locality":"a","cell":0,"phase":"in_service","up_since_ms":%d}]}`,
 		b.l.Addr(), started)
--- a/internal/httpgateway/syscalls_test.go
+++ b/internal/httpgateway/syscalls_test.go
@@ -29,7 +29,7 @@
 			}
 			h.start()
 			want(t, h.dial(), read("a1"), 200, "answer 0")
-			h.how(policy.Completed)
+			h.how(policy.Served)
 		})
 	}
 }
@@ -93,8 +93,8 @@
 				h.start()
 				wanted := map[bool]struct {
 					status int
-					how    policy.Ending
-				}{false: {504, policy.Broken}, true: {503, policy.Unconnected}}[half]
+					how    policy.Outcome
+				}{false: {504, policy.ConnectionReset}, true: {503, policy.ConnectFailed}}[half]
 				want(t, h.dial(), write("a1", "x"), wanted.status, "")
 				h.how(wanted.how)
 			})
--- a/internal/httpgateway/upstream/attempt.go
+++ b/internal/httpgateway/upstream/attempt.go
@@ -15,7 +15,7 @@
 // attempt is an attempt until it is reported or given up.
 type attempt struct {
 	id       uint64
-	task     *engine.Task
+	task     *engine.Request
 	lead     []byte // the task's, which drops its body with the final answer
 	body     []byte
 	held     int64         // of the budget for bodies
@@ -30,8 +30,8 @@
 }
 
 // outcomes names how an attempt ended, by policy.Ending: the word in log, counter and page.
-var outcomes = [...]metrics.Reason{policy.Completed: "completed", policy.Errored: "errored", policy.Turned: "turned-away", policy.TimedOut: "timed-out",
-	policy.Unconnected: "not-connected", policy.Broken: "broken", policy.CalledOff: "called-off", policy.Unsent: "unsent"}
+var outcomes = [...]metrics.Reason{policy.Served: "completed", policy.ErrorResponse: "errored", policy.Rejected: "turned-away", policy.TimedOut: "timed-out",
+	policy.ConnectFailed: "not-connected", policy.ConnectionReset: "broken", policy.Canceled: "called-off", policy.NotSent: "unsent"}
 
 // heldUp is how long the process may be held up between reading its clock and writing; rules count with it.
 const heldUp = 150 * time.Millisecond
@@ -54,7 +54,7 @@
 // the attempt may still begin; begun is false if not a byte was written.
 func (c *conn) send(j *attempt) (begun, whole bool, err error) {
 	now := c.endpoint.pool.o.Loop.Now
-	if gone := j.task.ClientGone; gone != nil && gone() {
+	if gone := j.task.ClientClosed; gone != nil && gone() {
 		j.task.End(now())
 	}
 	decided := now()
--- a/internal/httpgateway/upstream/attempt_test.go
+++ b/internal/httpgateway/upstream/attempt_test.go
@@ -34,13 +34,13 @@
 		begins bool
 		left   time.Duration
 		until  func(now time.Duration) time.Duration // notAfter
-		change func(task *engine.Task, now time.Duration)
+		change func(task *engine.Request, now time.Duration)
 	}{
 		"nothing happened":              {begins: true, left: time.Second},
-		"client gone, noticed":          {left: time.Second, change: func(task *engine.Task, now time.Duration) { task.End(now) }},
-		"client gone, not yet noticed":  {left: time.Second, change: func(task *engine.Task, _ time.Duration) { task.ClientGone = func() bool { return true } }},
+		"client gone, noticed":          {left: time.Second, change: func(task *engine.Request, now time.Duration) { task.End(now) }},
+		"client gone, not yet noticed":  {left: time.Second, change: func(task *engine.Request, _ time.Duration) { task.ClientClosed = func() bool { return true } }},
 		"deadline passed":               {left: 20 * time.Millisecond},
-		"the request's deadline passed": {left: time.Second, change: func(task *engine.Task, now time.Duration) { task.Deadline = now + time.Millisecond }},
+		"the request's deadline passed": {left: time.Second, change: func(task *engine.Request, now time.Duration) { task.Deadline = now + time.Millisecond }},
 		"its own limit passed":          {left: time.Second, until: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 					<-let
 					return new(net.Dialer).DialContext(ctx, "tcp", address)
 				}})
-			task, now := &engine.Task{Lead: []byte("GET / HTTP/1.1\r\n")}, loop.Now()
+			task, now := &engine.Request{Header: []byte("GET / HTTP/1.1\r\n")}, loop.Now()
 			var notAfter time.Duration
 			if row.until != nil {
 				notAfter = row.until(now)
@@ -73,7 +73,7 @@
 			if row.change != nil {
 				row.change(task, now)
 			}
-			p.Line("s", l.Addr().String()).Dispatch(1, task, 0, row.left, notAfter)
+			p.Connect("s", l.Addr().String()).Send(1, task, 0, row.left, notAfter)
 			time.Sleep(50 * time.Millisecond)
 			close(let)
 			if n := <-got; n > 0 != row.begins {
--- a/internal/httpgateway/upstream/conn.go
+++ b/internal/httpgateway/upstream/conn.go
@@ -78,9 +78,9 @@
 	switch {
 	case lost == nil:
 	case lost.begun:
-		c.endpoint.report(lost, p.o.Loop.Now(), policy.Broken, nil, 0)
+		c.endpoint.report(lost, p.o.Loop.Now(), policy.ConnectionReset, nil, 0)
 	default:
-		c.endpoint.report(lost, p.o.Loop.Now(), policy.Unsent, nil, 0)
+		c.endpoint.report(lost, p.o.Loop.Now(), policy.NotSent, nil, 0)
 	}
 }
 
@@ -121,27 +121,27 @@
 	begun, whole, err := c.send(j)
 	switch {
 	case !begun:
-		c.endpoint.report(j, now(), policy.Unsent, nil, 0)
+		c.endpoint.report(j, now(), policy.NotSent, nil, 0)
 		return false
 	case err != nil && !whole:
 		c.learn(j, true)
-		c.endpoint.report(j, now(), policy.Unconnected, nil, 0)
+		c.endpoint.report(j, now(), policy.ConnectFailed, nil, 0)
 		return false
 	case err != nil:
 		c.learn(j, true)
-		c.endpoint.report(j, now(), policy.Broken, nil, 0)
+		c.endpoint.report(j, now(), policy.ConnectionReset, nil, 0)
 		return false
 	}
 	h, body, err := c.read(j)
 	at := now()
 	if err != nil {
 		var spoilt *http1.Error
-		how := policy.Broken
+		how := policy.ConnectionReset
 		if errors.As(err, &spoilt) {
 			c.spoilt(spoilt)
-			how = policy.Errored
+			how = policy.ErrorResponse
 		}
-		c.learn(j, how == policy.Broken)
+		c.learn(j, how == policy.ConnectionReset)
 		c.endpoint.report(j, at, how, nil, 0)
 		return false
 	}
@@ -150,12 +150,12 @@
 	if c.in.Buffered() > 0 {
 		c.stray(0)
 	}
-	how := policy.Errored
+	how := policy.ErrorResponse
 	switch {
 	case h.Status == 200:
-		how = policy.Completed
+		how = policy.Served
 	case (h.Status == 503 || h.Status == 504) && h.Get("X-Turned-Away") == "1":
-		how = policy.Turned
+		how = policy.Rejected
 	}
 	good = good && c.rest()
 	c.endpoint.report(j, at, how, body, number(h.Get("Other-Hosts")))
--- a/internal/httpgateway/upstream/dial.go
+++ b/internal/httpgateway/upstream/dial.go
@@ -71,9 +71,9 @@
 }
 
 // unconnected is the outcome of an attempt that got no connection. The caller holds mu.
-func (l *endpoint) unconnected() policy.Ending {
+func (l *endpoint) unconnected() policy.Outcome {
 	if !l.localSince.IsZero() && time.Since(l.localSince) < localFailureMost {
-		return policy.Unsent
+		return policy.NotSent
 	}
-	return policy.Unconnected
+	return policy.ConnectFailed
 }
--- a/internal/httpgateway/upstream/upstream.go
+++ b/internal/httpgateway/upstream/upstream.go
@@ -109,7 +109,7 @@
 }
 
 // Line is the way to one server.
-func (p *Pool) Line(brick, address string) engine.Line {
+func (p *Pool) Connect(brick, address string) engine.EndpointConn {
 	l := &endpoint{pool: p, brick: brick, address: address, out: map[uint64]*attempt{}}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,12 +129,12 @@
 }
 
 // Dispatch puts a command on the settled connection used last, or on the first that is there for it.
-func (l *endpoint) Dispatch(id uint64, t *engine.Task, n int, left, by time.Duration) {
+func (l *endpoint) Send(id uint64, t *engine.Request, n int, left, by time.Duration) {
 	deadline := l.pool.o.Loop.Now() + left
 	if t.Deadline > 0 { // the loop may have been held up since it computed what is left
 		deadline = min(deadline, t.Deadline)
 	}
-	j := &attempt{id: id, task: t, lead: t.Lead, body: t.Body, deadline: deadline, notAfter: by}
+	j := &attempt{id: id, task: t, lead: t.Header, body: t.Body, deadline: deadline, notAfter: by}
 	j.ctx, j.stop = context.WithCancel(l.pool.ctx)
 	p := l.pool
 	p.mu.Lock()
@@ -288,7 +288,7 @@
 	}
 }
 
-func (l *endpoint) Forget(id uint64) { l.Cancel(id) }
+func (l *endpoint) Abandon(id uint64) { l.Cancel(id) }
 
 // Withdraw takes back an attempt of which no byte was written; true: none ever will be.
 func (l *endpoint) Withdraw(id uint64) bool {
@@ -326,13 +326,13 @@
 }
 
 // Probe is not part of what the platform allows.
-func (l *endpoint) Probe(id uint64) {
+func (l *endpoint) CheckHealth(id uint64) {
 	l.pool.spawn(func() {
-		l.pool.o.Loop.Post(func(c *engine.Core) { c.ProbeOutcome(l.brick, id, policy.Unconnected) })
+		l.pool.o.Loop.Post(func(c *engine.Core) { c.HealthChecked(l.brick, id, policy.ConnectFailed) })
 	})
 }
 
-func (l *endpoint) Greet() {}
+func (l *endpoint) RequestGreeting() {}
 
 func (l *endpoint) CloseIdle() {
 	l.pool.mu.Lock()
@@ -370,7 +370,7 @@
 }
 
 // report tells the loop how an attempt ended, unless it was given up.
-func (l *endpoint) report(j *attempt, at time.Duration, how policy.Ending, body []byte, elsewhere float64) {
+func (l *endpoint) report(j *attempt, at time.Duration, how policy.Outcome, body []byte, elsewhere float64) {
 	p := l.pool
 	p.mu.Lock()
 	mine := l.out[j.id] == j
@@ -392,7 +392,7 @@
 	release := func() { p.bodies.Release(j.held) }
 	if !mine || !p.o.Loop.Post(func(c *engine.Core) {
 		j.task.Release = release
-		c.OutcomeAt(at, l.brick, j.id, how, body, elsewhere, 0)
+		c.AttemptEndedAt(at, l.brick, j.id, how, body, elsewhere, 0)
 		if j.task.Release != nil { // nobody takes the body
 			j.task.Release = nil
 			release()
--- a/internal/object/api/api_test.go
+++ b/internal/object/api/api_test.go
@@ -37,7 +37,7 @@
 type bricks struct {
 	mu     sync.Mutex
 	data   map[string][]byte
-	fail   func(t *engine.Task) *engine.Answer // nil: not this one
+	fail   func(t *engine.Request) *engine.Response // nil: not this one
 	flight int
 	most   int
 	gone   int
@@ -46,12 +46,12 @@
 func (b *bricks) Cells(volume string) ([]uint32, bool) {
 	return []uint32{0, 1, 2}, volume == "yard" || volume == "other"
 }
-func (b *bricks) Gone(*engine.Task) {
+func (b *bricks) Gone(*engine.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gone++
 }
-func (b *bricks) Take(t *engine.Task) bool {
+func (b *bricks) Take(t *engine.Request) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.flight++
@@ -62,20 +62,20 @@
 		b.flight--
 		if b.fail != nil {
 			if a := b.fail(t); a != nil {
-				t.Answer(*a)
+				t.Respond(*a)
 				return
 			}
 		}
-		k := fmt.Sprint(t.Cell, "/", t.Object)
-		if t.QueueType == "write" {
+		k := fmt.Sprint(t.Shard, "/", t.Object)
+		if t.Class == "write" {
 			b.data[k] = slices.Clone(t.Body)
 		}
-		t.Answer(engine.Answer{How: engine.Completed, Body: b.data[k]})
+		t.Respond(engine.Response{Result: engine.Served, Body: b.data[k]})
 	}()
 	return true
 }
 
-func (b *bricks) failing(f func(t *engine.Task) *engine.Answer) {
+func (b *bricks) failing(f func(t *engine.Request) *engine.Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fail = f
@@ -499,19 +499,19 @@
 	body := random(5000, 2)
 	w.put(t, "a", body)
 	for _, x := range []struct {
-		answer  engine.Answer
+		answer  engine.Response
 		status  int
 		code    string
 		retry   string
 		mayHave string
 	}{
-		{engine.Answer{How: engine.BusyReplied, Pause: 2500 * time.Millisecond}, 503, "SlowDown", "3", "no"},
-		{engine.Answer{How: engine.BusyReplied}, 503, "SlowDown", "1", "no"},
-		{engine.Answer{How: engine.Aborted}, 503, "ServiceUnavailable", "1", "no"},
-		{engine.Answer{How: engine.Aborted, MayHaveRun: true}, 500, "InternalError", "", "yes"},
+		{engine.Response{Result: engine.Rejected, RetryAfter: 2500 * time.Millisecond}, 503, "SlowDown", "3", "no"},
+		{engine.Response{Result: engine.Rejected}, 503, "SlowDown", "1", "no"},
+		{engine.Response{Result: engine.Failed}, 503, "ServiceUnavailable", "1", "no"},
+		{engine.Response{Result: engine.Failed, MayHaveRun: true}, 500, "InternalError", "", "yes"},
 	} {
 		n := 0
-		w.b.failing(func(task *engine.Task) *engine.Answer {
+		w.b.failing(func(task *engine.Request) *engine.Response {
 			if n++; n%3 == 0 {
 				return &x.answer
 			}
@@ -543,9 +543,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b.failing(func(task *engine.Task) *engine.Answer {
+	w.b.failing(func(task *engine.Request) *engine.Response {
 		if task.Object != "x/"+o.Extent[0].Id {
-			return &engine.Answer{How: engine.Aborted}
+			return &engine.Response{Result: engine.Failed}
 		}
 		return nil
 	})
@@ -615,8 +615,8 @@
 	w.put(t, "a", old)
 	began, goOn := make(chan bool), make(chan bool)
 	n := 0
-	w.b.failing(func(task *engine.Task) *engine.Answer {
-		if task.QueueType == "read" {
+	w.b.failing(func(task *engine.Request) *engine.Response {
+		if task.Class == "read" {
 			if n++; n == 6 { // in the middle
 				close(began)
 				w.b.mu.Unlock()
@@ -732,7 +732,7 @@
 	held := func() (reached, letGo chan bool) {
 		reached, letGo = make(chan bool), make(chan bool)
 		fired := false // under the bricks' lock
-		w.b.failing(func(*engine.Task) *engine.Answer {
+		w.b.failing(func(*engine.Request) *engine.Response {
 			if !fired {
 				fired = true
 				close(reached)
--- a/internal/object/gate/gate.go
+++ b/internal/object/gate/gate.go
@@ -28,8 +28,8 @@
 // Commands hands a command to the host loop. It returns false where the loop takes none; else Answer is called once, unless Gone
 // came first.
 type Commands interface {
-	Take(t *engine.Task) bool
-	Gone(t *engine.Task)
+	Take(t *engine.Request) bool
+	Gone(t *engine.Request)
 	// Cells are the cells where a volume's new data may lie; false: no such volume.
 	Cells(volume string) ([]uint32, bool)
 }
@@ -98,15 +98,15 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // run runs one command to its final answer. A client that goes away takes its command with it.
-func (g *Gate) run(ctx context.Context, t *engine.Task) ([]byte, *decide.Fault) {
-	done := make(chan engine.Answer, 1)
-	t.Answer = func(a engine.Answer) { done <- a }
+func (g *Gate) run(ctx context.Context, t *engine.Request) ([]byte, *decide.Fault) {
+	done := make(chan engine.Response, 1)
+	t.Respond = func(a engine.Response) { done <- a }
 	if !g.c.Commands.Take(t) {
 		return nil, decide.End(false, true, false, 0)
 	}
 	select {
 	case a := <-done:
-		if f := decide.End(a.How == engine.Completed, a.How == engine.BusyReplied, a.MayHaveRun, a.Pause); f != nil {
+		if f := decide.End(a.Result == engine.Served, a.Result == engine.Rejected, a.MayHaveRun, a.RetryAfter); f != nil {
 			return nil, f
 		}
 		return a.Body, nil
@@ -294,7 +294,7 @@
 	}
 	body := make([]byte, len(b)) // the loop's from here on: the buffer is used again
 	copy(body, b)
-	t := &engine.Task{Volume: volume, QueueType: g.c.WriteType, Object: "x/" + e.Id, Tag: e.Id, Cell: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit), Body: body}
+	t := &engine.Request{Volume: volume, Class: g.c.WriteType, Object: "x/" + e.Id, Tag: e.Id, Shard: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit), Body: body}
 	if _, f := g.run(ctx, t); f != nil {
 		return nil, tried, f
 	}
@@ -354,7 +354,7 @@
 
 func (g *Gate) piece(ctx context.Context, o *pb.ObjectRecord, p decide.Piece) ([]byte, error) {
 	e := p.Extent
-	b, f := g.run(ctx, &engine.Task{Volume: o.Volume, QueueType: g.c.ReadType, Object: "x/" + e.Id, Cell: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit)})
+	b, f := g.run(ctx, &engine.Request{Volume: o.Volume, Class: g.c.ReadType, Object: "x/" + e.Id, Shard: int(e.Cell), Units: decide.Units(e.Size, g.c.Unit)})
 	if f != nil {
 		return nil, f
 	}
@@ -397,7 +397,7 @@
 	}
 	var gone []string
 	for _, l := range loose {
-		t := &engine.Task{Volume: l.Volume, QueueType: g.c.WriteType, Object: "x/" + l.Extent.Id, Tag: l.Extent.Id + "-gone", Cell: int(l.Extent.Cell), Units: 1}
+		t := &engine.Request{Volume: l.Volume, Class: g.c.WriteType, Object: "x/" + l.Extent.Id, Tag: l.Extent.Id + "-gone", Shard: int(l.Extent.Cell), Units: 1}
 		if _, f := g.run(ctx, t); f == nil {
 			gone = append(gone, l.Extent.Id)
 		}
--- a/internal/object/gate/gate_test.go
+++ b/internal/object/gate/gate_test.go
@@ -25,22 +25,22 @@
 	written chan bool
 }
 
-func (m *memory) Take(t *engine.Task) bool {
+func (m *memory) Take(t *engine.Request) bool {
 	m.mu.Lock()
 	body := m.objects[t.Object]
-	if t.QueueType == "write" {
+	if t.Class == "write" {
 		m.objects[t.Object] = t.Body
 		body = nil
 	}
 	m.mu.Unlock()
-	t.Answer(engine.Answer{How: engine.Completed, Body: body})
-	if t.QueueType == "write" && len(t.Body) > 0 {
+	t.Respond(engine.Response{Result: engine.Served, Body: body})
+	if t.Class == "write" && len(t.Body) > 0 {
 		m.written <- true
 	}
 	return true
 }
 
-func (m *memory) Gone(*engine.Task)                    {}
+func (m *memory) Gone(*engine.Request)                 {}
 func (m *memory) Cells(volume string) ([]uint32, bool) { return []uint32{0}, true }
 
 // clock is moved by the test.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -281,8 +281,8 @@
 	at := time.Duration(time.Now().UnixNano()) - settings.Duration(r.d.List.SavedAge, 0)
 	var all []endpointstate.Belief
 	for cell, b := range r.bricks {
-		all = append(all, endpointstate.Belief{From: endpointstate.List, Line: endpointstate.Line{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone,
-			Cell: cell, Serving: true, At: at}})
+		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone,
+			Shard: cell, Serving: true, ObservedAt: at}})
 	}
 	for _, p := range r.hosts {
 		s, _, err := store.Open(r.storeOf(p), fmt.Sprintf("host-%d", p.no))
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -34,7 +34,7 @@
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		start := gateway.Start
 		if wrong > 0 {
-			start = func(h policy.Host, s policy.Settings) engine.Decider { return newWrong(wrong, h, s) }
+			start = func(h policy.Runtime, s policy.Settings) engine.Scheduler { return newWrong(wrong, h, s) }
 		}
 		if err := c.Execute(start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -47,62 +47,62 @@
 
 // wrong is the module behind a wrapper that breaks one rule.
 type wrong struct {
-	*policy.Instance
-	policy.Host
+	*policy.Scheduler
+	policy.Runtime
 	rule int
 	n    int
 }
 
-func newWrong(rule int, h policy.Host, s policy.Settings) *wrong {
-	w := &wrong{Host: h, rule: rule}
+func newWrong(rule int, h policy.Runtime, s policy.Settings) *wrong {
+	w := &wrong{Runtime: h, rule: rule}
 	switch rule {
 	case 6:
-		s.Budgeted = false
+		s.RetryBudget = false
 	case 7:
 		for i := range s.Plans {
 			s.Plans[i].Limit *= 8
-			s.Plans[i].Depth *= 8
-			s.Plans[i].Slack *= 8
+			s.Plans[i].Burst *= 8
+			s.Plans[i].InitialBurst *= 8
 		}
 	}
-	w.Instance = policy.New(w, s)
+	w.Scheduler = policy.New(w, s)
 	return w
 }
 
 // BusyReply loses each twentieth: rule 1.
-func (w *wrong) BusyReply(c *policy.Command, pause time.Duration) {
+func (w *wrong) Reject(c *policy.Request, pause time.Duration) {
 	if w.n++; w.rule == 1 && w.n%20 == 1 {
 		return
 	}
-	w.Host.BusyReply(c, pause)
+	w.Runtime.Reject(c, pause)
 }
 
 // Ended takes what may have run for never run: rule 2.
-func (w *wrong) Ended(d *policy.Dispatch, how policy.Ending, took time.Duration, last bool, elsewhere, meter float64) {
-	if w.rule == 2 && how == policy.Errored {
-		how = policy.Unconnected
+func (w *wrong) AttemptEnded(d *policy.Attempt, how policy.Outcome, took time.Duration, last bool, elsewhere, meter float64) {
+	if w.rule == 2 && how == policy.ErrorResponse {
+		how = policy.ConnectFailed
 	}
-	w.Instance.Ended(d, how, took, last, elsewhere, meter)
+	w.Scheduler.AttemptEnded(d, how, took, last, elsewhere, meter)
 }
 
 // Listed takes a draining brick for a serving one (rule 3), a cold one for a warm one (rule 4).
-func (w *wrong) Listed(b *policy.Brick, zone string, cell int, serving, gone bool, boot time.Duration) {
+func (w *wrong) UpdateEndpoint(b *policy.Endpoint, zone string, cell int, serving, gone bool, boot time.Duration) {
 	if w.rule == 4 {
 		boot = 0
 	}
-	w.Instance.Listed(b, zone, cell, serving || w.rule == 3, gone && w.rule != 3, boot)
+	w.Scheduler.UpdateEndpoint(b, zone, cell, serving || w.rule == 3, gone && w.rule != 3, boot)
 }
 
 // Taken forgets the key: rule 5.
-func (w *wrong) Taken(c *policy.Command, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration,
+func (w *wrong) RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration,
 	repeat bool) error {
 	if w.rule == 5 {
 		object = ""
 	}
-	return w.Instance.Taken(c, queue, plan, object, cell, hosts, units, giveUp, repeat)
+	return w.Scheduler.RequestReceived(c, queue, plan, object, cell, hosts, units, giveUp, repeat)
 }
 
-func (w *wrong) Log(line string) { w.Host.Log(line) }
+func (w *wrong) Log(line string) { w.Runtime.Log(line) }
 
 func options(seed int64, rule int) Options {
 	return Options{Seed: seed, Host: []string{os.Args[0], "edge"}, Env: []string{"WRONG=" + strconv.Itoa(rule)}, Blur: 100 * time.Millisecond}
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -128,8 +128,8 @@
 
 var marshal = prototext.MarshalOptions{Multiline: true}
 
-var semantics = map[pb.Semantics]policy.Semantics{pb.Semantics_RETRYABLE: policy.Retryable,
-	pb.Semantics_TAGGED: policy.Tagged, pb.Semantics_NON_RETRYABLE: policy.NonRetryable}
+var semantics = map[pb.Semantics]policy.Idempotency{pb.Semantics_RETRYABLE: policy.Idempotent,
+	pb.Semantics_TAGGED: policy.IdempotentByKey, pb.Semantics_NON_RETRYABLE: policy.NotIdempotent}
 
 var groups = map[pb.Group]string{pb.Group_ALL: "all", pb.Group_ZONE: "zone", pb.Group_CELL: "cell"}
 
@@ -140,37 +140,37 @@
 		seed = e.Seed
 	}
 	s := policy.Settings{
-		Seed: seed, Ordinal: int(e.Ordinal), Hosts: int(e.Hosts), Zone: e.Zone,
-		Asks: f.ListAsked, SecondCopies: f.SecondCopies, Cancel: f.Cancel, Probe: f.Probe, Peers: f.Peers,
-		MaxPause: Duration(f.MaxPause, 0), MarksRepeat: f.ClientsMarkRepeats, MaxDispatch: int(f.MaxDispatches),
-		AnswerSlack: Duration(f.AnswerSlack, 0), Resolution: Duration(f.Resolution, 0),
-		AskWithin: Duration(f.AskWithin, 0), DrainGrace: Duration(f.DrainGrace, 0),
-		ColdFrom: f.ColdFrom, ColdFor: Duration(f.ColdFor, 0), ColdUnits: f.ColdUnits,
-		FallMultiple: f.FallMultiple, FallAfter: Duration(f.FallAfter, 0),
-		KeyRest: Duration(f.KeyRest, 0), Meter: Duration(f.Meter, 0), Elsewhere: f.TellsElsewhere,
-		UsualUnits: f.UsualUnits, UnitsTop: f.MostUnits,
+		Seed: seed, Ordinal: int(e.Ordinal), Gateways: int(e.Hosts), Zone: e.Zone,
+		PollEndpointList: f.ListAsked, Hedging: f.SecondCopies, CanCancel: f.Cancel, HealthChecks: f.Probe, Gossip: f.Peers,
+		MaxRetryAfter: Duration(f.MaxPause, 0), ClientsMarkRetries: f.ClientsMarkRepeats, MaxAttempts: int(f.MaxDispatches),
+		AnswerSlack: Duration(f.AnswerSlack, 0), TimerResolution: Duration(f.Resolution, 0),
+		MaxListAge: Duration(f.AskWithin, 0), DrainGrace: Duration(f.DrainGrace, 0),
+		SlowStartShare: f.ColdFrom, SlowStartTime: Duration(f.ColdFor, 0), SlowStartUnits: f.ColdUnits,
+		OverloadFactor: f.FallMultiple, OverloadWindow: Duration(f.FallAfter, 0),
+		OrderingCooldown: Duration(f.KeyRest, 0), Meter: Duration(f.Meter, 0), Elsewhere: f.TellsElsewhere,
+		TypicalUnits: f.UsualUnits, UnitsTop: f.MostUnits,
 	}
 	if b := f.Budget; b != nil {
-		s.Budgeted, s.BudgetFree, s.BudgetShare, s.BudgetSpan = true, b.Free, b.Share, Duration(b.Span, 0)
+		s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = true, b.Free, b.Share, Duration(b.Span, 0)
 	}
 	for _, q := range e.QueueType {
-		s.QueueTypes = append(s.QueueTypes, policy.QueueType{Name: q.Name,
-			ServiceTarget: Duration(q.ServiceTarget, 0), CommandTimeout: Duration(q.CommandTimeout, 0),
-			Window: Duration(q.TagWindow, 0), Importance: q.Importance, LateShare: q.LateShare,
-			Semantics: semantics[q.Semantics], Group: groups[q.Group], Streaming: q.Streaming,
-			InOrder: q.InOrder, Writes: q.Writes})
+		s.Classes = append(s.Classes, policy.RequestClass{Name: q.Name,
+			LatencyObjective: Duration(q.ServiceTarget, 0), Timeout: Duration(q.CommandTimeout, 0),
+			IdempotencyWindow: Duration(q.TagWindow, 0), PriorityWeight: q.Importance, LateValue: q.LateShare,
+			Idempotency: semantics[q.Semantics], IdempotencyScope: groups[q.Group], Streaming: q.Streaming,
+			Ordered: q.InOrder, Writes: q.Writes})
 	}
 	for _, p := range e.Plan {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Nominal: p.Nominal, Reservation: p.Reservation,
-			Limit: p.Limit, Depth: p.Depth, Slack: p.Slack, Weight: p.Weight, Importance: p.Importance})
+		s.Plans = append(s.Plans, policy.ServicePlan{Name: p.Name, NominalRate: p.Nominal, Reservation: p.Reservation,
+			Limit: p.Limit, Burst: p.Depth, InitialBurst: p.Slack, Weight: p.Weight, Importance: p.Importance})
 	}
 	return s
 }
 
 // Beliefs are the rules by which a host believes lines about bricks.
 func Beliefs(e *pb.Edge) (endpointstate.Rules, error) {
-	r := endpointstate.Rules{Fresh: Duration(e.ListFresh, 5*time.Minute), Dead: Duration(e.ListDead, 90*24*time.Hour), Blur: 500 * time.Millisecond,
-		Recent: 5 * time.Second}
+	r := endpointstate.Rules{Fresh: Duration(e.ListFresh, 5*time.Minute), Expire: Duration(e.ListDead, 90*24*time.Hour), StartTolerance: 500 * time.Millisecond,
+		GreetingValid: 5 * time.Second}
 	if len(e.Network) == 0 {
 		return r, nil
 	}
--- a/internal/settings/stored_data_test.go
+++ b/internal/settings/stored_data_test.go
@@ -44,21 +44,21 @@
 }
 
 func storedPolicy() policy.Settings {
-	return policy.Settings{Seed: -42, Ordinal: 2, Hosts: 3, Zone: "north",
-		QueueTypes: []policy.QueueType{
-			{Name: "read", ServiceTarget: 200 * time.Millisecond, CommandTimeout: time.Second, Importance: 3, LateShare: 0.15,
-				Semantics: policy.Retryable, Group: "all", Streaming: true},
-			{Name: "order", ServiceTarget: 250 * time.Millisecond, CommandTimeout: 1200 * time.Millisecond, Window: 2 * time.Second, Importance: 4,
-				LateShare: 0.1, Semantics: policy.Tagged, Group: "cell", Writes: true},
-			{Name: "log", ServiceTarget: 400 * time.Millisecond, CommandTimeout: 1500 * time.Millisecond, Importance: 2, LateShare: 0.2,
-				Semantics: policy.NonRetryable, Group: "zone", InOrder: true, Writes: true}},
-		Plans: []policy.Plan{{Name: "basic", Nominal: 14, Reservation: 1.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8},
-			{Name: "priority", Nominal: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
-		Asks: true, SecondCopies: true, Cancel: true, Probe: true, Peers: true, MaxPause: 500 * time.Millisecond, MarksRepeat: true, MaxDispatch: 3,
-		AnswerSlack: 30 * time.Millisecond, Resolution: 10 * time.Millisecond, AskWithin: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
-		ColdFrom: 0.2, ColdFor: 4 * time.Second, ColdUnits: 40, FallMultiple: 2, FallAfter: time.Second, Budgeted: true, BudgetFree: 3,
-		BudgetShare: 0.25, BudgetSpan: 3 * time.Second, KeyRest: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
-		UsualUnits: 2, UnitsTop: 8.5}
+	return policy.Settings{Seed: -42, Ordinal: 2, Gateways: 3, Zone: "north",
+		Classes: []policy.RequestClass{
+			{Name: "read", LatencyObjective: 200 * time.Millisecond, Timeout: time.Second, PriorityWeight: 3, LateValue: 0.15,
+				Idempotency: policy.Idempotent, IdempotencyScope: "all", Streaming: true},
+			{Name: "order", LatencyObjective: 250 * time.Millisecond, Timeout: 1200 * time.Millisecond, IdempotencyWindow: 2 * time.Second, PriorityWeight: 4,
+				LateValue: 0.1, Idempotency: policy.IdempotentByKey, IdempotencyScope: "cell", Writes: true},
+			{Name: "log", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, PriorityWeight: 2, LateValue: 0.2,
+				Idempotency: policy.NotIdempotent, IdempotencyScope: "zone", Ordered: true, Writes: true}},
+		Plans: []policy.ServicePlan{{Name: "basic", NominalRate: 14, Reservation: 1.5, Limit: 24, Burst: 40, InitialBurst: 8, Weight: 1, Importance: 0.8},
+			{Name: "priority", NominalRate: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		PollEndpointList: true, Hedging: true, CanCancel: true, HealthChecks: true, Gossip: true, MaxRetryAfter: 500 * time.Millisecond, ClientsMarkRetries: true, MaxAttempts: 3,
+		AnswerSlack: 30 * time.Millisecond, TimerResolution: 10 * time.Millisecond, MaxListAge: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
+		SlowStartShare: 0.2, SlowStartTime: 4 * time.Second, SlowStartUnits: 40, OverloadFactor: 2, OverloadWindow: time.Second, RetryBudget: true, RetryBudgetFree: 3,
+		RetryBudgetRatio: 0.25, RetryBudgetWindow: 3 * time.Second, OrderingCooldown: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
+		TypicalUnits: 2, UnitsTop: 8.5}
 }
 
 // An edge's settings as users of version a32f63c have them, by hand (edge.txtpb) and as its programs wrote them (edge-written.txtpb). Every
@@ -81,7 +81,7 @@
 			t.Errorf("%s: %+v\nwanted %+v", name, got, want)
 		}
 		r, err := Beliefs(e)
-		if err != nil || r.Fresh != 6*time.Minute || r.Dead != 2000*time.Hour || !r.Networks.Contains(netip.MustParseAddr("127.0.0.9")) ||
+		if err != nil || r.Fresh != 6*time.Minute || r.Expire != 2000*time.Hour || !r.Networks.Contains(netip.MustParseAddr("127.0.0.9")) ||
 			!r.Networks.Contains(netip.MustParseAddr("::1")) || r.Networks.Contains(netip.MustParseAddr("10.0.0.1")) {
 			t.Errorf("%s: %v %+v", name, err, r)
 		}
--- a/internal/simulatorwire/host.go
+++ b/internal/simulatorwire/host.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return fmt.Errorf("profile_data: %w", err)
 	}
-	*h = host{adapter: h.adapter, do: h.do, commands: map[int64]*entry{}, bricks: map[string]*policy.Brick{},
+	*h = host{adapter: h.adapter, do: h.do, commands: map[int64]*entry{}, bricks: map[string]*policy.Endpoint{},
 		volumes: map[string]*policy.Volume{}, timers: map[int64]func(){}}
 	h.inst = policy.New(h, s)
 	return nil
@@ -55,17 +55,17 @@
 func (h *host) Now() time.Duration { return h.adapter.now }
 
 // Dispatch sends a command to a brick.
-func (h *host) Dispatch(d *policy.Dispatch, timeout time.Duration) {
-	h.commands[d.Cmd.ID].dispatches[d.N] = d
+func (h *host) Send(d *policy.Attempt, timeout time.Duration) {
+	h.commands[d.Request.ID].dispatches[d.Number] = d
 	h.act("relay", func() {
-		h.num("rid", d.Cmd.ID)
-		h.str("brick", d.Brick.Name)
+		h.num("rid", d.Request.ID)
+		h.str("brick", d.Endpoint.Name)
 		h.num("give_up_after_us", timeout.Microseconds())
 	})
 }
 
 // BusyReply is a final answer: trying again is harmless.
-func (h *host) BusyReply(c *policy.Command, pause time.Duration) {
+func (h *host) Reject(c *policy.Request, pause time.Duration) {
 	h.act("push_back", func() {
 		h.num("rid", c.ID)
 		h.num("pause_us", pause.Microseconds())
@@ -74,16 +74,16 @@
 }
 
 // Abort is a final answer that promises nothing.
-func (h *host) Abort(c *policy.Command) {
+func (h *host) Fail(c *policy.Request) {
 	h.act("drop_request", func() { h.num("rid", c.ID) })
 	h.close(c.ID, h.commands[c.ID], true)
 }
 
 // Cancel stops waiting for a dispatch.
-func (h *host) Cancel(d *policy.Dispatch) {
+func (h *host) Cancel(d *policy.Attempt) {
 	h.act("drop_attempt", func() {
-		h.num("rid", d.Cmd.ID)
-		h.num("n", int64(d.N))
+		h.num("rid", d.Request.ID)
+		h.num("n", int64(d.Number))
 	})
 }
 
@@ -99,7 +99,7 @@
 }
 
 // Watch asks for changes of the list, or stops asking.
-func (h *host) Watch(on bool) {
+func (h *host) RequestEndpointList(on bool) {
 	h.act("tail", func() { h.do = strconv.AppendBool(append(h.do, `,"enable":`...), on) })
 }
 
@@ -107,13 +107,13 @@
 func (h *host) ListAll() { h.act("list_all", func() {}) }
 
 // Probe checks a brick.
-func (h *host) Probe(b *policy.Brick) { h.act("inspect", func() { h.str("brick", b.Name) }) }
+func (h *host) CheckHealth(b *policy.Endpoint) { h.act("inspect", func() { h.str("brick", b.Name) }) }
 
 // CloseIdle shuts idle connections to a brick.
-func (h *host) CloseIdle(b *policy.Brick) { h.act("drop_conns", func() { h.str("brick", b.Name) }) }
+func (h *host) CloseIdle(b *policy.Endpoint) { h.act("drop_conns", func() { h.str("brick", b.Name) }) }
 
 // Tell sends a short message to one host, or to all with -1.
-func (h *host) Tell(peer int, data []byte) {
+func (h *host) SendGossip(peer int, data []byte) {
 	h.act("memo_to", func() {
 		h.num("neighbour_id", int64(peer))
 		h.str("data", base64.StdEncoding.EncodeToString(data))
--- a/internal/simulatorwire/simulatorwire.go
+++ b/internal/simulatorwire/simulatorwire.go
@@ -103,11 +103,11 @@
 // host is one instance and the names by which the wire knows its objects.
 type host struct {
 	adapter  *adapter
-	inst     *policy.Instance
+	inst     *policy.Scheduler
 	failed   bool
 	do       []byte
 	commands map[int64]*entry
-	bricks   map[string]*policy.Brick
+	bricks   map[string]*policy.Endpoint
 	volumes  map[string]*policy.Volume
 	timers   map[int64]func()
 	timer    int64
@@ -115,13 +115,13 @@
 
 // entry keeps a command's name until it is over and every dispatch has its outcome.
 type entry struct {
-	cmd        *policy.Command
-	dispatches map[int]*policy.Dispatch
+	cmd        *policy.Request
+	dispatches map[int]*policy.Attempt
 	over       bool
 }
 
-var endings = map[string]policy.Ending{"S": policy.Completed, "E": policy.Errored, "F": policy.Turned,
-	"T": policy.TimedOut, "C": policy.Unconnected, "R": policy.Broken, "X": policy.CalledOff, "N": policy.Unsent}
+var endings = map[string]policy.Outcome{"S": policy.Served, "E": policy.ErrorResponse, "F": policy.Rejected,
+	"T": policy.TimedOut, "C": policy.ConnectFailed, "R": policy.ConnectionReset, "X": policy.Canceled, "N": policy.NotSent}
 
 func (h *host) event(e *fastjson.Value) (err error) {
 	kind, err := text(e, "kind")
@@ -179,7 +179,7 @@
 			return err
 		}
 		if c := h.commands[id]; c != nil {
-			h.inst.Left(c.cmd)
+			h.inst.ClientDisconnected(c.cmd)
 			h.close(id, c, true)
 		}
 	case "reply":
@@ -189,7 +189,7 @@
 		if err != nil {
 			return err
 		}
-		h.inst.Begun(d)
+		h.inst.ResponseStarted(d)
 	case "probe_result":
 		b, err := h.brick(e)
 		if err != nil {
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		h.inst.Probed(b, how, took)
+		h.inst.HealthChecked(b, how, took)
 	case "from_peer":
 		sender, err := whole(e, "sender")
 		if err != nil {
@@ -209,7 +209,7 @@
 		if err != nil {
 			return err
 		}
-		h.inst.Heard(int(sender), data)
+		h.inst.GossipReceived(int(sender), data)
 	default:
 		return errors.New("unknown event")
 	}
@@ -241,7 +241,7 @@
 		return err
 	}
 	if form == "FAILED" {
-		h.inst.ListFailed()
+		h.inst.EndpointListFailed()
 		return nil
 	}
 	if form != "FULL" && form != "SAVED" && form != "INCREMENTAL" {
@@ -255,7 +255,7 @@
 	if !ok {
 		return fmt.Errorf("unknown list number %d", no)
 	}
-	h.inst.ListBegins(form != "INCREMENTAL")
+	h.inst.BeginEndpointList(form != "INCREMENTAL")
 	for _, l := range lines {
 		name, err := text(l, "brick")
 		if err != nil {
@@ -267,13 +267,13 @@
 		}
 		b := h.bricks[name]
 		if b == nil {
-			b = &policy.Brick{Name: name}
+			b = &policy.Endpoint{Name: name}
 			h.bricks[name] = b
 		}
-		h.inst.Listed(b, string(l.GetStringBytes("region_part")), l.GetInt("group"), status == "SERVING",
+		h.inst.UpdateEndpoint(b, string(l.GetStringBytes("region_part")), l.GetInt("group"), status == "SERVING",
 			status == "DELETED", micros(l, "boot_time_us"))
 	}
-	h.inst.ListEnds()
+	h.inst.EndEndpointList()
 	return nil
 }
 
@@ -311,9 +311,9 @@
 		v = &policy.Volume{}
 		h.volumes[owner+" "+plan] = v
 	}
-	c := &policy.Command{ID: id, Volume: v}
-	h.commands[id] = &entry{cmd: c, dispatches: map[int]*policy.Dispatch{}}
-	return h.inst.Taken(c, queue, plan, string(e.GetStringBytes("object")), int(cell), e.GetInt("n_hosts"),
+	c := &policy.Request{ID: id, Volume: v}
+	h.commands[id] = &entry{cmd: c, dispatches: map[int]*policy.Attempt{}}
+	return h.inst.RequestReceived(c, queue, plan, string(e.GetStringBytes("object")), int(cell), e.GetInt("n_hosts"),
 		units, time.Duration(until)*time.Microsecond, e.GetBool("is_retry"))
 }
 
@@ -327,14 +327,14 @@
 		return err
 	}
 	last := e.GetBool("last")
-	delete(c.dispatches, d.N)
+	delete(c.dispatches, d.Number)
 	c.over = c.over || last
-	h.inst.Ended(d, how, took, last, e.GetFloat64("elsewhere"), e.GetFloat64("metered"))
+	h.inst.AttemptEnded(d, how, took, last, e.GetFloat64("elsewhere"), e.GetFloat64("metered"))
 	h.close(id, c, false)
 	return nil
 }
 
-func (h *host) dispatch(e *fastjson.Value) (int64, *entry, *policy.Dispatch, error) {
+func (h *host) dispatch(e *fastjson.Value) (int64, *entry, *policy.Attempt, error) {
 	id, err := whole(e, "rid")
 	if err != nil {
 		return 0, nil, nil, err
@@ -353,7 +353,7 @@
 	return id, c, c.dispatches[int(n)], nil
 }
 
-func (h *host) brick(e *fastjson.Value) (*policy.Brick, error) {
+func (h *host) brick(e *fastjson.Value) (*policy.Endpoint, error) {
 	name, err := text(e, "brick")
 	if err != nil {
 		return nil, err
@@ -371,7 +371,7 @@
 	}
 }
 
-func ending(e *fastjson.Value) (policy.Ending, time.Duration, error) {
+func ending(e *fastjson.Value) (policy.Outcome, time.Duration, error) {
 	code, err := text(e, "ending")
 	if err != nil {
 		return 0, 0, err
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -64,7 +64,7 @@
 	rate     float64
 	toServer func(nc net.Conn, address string) net.Conn
 	toClient func(nc net.Conn) net.Conn
-	decider  func(policy.Host, policy.Settings) engine.Decider
+	decider  func(policy.Runtime, policy.Settings) engine.Scheduler
 	process  func()
 }
 
@@ -78,11 +78,11 @@
 	"sent twice at once": {wanted: "no effect twice", menu: []string{"server-hangs"},
 		toServer: func(nc net.Conn, address string) net.Conn { return &doubling{nc, address} }},
 	"drains ignored": {wanted: "drains kept", menu: []string{"drain"},
-		decider: func(h policy.Host, s policy.Settings) engine.Decider { return &deafToDrains{policy.New(h, s)} }},
+		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &deafToDrains{policy.New(h, s)} }},
 	"cold servers flooded": {wanted: "no cold brick pushed over", menu: []string{"drain"}, rate: 100,
 		toServer: func(nc net.Conn, address string) net.Conn { return &flooding{nc, address} }},
 	"limits not shared": {wanted: "limits", menu: []string{"clients-slow"},
-		decider: func(h policy.Host, s policy.Settings) engine.Decider { return &alone{policy.New(h, s)} }},
+		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &alone{policy.New(h, s)} }},
 	"ends by itself": {wanted: "ended by itself", menu: []string{"clients-slow"},
 		process: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
 }
@@ -170,16 +170,16 @@
 	return f.Conn.Write(b)
 }
 
-type deafToDrains struct{ *policy.Instance }
+type deafToDrains struct{ *policy.Scheduler }
 
-func (d *deafToDrains) Listed(b *policy.Brick, zone string, cell int, serving, gone bool, boot time.Duration) {
-	d.Instance.Listed(b, zone, cell, true, false, boot)
+func (d *deafToDrains) UpdateEndpoint(b *policy.Endpoint, zone string, cell int, serving, gone bool, boot time.Duration) {
+	d.Scheduler.UpdateEndpoint(b, zone, cell, true, false, boot)
 }
 
-type alone struct{ *policy.Instance }
+type alone struct{ *policy.Scheduler }
 
-func (a *alone) Taken(c *policy.Command, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration, repeat bool) error {
-	return a.Instance.Taken(c, queue, plan, object, cell, 1, units, giveUp, repeat)
+func (a *alone) RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration, repeat bool) error {
+	return a.Scheduler.RequestReceived(c, queue, plan, object, cell, 1, units, giveUp, repeat)
 }
 
 func play(t *testing.T, o Options, name string, more ...string) *Report {
--- a/policy/golden_driver_test.go
+++ b/policy/golden_driver_test.go
@@ -70,7 +70,7 @@
 
 // storage is one storage endpoint as the driver plays it.
 type storage struct {
-	node    Brick
+	node    Endpoint
 	shard   int
 	workers []time.Duration // busy until
 	state   map[faultKind]bool
@@ -80,7 +80,7 @@
 
 // sent is an attempt that the module began.
 type sent struct {
-	attempt *Dispatch
+	attempt *Attempt
 	to      *storage
 	at      time.Duration
 	ended   bool
@@ -88,7 +88,7 @@
 
 // asked is a request that a client made.
 type asked struct {
-	cmd      Command
+	cmd      Request
 	class    string
 	plan     string
 	object   string
@@ -129,7 +129,7 @@
 	seq     int
 	queue   events
 	rng     *rand.Rand
-	module  *Instance
+	module  *Scheduler
 	set     Settings
 	nodes   []*storage
 	byName  map[string]*storage
@@ -188,16 +188,16 @@
 	w.after(wait, f)
 }
 
-func (w *world) Dispatch(d *Dispatch, timeout time.Duration) {
-	w.record("attempt", d.Cmd.ID, d.N, d.Brick.Name, int64(d.By), int64(timeout))
-	a, to := w.asked[d.Cmd.ID], w.byName[d.Brick.Name]
+func (w *world) Send(d *Attempt, timeout time.Duration) {
+	w.record("attempt", d.Request.ID, d.Number, d.Endpoint.Name, int64(d.StartBy), int64(timeout))
+	a, to := w.asked[d.Request.ID], w.byName[d.Endpoint.Name]
 	s := &sent{attempt: d, to: to, at: w.now}
 	a.out = append(a.out, s)
 	w.after(a.deadline-w.now, func() { w.end(a, s, TimedOut) })
 	w.serveAttempt(a, s)
 }
 
-func (w *world) BusyReply(c *Command, pause time.Duration) {
+func (w *world) Reject(c *Request, pause time.Duration) {
 	w.record("reject", c.ID, int64(pause))
 	a := w.asked[c.ID]
 	a.answered = true
@@ -206,30 +206,30 @@
 	}
 }
 
-func (w *world) Abort(c *Command) {
+func (w *world) Fail(c *Request) {
 	w.record("fail", c.ID)
 	w.asked[c.ID].answered = true
 }
 
-func (w *world) Cancel(d *Dispatch) {
-	w.record("cancel", d.Cmd.ID, d.N)
-	a := w.asked[d.Cmd.ID]
+func (w *world) Cancel(d *Attempt) {
+	w.record("cancel", d.Request.ID, d.Number)
+	a := w.asked[d.Request.ID]
 	for _, s := range a.out {
 		if s.attempt == d {
-			how := CalledOff
+			how := Canceled
 			if w.rng.Intn(4) == 0 && w.now-s.at < 20*time.Millisecond {
-				how = Unsent
+				how = NotSent
 			}
 			w.after(0, func() { w.end(a, s, how) })
 		}
 	}
 }
 
-func (w *world) Watch(on bool) {
+func (w *world) RequestEndpointList(on bool) {
 	w.record("watch", on)
 	w.after(30*time.Millisecond, func() {
 		if w.faulty(listDown) {
-			w.module.ListFailed()
+			w.module.EndpointListFailed()
 			return
 		}
 		w.list(true)
@@ -238,27 +238,27 @@
 
 func (w *world) ListAll() { w.record("list") }
 
-func (w *world) Probe(b *Brick) {
+func (w *world) CheckHealth(b *Endpoint) {
 	w.record("check", b.Name)
 	to := w.byName[b.Name]
-	wait, how := w.latency(to, 0.1), Completed
+	wait, how := w.latency(to, 0.1), Served
 	switch {
 	case to.state[hanging]:
 		wait, how = time.Second, TimedOut
 	case to.state[unreachable]:
-		wait, how = 2*time.Millisecond, Unconnected
+		wait, how = 2*time.Millisecond, ConnectFailed
 	}
-	w.after(wait, func() { w.module.Probed(b, how, wait) })
+	w.after(wait, func() { w.module.HealthChecked(b, how, wait) })
 }
 
-func (w *world) Tell(peer int, data []byte)  { w.record("tell", peer, string(data)) }
-func (w *world) CloseIdle(b *Brick)          { w.record("close idle", b.Name) }
-func (w *world) Log(string)                  {}
-func (w *world) chance(share float64) bool   { return w.rng.Float64() < share }
-func (w *world) any(list []string) string    { return list[w.rng.Intn(len(list))] }
-func (w *world) jitter() time.Duration       { return time.Duration(w.rng.Intn(3000)) * time.Microsecond }
-func (w *world) faulty(kind faultKind) bool  { return len(w.nodes) > 0 && w.nodes[0].state[kind] }
-func (w *world) spread(mean float64) float64 { return mean * w.rng.ExpFloat64() }
+func (w *world) SendGossip(peer int, data []byte) { w.record("tell", peer, string(data)) }
+func (w *world) CloseIdle(b *Endpoint)            { w.record("close idle", b.Name) }
+func (w *world) Log(string)                       {}
+func (w *world) chance(share float64) bool        { return w.rng.Float64() < share }
+func (w *world) any(list []string) string         { return list[w.rng.Intn(len(list))] }
+func (w *world) jitter() time.Duration            { return time.Duration(w.rng.Intn(3000)) * time.Microsecond }
+func (w *world) faulty(kind faultKind) bool       { return len(w.nodes) > 0 && w.nodes[0].state[kind] }
+func (w *world) spread(mean float64) float64      { return mean * w.rng.ExpFloat64() }
 
 // latency takes a worker of the endpoint for so many units and returns when they are done, from now.
 func (w *world) latency(to *storage, units float64) time.Duration {
@@ -266,7 +266,7 @@
 	if to.state[slow] {
 		perUnit *= 9
 	}
-	if w.set.ColdFor > 0 && w.now-to.boot < w.set.ColdFor && to.boot > 0 {
+	if w.set.SlowStartTime > 0 && w.now-to.boot < w.set.SlowStartTime && to.boot > 0 {
 		perUnit *= 2
 	}
 	first := 0
@@ -285,24 +285,24 @@
 	to := s.to
 	switch {
 	case to.state[unreachable]:
-		w.after(w.jitter(), func() { w.end(a, s, Unconnected) })
+		w.after(w.jitter(), func() { w.end(a, s, ConnectFailed) })
 	case to.state[hanging]:
 	case to.state[full] && w.chance(0.8):
-		w.after(w.jitter(), func() { w.end(a, s, Turned) })
+		w.after(w.jitter(), func() { w.end(a, s, Rejected) })
 	case to.state[resetting] && w.chance(0.5):
-		w.after(4*w.jitter(), func() { w.end(a, s, Broken) })
+		w.after(4*w.jitter(), func() { w.end(a, s, ConnectionReset) })
 	case to.state[erring] && w.chance(0.6):
-		w.after(w.jitter(), func() { w.end(a, s, Errored) })
+		w.after(w.jitter(), func() { w.end(a, s, ErrorResponse) })
 	case to.state[losing] && w.chance(0.3):
 		if w.chance(0.5) { // on its way for long, but not lost
-			w.after(time.Duration(400+w.rng.Intn(500))*time.Millisecond, func() { w.end(a, s, Completed) })
+			w.after(time.Duration(400+w.rng.Intn(500))*time.Millisecond, func() { w.end(a, s, Served) })
 		}
 	default:
 		wait := w.latency(to, a.units)
 		if w.chance(w.day.load.streams) {
 			w.after(wait/2, func() { w.stream(a, s) })
 		}
-		w.after(wait, func() { w.end(a, s, Completed) })
+		w.after(wait, func() { w.end(a, s, Served) })
 	}
 }
 
@@ -311,27 +311,27 @@
 		return
 	}
 	a.begun = true
-	w.module.Begun(s.attempt)
+	w.module.ResponseStarted(s.attempt)
 }
 
 // end tells the module of an attempt's one outcome.
-func (w *world) end(a *asked, s *sent, how Ending) {
+func (w *world) end(a *asked, s *sent, how Outcome) {
 	if s.ended || how == TimedOut && a.begun && !a.answered {
 		return
 	}
 	s.ended = true
 	a.out = slices.DeleteFunc(a.out, func(o *sent) bool { return o == s })
-	if how == Completed || a.begun {
+	if how == Served || a.begun {
 		a.answered = true
 	}
 	elsewhere, meter := 0.0, 0.0
-	if w.day.load.reportsUsage && (how == Completed || how == Errored) {
+	if w.day.load.reportsUsage && (how == Served || how == ErrorResponse) {
 		elsewhere = w.spread(20)
 		if w.chance(0.3) {
 			meter = 1 + 150*w.rng.Float64()
 		}
 	}
-	w.module.Ended(s.attempt, how, w.now-s.at, a.answered, elsewhere, meter)
+	w.module.AttemptEnded(s.attempt, how, w.now-s.at, a.answered, elsewhere, meter)
 }
 
 // arrival makes a client ask and plans the next one; a surge comes every seven seconds.
@@ -362,15 +362,15 @@
 	}
 	w.lastID++
 	a := &asked{class: class, plan: plan, object: object, shard: shard, units: units, tries: tries}
-	a.cmd = Command{ID: w.lastID, Volume: w.volumes[name]}
+	a.cmd = Request{ID: w.lastID, Volume: w.volumes[name]}
 	timeout := w.timeout(class)
 	if w.chance(w.day.load.impatient) {
 		timeout = timeout / time.Duration(2+w.rng.Intn(6))
 	}
 	a.deadline = w.now + timeout
 	w.asked[a.cmd.ID] = a
-	gateways := 1 + w.set.Hosts/2
-	err := w.module.Taken(&a.cmd, class, plan, object, shard, gateways, units, a.deadline, tries > 0)
+	gateways := 1 + w.set.Gateways/2
+	err := w.module.RequestReceived(&a.cmd, class, plan, object, shard, gateways, units, a.deadline, tries > 0)
 	if err != nil {
 		w.record("error", a.cmd.ID)
 		return
@@ -383,21 +383,21 @@
 func (w *world) leave(a *asked) {
 	if !a.answered {
 		a.answered = true
-		w.module.Left(&a.cmd)
+		w.module.ClientDisconnected(&a.cmd)
 	}
 }
 
 func (w *world) timeout(class string) time.Duration {
-	for _, q := range w.set.QueueTypes {
+	for _, q := range w.set.Classes {
 		if q.Name == class {
-			return q.CommandTimeout
+			return q.Timeout
 		}
 	}
 	return 0
 }
 
 func (w *world) addStorage(name string, shard int, boot time.Duration) *storage {
-	s := &storage{node: Brick{Name: name}, shard: shard, workers: make([]time.Duration, 2+len(w.nodes)%3),
+	s := &storage{node: Endpoint{Name: name}, shard: shard, workers: make([]time.Duration, 2+len(w.nodes)%3),
 		state: map[faultKind]bool{}, serving: true, boot: boot}
 	w.nodes = append(w.nodes, s)
 	w.byName[name] = s
@@ -406,11 +406,11 @@
 
 // list hands the list over, whole or only its changes.
 func (w *world) list(whole bool) {
-	w.module.ListBegins(whole)
+	w.module.BeginEndpointList(whole)
 	for _, s := range w.nodes {
-		w.module.Listed(&s.node, fmt.Sprint("zone", s.shard%2), s.shard, s.serving, false, s.boot)
+		w.module.UpdateEndpoint(&s.node, fmt.Sprint("zone", s.shard%2), s.shard, s.serving, false, s.boot)
 	}
-	w.module.ListEnds()
+	w.module.EndEndpointList()
 }
 
 // begin plays a fault from its first moment to its end.
@@ -426,7 +426,7 @@
 		w.beginAt(f.kind, s)
 	}
 	if f.kind == listDown {
-		w.module.ListFailed()
+		w.module.EndpointListFailed()
 	}
 	w.after(f.to-f.from, func() {
 		for _, s := range hit {
@@ -444,8 +444,8 @@
 	case restarting:
 		s.state[unreachable] = true
 	case full:
-		if w.set.Peers && w.chance(0.5) {
-			w.after(w.jitter(), func() { w.module.Heard(w.rng.Intn(3), []byte("s"+s.node.Name)) })
+		if w.set.Gossip && w.chance(0.5) {
+			w.after(w.jitter(), func() { w.module.GossipReceived(w.rng.Intn(3), []byte("s"+s.node.Name)) })
 		}
 	}
 }
@@ -460,8 +460,8 @@
 		s.workers = make([]time.Duration, len(s.workers))
 		w.list(false)
 	case full:
-		if w.set.Peers && w.chance(0.5) {
-			w.after(w.jitter(), func() { w.module.Heard(w.rng.Intn(3), []byte("f"+s.node.Name)) })
+		if w.set.Gossip && w.chance(0.5) {
+			w.after(w.jitter(), func() { w.module.GossipReceived(w.rng.Intn(3), []byte("f"+s.node.Name)) })
 		}
 	}
 }
@@ -481,14 +481,14 @@
 
 func (w *world) changeMembership() {
 	serving := 1 + w.rng.Intn(6)
-	w.module.Hosts(serving, serving+w.rng.Intn(3)-1)
+	w.module.SetGateways(serving, serving+w.rng.Intn(3)-1)
 	names := make([]string, 0, len(w.volumes))
 	for name := range w.volumes {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		w.module.VolumeHosts(w.volumes[name], 1+w.rng.Intn(serving))
+		w.module.SetVolumeGateways(w.volumes[name], 1+w.rng.Intn(serving))
 	}
 	w.after(2500*time.Millisecond, w.changeMembership)
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -9,26 +9,26 @@
 // from its seed.
 func goldenSettings(seed int64) Settings {
 	odd := float64(seed%7) / 10
-	return Settings{Seed: seed, Ordinal: 1, Hosts: 3, Zone: "zone0", Cancel: true, MaxDispatch: 3, Resolution: 2 * ms,
-		AskWithin: 8 * time.Second, MaxPause: 900 * ms, KeyRest: 250 * ms, UsualUnits: 2 + odd, MarksRepeat: true,
-		ColdFrom: 0.2 + odd/10, ColdFor: 6 * time.Second, ColdUnits: 40 + 10*odd, FallMultiple: 1.8, FallAfter: 900 * ms,
-		QueueTypes: []QueueType{
-			{Name: "read", ServiceTarget: 180 * ms, CommandTimeout: time.Second, Importance: 1 + odd, LateShare: 0.4},
-			{Name: "bulk", ServiceTarget: 900 * ms, CommandTimeout: 3 * time.Second, Importance: 0.6, LateShare: 0.7},
-			{Name: "put", ServiceTarget: 250 * ms, CommandTimeout: 1500 * ms, Importance: 2, LateShare: 0.3, Semantics: Tagged,
-				Group: "cell", Window: 800 * ms},
-			{Name: "zoned", ServiceTarget: 300 * ms, CommandTimeout: 1200 * ms, Importance: 1.5, Semantics: Tagged, Group: "zone",
-				Window: 700 * ms, LateShare: 0.5},
-			{Name: "free", ServiceTarget: 300 * ms, CommandTimeout: 1200 * ms, Importance: 1.2, Semantics: Tagged, Group: "all",
-				Window: 600 * ms},
-			{Name: "once", ServiceTarget: 400 * ms, CommandTimeout: 1600 * ms, Importance: 3, Semantics: NonRetryable},
-			{Name: "row", ServiceTarget: 350 * ms, CommandTimeout: 1400 * ms, Importance: 1, LateShare: 0.2, InOrder: true}},
-		Plans: []Plan{{Name: "gold", Nominal: 60, Reservation: 40 + 10*odd, Weight: 3, Importance: 1},
-			{Name: "plain", Nominal: 50, Weight: 1, Importance: 1},
-			{Name: "capped", Nominal: 30, Limit: 30, Depth: 90, Slack: 12, Weight: 2, Importance: 1}}}
+	return Settings{Seed: seed, Ordinal: 1, Gateways: 3, Zone: "zone0", CanCancel: true, MaxAttempts: 3, TimerResolution: 2 * ms,
+		MaxListAge: 8 * time.Second, MaxRetryAfter: 900 * ms, OrderingCooldown: 250 * ms, TypicalUnits: 2 + odd, ClientsMarkRetries: true,
+		SlowStartShare: 0.2 + odd/10, SlowStartTime: 6 * time.Second, SlowStartUnits: 40 + 10*odd, OverloadFactor: 1.8, OverloadWindow: 900 * ms,
+		Classes: []RequestClass{
+			{Name: "read", LatencyObjective: 180 * ms, Timeout: time.Second, PriorityWeight: 1 + odd, LateValue: 0.4},
+			{Name: "bulk", LatencyObjective: 900 * ms, Timeout: 3 * time.Second, PriorityWeight: 0.6, LateValue: 0.7},
+			{Name: "put", LatencyObjective: 250 * ms, Timeout: 1500 * ms, PriorityWeight: 2, LateValue: 0.3, Idempotency: IdempotentByKey,
+				IdempotencyScope: "cell", IdempotencyWindow: 800 * ms},
+			{Name: "zoned", LatencyObjective: 300 * ms, Timeout: 1200 * ms, PriorityWeight: 1.5, Idempotency: IdempotentByKey, IdempotencyScope: "zone",
+				IdempotencyWindow: 700 * ms, LateValue: 0.5},
+			{Name: "free", LatencyObjective: 300 * ms, Timeout: 1200 * ms, PriorityWeight: 1.2, Idempotency: IdempotentByKey, IdempotencyScope: "all",
+				IdempotencyWindow: 600 * ms},
+			{Name: "once", LatencyObjective: 400 * ms, Timeout: 1600 * ms, PriorityWeight: 3, Idempotency: NotIdempotent},
+			{Name: "row", LatencyObjective: 350 * ms, Timeout: 1400 * ms, PriorityWeight: 1, LateValue: 0.2, Ordered: true}},
+		Plans: []ServicePlan{{Name: "gold", NominalRate: 60, Reservation: 40 + 10*odd, Weight: 3, Importance: 1},
+			{Name: "plain", NominalRate: 50, Weight: 1, Importance: 1},
+			{Name: "capped", NominalRate: 30, Limit: 30, Burst: 90, InitialBurst: 12, Weight: 2, Importance: 1}}}
 }
 
-func withHealthChecks(s *Settings) { s.Probe, s.Peers = true, true }
+func withHealthChecks(s *Settings) { s.HealthChecks, s.Gossip = true, true }
 
 func plainSettings(*Settings) {}
 
@@ -36,11 +36,11 @@
 
 // goldenDays: each day's story says which rules it is there to reach.
 var goldenDays = []goldenDay{
-	{name: "quiet", seed: 11, tune: func(s *Settings) { s.Hosts = 1 },
+	{name: "quiet", seed: 11, tune: func(s *Settings) { s.Gateways = 1 },
 		story:  "Few requests, no fault: demand, divvy, tags, a limit that widens with low latency; one gateway alone.",
 		load:   load{length: 25 * sec, perSecond: 60, endpoints: 4, shards: 2, objects: 40},
 		digest: "8bb300d2b5e62ad0e5e02ac0"},
-	{name: "overload", seed: 12, tune: func(s *Settings) { s.MarksRepeat = false },
+	{name: "overload", seed: 12, tune: func(s *Settings) { s.ClientsMarkRetries = false },
 		story: "More than the endpoints can do, clients that come again: load shedding, Retry-After, requests that will miss their " +
 			"objective, first tries remembered.",
 		load:   load{length: 20 * sec, perSecond: 320, endpoints: 5, shards: 2, objects: 60, repeats: 0.8, anyShard: 0.1},
@@ -73,23 +73,23 @@
 		faults: []fault{{restarting, 0.34, 3 * sec, 5 * sec}, {draining, 0.5, 8 * sec, 11 * sec}, {restarting, 0.67, 15 * sec, 16 * sec}, {vanishing, 0.5, 20 * sec, 21 * sec}},
 		digest: "ed2ba9915855d3d9e6e29897"},
 	{name: "retry budget", seed: 18, tune: func(s *Settings) {
-		s.Budgeted, s.BudgetFree, s.BudgetShare, s.BudgetSpan, s.MaxDispatch = true, 3, 0.1, 2*sec, 4
+		s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow, s.MaxAttempts = true, 3, 0.1, 2*sec, 4
 	},
 		story:  "Errors under a retry budget: retries wait for it, also after what is called off as lost.",
 		load:   load{length: 22 * sec, perSecond: 150, endpoints: 5, shards: 1, objects: 60, repeats: 0.3},
 		faults: []fault{{erring, 0.6, 3 * sec, 9 * sec}, {losing, 0.6, 10 * sec, 15 * sec}, {resetting, 0.6, 15 * sec, 20 * sec}},
 		digest: "7aafb11460e43dc81c4c77bb"},
-	{name: "ordered keys", seed: 19, tune: func(s *Settings) { s.KeyRest = 400 * ms },
+	{name: "ordered keys", seed: 19, tune: func(s *Settings) { s.OrderingCooldown = 400 * ms },
 		story:  "Few objects, so that ordered requests wait in line, with outcomes after which a key rests.",
 		load:   load{length: 20 * sec, perSecond: 140, endpoints: 4, shards: 1, objects: 4, leaves: 0.1},
 		faults: []fault{{resetting, 0.5, 3 * sec, 8 * sec}, {hanging, 0.25, 9 * sec, 14 * sec}},
 		digest: "6b2356c008e177b093df89ba"},
-	{name: "membership", seed: 20, tune: func(s *Settings) { s.Hosts = 5 },
+	{name: "membership", seed: 20, tune: func(s *Settings) { s.Gateways = 5 },
 		story:  "A gateway starts while all endpoints warm up, others come and go: parts of limits, reservations and slow-start budgets.",
 		load:   load{length: 26 * sec, perSecond: 130, endpoints: 5, shards: 2, objects: 60, membership: true, reportsUsage: true, warming: true},
 		faults: []fault{{restarting, 0.4, 4 * sec, 5 * sec}, {restarting, 0.4, 13 * sec, 14 * sec}, {slow, 0.4, 18 * sec, 22 * sec}},
 		digest: "cde1edfa2e73538cc925e921"},
-	{name: "list down", seed: 21, tune: func(s *Settings) { s.Asks = true; s.AskWithin = 5 * sec },
+	{name: "list down", seed: 21, tune: func(s *Settings) { s.PollEndpointList = true; s.MaxListAge = 5 * sec },
 		story:  "The list is asked for and fails for a while: backoff with jitter; drains come when it is back.",
 		load:   load{length: 24 * sec, perSecond: 110, endpoints: 4, shards: 2, objects: 60, leaves: 0.2},
 		faults: []fault{{listDown, 0.1, 2 * sec, 12 * sec}, {draining, 0.5, 9 * sec, 15 * sec}, {hanging, 0.5, 17 * sec, 21 * sec}},
@@ -99,18 +99,18 @@
 		load:   load{length: 22 * sec, perSecond: 170, endpoints: 5, shards: 3, objects: 50, streams: 0.4, leaves: 0.3, impatient: 0.3, anyShard: 0.3},
 		faults: []fault{{slow, 0.4, 4 * sec, 9 * sec}, {erring, 0.4, 11 * sec, 16 * sec}, {hanging, 0.2, 15 * sec, 20 * sec}},
 		digest: "70bb322cd76de6ad226e4f58"},
-	{name: "no cancel", seed: 23, tune: func(s *Settings) { s.Cancel = false; s.Hosts = 8; s.MaxPause = 0 },
+	{name: "no cancel", seed: 23, tune: func(s *Settings) { s.CanCancel = false; s.Gateways = 8; s.MaxRetryAfter = 0 },
 		story:  "Attempts can't be called off, clients get no Retry-After, eight gateways share few endpoints.",
 		load:   load{length: 22 * sec, perSecond: 90, endpoints: 3, shards: 1, objects: 40, leaves: 0.1, repeats: 0.4},
 		faults: []fault{{hanging, 0.34, 3 * sec, 8 * sec}, {losing, 1, 9 * sec, 14 * sec}, {slow, 0.67, 15 * sec, 19 * sec}},
 		digest: "b9ee751a3f47726f0b930238"},
-	{name: "many gateways", seed: 24, tune: func(s *Settings) { withHealthChecks(s); s.Hosts = 60; s.Ordinal = 2 },
+	{name: "many gateways", seed: 24, tune: func(s *Settings) { withHealthChecks(s); s.Gateways = 60; s.Ordinal = 2 },
 		story: "Each gateway has one place at each endpoint and sees little traffic: pacing from its own rate, limits of one, " +
 			"ejection told by others.",
 		load:   load{length: 30 * sec, perSecond: 40, endpoints: 8, shards: 2, objects: 100, reportsUsage: true, repeats: 0.5},
 		faults: []fault{{slow, 0.3, 3 * sec, 12 * sec}, {full, 0.3, 13 * sec, 20 * sec}, {restarting, 0.3, 21 * sec, 22 * sec}},
 		digest: "a0a38f3fcb7b39117543e12e"},
-	{name: "nothing open", seed: 25, tune: func(s *Settings) { s.BudgetFree = 9 },
+	{name: "nothing open", seed: 25, tune: func(s *Settings) { s.RetryBudgetFree = 9 },
 		story:  "For some seconds every endpoint drains, then others take their place; some requests name an unknown plan.",
 		load:   load{length: 20 * sec, perSecond: 120, endpoints: 4, shards: 2, objects: 50, unknown: 0.02, repeats: 0.3, lateBoots: true},
 		faults: []fault{{draining, 1, 5 * sec, 9 * sec}, {vanishing, 0.5, 14 * sec, 15 * sec}},
--- a/policy/helper.go
+++ b/policy/helper.go
@@ -8,12 +8,12 @@
 
 // Containers and clocks of the module's state; nothing here decides.
 
-func (in *Instance) hold(c *Command) {
+func (in *Scheduler) hold(c *Request) {
 	c.held = true
 	c.lane.held = append(c.lane.held, c)
 }
 
-func (in *Instance) unhold(c *Command) {
+func (in *Scheduler) unhold(c *Request) {
 	if c.held {
 		c.held, c.lane.held = false, without(c.lane.held, c)
 	}
@@ -26,14 +26,14 @@
 	return list
 }
 
-func (in *Instance) keyOf(object string) *key {
+func (in *Scheduler) keyOf(object string) *key {
 	if in.keys[object] == nil {
 		in.keys[object] = &key{}
 	}
 	return in.keys[object]
 }
 
-func (in *Instance) cellOf(no int) *cell {
+func (in *Scheduler) cellOf(no int) *cell {
 	if in.cells[no] == nil {
 		in.cells[no] = &cell{}
 	}
@@ -41,14 +41,14 @@
 }
 
 // at is the bricks that hold a cell; a new object may go to any.
-func (in *Instance) at(cellNo int) []*Brick {
+func (in *Scheduler) at(cellNo int) []*Endpoint {
 	if cellNo < 0 {
 		return in.bricks
 	}
 	return in.cellOf(cellNo).bricks
 }
 
-func (in *Instance) laneOf(v *Volume, cellNo int) *lane {
+func (in *Scheduler) laneOf(v *Volume, cellNo int) *lane {
 	for _, l := range v.lanes {
 		if l.cell == cellNo {
 			return l
@@ -73,6 +73,6 @@
 	return k.level
 }
 
-func (in *Instance) log(format string, args ...any) { in.host.Log(fmt.Sprintf(format, args...)) }
+func (in *Scheduler) log(format string, args ...any) { in.host.Log(fmt.Sprintf(format, args...)) }
 
-func (b *Brick) soon() time.Duration { return b.lat * time.Duration(b.out+1) } // answer to one more command
+func (b *Endpoint) soon() time.Duration { return b.lat * time.Duration(b.out+1) } // answer to one more command
--- a/policy/host.go
+++ b/policy/host.go
@@ -3,80 +3,80 @@
 import "time"
 
 // Host is what the module may do. Every call takes effect at once.
-type Host interface {
+type Runtime interface {
 	Now() time.Duration
-	Dispatch(d *Dispatch, timeout time.Duration)
-	BusyReply(c *Command, pause time.Duration)
-	Abort(c *Command)
-	Cancel(d *Dispatch)
+	Send(d *Attempt, timeout time.Duration)
+	Reject(c *Request, pause time.Duration)
+	Fail(c *Request)
+	Cancel(d *Attempt)
 	After(wait time.Duration, f func())
-	Watch(on bool)
+	RequestEndpointList(on bool)
 	ListAll()
-	Probe(b *Brick)
-	Tell(peer int, data []byte)
-	CloseIdle(b *Brick)
+	CheckHealth(b *Endpoint)
+	SendGossip(peer int, data []byte)
+	CloseIdle(b *Endpoint)
 	Log(line string)
 }
 
 // Settings are handed over once, when a host starts.
 type Settings struct {
-	Seed         int64
-	Ordinal      int
-	Hosts        int
-	Zone         string
-	QueueTypes   []QueueType
-	Plans        []Plan
-	Asks         bool // the list comes only when asked for
-	SecondCopies bool
-	Cancel       bool
-	Probe        bool
-	Peers        bool
-	MaxPause     time.Duration // longest advice that clients follow, 0: they get none
-	MarksRepeat  bool          // clients mark their repeats
-	MaxDispatch  int
-	AnswerSlack  time.Duration
-	Resolution   time.Duration
-	AskWithin    time.Duration
-	DrainGrace   time.Duration
-	ColdFrom     float64
-	ColdFor      time.Duration
-	ColdUnits    float64
-	FallMultiple float64
-	FallAfter    time.Duration
-	Budgeted     bool
-	BudgetFree   float64
-	BudgetShare  float64
-	BudgetSpan   time.Duration
-	KeyRest      time.Duration
-	Meter        time.Duration
-	Elsewhere    bool
-	UsualUnits   float64
-	UnitsTop     float64
+	Seed               int64
+	Ordinal            int
+	Gateways           int
+	Zone               string
+	Classes            []RequestClass
+	Plans              []ServicePlan
+	PollEndpointList   bool // the list comes only when asked for
+	Hedging            bool
+	CanCancel          bool
+	HealthChecks       bool
+	Gossip             bool
+	MaxRetryAfter      time.Duration // longest advice that clients follow, 0: they get none
+	ClientsMarkRetries bool          // clients mark their repeats
+	MaxAttempts        int
+	AnswerSlack        time.Duration
+	TimerResolution    time.Duration
+	MaxListAge         time.Duration
+	DrainGrace         time.Duration
+	SlowStartShare     float64
+	SlowStartTime      time.Duration
+	SlowStartUnits     float64
+	OverloadFactor     float64
+	OverloadWindow     time.Duration
+	RetryBudget        bool
+	RetryBudgetFree    float64
+	RetryBudgetRatio   float64
+	RetryBudgetWindow  time.Duration
+	OrderingCooldown   time.Duration
+	Meter              time.Duration
+	Elsewhere          bool
+	TypicalUnits       float64
+	UnitsTop           float64
 }
 
 // QueueType is the handed-over form of a queue type.
-type QueueType struct {
-	Name           string
-	ServiceTarget  time.Duration
-	CommandTimeout time.Duration
-	Window         time.Duration
-	Importance     float64
-	LateShare      float64
-	Semantics      Semantics
-	Group          string // all, zone or cell
-	Streaming      bool
-	InOrder        bool
-	Writes         bool
+type RequestClass struct {
+	Name              string
+	LatencyObjective  time.Duration
+	Timeout           time.Duration
+	IdempotencyWindow time.Duration
+	PriorityWeight    float64
+	LateValue         float64
+	Idempotency       Idempotency
+	IdempotencyScope  string // all, zone or cell
+	Streaming         bool
+	Ordered           bool
+	Writes            bool
 }
 
 // Plan is the handed-over form of a plan; the figures hold for each volume over all hosts.
-type Plan struct {
-	Name        string
-	Nominal     float64
-	Reservation float64
-	Limit       float64
-	Depth       float64
-	Slack       float64
-	Weight      float64
-	Importance  float64
+type ServicePlan struct {
+	Name         string
+	NominalRate  float64
+	Reservation  float64
+	Limit        float64
+	Burst        float64
+	InitialBurst float64
+	Weight       float64
+	Importance   float64
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -38,32 +38,32 @@
 const pressing, canWait, missed = 0, 1, 2
 
 // New starts a host that knows nothing yet.
-func New(h Host, s Settings) *Instance {
-	in := &Instance{host: h, rng: rand.New(rand.NewSource(s.Seed)),
+func New(h Runtime, s Settings) *Scheduler {
+	in := &Scheduler{host: h, rng: rand.New(rand.NewSource(s.Seed)),
 		queues: map[string]*queueType{}, plans: map[string]*plan{}, cells: map[int]*cell{}, keys: map[string]*key{},
-		refused: map[wish][]time.Duration{}, marksRepeat: s.MarksRepeat, cancels: s.Cancel, advises: s.MaxPause,
-		maxDispatches: s.MaxDispatch, budgeted: s.Budgeted, budgetFree: s.BudgetFree, budgetShare: s.BudgetShare,
-		budgetSpan: s.BudgetSpan, keyRest: s.KeyRest, usual: math.Max(s.UsualUnits, 1), askWithin: s.AskWithin,
-		watches: s.Probe && s.Peers, ordinal: s.Ordinal, early: 2 * s.Resolution, began: h.Now(),
-		coldFor: s.ColdFor, coldSpan: s.FallAfter, coldGain: 1/math.Max(s.ColdFrom, 0.01) - 1}
-	in.coldAll = s.ColdUnits * math.Max(s.FallMultiple-1, 0) / math.Max(s.FallMultiple, 1)
-	in.Hosts(max(s.Hosts, 1), max(s.Hosts, 1))
-	in.coldProof, in.shortest = math.Max(s.FallMultiple-1, 0)/2, never
-	for _, q := range s.QueueTypes {
-		in.queues[q.Name] = &queueType{target: q.ServiceTarget, timeout: q.CommandTimeout, window: q.Window,
-			importance: q.Importance, late: q.LateShare, semantics: q.Semantics, group: q.Group, order: q.InOrder}
-		in.shortest = min(in.shortest, q.ServiceTarget)
+		refused: map[wish][]time.Duration{}, marksRepeat: s.ClientsMarkRetries, cancels: s.CanCancel, advises: s.MaxRetryAfter,
+		maxDispatches: s.MaxAttempts, budgeted: s.RetryBudget, budgetFree: s.RetryBudgetFree, budgetShare: s.RetryBudgetRatio,
+		budgetSpan: s.RetryBudgetWindow, keyRest: s.OrderingCooldown, usual: math.Max(s.TypicalUnits, 1), askWithin: s.MaxListAge,
+		watches: s.HealthChecks && s.Gossip, ordinal: s.Ordinal, early: 2 * s.TimerResolution, began: h.Now(),
+		coldFor: s.SlowStartTime, coldSpan: s.OverloadWindow, coldGain: 1/math.Max(s.SlowStartShare, 0.01) - 1}
+	in.coldAll = s.SlowStartUnits * math.Max(s.OverloadFactor-1, 0) / math.Max(s.OverloadFactor, 1)
+	in.SetGateways(max(s.Gateways, 1), max(s.Gateways, 1))
+	in.coldProof, in.shortest = math.Max(s.OverloadFactor-1, 0)/2, never
+	for _, q := range s.Classes {
+		in.queues[q.Name] = &queueType{target: q.LatencyObjective, timeout: q.Timeout, window: q.IdempotencyWindow,
+			importance: q.PriorityWeight, late: q.LateValue, semantics: q.Idempotency, group: q.IdempotencyScope, order: q.Ordered}
+		in.shortest = min(in.shortest, q.LatencyObjective)
 	}
 	in.lc = max(time.Duration(float64(in.shortest)*congestion), time.Millisecond)
 	for _, q := range in.queues {
 		q.cost, q.work = in.lc.Seconds()/in.usual, in.lc.Seconds()/in.usual/2
 	}
 	for _, p := range s.Plans {
-		in.plans[p.Name] = &plan{nominal: p.Nominal, reservation: p.Reservation, limit: p.Limit, depth: p.Depth,
-			slack: p.Slack, weight: math.Max(p.Weight, 0.01)}
+		in.plans[p.Name] = &plan{nominal: p.NominalRate, reservation: p.Reservation, limit: p.Limit, depth: p.Burst,
+			slack: p.InitialBurst, weight: math.Max(p.Weight, 0.01)}
 	}
-	if s.Asks {
-		h.After(time.Duration(in.rng.Int63n(int64(period)/4)), func() { in.host.Watch(true) })
+	if s.PollEndpointList {
+		h.After(time.Duration(in.rng.Int63n(int64(period)/4)), func() { in.host.RequestEndpointList(true) })
 	}
 	h.After(period, in.turn)
 	h.After(in.lc/4, in.sweep)
@@ -72,7 +72,7 @@
 
 // Hosts tells how many hosts serve now, and over how many a cold brick's room must be split: those that may
 // still serve count there. Guards rule 4 while hosts come and go. 0: this host has no part yet.
-func (in *Instance) Hosts(serving, parts int) {
+func (in *Scheduler) SetGateways(serving, parts int) {
 	in.hosts, in.coldUnits = math.Max(1, float64(serving)), 0
 	if parts > 0 {
 		in.coldUnits = in.coldAll / float64(parts)
@@ -81,7 +81,7 @@
 
 // VolumeHosts tells through how many hosts a volume works from now on. Guards rule 7 meanwhile: a part that
 // shrinks loses what it held in proportion, one that grows fills at its rate.
-func (in *Instance) VolumeHosts(v *Volume, hosts int) {
+func (in *Scheduler) SetVolumeGateways(v *Volume, hosts int) {
 	if n := math.Max(1, float64(hosts)); v.plan != nil && n != v.hosts {
 		v.limit.fill(in.host.Now())
 		v.limit.level *= math.Min(1, v.hosts/n)
@@ -90,7 +90,7 @@
 }
 
 // ListBegins opens a list; in a whole one, what is not named is gone.
-func (in *Instance) ListBegins(whole bool) {
+func (in *Scheduler) BeginEndpointList(whole bool) {
 	in.failures = 0
 	if whole {
 		for _, b := range in.bricks {
@@ -100,7 +100,7 @@
 }
 
 // Listed is one line of the list.
-func (in *Instance) Listed(b *Brick, zone string, cellNo int, serving, gone bool, boot time.Duration) {
+func (in *Scheduler) UpdateEndpoint(b *Endpoint, zone string, cellNo int, serving, gone bool, boot time.Duration) {
 	if b.quota == 0 {
 		b.quota, b.of, b.lat = startQuota, 1/in.hosts, in.lc
 		b.window, b.cell = part(b.quota, b.of), cellNo
@@ -122,7 +122,7 @@
 	b.zone, b.listed, b.open = zone, !gone, serving
 }
 
-func (in *Instance) ListEnds() {
+func (in *Scheduler) EndEndpointList() {
 	for _, b := range slices.Clone(in.bricks) {
 		if !b.listed && b.open {
 			b.open = false
@@ -136,15 +136,15 @@
 }
 
 // ListFailed tells of a call or a watch that failed; hosts ask again at times of their own.
-func (in *Instance) ListFailed() {
+func (in *Scheduler) EndpointListFailed() {
 	in.failures++
 	wait := min(period<<min(in.failures, 3), in.askWithin/2)
 	in.log("list failed %d times, asking within %v", in.failures, wait)
-	in.host.After(wait/2+time.Duration(in.rng.Int63n(int64(wait/2)+1)), func() { in.host.Watch(true) })
+	in.host.After(wait/2+time.Duration(in.rng.Int63n(int64(wait/2)+1)), func() { in.host.RequestEndpointList(true) })
 }
 
 // Taken is a command that this host now owes one final answer.
-func (in *Instance) Taken(c *Command, queue, planName, object string, cellNo, hosts int, units float64,
+func (in *Scheduler) RequestReceived(c *Request, queue, planName, object string, cellNo, hosts int, units float64,
 	giveUp time.Duration, repeat bool) error {
 	now := in.host.Now()
 	if in.queues[queue] == nil || in.plans[planName] == nil {
@@ -189,12 +189,12 @@
 }
 
 // Begun tells that the answer has begun to stream: the command is the client's.
-func (in *Instance) Begun(d *Dispatch) {
-	d.Cmd.streaming = true
-	in.callOff(d.Cmd, d)
+func (in *Scheduler) ResponseStarted(d *Attempt) {
+	d.Request.streaming = true
+	in.callOff(d.Request, d)
 }
 
-func (in *Instance) callOff(c *Command, but *Dispatch) {
+func (in *Scheduler) callOff(c *Request, but *Attempt) {
 	for _, d := range c.dispatches {
 		if d != but && !d.over && in.cancels {
 			in.host.Cancel(d)
@@ -203,7 +203,7 @@
 }
 
 // Left tells that the client has gone; nothing is owed.
-func (in *Instance) Left(c *Command) {
+func (in *Scheduler) ClientDisconnected(c *Request) {
 	if !c.over {
 		in.refused[c.wish] = append(in.refused[c.wish], c.first)
 		in.finish(c)
@@ -212,7 +212,7 @@
 
 // firstTry is when the client first asked. Its repeat of what this host gave up on counts from there, so it
 // won't go before what can be in time. Guards against storms of repeats; what asks anew may look like one.
-func (in *Instance) firstTry(c *Command, repeat bool) time.Duration {
+func (in *Scheduler) firstTry(c *Request, repeat bool) time.Duration {
 	c.wish = wish{c.Volume, c.queue, c.object, c.units}
 	tries := in.refused[c.wish]
 	if len(tries) == 0 || in.marksRepeat && !repeat {
@@ -222,18 +222,18 @@
 	return tries[0]
 }
 
-func (in *Instance) giveUp(c *Command) {
+func (in *Scheduler) giveUp(c *Request) {
 	in.refused[c.wish] = append(in.refused[c.wish], c.first)
 	busy := in.mayRefuse(c)
 	in.finish(c)
 	if busy {
-		in.host.BusyReply(c, min(in.least(c.cell), in.advises))
+		in.host.Reject(c, min(in.least(c.cell), in.advises))
 	} else {
-		in.host.Abort(c)
+		in.host.Fail(c)
 	}
 }
 
-func (in *Instance) finish(c *Command) {
+func (in *Scheduler) finish(c *Request) {
 	in.unhold(c)
 	c.over = true
 	c.lane.count(in.host.Now(), -c.units)
@@ -244,20 +244,20 @@
 }
 
 // mayRefuse guards rule 2: a busy reply says that trying again is harmless.
-func (in *Instance) mayRefuse(c *Command) bool {
-	return c.queue.semantics == Retryable || c.queue.semantics == Tagged && c.queue.group == "all" ||
-		!slices.ContainsFunc(c.dispatches, func(d *Dispatch) bool { return d.ran })
+func (in *Scheduler) mayRefuse(c *Request) bool {
+	return c.queue.semantics == Idempotent || c.queue.semantics == IdempotentByKey && c.queue.group == "all" ||
+		!slices.ContainsFunc(c.dispatches, func(d *Attempt) bool { return d.ran })
 }
 
 // mayRun guards rules 2, 5 and 7 for a dispatch of c to b.
-func (in *Instance) mayRun(c *Command, b *Brick, now time.Duration) bool {
+func (in *Scheduler) mayRun(c *Request, b *Endpoint, now time.Duration) bool {
 	if c.key != nil && (c.key.line[0] != c || now < c.key.rest && len(c.dispatches) == 0) {
 		return false
 	}
 	for _, d := range c.dispatches {
-		if q := c.queue; d.ran && (q.semantics == NonRetryable || q.semantics == Tagged &&
-			(now >= d.sent+q.window || q.group == "zone" && b.zone != d.Brick.zone ||
-				q.group == "cell" && b.cell != d.Brick.cell)) {
+		if q := c.queue; d.ran && (q.semantics == NotIdempotent || q.semantics == IdempotentByKey &&
+			(now >= d.sent+q.window || q.group == "zone" && b.zone != d.Endpoint.zone ||
+				q.group == "cell" && b.cell != d.Endpoint.cell)) {
 			return false
 		}
 	}
@@ -266,9 +266,9 @@
 
 // by is until when a further dispatch may begin. Guards rule 2 where one waits for its connection: later its
 // mark may be forgotten.
-func (c *Command) by() (by time.Duration) {
+func (c *Request) by() (by time.Duration) {
 	for _, d := range c.dispatches {
-		if end := d.sent + c.queue.window; d.ran && c.queue.semantics == Tagged && (by == 0 || end < by) {
+		if end := d.sent + c.queue.window; d.ran && c.queue.semantics == IdempotentByKey && (by == 0 || end < by) {
 			by = end
 		}
 	}
@@ -276,14 +276,14 @@
 }
 
 // again tells whether a further dispatch of c may go to b: within attempts, credit and budget.
-func (in *Instance) again(c *Command, b *Brick, now time.Duration) bool {
+func (in *Scheduler) again(c *Request, b *Endpoint, now time.Duration) bool {
 	if len(c.dispatches) == 0 {
 		return true
 	}
 	return c.out == 0 && len(c.dispatches) < in.maxDispatches && b.strikes == 0 && in.affords(now)
 }
 
-func (in *Instance) affords(now time.Duration) bool {
+func (in *Scheduler) affords(now time.Duration) bool {
 	if !in.budgeted {
 		return true
 	}
@@ -295,20 +295,20 @@
 }
 
 // Ended tells how a dispatch ended; last, that the command is over.
-func (in *Instance) Ended(d *Dispatch, how Ending, took time.Duration, last bool, elsewhere, meter float64) {
-	now, c, b := in.host.Now(), d.Cmd, d.Brick
+func (in *Scheduler) AttemptEnded(d *Attempt, how Outcome, took time.Duration, last bool, elsewhere, meter float64) {
+	now, c, b := in.host.Now(), d.Request, d.Endpoint
 	d.over, b.flying = true, without(b.flying, d)
 	c.out, b.out = c.out-1, b.out-1
-	d.ran = how == Completed || how == Errored || how == TimedOut || how == Broken || how == CalledOff
-	if c.key != nil && (how == TimedOut || how == Broken || how == CalledOff) {
+	d.ran = how == Served || how == ErrorResponse || how == TimedOut || how == ConnectionReset || how == Canceled
+	if c.key != nil && (how == TimedOut || how == ConnectionReset || how == Canceled) {
 		c.key.rest = max(c.key.rest, now+in.keyRest)
 	}
-	if d.done = how == Completed; d.lost && d.done && !in.watches {
+	if d.done = how == Served; d.lost && d.done && !in.watches {
 		c.Volume.served += c.units
 	}
 	switch { // only work done feeds Lat: fast failures would widen a dying brick's window
 	case d.lost && !in.watches: // what overtook it told of the brick
-	case how == Completed:
+	case how == Served:
 		b.strikes, b.breaks = 0, 0
 		b.sum += took
 		b.answers++
@@ -320,7 +320,7 @@
 			in.callLost(b, d.sent)
 		}
 		c.queue.cost += 0.02 * (took.Seconds()/c.units - c.queue.cost)
-	case how == TimedOut || how == CalledOff: // the brick still holds it: unfed, the window would stay wide
+	case how == TimedOut || how == Canceled: // the brick still holds it: unfed, the window would stay wide
 		b.sum += took
 		b.answers++
 		if took > in.lc && !d.lost {
@@ -330,8 +330,8 @@
 		if !in.watches {
 			in.pace(d, 2*took)
 		}
-	case how == Turned || how == Unconnected || how == Broken:
-		if b.breaks++; how == Broken && b.breaks == 1 { // one connection may break anywhere on the way
+	case how == Rejected || how == ConnectFailed || how == ConnectionReset:
+		if b.breaks++; how == ConnectionReset && b.breaks == 1 { // one connection may break anywhere on the way
 			break
 		}
 		if b.strikes == 0 {
@@ -339,11 +339,11 @@
 		}
 		b.strikes++
 		in.pace(d, never/4)
-		if how == Turned && in.watches && now >= b.stuck {
+		if how == Rejected && in.watches && now >= b.stuck {
 			in.watch(b)
 		}
 	}
-	if how == Completed || how == Errored {
+	if how == Served || how == ErrorResponse {
 		in.told(c, elsewhere, meter)
 	}
 	switch {
@@ -353,7 +353,7 @@
 		in.finish(c)
 	case c.out > 0:
 	case now >= c.giveUp-in.early || len(c.dispatches) >= in.maxDispatches ||
-		!slices.ContainsFunc(in.at(c.cell), func(b *Brick) bool { return in.mayRun(c, b, now) }):
+		!slices.ContainsFunc(in.at(c.cell), func(b *Endpoint) bool { return in.mayRun(c, b, now) }):
 		in.giveUp(c)
 	default:
 		in.hold(c)
@@ -367,8 +367,8 @@
 // pace moves the least time between dispatches to a brick, from the host's own rate on. Guards against many
 // hosts with one place each, however few their commands, and against a full or dead brick that looks free
 // since it answers fast. It hurts where a slow answer says nothing of the next, or a brick is back unlisted.
-func (in *Instance) pace(d *Dispatch, took time.Duration) {
-	b, factor := d.Brick, math.Min(math.Max(took.Seconds()/in.lc.Seconds(), 0.125), 3)
+func (in *Scheduler) pace(d *Attempt, took time.Duration) {
+	b, factor := d.Endpoint, math.Min(math.Max(took.Seconds()/in.lc.Seconds(), 0.125), 3)
 	gap := min(time.Duration(factor*float64(d.gap)), 16*in.lc*time.Duration(in.hosts))
 	if gap <= in.lc/4 {
 		gap = 0
@@ -379,7 +379,7 @@
 }
 
 // told takes what an answer says of the volume's service through all hosts.
-func (in *Instance) told(c *Command, elsewhere, metered float64) {
+func (in *Scheduler) told(c *Request, elsewhere, metered float64) {
 	if v := c.Volume; metered > 0 {
 		v.told, v.hasTold = (metered-1)/100*v.plan.nominal, true
 	}
@@ -391,34 +391,34 @@
 }
 
 // probe asks whether a brick that left a dispatch unanswered is slow or stuck, or only that answer was lost.
-func (in *Instance) probe(b *Brick) {
+func (in *Scheduler) probe(b *Endpoint) {
 	if in.watches && !b.probed && b.open {
 		b.probed = true
-		b.probe = Dispatch{Brick: b, sent: in.host.Now(), gap: in.start(b)}
-		in.host.Probe(b)
+		b.probe = Attempt{Endpoint: b, sent: in.host.Now(), gap: in.start(b)}
+		in.host.CheckHealth(b)
 	}
 }
 
 // overdue tells that a dispatch takes far longer than its own work. If the probe that follows is quick its
 // answer was lost: it is called off and its place is free. It hurts where a probe does not wait in turn.
-func (in *Instance) overdue(d *Dispatch, now time.Duration) bool {
-	return now-d.sent > 2*in.lc+time.Duration(6*d.Cmd.queue.work*d.Cmd.units*float64(time.Second))
+func (in *Scheduler) overdue(d *Attempt, now time.Duration) bool {
+	return now-d.sent > 2*in.lc+time.Duration(6*d.Request.queue.work*d.Request.units*float64(time.Second))
 }
 
-func (in *Instance) start(b *Brick) time.Duration { // where the gap opens from: the host's own rate
+func (in *Scheduler) start(b *Endpoint) time.Duration { // where the gap opens from: the host's own rate
 	return max(b.gap, min(b.every, in.lc*time.Duration(in.hosts)/16), in.lc/4)
 }
 
 // watch tells all hosts that a brick is stuck and probes it for them. Guards against one that holds so much
 // that it is slow: a little from each of many hosts keeps it so. It hurts where only the probe is slow.
-func (in *Instance) watch(b *Brick) {
+func (in *Scheduler) watch(b *Endpoint) {
 	now := in.host.Now()
 	if now >= b.stuck {
 		in.log("stuck %s: full, or its probe late; %d out", b.Name, b.out)
 	}
 	b.watched = true
 	if b.stuck < now+period {
-		in.host.Tell(-1, append([]byte{'s'}, b.Name...))
+		in.host.SendGossip(-1, append([]byte{'s'}, b.Name...))
 		in.stick(b)
 	}
 	in.host.After(in.shortest, func() {
@@ -429,25 +429,27 @@
 }
 
 // stick keeps all from a brick until it is told free, or for two periods where the watching host is gone.
-func (in *Instance) stick(b *Brick) { b.stuck, b.lat = in.host.Now()+2*period, max(b.lat, in.shortest) }
+func (in *Scheduler) stick(b *Endpoint) {
+	b.stuck, b.lat = in.host.Now()+2*period, max(b.lat, in.shortest)
+}
 
 // free lets a stuck brick have commands again, from each host at a rate that starts low and rises.
-func (in *Instance) free(b *Brick) {
+func (in *Scheduler) free(b *Endpoint) {
 	b.stuck, b.watched, b.strikes, b.lat = 0, false, 0, in.lc
 	b.gap = in.lc * time.Duration(in.hosts)
 	b.last = in.host.Now() - time.Duration(in.rng.Int63n(int64(b.gap)))
 }
 
 // Probed is the answer to a probe.
-func (in *Instance) Probed(b *Brick, how Ending, took time.Duration) {
+func (in *Scheduler) HealthChecked(b *Endpoint, how Outcome, took time.Duration) {
 	switch b.probed = false; {
-	case how == Completed && took <= 2*in.lc:
+	case how == Served && took <= 2*in.lc:
 		if b.strikes = 0; b.watched {
-			in.host.Tell(-1, append([]byte{'f'}, b.Name...))
+			in.host.SendGossip(-1, append([]byte{'f'}, b.Name...))
 			in.free(b)
 		}
 		in.callLost(b, b.probe.sent)
-	case b.watched || in.host.Now() >= b.stuck && (how == TimedOut || how == Completed && took > in.shortest):
+	case b.watched || in.host.Now() >= b.stuck && (how == TimedOut || how == Served && took > in.shortest):
 		in.watch(b)
 	}
 }
@@ -455,10 +457,10 @@
 // callLost finds what was overdue at a brick when something was sent there and was answered quickly: its
 // answer was lost, its connection fell silent, or it alone is slow. It holds no place any more; it is called
 // off at once where a probe showed it, else by half of its time, since one that is slow would be done twice.
-func (in *Instance) callLost(b *Brick, since time.Duration) {
+func (in *Scheduler) callLost(b *Endpoint, since time.Duration) {
 	now := in.host.Now()
 	for _, d := range slices.Clone(b.flying) {
-		c := d.Cmd
+		c := d.Request
 		if !in.cancels || d.called || c.over || c.streaming || !in.overdue(d, since) {
 			continue
 		}
@@ -472,7 +474,7 @@
 }
 
 // Heard is what another host found: a brick is stuck, or free again. Of two that watch the first goes on.
-func (in *Instance) Heard(sender int, data []byte) {
+func (in *Scheduler) GossipReceived(sender int, data []byte) {
 	for _, b := range in.bricks {
 		switch string(data) {
 		case "f" + b.Name:
@@ -485,13 +487,13 @@
 }
 
 // serve offers a lane's commands to the bricks that can take them, the one that answers soonest first.
-func (in *Instance) serve(l *lane) {
+func (in *Scheduler) serve(l *lane) {
 	for free := slices.Clone(in.at(l.cell)); len(l.held) > 0; {
-		free = slices.DeleteFunc(free, func(b *Brick) bool { return in.room(b) <= 0 })
+		free = slices.DeleteFunc(free, func(b *Endpoint) bool { return in.room(b) <= 0 })
 		if len(free) == 0 {
 			return
 		}
-		best := slices.MinFunc(free, func(a, b *Brick) int { return cmp.Compare(a.soon(), b.soon()) })
+		best := slices.MinFunc(free, func(a, b *Endpoint) int { return cmp.Compare(a.soon(), b.soon()) })
 		if !in.one(best) { // cold, or it is not its turn: the next may do
 			free = without(free, best)
 		}
@@ -499,7 +501,7 @@
 }
 
 // room is the number of free places at a brick.
-func (in *Instance) room(b *Brick) int {
+func (in *Scheduler) room(b *Endpoint) int {
 	if !b.open || in.host.Now() < b.stuck {
 		return 0
 	}
@@ -516,13 +518,13 @@
 	return free
 }
 
-func (in *Instance) fill(b *Brick) {
+func (in *Scheduler) fill(b *Endpoint) {
 	for in.room(b) > 0 && in.one(b) {
 	}
 }
 
 // one sends the next command to a brick with a free place.
-func (in *Instance) one(b *Brick) bool {
+func (in *Scheduler) one(b *Endpoint) bool {
 	now := in.host.Now()
 	c, due := in.pick(b, now)
 	if c == nil {
@@ -544,14 +546,14 @@
 		in.further = append(in.further, now)
 	}
 	in.unhold(c)
-	d := &Dispatch{Cmd: c, Brick: b, N: len(c.dispatches), By: c.by(), sent: now, gap: in.start(b), ran: true}
+	d := &Attempt{Request: c, Endpoint: b, Number: len(c.dispatches), StartBy: c.by(), sent: now, gap: in.start(b), ran: true}
 	c.dispatches = append(c.dispatches, d)
 	c.out, b.out = c.out+1, b.out+1
 	b.flying = append(b.flying, d)
 	if in.coldFor > now-b.boot && b.boot > 0 {
 		b.coldLog = append(b.coldLog, d)
 	}
-	in.host.Dispatch(d, 0)
+	in.host.Send(d, 0)
 	b.every += (min(now-b.last, 4*period) - b.every) / 4
 	b.last = now
 	b.full = b.full || b.out >= b.window
@@ -559,7 +561,7 @@
 }
 
 // pick takes the due reservation tag that is least, else the least weight tag under limit.
-func (in *Instance) pick(b *Brick, now time.Duration) (best *Command, due bool) {
+func (in *Scheduler) pick(b *Endpoint, now time.Duration) (best *Request, due bool) {
 	cold := in.coldRoom(b, now)
 	var bestTier int
 	var bestTag float64
@@ -591,7 +593,7 @@
 }
 
 // next is the command of a lane that leaves first, and whether it will miss its service target.
-func (in *Instance) next(l *lane, b *Brick, now time.Duration, cold float64) (best *Command, bestTier int) {
+func (in *Scheduler) next(l *lane, b *Endpoint, now time.Duration, cold float64) (best *Request, bestTier int) {
 	bestWorth, room := 0.0, math.Inf(1)
 	if l.vol.plan.limit > 0 {
 		room = l.vol.limit.fill(now)
@@ -617,21 +619,21 @@
 // coldRoom is how many units a brick may still take from this host. Guards rule 4: what a brick is sent
 // within a span is what it did (at most capacity x span) and what was out or came to nothing, kept to this
 // host's part of what it always bears x (multiple-1)/multiple, more as it warms, or to half of what it did.
-func (in *Instance) coldRoom(b *Brick, now time.Duration) float64 {
+func (in *Scheduler) coldRoom(b *Endpoint, now time.Duration) float64 {
 	age := now - b.boot
 	if b.boot == 0 || age >= in.coldFor {
 		b.coldLog = nil
 		return math.Inf(1)
 	}
-	b.coldLog = slices.DeleteFunc(b.coldLog, func(d *Dispatch) bool {
+	b.coldLog = slices.DeleteFunc(b.coldLog, func(d *Attempt) bool {
 		return d.over && d.sent <= now-in.coldSpan
 	})
 	out, done := 0.0, 0.0
 	for _, d := range b.coldLog {
 		if d.done {
-			done += d.Cmd.units
+			done += d.Request.units
 		} else {
-			out += d.Cmd.units
+			out += d.Request.units
 		}
 	}
 	if b.boot <= in.began && now < in.began+in.coldSpan {
@@ -641,7 +643,7 @@
 }
 
 // sweep ends what can't be answered in time any more and wakes lanes that waited for a rate.
-func (in *Instance) sweep() {
+func (in *Scheduler) sweep() {
 	now := in.host.Now()
 	for _, b := range in.bricks {
 		if now-b.sized >= 2*in.lc {
@@ -666,7 +668,7 @@
 }
 
 // least is the shortest latency that the bricks of a cell show.
-func (in *Instance) least(cellNo int) time.Duration {
+func (in *Scheduler) least(cellNo int) time.Duration {
 	lat := never
 	for _, b := range in.at(cellNo) {
 		if b.open {
@@ -680,7 +682,7 @@
 }
 
 // turn is the design's period: demand, divvy, windows.
-func (in *Instance) turn() {
+func (in *Scheduler) turn() {
 	now := in.host.Now()
 	for _, v := range in.volumes {
 		in.demand(v, now)
@@ -697,7 +699,7 @@
 }
 
 // demand sets a volume's demand by Little's law and its part of the reservation.
-func (in *Instance) demand(v *Volume, now time.Duration) {
+func (in *Scheduler) demand(v *Volume, now time.Duration) {
 	mine, other := 0.0, 0.0
 	v.rate, v.served = v.rate+0.5*(v.served/period.Seconds()-v.rate), 0
 	for _, l := range v.lanes {
@@ -722,7 +724,7 @@
 }
 
 // resize moves a brick's window by its latency.
-func (in *Instance) resize(b *Brick, now time.Duration) {
+func (in *Scheduler) resize(b *Endpoint, now time.Duration) {
 	for _, d := range b.flying {
 		if age := now - d.sent; age > in.lc && (!d.lost || in.watches) {
 			b.sum += age
@@ -747,7 +749,7 @@
 }
 
 // entitle splits a brick's window among the hosts by what the volumes are entitled to there.
-func (in *Instance) entitle(b *Brick) {
+func (in *Scheduler) entitle(b *Endpoint) {
 	lanes := in.cellOf(b.cell).lanes
 	parts := make([]share, len(lanes))
 	for i, l := range lanes {
@@ -796,7 +798,7 @@
 }
 
 // leaveLine frees a key once its command is over and no dispatch of it is out.
-func (in *Instance) leaveLine(c *Command) {
+func (in *Scheduler) leaveLine(c *Request) {
 	if c.key != nil && c.out == 0 {
 		c.key.line = without(c.key.line, c)
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -25,7 +25,7 @@
 	b.run(600 * ms)
 	b.take("row", "plain", "k", 0, 2)
 	b.run(390 * ms)
-	b.end(Completed, true)
+	b.end(Served, true)
 	// Output:
 	//     0ms dispatch 1.0 to a
 	//   496ms busy-reply 2, back in 50ms
@@ -36,12 +36,12 @@
 func Example_nonRetryable() {
 	b := start(setting(), "a")
 	b.take("once", "plain", "x", 0, 2)
-	b.end(Unconnected, false)
+	b.end(ConnectFailed, false)
 	b.take("read", "plain", "x", 0, 2)
 	b.run(110 * ms)
-	b.end(Completed, true)
+	b.end(Served, true)
 	b.run(20 * ms)
-	b.end(Errored, false)
+	b.end(ErrorResponse, false)
 	// Output:
 	//     0ms dispatch 1.0 to a
 	//     0ms log: suspect a: full or not reached after 0s, 0 out
@@ -53,9 +53,9 @@
 // Nothing goes to a draining brick, also what waits.
 func Example_drain() {
 	b := start(setting(), "a")
-	b.in.ListBegins(false)
+	b.in.BeginEndpointList(false)
 	b.list("a", 0, false, 0)
-	b.in.ListEnds()
+	b.in.EndEndpointList()
 	b.take("read", "plain", "x", 0, 2)
 	b.run(2000 * ms)
 	// Output:
@@ -73,8 +73,8 @@
 		b.take("read", "plain", "x", 0, 2)
 	}
 	b.run(20 * ms)
-	b.end(Completed, true)
-	b.end(Errored, true)
+	b.end(Served, true)
+	b.end(ErrorResponse, true)
 	b.run(980 * ms)
 	b.take("read", "plain", "x", 0, 2)
 	b.run(200 * ms)
@@ -112,10 +112,10 @@
 func Example_tagWindow() {
 	b := start(setting(), "a")
 	b.take("tag", "plain", "x", 0, 1)
-	fmt.Println(b.out[0].By)
+	fmt.Println(b.out[0].StartBy)
 	b.run(100 * ms)
-	b.end(Errored, false)
-	fmt.Println(b.out[0].By)
+	b.end(ErrorResponse, false)
+	fmt.Println(b.out[0].StartBy)
 	// Output:
 	//     0ms dispatch 1.0 to a
 	// 0s
@@ -127,13 +127,13 @@
 func Example_forgetsGone() {
 	b := start(setting(), "a", "b")
 	b.take("row", "plain", "x", 0, 2)
-	b.in.ListBegins(true)
+	b.in.BeginEndpointList(true)
 	b.list("b", 1, true, 0)
-	b.in.ListEnds()
+	b.in.EndEndpointList()
 	fmt.Println(len(b.in.bricks))
-	b.end(Completed, true)
-	b.in.ListBegins(false)
-	b.in.ListEnds()
+	b.end(Served, true)
+	b.in.BeginEndpointList(false)
+	b.in.EndEndpointList()
 	b.run(time.Second)
 	fmt.Println(len(b.in.bricks), len(b.in.cells[0].bricks), len(b.in.keys))
 	// Output:
@@ -154,14 +154,14 @@
 	lost := b.out[0]
 	b.out = b.out[1:]
 	b.run(20 * ms)
-	b.end(Completed, true)
+	b.end(Served, true)
 	b.take("read", "plain", "w", 0, 2)
 	b.run(220 * ms)
-	b.end(Completed, true)
+	b.end(Served, true)
 	b.take("read", "plain", "z", 0, 2)
 	b.run(20 * ms)
-	b.end(Completed, true)
-	b.in.Ended(lost, CalledOff, b.now, false, 0, 0)
+	b.end(Served, true)
+	b.in.AttemptEnded(lost, Canceled, b.now, false, 0, 0)
 	// Output:
 	//     0ms dispatch 1.0 to a
 	//   270ms dispatch 2.0 to a
@@ -175,8 +175,8 @@
 func Example_broken() {
 	b := start(setting(), "a")
 	b.take("read", "plain", "x", 0, 2)
-	b.end(Broken, false)
-	b.end(Broken, false)
+	b.end(ConnectionReset, false)
+	b.end(ConnectionReset, false)
 	b.run(200 * ms)
 	// Output:
 	//     0ms dispatch 1.0 to a
@@ -190,7 +190,7 @@
 	b.take("row", "plain", "k", 0, 2)
 	b.take("row", "plain", "k", 0, 2)
 	b.take("row", "plain", "j", 0, 2)
-	b.end(Broken, true)
+	b.end(ConnectionReset, true)
 	b.run(400 * ms)
 	// Output:
 	//     0ms dispatch 1.0 to a
@@ -204,7 +204,7 @@
 	for range 4 {
 		b.take("read", "capped", "x", 0, 2)
 	}
-	b.end(Completed, true)
+	b.end(Served, true)
 	b.run(480 * ms)
 	b.take("read", "capped", "x", 0, 2)
 	b.run(400 * ms)
@@ -221,13 +221,13 @@
 	b := start(setting(), "a")
 	b.take("read", "plain", "x", 0, 2)
 	b.run(180 * ms)
-	b.end(Completed, true)
+	b.end(Served, true)
 	b.take("read", "plain", "y", 0, 2)
 	b.take("read", "plain", "w", 0, 2)
 	b.take("read", "gold", "z", 0, 2)
 	b.run(40 * ms)
 	fmt.Println(b.in.bricks[0].gap)
-	b.end(Completed, true)
+	b.end(Served, true)
 	fmt.Println(b.in.bricks[0].gap)
 	// Output:
 	//     0ms dispatch 1.0 to a
@@ -242,23 +242,23 @@
 // dispatch whose probe is quick was lost: it is called off and sent again. What another host tells is believed.
 func Example_watch() {
 	s := setting()
-	s.Probe, s.Peers, s.Ordinal = true, true, 1
+	s.HealthChecks, s.Gossip, s.Ordinal = true, true, 1
 	b := start(s, "a")
 	a := b.bricks["a"]
 	b.take("read", "plain", "x", 0, 2)
-	b.end(Turned, false)
+	b.end(Rejected, false)
 	b.run(210 * ms)
-	b.in.Probed(a, Completed, 300*ms)
+	b.in.HealthChecked(a, Served, 300*ms)
 	b.run(210 * ms)
-	b.in.Probed(a, Completed, 40*ms)
+	b.in.HealthChecked(a, Served, 40*ms)
 	fmt.Println(a.gap, a.stuck)
-	b.in.Heard(0, []byte("sa"))
+	b.in.GossipReceived(0, []byte("sa"))
 	b.take("row", "plain", "y", 0, 1)
-	b.in.Heard(0, []byte("fa"))
+	b.in.GossipReceived(0, []byte("fa"))
 	a.gap = 0
 	b.run(300 * ms)
-	b.in.Probed(a, Completed, 40*ms)
-	b.end(CalledOff, false)
+	b.in.HealthChecked(a, Served, 40*ms)
+	b.end(Canceled, false)
 	fmt.Println(a.gap, a.strikes)
 	// Output:
 	//     0ms dispatch 1.0 to a
@@ -280,7 +280,7 @@
 // A client's repeat of what was given up keeps the first try's target: it yields to what can be in time.
 func Example_repeat() {
 	b := start(setting(), "a")
-	b.in.ListBegins(false)
+	b.in.BeginEndpointList(false)
 	b.list("a", 0, false, 0)
 	b.take("read", "plain", "x", 0, 2)
 	b.run(200 * ms)
@@ -289,8 +289,8 @@
 	b.take("read", "plain", "x", 0, 4)
 	b.take("read", "plain", "x", 0, 3)
 	b.take("read", "plain", "x", 0, 2)
-	b.end(Unsent, true)
-	b.end(Completed, true)
+	b.end(NotSent, true)
+	b.end(Served, true)
 	// Output:
 	//     0ms log: close a: listed as draining or gone, 0 out
 	//   112ms busy-reply 1, back in 100ms
@@ -308,7 +308,7 @@
 	b.take("read", "plain", "x", 0, 2)
 	b.take("read", "gold", "z", 0, 2)
 	for range 4 {
-		b.end(Unsent, true)
+		b.end(NotSent, true)
 	}
 	// Output:
 	//     0ms dispatch 1.0 to a
@@ -320,11 +320,11 @@
 // Further dispatches need budget: one free, none earned by the one command taken; then it waits and is refused in time.
 func Example_budget() {
 	s := setting()
-	s.Budgeted, s.BudgetFree, s.BudgetShare, s.BudgetSpan = true, 1, 0, 5*time.Second
+	s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 1, 0, 5*time.Second
 	b := start(s, "a")
 	b.take("read", "plain", "x", 0, 2)
-	b.end(Errored, false)
-	b.end(Errored, false)
+	b.end(ErrorResponse, false)
+	b.end(ErrorResponse, false)
 	b.run(300 * ms)
 	b.in.bricks[0].lat = 90 * ms
 	b.run(100 * ms)
@@ -349,7 +349,7 @@
 	b.run(100 * ms)
 	show()
 	for range 4 {
-		b.end(Errored, true)
+		b.end(ErrorResponse, true)
 	}
 	b.run(100 * ms)
 	show()
@@ -390,19 +390,19 @@
 	b := start(setting(), "a")
 	b.run(8000 * ms)
 	b.take("read", "capped", "x", 0, 2)
-	b.end(Completed, true)
+	b.end(Served, true)
 	b.run(2000 * ms)
 	v := b.vols["cappedx"]
 	show := func() { fmt.Printf("%.1f of %.1f, %.1f a second\n", v.limit.fill(b.now), v.limit.depth, v.limit.rate) }
 	show()
-	b.in.VolumeHosts(v, 4)
+	b.in.SetVolumeGateways(v, 4)
 	show()
-	b.in.VolumeHosts(v, 1)
+	b.in.SetVolumeGateways(v, 1)
 	show()
 	b.list("a", 0, true, 10000*ms)
-	b.in.Hosts(3, 0)
+	b.in.SetGateways(3, 0)
 	b.take("read", "plain", "x", 0, 2)
-	b.in.Hosts(3, 4)
+	b.in.SetGateways(3, 4)
 	fmt.Println(b.in.coldUnits)
 	b.list("a", 0, true, 1*ms)
 	b.in.fill(b.bricks["a"])
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,28 +6,28 @@
 )
 
 // Ending tells how a dispatch ended.
-type Ending int
+type Outcome int
 
 const (
-	Completed   Ending = iota
-	Errored            // may have run
-	Turned             // turned away unseen
-	TimedOut           // may run still
-	Unconnected        // never ran
-	Broken             // may have run
-	CalledOff          // may run still
-	Unsent             // never ran
+	Served          Outcome = iota
+	ErrorResponse           // may have run
+	Rejected                // turned away unseen
+	TimedOut                // may run still
+	ConnectFailed           // never ran
+	ConnectionReset         // may have run
+	Canceled                // may run still
+	NotSent                 // never ran
 )
 
 // Dispatch is one try of a command at a brick.
-type Dispatch struct {
-	done   bool // completed
-	lost   bool // its answer, as a quick probe or what overtook it showed
-	called bool // off as lost
-	Cmd    *Command
-	Brick  *Brick
-	N      int
-	By     time.Duration // by when it must begin; 0: any time
+type Attempt struct {
+	done     bool // completed
+	lost     bool // its answer, as a quick probe or what overtook it showed
+	called   bool // off as lost
+	Request  *Request
+	Endpoint *Endpoint
+	Number   int
+	StartBy  time.Duration // by when it must begin; 0: any time
 
 	sent time.Duration
 	gap  time.Duration // the brick's when it was sent
@@ -36,7 +36,7 @@
 }
 
 // Command is one read or write that a client handed to this host.
-type Command struct {
+type Request struct {
 	ID     int64
 	Volume *Volume
 
@@ -50,7 +50,7 @@
 	first      time.Duration // when the client first asked
 	lane       *lane
 	wish       wish
-	dispatches []*Dispatch
+	dispatches []*Attempt
 	out        int
 	held, over bool
 	streaming  bool
@@ -59,7 +59,7 @@
 }
 
 // Brick is one storage node named by a list.
-type Brick struct {
+type Endpoint struct {
 	Name string
 
 	zone    string
@@ -73,7 +73,7 @@
 	stuck   time.Duration // nothing goes before
 	watched bool          // this host probes it for all
 	probed  bool          // a probe is out
-	probe   Dispatch      // the last
+	probe   Attempt       // the last
 	every   time.Duration // mean time between dispatches
 	last    time.Duration // when it was sent something
 	gap     time.Duration // least time between dispatches to it
@@ -87,9 +87,9 @@
 	lat     time.Duration
 	sum     time.Duration
 	answers int
-	flying  []*Dispatch
+	flying  []*Attempt
 	vtime   float64
-	coldLog []*Dispatch // while it is cold: out, or come to nothing within a span
+	coldLog []*Attempt // while it is cold: out, or come to nothing within a span
 }
 
 // Volume is one volume with its plan, as this host knows it.
@@ -112,7 +112,7 @@
 type lane struct {
 	vol    *Volume
 	cell   int
-	held   []*Command
+	held   []*Request
 	wTag   float64
 	units  float64 // held and out now
 	area   float64 // units x seconds since the last period
@@ -129,18 +129,18 @@
 	importance, late float64
 	cost             float64 // seconds a unit, as answers showed
 	work             float64 // the same where nothing was before it
-	semantics        Semantics
+	semantics        Idempotency
 	group            string
 	order            bool
 }
 
 // Semantics tells whether a command may run again.
-type Semantics int
+type Idempotency int
 
 const (
-	Retryable    Semantics = iota
-	Tagged                 // it carries a mark by which a repeat is known
-	NonRetryable           // it must never run twice
+	Idempotent      Idempotency = iota
+	IdempotentByKey             // it carries a mark by which a repeat is known
+	NotIdempotent               // it must never run twice
 )
 
 type plan struct {
@@ -166,13 +166,13 @@
 }
 
 type key struct {
-	line []*Command
+	line []*Request
 	rest time.Duration
 }
 
 // Instance decides for one host.
-type Instance struct {
-	host Host
+type Scheduler struct {
+	host Runtime
 	rng  *rand.Rand
 
 	hosts          float64
@@ -201,7 +201,7 @@
 	watches        bool // hosts may probe and tell each other
 	ordinal        int
 	volumes        []*Volume
-	bricks         []*Brick
+	bricks         []*Endpoint
 	cells          map[int]*cell
 	keys           map[string]*key
 	further, taken []time.Duration
@@ -211,6 +211,6 @@
 }
 
 type cell struct {
-	bricks []*Brick
+	bricks []*Endpoint
 	lanes  []*lane
 }
