--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -741,7 +741,9 @@
 	}
 	if b == nil || !b.up {
 		w.at(w.now+20*time.Microsecond, func() {
-			h.in(func(c *engine.Core) { c.AttemptEnded(l.name, id, policy.ConnectFailed, nil, 0, 0) })
+			h.in(func(c *engine.Core) {
+				c.AttemptEnded(engine.AttemptReport{Endpoint: l.name, ID: id, Outcome: policy.ConnectFailed})
+			})
 		})
 		return
 	}
@@ -813,7 +815,10 @@
 					metered = 1 + 100*v.units[no]/w.meter.Seconds()/math.Max(v.nominal, 1e-9)
 				}
 			}
-			h.in(func(c *engine.Core) { c.AttemptEnded(b.name, j.ID, policy.Served, nil, elsewhere, metered) })
+			h.in(func(c *engine.Core) {
+				c.AttemptEnded(engine.AttemptReport{Endpoint: b.name, ID: j.ID, Outcome: policy.Served,
+					Load: policy.LoadReport{ServedElsewhere: elsewhere, Utilization: metered}})
+			})
 		})
 	})
 }
@@ -835,7 +840,9 @@
 }
 
 func (w *world) end(b *brick, h *host, id uint64, how policy.Outcome) {
-	w.at(w.now+b.way/2, func() { h.in(func(c *engine.Core) { c.AttemptEnded(b.name, id, how, nil, 0, 0) }) })
+	w.at(w.now+b.way/2, func() {
+		h.in(func(c *engine.Core) { c.AttemptEnded(engine.AttemptReport{Endpoint: b.name, ID: id, Outcome: how}) })
+	})
 }
 
 func (l *line) Cancel(id uint64) {
@@ -868,21 +875,13 @@
 
 func (l *line) Withdraw(uint64) bool { return false }
 func (l *line) Abandon(uint64)       {}
-func (l *line) CloseIdle()           {}
 func (l *line) Close()               {}
 
-func (h *host) RequestEndpointList(bool) {}
-func (h *host) ListAll() {
-	h.w.at(h.w.now+h.w.s.Notice, func() { h.in(func(*engine.Core) { h.list(true) }) })
-}
-func (h *host) SendNote(peer int, data []byte) {
-	if peer < 0 || peer >= len(h.w.hosts) {
-		return
-	}
-	to := h.w.hosts[peer]
-	data = slices.Clone(data)
-	h.w.at(h.w.now+time.Millisecond, func() { to.in(func(c *engine.Core) { c.GossipReceived(h.no, data) }) })
-}
+func (h *host) RequestEndpointList() {}
+
+// SendNote does nothing: gossip between gateways is not simulated.
+func (h *host) SendNote([]byte) {}
+
 func (h *host) SendMembership(string, membership.Message)                   {}
 func (h *host) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
 func (h *host) MembersChanged([]membership.Member)                          {}
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -166,7 +166,7 @@
 	go func() { defer wg.Done(); p.beat(inner) }()
 	lister := discovery.New(discovery.Config{Address: conf.ListService, Name: conf.Name, Asked: conf.Fleet.ListAsked, Limits: settings.Bounds(nil), Seed: time.Now().UnixNano(),
 		Log: log, Sink: p})
-	lister.Watch(true)
+	lister.Watch()
 	go func() { defer wg.Done(); lister.Run(inner) }()
 	wg.Add(1)
 	go func() {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -49,18 +49,9 @@
 func New(c Config) *Conn { return &Conn{c: c, asks: make(chan string, 4)} }
 
 // Watch asks for changes from now on.
-func (l *Conn) Watch(on bool) {
-	if on {
-		l.ask(lineproto.Watch)
-	}
-}
-
-// All asks for the whole list once.
-func (l *Conn) All() { l.ask(lineproto.All) }
-
-func (l *Conn) ask(verb string) {
+func (l *Conn) Watch() {
 	select {
-	case l.asks <- verb:
+	case l.asks <- lineproto.Watch:
 	default: // as many asks wait already
 	}
 }
--- a/internal/endpointconn/endpointconn.go
+++ b/internal/endpointconn/endpointconn.go
@@ -175,14 +175,6 @@
 	}
 }
 
-func (l *line) CloseIdle() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.conn != nil && len(l.conn.out) == 0 {
-		l.conn.stop()
-	}
-}
-
 func (l *line) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,18 +185,18 @@
 }
 
 func (l *line) report(id uint64, how policy.Outcome, probe bool, m *lineproto.Message) {
-	var elsewhere, metered float64
+	var load policy.LoadReport
 	var body []byte
 	if m != nil {
-		elsewhere, _ = m.Number("Elsewhere", 0)
-		metered, _ = m.Number("Metered", 0)
+		load.ServedElsewhere, _ = m.Number("Elsewhere", 0)
+		load.Utilization, _ = m.Number("Metered", 0)
 		body = m.Body
 	}
 	l.lines.loop.Post(func(c *engine.Core) {
 		if probe {
 			c.HealthChecked(l.brick, id, how)
 		} else {
-			c.AttemptEnded(l.brick, id, how, body, elsewhere, metered)
+			c.AttemptEnded(engine.AttemptReport{Endpoint: l.brick, ID: id, Outcome: how, Body: body, Load: load})
 		}
 	})
 }
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -21,13 +21,12 @@
 // Decider is the module as the loop calls it; *policy.Instance is one.
 type Scheduler interface {
 	BeginEndpointList(whole bool)
-	UpdateEndpoint(b *policy.Endpoint, zone string, cell int, serving, gone bool, boot time.Duration)
+	UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate)
 	EndEndpointList()
 	EndpointListFailed()
-	RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration,
-		repeat bool) error
+	RequestReceived(request *policy.Request, arrival policy.RequestArrival) error
 	ResponseStarted(d *policy.Attempt)
-	AttemptEnded(d *policy.Attempt, how policy.Outcome, took time.Duration, last bool, elsewhere, meter float64)
+	AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult)
 	ClientDisconnected(c *policy.Request)
 	HealthChecked(b *policy.Endpoint, how policy.Outcome, took time.Duration)
 	GossipReceived(sender int, data []byte)
@@ -45,16 +44,14 @@
 	RequestGreeting()        // hear the brick's own word, on a new connection if need be
 	Abandon(id uint64)       // its time ran out: no answer is waited for
 	CheckHealth(id uint64)
-	CloseIdle()
 	Close()
 }
 
 // Ways are the loop's ways out, besides the bricks. No call may block.
 type Outbound interface {
 	Connect(brick, address string) EndpointConn
-	RequestEndpointList(on bool)
-	ListAll()
-	SendNote(peer int, data []byte)
+	RequestEndpointList()
+	SendNote(note []byte) // to every other gateway
 	SendMembership(address string, m membership.Message)
 	SendEndpoints(address string, now time.Duration, lines []endpointstate.Report)
 	MembersChanged(all []membership.Member) // as they change
@@ -288,7 +285,7 @@
 		case t.f != nil:
 			t.f()
 		case !t.d.over:
-			c.ended(t.d, c.now, policy.TimedOut, nil, 0, 0)
+			c.ended(t.d, AttemptReport{Outcome: policy.TimedOut, SeenAt: c.now})
 		}
 		c.settle()
 	}
@@ -375,7 +372,8 @@
 	c.commands[x.ID] = x
 	c.counts.Received++
 	c.counts.Open++
-	if err := c.in.RequestReceived(&x.Request, t.Class, plan, t.Object, t.Shard, hosts, t.Units, x.giveUp, t.Retry); err != nil {
+	if err := c.in.RequestReceived(&x.Request, policy.RequestArrival{Class: t.Class, Plan: plan, Object: t.Object, Shard: t.Shard, Gateways: hosts,
+		Units: t.Units, Deadline: x.giveUp, Retry: t.Retry}); err != nil {
 		c.answer(x, Response{Result: Failed, Reason: err.Error()})
 		c.forget(x)
 	}
@@ -410,7 +408,7 @@
 	if d.over || d.to == nil || d.to.line == nil || !d.to.line.Withdraw(d.id) {
 		return false
 	}
-	c.later = append(c.later, func() { c.ended(d, c.now, policy.NotSent, nil, 0, 0) })
+	c.later = append(c.later, func() { c.ended(d, AttemptReport{Outcome: policy.NotSent, SeenAt: c.now}) })
 	return true
 }
 
@@ -453,24 +451,34 @@
 	}
 }
 
-// Outcome tells how a dispatch ended. What is over already, or went to another brick, is counted and thrown away.
-func (c *Core) AttemptEnded(from string, id uint64, how policy.Outcome, body []byte, elsewhere, metered float64) {
-	c.AttemptEndedAt(c.now, from, id, how, body, elsewhere, metered)
+// AttemptReport is how an attempt ended, as its connection saw it.
+type AttemptReport struct {
+	Endpoint string // where it was sent
+	ID       uint64
+	Outcome  policy.Outcome
+	// SeenAt is when the outcome was seen on the connection: what it then waited for the loop's turn says nothing of the
+	// endpoint. 0: now.
+	SeenAt time.Duration
+	Body   []byte
+	Load   policy.LoadReport
 }
 
-// OutcomeAt is Outcome with the time at which it was seen on the connection: what it then waited for the loop's turn
-// says nothing of the brick.
-func (c *Core) AttemptEndedAt(at time.Duration, from string, id uint64, how policy.Outcome, body []byte, elsewhere, metered float64) {
-	d := c.dispatches[id]
+// AttemptEnded reports how an attempt ended. A report on an attempt that is over already, or that went to another endpoint, is
+// counted and dropped.
+func (c *Core) AttemptEnded(report AttemptReport) {
+	d := c.dispatches[report.ID]
 	if d == nil {
 		c.counts.LateOutcomes++
 		return
 	}
-	if d.Endpoint.Name != from {
+	if d.Endpoint.Name != report.Endpoint {
 		c.counts.MismatchedOutcomes++
 		return
 	}
-	c.ended(d, at, how, body, elsewhere, metered)
+	if report.SeenAt == 0 {
+		report.SeenAt = c.now
+	}
+	c.ended(d, report)
 	c.settle()
 }
 
@@ -489,7 +497,8 @@
 	c.settle()
 }
 
-func (c *Core) ended(d *dispatch, at time.Duration, how policy.Outcome, body []byte, elsewhere, metered float64) {
+func (c *Core) ended(d *dispatch, report AttemptReport) {
+	at, how := report.SeenAt, report.Outcome
 	if d.over {
 		c.counts.LateOutcomes++
 		return
@@ -517,11 +526,11 @@
 	}
 	switch {
 	case how == policy.Served:
-		c.answer(x, Response{Result: Served, Body: body})
+		c.answer(x, Response{Result: Served, Body: report.Body})
 	case x.begun && !x.over: // the break of a stream is the client's
 		c.answer(x, Response{Result: Failed, Reason: "the answer broke off"})
 	}
-	c.in.AttemptEnded(d.Attempt, how, at-d.at, x.over, elsewhere, metered)
+	c.in.AttemptEnded(d.Attempt, policy.AttemptResult{Outcome: how, Duration: at - d.at, RequestOver: x.over, Load: report.Load})
 	c.forget(x)
 	if d.to != nil {
 		if d.to.out--; how == policy.Served && c.now-d.to.alive >= time.Second {
@@ -697,7 +706,7 @@
 	if c.tap != nil {
 		c.tap.EndpointChanged(name, zone, cell, serving, gone, boot, c.now)
 	}
-	c.in.UpdateEndpoint(&b.Endpoint, zone, cell, serving, gone, boot)
+	c.in.UpdateEndpoint(&b.Endpoint, policy.EndpointUpdate{Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot})
 	if !serving { // what still waits for a connection there would begin after the brick is told to drain
 		for _, d := range c.dispatches {
 			if d.to == b {
@@ -857,7 +866,7 @@
 
 func (h *schedulerRuntime) After(wait time.Duration, f func()) { (*Core)(h).after(wait, timer{f: f}) }
 
-func (h *schedulerRuntime) Send(d *policy.Attempt, timeout time.Duration) {
+func (h *schedulerRuntime) Send(d *policy.Attempt) {
 	c := (*Core)(h)
 	x := c.commands[d.Request.ID]
 	c.ids++
@@ -874,11 +883,8 @@
 		b.out++
 	}
 	left := x.giveUp - c.now
-	if timeout != 0 {
-		left = min(left, timeout)
-	}
 	if x.over || left <= 0 || x.sent >= c.max || b == nil || b.line == nil || c.closing {
-		c.later = append(c.later, func() { c.ended(o, c.now, policy.NotSent, nil, 0, 0) })
+		c.later = append(c.later, func() { c.ended(o, AttemptReport{Outcome: policy.NotSent, SeenAt: c.now}) })
 		return
 	}
 	x.sent++
@@ -934,7 +940,7 @@
 					o.to.line.Cancel(o.id)
 				}
 			}
-			c.later = append(c.later, func() { c.ended(o, c.now, how, nil, 0, 0) })
+			c.later = append(c.later, func() { c.ended(o, AttemptReport{Outcome: how, SeenAt: c.now}) })
 			return
 		}
 	}
@@ -954,13 +960,6 @@
 	b.line.CheckHealth(id)
 }
 
-func (h *schedulerRuntime) CloseIdle(p *policy.Endpoint) {
-	if b := h.bricks[p.Name]; b != nil && b.line != nil {
-		b.line.CloseIdle()
-	}
-}
-
-func (h *schedulerRuntime) RequestEndpointList(on bool)      { h.ways.RequestEndpointList(on) }
-func (h *schedulerRuntime) ListAll()                         { h.ways.ListAll() }
-func (h *schedulerRuntime) SendGossip(peer int, data []byte) { h.ways.SendNote(peer, data) }
-func (h *schedulerRuntime) Log(line string)                  { h.ways.Log(line) }
+func (h *schedulerRuntime) RequestEndpointList()      { h.ways.RequestEndpointList() }
+func (h *schedulerRuntime) SendGossip(message []byte) { h.ways.SendNote(message) }
+func (h *schedulerRuntime) Log(line string)           { h.ways.Log(line) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -18,13 +18,13 @@
 const ms = time.Millisecond
 
 func settings() policy.Settings {
-	return policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, MaxAttempts: 3, TimerResolution: 5 * ms, TypicalUnits: 1, UnitsTop: 8,
+	return policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, MaxAttempts: 3, TimerResolution: 5 * ms, TypicalUnits: 1,
 		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, SlowStartUnits: 8, OverloadFactor: 2, OverloadWindow: time.Second, MaxRetryAfter: time.Second,
 		Classes: []policy.RequestClass{
 			{Name: "read", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1},
 			{Name: "once", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1, Idempotency: policy.NotIdempotent},
-			{Name: "stream", LatencyObjective: 200 * ms, Timeout: 300 * ms, PriorityWeight: 1, Streaming: true}},
-		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1, Importance: 1}}}
+			{Name: "stream", LatencyObjective: 200 * ms, Timeout: 300 * ms, PriorityWeight: 1}},
+		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1}}}
 }
 
 // rig is a Core in virtual time whose ways out are noted, not taken.
@@ -43,9 +43,8 @@
 }
 
 func (r *rig) Connect(brick, address string) EndpointConn                  { return &noted{r, brick} }
-func (r *rig) RequestEndpointList(on bool)                                 {}
-func (r *rig) ListAll()                                                    {}
-func (r *rig) SendNote(int, []byte)                                        {}
+func (r *rig) RequestEndpointList()                                        {}
+func (r *rig) SendNote([]byte)                                             {}
 func (r *rig) SendMembership(string, membership.Message)                   {}
 func (r *rig) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
 func (r *rig) MembersChanged([]membership.Member)                          {}
@@ -70,7 +69,6 @@
 }
 func (n *noted) RequestGreeting()   { n.r.say("greet %s", n.brick) }
 func (n *noted) CheckHealth(uint64) { n.r.say("probe %s", n.brick) }
-func (n *noted) CloseIdle()         {}
 func (n *noted) Close()             { n.r.say("close the line to %s", n.brick) }
 
 const start = time.Duration(1e18) // a wall clock
@@ -105,7 +103,9 @@
 	return t
 }
 
-func (r *rig) outcome(i int, how policy.Outcome) { r.AttemptEnded("a", r.sent[i], how, nil, 0, 0) }
+func (r *rig) outcome(i int, how policy.Outcome) {
+	r.AttemptEnded(AttemptReport{Endpoint: "a", ID: r.sent[i], Outcome: how})
+}
 
 // The answer of a dispatch that timed out comes late: it is counted and thrown away.
 func Example_answerAfterTheTimeout() {
@@ -119,7 +119,7 @@
 	// Output:
 	//     0 ms  x.0 goes to a, 1s left
 	//   990 ms  x busy-replied, may have run false
-	// {Taken:1 Completed:0 BusyReplied:1 Aborted:0 Left:0 Dispatches:1 Further:0 Late:1 Misfit:0 Overflowed:0 Overlapping:0 Held:0 Out:0 Timers:3 Ended:[0 0 0 1 0 0 0 0]}
+	// {Received:1 Served:0 Rejected:1 Failed:0 ClientDisconnected:0 Attempts:1 Retries:0 LateOutcomes:1 MismatchedOutcomes:0 Overflowed:0 Overlapping:0 Open:0 InFlight:0 Timers:3 Outcomes:[0 0 0 1 0 0 0 0]}
 }
 
 // The client leaves, and at the same moment the answer comes: nothing is owed, the answer goes nowhere.
@@ -218,7 +218,7 @@
 	t.Volume, t.Class = "v", "strange"
 	r.Submit(t)
 	r.take("x", "read")
-	r.AttemptEnded("b", r.sent[0], policy.Served, nil, 0, 0)
+	r.AttemptEnded(AttemptReport{Endpoint: "b", ID: r.sent[0], Outcome: policy.Served})
 	r.outcome(0, policy.Served)
 	r.outcome(0, policy.Served)
 	fmt.Println(r.Counts().MismatchedOutcomes, r.Counts().LateOutcomes)
--- a/internal/fake/direct/direct.go
+++ b/internal/fake/direct/direct.go
@@ -38,7 +38,7 @@
 		plans[p.Name] = p
 	}
 	if s.PollEndpointList {
-		h.After(0, func() { h.RequestEndpointList(true) })
+		h.After(0, func() { h.RequestEndpointList() })
 	}
 	return &decider{host: h, rng: rand.New(rand.NewSource(s.Seed)), out: map[*policy.Request]*policy.Attempt{},
 		early: 2 * s.TimerResolution, plans: plans, stores: map[*policy.Volume]*store{}}
@@ -69,55 +69,56 @@
 	}
 }
 
-func (d *decider) UpdateEndpoint(b *policy.Endpoint, _ string, cell int, serving, gone bool, _ time.Duration) {
+func (d *decider) UpdateEndpoint(b *policy.Endpoint, update policy.EndpointUpdate) {
+	up := update.Serving && !update.Removed
 	for _, e := range d.bricks {
 		if e.brick == b {
-			e.up = serving && !gone
+			e.up = up
 			return
 		}
 	}
-	d.bricks = append(d.bricks, &entry{b, cell, serving && !gone})
+	d.bricks = append(d.bricks, &entry{b, update.Shard, up})
 }
 
 func (d *decider) EndEndpointList() {}
 func (d *decider) EndpointListFailed() {
-	d.host.After(time.Second, func() { d.host.RequestEndpointList(true) })
+	d.host.After(time.Second, func() { d.host.RequestEndpointList() })
 }
 
-func (d *decider) RequestReceived(c *policy.Request, _, plan, _ string, cell, hosts int, units float64, giveUp time.Duration, _ bool) error {
+func (d *decider) RequestReceived(c *policy.Request, arrival policy.RequestArrival) error {
 	var at []*policy.Endpoint
 	for _, e := range d.bricks {
-		if e.up && (cell < 0 || e.cell == cell) {
+		if e.up && (arrival.Shard < 0 || e.cell == arrival.Shard) {
 			at = append(at, e.brick)
 		}
 	}
-	if len(at) == 0 || !d.passes(c.Volume, d.plans[plan], float64(hosts), units) {
+	if len(at) == 0 || !d.passes(c.Volume, d.plans[arrival.Plan], float64(arrival.Gateways), arrival.Units) {
 		d.host.Reject(c, 0)
 		return nil
 	}
 	x := &policy.Attempt{Request: c, Endpoint: at[d.rng.Intn(len(at))]}
 	d.out[c] = x
-	d.host.After(giveUp-d.early-d.host.Now(), func() {
+	d.host.After(arrival.Deadline-d.early-d.host.Now(), func() {
 		if d.out[c] == x {
 			delete(d.out, c)
 			d.host.Fail(c)
 		}
 	})
-	d.host.Send(x, 0)
+	d.host.Send(x)
 	return nil
 }
 
 func (d *decider) ResponseStarted(*policy.Attempt) {}
 
-func (d *decider) AttemptEnded(x *policy.Attempt, how policy.Outcome, _ time.Duration, last bool, _, _ float64) {
+func (d *decider) AttemptEnded(x *policy.Attempt, result policy.AttemptResult) {
 	c := x.Request
 	if d.out[c] != x {
 		return
 	}
 	delete(d.out, c)
 	switch {
-	case last:
-	case how == policy.Rejected || how == policy.ConnectFailed || how == policy.NotSent:
+	case result.RequestOver:
+	case result.Outcome == policy.Rejected || result.Outcome == policy.ConnectFailed || result.Outcome == policy.NotSent:
 		d.host.Reject(c, 0)
 	default:
 		d.host.Fail(c)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -250,10 +250,9 @@
 func (e *Edge) Connect(brick, address string) engine.EndpointConn {
 	return e.lines.Connect(brick, address)
 }
-func (e *Edge) RequestEndpointList(on bool)    { e.lister.Watch(on) }
-func (e *Edge) ListAll()                       { e.lister.All() }
-func (e *Edge) SendNote(peer int, data []byte) { e.peers.tell(peer, data) }
-func (e *Edge) Log(line string)                { e.log.Info(line, "from", "module") }
+func (e *Edge) RequestEndpointList() { e.lister.Watch() }
+func (e *Edge) SendNote(note []byte) { e.peers.broadcast(note) }
+func (e *Edge) Log(line string)      { e.log.Info(line, "from", "module") }
 
 // listSink hands what the list service says to the loop.
 type listSink struct{ loop *engine.Loop }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -552,13 +552,13 @@
 	block, blocked chan bool
 }
 
-func (s *stuck) RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration, repeat bool) error {
+func (s *stuck) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	if s.blocked != nil {
 		close(s.blocked)
 		s.blocked = nil
 		<-s.block
 	}
-	return s.Scheduler.RequestReceived(c, queue, plan, object, cell, hosts, units, giveUp, repeat)
+	return s.Scheduler.RequestReceived(request, arrival)
 }
 
 // An operator turns the capture on while the host serves; what was answered until "stop" came back is on disk, and names no object.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -57,19 +57,18 @@
 	return p.conn.LocalAddr().String()
 }
 
-// tell sends to one host, or to all with -1. What the kernel does not take is lost, as any of them may be.
-func (p *peers) tell(peer int, data []byte) {
-	if p.conn == nil || len(data) > maxNews {
+// broadcast sends a short message of the scheduler to every other gateway that is known. What the kernel does not take is
+// lost, as any datagram may be.
+func (p *peers) broadcast(note []byte) {
+	if p.conn == nil || len(note) > maxNews {
 		return
 	}
 	var o lineproto.Out
-	o.Start(lineproto.News, 0).Whole("From", int64(p.edge.conf.Ordinal)).End(data)
+	o.Start(lineproto.News, 0).Whole("From", int64(p.edge.conf.Ordinal)).End(note)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for n, a := range p.to {
-		if peer < 0 || n == peer {
-			p.conn.WriteToUDPAddrPort(o.B, a)
-		}
+	for _, a := range p.to {
+		p.conn.WriteToUDPAddrPort(o.B, a)
 	}
 }
 
--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -21,7 +21,6 @@
 	}
 	s := policy.Settings{
 		Seed: seed, Ordinal: p.GetInt("ordinal"), Gateways: p.GetInt("balancers"),
-		Zone:               string(p.GetStringBytes("zone")),
 		PollEndpointList:   string(p.GetStringBytes("discovery")) == "ask",
 		Hedging:            p.GetBool("limits", "second_copies"),
 		CanCancel:          p.GetBool("limits", "cancel"),
@@ -29,7 +28,6 @@
 		Gossip:             p.GetBool("limits", "peers"),
 		ClientsMarkRetries: p.GetBool("client_habits", "marks_retry"),
 		MaxAttempts:        p.GetInt("limits", "max_attempts"),
-		AnswerSlack:        micros(p, "contract", "answer_slack_us"),
 		TimerResolution:    micros(p, "resolution_us"),
 		MaxListAge:         micros(p, "contract", "ask_within_us"),
 		DrainGrace:         micros(p, "contract", "drain_grace_us"),
@@ -43,10 +41,7 @@
 		RetryBudgetRatio:   p.GetFloat64("contract", "resend_ratio"),
 		RetryBudgetWindow:  micros(p, "contract", "budget_span_us"),
 		OrderingCooldown:   micros(p, "contract", "key_rest_us"),
-		Meter:              micros(p, "family_info", "meter_period_us"),
-		Elsewhere:          p.GetBool("family_info", "tells_elsewhere"),
 		TypicalUnits:       p.GetFloat64("family_info", "usual_units"),
-		UnitsTop:           p.GetFloat64("family_info", "units_top"),
 	}
 	if p.GetBool("limits", "retry_after") {
 		s.MaxRetryAfter = micros(p, "limits", "max_retry_after_us")
@@ -65,7 +60,6 @@
 			LateValue:         c.GetFloat64("late_value"),
 			Idempotency:       semantics[string(c.GetStringBytes("semantics"))],
 			IdempotencyScope:  string(c.GetStringBytes("group")),
-			Streaming:         c.GetBool("streaming"),
 			Ordered:           c.GetBool("in_order"),
 			Writes:            i < len(writes) && writes[i].Type() == fastjson.TypeTrue,
 		}
@@ -80,7 +74,6 @@
 			Burst:        c.GetFloat64("cap_depth"),
 			InitialBurst: c.GetFloat64("cap_slack"),
 			Weight:       c.GetFloat64("parts"),
-			Importance:   c.GetFloat64("worth_factor"),
 		})
 	}
 	return s, nil
--- a/internal/httpgateway/config/stored_data_test.go
+++ b/internal/httpgateway/config/stored_data_test.go
@@ -12,21 +12,21 @@
 
 func storedSettings() policy.Settings {
 	seed := uint64(0x8c1f30d27a5be964)
-	return policy.Settings{Seed: int64(seed), Ordinal: 2, Gateways: 3, Zone: "north",
+	return policy.Settings{Seed: int64(seed), Ordinal: 2, Gateways: 3,
 		Classes: []policy.RequestClass{
 			{Name: "read", LatencyObjective: 500 * time.Millisecond, Timeout: 3 * time.Second, PriorityWeight: 3, LateValue: 0.15,
-				Idempotency: policy.Idempotent, Streaming: true},
+				Idempotency: policy.Idempotent},
 			{Name: "append", LatencyObjective: 250 * time.Millisecond, Timeout: 1200 * time.Millisecond, IdempotencyWindow: 2 * time.Second, PriorityWeight: 4,
 				LateValue: 0.1, Idempotency: policy.IdempotentByKey, IdempotencyScope: "cell", Writes: true},
 			{Name: "write", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, PriorityWeight: 2, LateValue: 0.2,
 				Idempotency: policy.NotIdempotent, IdempotencyScope: "zone", Ordered: true, Writes: true}},
-		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 14, Reservation: 1.5, Limit: 24, Burst: 40, InitialBurst: 8, Weight: 1, Importance: 0.8},
-			{Name: "priority", NominalRate: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 14, Reservation: 1.5, Limit: 24, Burst: 40, InitialBurst: 8, Weight: 1},
+			{Name: "priority", NominalRate: 24, Reservation: 24, Weight: 4}},
 		PollEndpointList: true, Hedging: true, CanCancel: true, HealthChecks: true, Gossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, MaxAttempts: 4,
-		AnswerSlack: 30 * time.Millisecond, TimerResolution: 10 * time.Millisecond, MaxListAge: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
+		TimerResolution: 10 * time.Millisecond, MaxListAge: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
 		SlowStartShare: 0.2, SlowStartTime: 4 * time.Second, SlowStartUnits: 40, OverloadFactor: 2, OverloadWindow: time.Second, RetryBudget: true, RetryBudgetFree: 3,
-		RetryBudgetRatio: 0.25, RetryBudgetWindow: 3 * time.Second, OrderingCooldown: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
-		TypicalUnits: 1.5, UnitsTop: 8.5}
+		RetryBudgetRatio: 0.25, RetryBudgetWindow: 3 * time.Second, OrderingCooldown: 200 * time.Millisecond,
+		TypicalUnits: 1.5}
 }
 
 // A configuration as the platform gives it to a host of version a32f63c. Every later version must read the same from it: each value, and
--- a/internal/httpgateway/httpgateway.go
+++ b/internal/httpgateway/httpgateway.go
@@ -294,9 +294,8 @@
 	return w.pool.Connect(brick, address)
 }
 func (w outbound) Log(line string)                                             { w.Host.Log.Info(line, "from", "module") }
-func (w outbound) RequestEndpointList(bool)                                    {}
-func (w outbound) ListAll()                                                    {}
-func (w outbound) SendNote(int, []byte)                                        {}
+func (w outbound) RequestEndpointList()                                        {}
+func (w outbound) SendNote([]byte)                                             {}
 func (w outbound) SendMembership(string, membership.Message)                   {}
 func (w outbound) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
 func (w outbound) MembersChanged([]membership.Member)                          {}
--- a/internal/httpgateway/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -213,9 +213,9 @@
 	ended chan policy.Outcome
 }
 
-func (w *watched) AttemptEnded(d *policy.Attempt, how policy.Outcome, took time.Duration, last bool, elsewhere, meter float64) {
-	w.ended <- how
-	w.Scheduler.AttemptEnded(d, how, took, last, elsewhere, meter)
+func (w *watched) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+	w.ended <- result.Outcome
+	w.Scheduler.AttemptEnded(attempt, result)
 }
 
 // host is a host of the platform under test.
@@ -247,13 +247,13 @@
 	h.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), Connect: 2 * time.Second, Idle: 20 * time.Second,
 		Limits: config.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, Known: config.List{Revision: 7, Whole: true},
 		Settings: policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, TimerResolution: 2 * ms, TypicalUnits: 1,
-			UnitsTop: 8, MaxRetryAfter: time.Second, DrainGrace: 250 * ms,
+			MaxRetryAfter: time.Second, DrainGrace: 250 * ms,
 			Classes: []policy.RequestClass{
 				{Name: "read", LatencyObjective: 400 * ms, Timeout: time.Second, PriorityWeight: 1},
 				{Name: "write", LatencyObjective: 400 * ms, Timeout: time.Second, PriorityWeight: 1, Writes: true,
 					Idempotency: policy.NotIdempotent}},
-			Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1, Importance: 1},
-				{Name: "capped", NominalRate: 1, Limit: 1, Burst: 1, InitialBurst: 1, Weight: 1, Importance: 1}}}}
+			Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1},
+				{Name: "capped", NominalRate: 1, Limit: 1, Burst: 1, InitialBurst: 1, Weight: 1}}}}
 	for i, b := range bricks {
 		h.config.Known.Lines = append(h.config.Known.Lines, engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
 			Shard: i, Serving: true})
--- a/internal/httpgateway/same_test.go
+++ b/internal/httpgateway/same_test.go
@@ -163,7 +163,6 @@
 func (l *notedLine) RequestGreeting()            {}
 func (l *notedLine) Abandon(uint64)              {}
 func (l *notedLine) CheckHealth(uint64)          {}
-func (l *notedLine) CloseIdle()                  {}
 func (l *notedLine) Close()                      {}
 func (l *notedLine) Send(id uint64, t *engine.Request, _ int, _, _ time.Duration) {
 	now, rid := l.n.core.Now(), int64(0)
@@ -171,7 +170,10 @@
 	l.n.say("%d dispatch %d %s", (now - origin).Microseconds(), rid, l.brick)
 	took, how := service(rid)
 	ending := map[string]policy.Outcome{"S": policy.Served, "E": policy.ErrorResponse, "F": policy.Rejected}[how]
-	l.n.add(now+took, func() { l.n.core.AttemptEndedAt(now+took, l.brick, id, ending, nil, 1, 0) })
+	l.n.add(now+took, func() {
+		l.n.core.AttemptEnded(engine.AttemptReport{Endpoint: l.brick, ID: id, Outcome: ending, SeenAt: now + took,
+			Load: policy.LoadReport{ServedElsewhere: 1}})
+	})
 }
 
 // byHost plays the script through the host loop as the platform drives it.
--- a/internal/httpgateway/upstream/upstream.go
+++ b/internal/httpgateway/upstream/upstream.go
@@ -334,12 +334,6 @@
 
 func (l *endpoint) RequestGreeting() {}
 
-func (l *endpoint) CloseIdle() {
-	l.pool.mu.Lock()
-	defer l.pool.mu.Unlock()
-	l.shut()
-}
-
 func (l *endpoint) shut() {
 	for _, c := range l.idle {
 		c.kill()
@@ -392,7 +386,8 @@
 	release := func() { p.bodies.Release(j.held) }
 	if !mine || !p.o.Loop.Post(func(c *engine.Core) {
 		j.task.Release = release
-		c.AttemptEndedAt(at, l.brick, j.id, how, body, elsewhere, 0)
+		c.AttemptEnded(engine.AttemptReport{Endpoint: l.brick, ID: j.id, Outcome: how, SeenAt: at, Body: body,
+			Load: policy.LoadReport{ServedElsewhere: elsewhere}})
 		if j.task.Release != nil { // nobody takes the body
 			j.task.Release = nil
 			release()
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -69,7 +69,7 @@
 	return w
 }
 
-// BusyReply loses each twentieth: rule 1.
+// Reject loses each twentieth: rule 1.
 func (w *wrong) Reject(c *policy.Request, pause time.Duration) {
 	if w.n++; w.rule == 1 && w.n%20 == 1 {
 		return
@@ -77,29 +77,31 @@
 	w.Runtime.Reject(c, pause)
 }
 
-// Ended takes what may have run for never run: rule 2.
-func (w *wrong) AttemptEnded(d *policy.Attempt, how policy.Outcome, took time.Duration, last bool, elsewhere, meter float64) {
-	if w.rule == 2 && how == policy.ErrorResponse {
-		how = policy.ConnectFailed
+// AttemptEnded takes what may have run for never run: rule 2.
+func (w *wrong) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+	if w.rule == 2 && result.Outcome == policy.ErrorResponse {
+		result.Outcome = policy.ConnectFailed
 	}
-	w.Scheduler.AttemptEnded(d, how, took, last, elsewhere, meter)
+	w.Scheduler.AttemptEnded(attempt, result)
 }
 
-// Listed takes a draining brick for a serving one (rule 3), a cold one for a warm one (rule 4).
-func (w *wrong) UpdateEndpoint(b *policy.Endpoint, zone string, cell int, serving, gone bool, boot time.Duration) {
-	if w.rule == 4 {
-		boot = 0
+// UpdateEndpoint takes a draining brick for a serving one (rule 3), a cold one for a warm one (rule 4).
+func (w *wrong) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
+	switch w.rule {
+	case 3:
+		update.Serving, update.Removed = true, false
+	case 4:
+		update.StartedAt = 0
 	}
-	w.Scheduler.UpdateEndpoint(b, zone, cell, serving || w.rule == 3, gone && w.rule != 3, boot)
+	w.Scheduler.UpdateEndpoint(endpoint, update)
 }
 
-// Taken forgets the key: rule 5.
-func (w *wrong) RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration,
-	repeat bool) error {
+// RequestReceived forgets the key: rule 5.
+func (w *wrong) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	if w.rule == 5 {
-		object = ""
+		arrival.Object = ""
 	}
-	return w.Scheduler.RequestReceived(c, queue, plan, object, cell, hosts, units, giveUp, repeat)
+	return w.Scheduler.RequestReceived(request, arrival)
 }
 
 func (w *wrong) Log(line string) { w.Runtime.Log(line) }
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -140,15 +140,15 @@
 		seed = e.Seed
 	}
 	s := policy.Settings{
-		Seed: seed, Ordinal: int(e.Ordinal), Gateways: int(e.Hosts), Zone: e.Zone,
+		Seed: seed, Ordinal: int(e.Ordinal), Gateways: int(e.Hosts),
 		PollEndpointList: f.ListAsked, Hedging: f.SecondCopies, CanCancel: f.Cancel, HealthChecks: f.Probe, Gossip: f.Peers,
 		MaxRetryAfter: Duration(f.MaxPause, 0), ClientsMarkRetries: f.ClientsMarkRepeats, MaxAttempts: int(f.MaxDispatches),
-		AnswerSlack: Duration(f.AnswerSlack, 0), TimerResolution: Duration(f.Resolution, 0),
-		MaxListAge: Duration(f.AskWithin, 0), DrainGrace: Duration(f.DrainGrace, 0),
+		TimerResolution: Duration(f.Resolution, 0),
+		MaxListAge:      Duration(f.AskWithin, 0), DrainGrace: Duration(f.DrainGrace, 0),
 		SlowStartShare: f.ColdFrom, SlowStartTime: Duration(f.ColdFor, 0), SlowStartUnits: f.ColdUnits,
 		OverloadFactor: f.FallMultiple, OverloadWindow: Duration(f.FallAfter, 0),
-		OrderingCooldown: Duration(f.KeyRest, 0), Meter: Duration(f.Meter, 0), Elsewhere: f.TellsElsewhere,
-		TypicalUnits: f.UsualUnits, UnitsTop: f.MostUnits,
+		OrderingCooldown: Duration(f.KeyRest, 0),
+		TypicalUnits:     f.UsualUnits,
 	}
 	if b := f.Budget; b != nil {
 		s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = true, b.Free, b.Share, Duration(b.Span, 0)
@@ -157,12 +157,12 @@
 		s.Classes = append(s.Classes, policy.RequestClass{Name: q.Name,
 			LatencyObjective: Duration(q.ServiceTarget, 0), Timeout: Duration(q.CommandTimeout, 0),
 			IdempotencyWindow: Duration(q.TagWindow, 0), PriorityWeight: q.Importance, LateValue: q.LateShare,
-			Idempotency: semantics[q.Semantics], IdempotencyScope: groups[q.Group], Streaming: q.Streaming,
+			Idempotency: semantics[q.Semantics], IdempotencyScope: groups[q.Group],
 			Ordered: q.InOrder, Writes: q.Writes})
 	}
 	for _, p := range e.Plan {
 		s.Plans = append(s.Plans, policy.ServicePlan{Name: p.Name, NominalRate: p.Nominal, Reservation: p.Reservation,
-			Limit: p.Limit, Burst: p.Depth, InitialBurst: p.Slack, Weight: p.Weight, Importance: p.Importance})
+			Limit: p.Limit, Burst: p.Depth, InitialBurst: p.Slack, Weight: p.Weight})
 	}
 	return s
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -69,12 +69,12 @@
 		t.Fatal(err)
 	}
 	s := Policy(e, 42)
-	if s.Seed != 42 || s.Ordinal != 1 || s.Gateways != 2 || s.Zone != "north" || !s.PollEndpointList || !s.Hedging || !s.CanCancel || !s.HealthChecks || !s.Gossip ||
-		s.MaxRetryAfter != time.Second || !s.ClientsMarkRetries || s.MaxAttempts != 3 || s.AnswerSlack != 30*time.Millisecond ||
+	if s.Seed != 42 || s.Ordinal != 1 || s.Gateways != 2 || !s.PollEndpointList || !s.Hedging || !s.CanCancel || !s.HealthChecks || !s.Gossip ||
+		s.MaxRetryAfter != time.Second || !s.ClientsMarkRetries || s.MaxAttempts != 3 ||
 		s.TimerResolution != 10*time.Millisecond || s.MaxListAge != 5*time.Second || s.DrainGrace != 250*time.Millisecond || s.SlowStartShare != 0.2 ||
 		s.SlowStartTime != 4*time.Second || s.SlowStartUnits != 40 || s.OverloadFactor != 2 || s.OverloadWindow != time.Second || !s.RetryBudget ||
 		s.RetryBudgetFree != 3 || s.RetryBudgetRatio != 0.25 || s.RetryBudgetWindow != 3*time.Second || s.OrderingCooldown != 200*time.Millisecond ||
-		s.Meter != 500*time.Millisecond || !s.Elsewhere || s.TypicalUnits != 2 || s.UnitsTop != 8 || len(s.Classes) != 1 || len(s.Plans) != 1 {
+		s.TypicalUnits != 2 || len(s.Classes) != 1 || len(s.Plans) != 1 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/settings/stored_data_test.go
+++ b/internal/settings/stored_data_test.go
@@ -29,8 +29,8 @@
 				Semantics: pb.Semantics_TAGGED, Group: pb.Group_CELL, Writes: true},
 			{Name: "log", ServiceTarget: "400ms", CommandTimeout: "1500ms", Importance: 2, LateShare: 0.2,
 				Semantics: pb.Semantics_NON_RETRYABLE, Group: pb.Group_ZONE, InOrder: true, Writes: true}},
-		Plan: []*pb.Plan{{Name: "basic", Nominal: 14, Reservation: 1.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8},
-			{Name: "priority", Nominal: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		Plan: []*pb.Plan{{Name: "basic", Nominal: 14, Reservation: 1.5, Limit: 24, Depth: 40, Slack: 8, Weight: 1},
+			{Name: "priority", Nominal: 24, Reservation: 24, Weight: 4}},
 		Volume: []*pb.Volume{{Name: "volume-1", Plan: "basic", Hosts: 2}, {Name: "volume-2", Plan: "priority", Hosts: 3}},
 		Bounds: &pb.Bounds{CommandsAConnection: 100, Connections: 200, LoopQueue: 300, BrickQueue: 400, Body: 500000, Idle: "31s", Stall: "6s",
 			Connect: "260ms", Probe: "270ms"},
@@ -44,21 +44,21 @@
 }
 
 func storedPolicy() policy.Settings {
-	return policy.Settings{Seed: -42, Ordinal: 2, Gateways: 3, Zone: "north",
+	return policy.Settings{Seed: -42, Ordinal: 2, Gateways: 3,
 		Classes: []policy.RequestClass{
 			{Name: "read", LatencyObjective: 200 * time.Millisecond, Timeout: time.Second, PriorityWeight: 3, LateValue: 0.15,
-				Idempotency: policy.Idempotent, IdempotencyScope: "all", Streaming: true},
+				Idempotency: policy.Idempotent, IdempotencyScope: "all"},
 			{Name: "order", LatencyObjective: 250 * time.Millisecond, Timeout: 1200 * time.Millisecond, IdempotencyWindow: 2 * time.Second, PriorityWeight: 4,
 				LateValue: 0.1, Idempotency: policy.IdempotentByKey, IdempotencyScope: "cell", Writes: true},
 			{Name: "log", LatencyObjective: 400 * time.Millisecond, Timeout: 1500 * time.Millisecond, PriorityWeight: 2, LateValue: 0.2,
 				Idempotency: policy.NotIdempotent, IdempotencyScope: "zone", Ordered: true, Writes: true}},
-		Plans: []policy.ServicePlan{{Name: "basic", NominalRate: 14, Reservation: 1.5, Limit: 24, Burst: 40, InitialBurst: 8, Weight: 1, Importance: 0.8},
-			{Name: "priority", NominalRate: 24, Reservation: 24, Weight: 4, Importance: 1.5}},
+		Plans: []policy.ServicePlan{{Name: "basic", NominalRate: 14, Reservation: 1.5, Limit: 24, Burst: 40, InitialBurst: 8, Weight: 1},
+			{Name: "priority", NominalRate: 24, Reservation: 24, Weight: 4}},
 		PollEndpointList: true, Hedging: true, CanCancel: true, HealthChecks: true, Gossip: true, MaxRetryAfter: 500 * time.Millisecond, ClientsMarkRetries: true, MaxAttempts: 3,
-		AnswerSlack: 30 * time.Millisecond, TimerResolution: 10 * time.Millisecond, MaxListAge: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
+		TimerResolution: 10 * time.Millisecond, MaxListAge: 5 * time.Second, DrainGrace: 250 * time.Millisecond,
 		SlowStartShare: 0.2, SlowStartTime: 4 * time.Second, SlowStartUnits: 40, OverloadFactor: 2, OverloadWindow: time.Second, RetryBudget: true, RetryBudgetFree: 3,
-		RetryBudgetRatio: 0.25, RetryBudgetWindow: 3 * time.Second, OrderingCooldown: 200 * time.Millisecond, Meter: 500 * time.Millisecond, Elsewhere: true,
-		TypicalUnits: 2, UnitsTop: 8.5}
+		RetryBudgetRatio: 0.25, RetryBudgetWindow: 3 * time.Second, OrderingCooldown: 200 * time.Millisecond,
+		TypicalUnits: 2}
 }
 
 // An edge's settings as users of version a32f63c have them, by hand (edge.txtpb) and as its programs wrote them (edge-written.txtpb). Every
--- a/internal/simulatorwire/host.go
+++ b/internal/simulatorwire/host.go
@@ -55,12 +55,12 @@
 func (h *host) Now() time.Duration { return h.adapter.now }
 
 // Dispatch sends a command to a brick.
-func (h *host) Send(d *policy.Attempt, timeout time.Duration) {
+func (h *host) Send(d *policy.Attempt) {
 	h.commands[d.Request.ID].dispatches[d.Number] = d
 	h.act("relay", func() {
 		h.num("rid", d.Request.ID)
 		h.str("brick", d.Endpoint.Name)
-		h.num("give_up_after_us", timeout.Microseconds())
+		h.num("give_up_after_us", 0) // no time-out beside the request's deadline
 	})
 }
 
@@ -98,25 +98,22 @@
 	})
 }
 
-// Watch asks for changes of the list, or stops asking.
-func (h *host) RequestEndpointList(on bool) {
-	h.act("tail", func() { h.do = strconv.AppendBool(append(h.do, `,"enable":`...), on) })
+// RequestEndpointList asks for changes of the list.
+func (h *host) RequestEndpointList() {
+	h.act("tail", func() { h.do = append(h.do, `,"enable":true`...) })
 }
 
-// ListAll asks for the whole list once.
-func (h *host) ListAll() { h.act("list_all", func() {}) }
-
 // Probe checks a brick.
 func (h *host) CheckHealth(b *policy.Endpoint) { h.act("inspect", func() { h.str("brick", b.Name) }) }
 
-// CloseIdle shuts idle connections to a brick.
-func (h *host) CloseIdle(b *policy.Endpoint) { h.act("drop_conns", func() { h.str("brick", b.Name) }) }
+// allGateways is the wire's number for a message to every other gateway.
+const allGateways = -1
 
-// Tell sends a short message to one host, or to all with -1.
-func (h *host) SendGossip(peer int, data []byte) {
+// SendGossip sends a short message to every other gateway.
+func (h *host) SendGossip(message []byte) {
 	h.act("memo_to", func() {
-		h.num("neighbour_id", int64(peer))
-		h.str("data", base64.StdEncoding.EncodeToString(data))
+		h.num("neighbour_id", allGateways)
+		h.str("data", base64.StdEncoding.EncodeToString(message))
 	})
 }
 
--- a/internal/simulatorwire/simulatorwire.go
+++ b/internal/simulatorwire/simulatorwire.go
@@ -270,8 +270,8 @@
 			b = &policy.Endpoint{Name: name}
 			h.bricks[name] = b
 		}
-		h.inst.UpdateEndpoint(b, string(l.GetStringBytes("region_part")), l.GetInt("group"), status == "SERVING",
-			status == "DELETED", micros(l, "boot_time_us"))
+		h.inst.UpdateEndpoint(b, policy.EndpointUpdate{Zone: string(l.GetStringBytes("region_part")), Shard: l.GetInt("group"),
+			Serving: status == "SERVING", Removed: status == "DELETED", StartedAt: micros(l, "boot_time_us")})
 	}
 	h.inst.EndEndpointList()
 	return nil
@@ -313,8 +313,9 @@
 	}
 	c := &policy.Request{ID: id, Volume: v}
 	h.commands[id] = &entry{cmd: c, dispatches: map[int]*policy.Attempt{}}
-	return h.inst.RequestReceived(c, queue, plan, string(e.GetStringBytes("object")), int(cell), e.GetInt("n_hosts"),
-		units, time.Duration(until)*time.Microsecond, e.GetBool("is_retry"))
+	return h.inst.RequestReceived(c, policy.RequestArrival{Class: queue, Plan: plan, Object: string(e.GetStringBytes("object")),
+		Shard: int(cell), Gateways: e.GetInt("n_hosts"), Units: units, Deadline: time.Duration(until) * time.Microsecond,
+		Retry: e.GetBool("is_retry")})
 }
 
 func (h *host) reply(e *fastjson.Value) error {
@@ -329,7 +330,8 @@
 	last := e.GetBool("last")
 	delete(c.dispatches, d.Number)
 	c.over = c.over || last
-	h.inst.AttemptEnded(d, how, took, last, e.GetFloat64("elsewhere"), e.GetFloat64("metered"))
+	h.inst.AttemptEnded(d, policy.AttemptResult{Outcome: how, Duration: took, RequestOver: last,
+		Load: policy.LoadReport{ServedElsewhere: e.GetFloat64("elsewhere"), Utilization: e.GetFloat64("metered")}})
 	h.close(id, c, false)
 	return nil
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -172,14 +172,16 @@
 
 type deafToDrains struct{ *policy.Scheduler }
 
-func (d *deafToDrains) UpdateEndpoint(b *policy.Endpoint, zone string, cell int, serving, gone bool, boot time.Duration) {
-	d.Scheduler.UpdateEndpoint(b, zone, cell, true, false, boot)
+func (d *deafToDrains) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
+	update.Serving, update.Removed = true, false
+	d.Scheduler.UpdateEndpoint(endpoint, update)
 }
 
 type alone struct{ *policy.Scheduler }
 
-func (a *alone) RequestReceived(c *policy.Request, queue, plan, object string, cell, hosts int, units float64, giveUp time.Duration, repeat bool) error {
-	return a.Scheduler.RequestReceived(c, queue, plan, object, cell, 1, units, giveUp, repeat)
+func (a *alone) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
+	arrival.Gateways = 1
+	return a.Scheduler.RequestReceived(request, arrival)
 }
 
 func play(t *testing.T, o Options, name string, more ...string) *Report {
--- a/policy/golden_driver_test.go
+++ b/policy/golden_driver_test.go
@@ -188,8 +188,8 @@
 	w.after(wait, f)
 }
 
-func (w *world) Send(d *Attempt, timeout time.Duration) {
-	w.record("attempt", d.Request.ID, d.Number, d.Endpoint.Name, int64(d.StartBy), int64(timeout))
+func (w *world) Send(d *Attempt) {
+	w.record("attempt", d.Request.ID, d.Number, d.Endpoint.Name, int64(d.StartBy), 0)
 	a, to := w.asked[d.Request.ID], w.byName[d.Endpoint.Name]
 	s := &sent{attempt: d, to: to, at: w.now}
 	a.out = append(a.out, s)
@@ -225,8 +225,8 @@
 	}
 }
 
-func (w *world) RequestEndpointList(on bool) {
-	w.record("watch", on)
+func (w *world) RequestEndpointList() {
+	w.record("watch", true)
 	w.after(30*time.Millisecond, func() {
 		if w.faulty(listDown) {
 			w.module.EndpointListFailed()
@@ -236,8 +236,6 @@
 	})
 }
 
-func (w *world) ListAll() { w.record("list") }
-
 func (w *world) CheckHealth(b *Endpoint) {
 	w.record("check", b.Name)
 	to := w.byName[b.Name]
@@ -251,14 +249,13 @@
 	w.after(wait, func() { w.module.HealthChecked(b, how, wait) })
 }
 
-func (w *world) SendGossip(peer int, data []byte) { w.record("tell", peer, string(data)) }
-func (w *world) CloseIdle(b *Endpoint)            { w.record("close idle", b.Name) }
-func (w *world) Log(string)                       {}
-func (w *world) chance(share float64) bool        { return w.rng.Float64() < share }
-func (w *world) any(list []string) string         { return list[w.rng.Intn(len(list))] }
-func (w *world) jitter() time.Duration            { return time.Duration(w.rng.Intn(3000)) * time.Microsecond }
-func (w *world) faulty(kind faultKind) bool       { return len(w.nodes) > 0 && w.nodes[0].state[kind] }
-func (w *world) spread(mean float64) float64      { return mean * w.rng.ExpFloat64() }
+func (w *world) SendGossip(message []byte)   { w.record("tell", -1, string(message)) }
+func (w *world) Log(string)                  {}
+func (w *world) chance(share float64) bool   { return w.rng.Float64() < share }
+func (w *world) any(list []string) string    { return list[w.rng.Intn(len(list))] }
+func (w *world) jitter() time.Duration       { return time.Duration(w.rng.Intn(3000)) * time.Microsecond }
+func (w *world) faulty(kind faultKind) bool  { return len(w.nodes) > 0 && w.nodes[0].state[kind] }
+func (w *world) spread(mean float64) float64 { return mean * w.rng.ExpFloat64() }
 
 // latency takes a worker of the endpoint for so many units and returns when they are done, from now.
 func (w *world) latency(to *storage, units float64) time.Duration {
@@ -331,7 +328,8 @@
 			meter = 1 + 150*w.rng.Float64()
 		}
 	}
-	w.module.AttemptEnded(s.attempt, how, w.now-s.at, a.answered, elsewhere, meter)
+	w.module.AttemptEnded(s.attempt, AttemptResult{Outcome: how, Duration: w.now - s.at, RequestOver: a.answered,
+		Load: LoadReport{ServedElsewhere: elsewhere, Utilization: meter}})
 }
 
 // arrival makes a client ask and plans the next one; a surge comes every seven seconds.
@@ -370,7 +368,8 @@
 	a.deadline = w.now + timeout
 	w.asked[a.cmd.ID] = a
 	gateways := 1 + w.set.Gateways/2
-	err := w.module.RequestReceived(&a.cmd, class, plan, object, shard, gateways, units, a.deadline, tries > 0)
+	err := w.module.RequestReceived(&a.cmd, RequestArrival{Class: class, Plan: plan, Object: object, Shard: shard, Gateways: gateways,
+		Units: units, Deadline: a.deadline, Retry: tries > 0})
 	if err != nil {
 		w.record("error", a.cmd.ID)
 		return
@@ -408,7 +407,7 @@
 func (w *world) list(whole bool) {
 	w.module.BeginEndpointList(whole)
 	for _, s := range w.nodes {
-		w.module.UpdateEndpoint(&s.node, fmt.Sprint("zone", s.shard%2), s.shard, s.serving, false, s.boot)
+		w.module.UpdateEndpoint(&s.node, EndpointUpdate{Zone: fmt.Sprint("zone", s.shard%2), Shard: s.shard, Serving: s.serving, StartedAt: s.boot})
 	}
 	w.module.EndEndpointList()
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -9,7 +9,7 @@
 // from its seed.
 func goldenSettings(seed int64) Settings {
 	odd := float64(seed%7) / 10
-	return Settings{Seed: seed, Ordinal: 1, Gateways: 3, Zone: "zone0", CanCancel: true, MaxAttempts: 3, TimerResolution: 2 * ms,
+	return Settings{Seed: seed, Ordinal: 1, Gateways: 3, CanCancel: true, MaxAttempts: 3, TimerResolution: 2 * ms,
 		MaxListAge: 8 * time.Second, MaxRetryAfter: 900 * ms, OrderingCooldown: 250 * ms, TypicalUnits: 2 + odd, ClientsMarkRetries: true,
 		SlowStartShare: 0.2 + odd/10, SlowStartTime: 6 * time.Second, SlowStartUnits: 40 + 10*odd, OverloadFactor: 1.8, OverloadWindow: 900 * ms,
 		Classes: []RequestClass{
@@ -23,9 +23,9 @@
 				IdempotencyWindow: 600 * ms},
 			{Name: "once", LatencyObjective: 400 * ms, Timeout: 1600 * ms, PriorityWeight: 3, Idempotency: NotIdempotent},
 			{Name: "row", LatencyObjective: 350 * ms, Timeout: 1400 * ms, PriorityWeight: 1, LateValue: 0.2, Ordered: true}},
-		Plans: []ServicePlan{{Name: "gold", NominalRate: 60, Reservation: 40 + 10*odd, Weight: 3, Importance: 1},
-			{Name: "plain", NominalRate: 50, Weight: 1, Importance: 1},
-			{Name: "capped", NominalRate: 30, Limit: 30, Burst: 90, InitialBurst: 12, Weight: 2, Importance: 1}}}
+		Plans: []ServicePlan{{Name: "gold", NominalRate: 60, Reservation: 40 + 10*odd, Weight: 3},
+			{Name: "plain", NominalRate: 50, Weight: 1},
+			{Name: "capped", NominalRate: 30, Limit: 30, Burst: 90, InitialBurst: 12, Weight: 2}}}
 }
 
 func withHealthChecks(s *Settings) { s.HealthChecks, s.Gossip = true, true }
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -27,7 +27,7 @@
 }
 
 func (b *bench) Now() time.Duration { return b.now }
-func (b *bench) Send(d *Attempt, timeout time.Duration) {
+func (b *bench) Send(d *Attempt) {
 	b.out = append(b.out, d)
 	b.say("dispatch %d.%d to %s", d.Request.ID, d.Number, d.Endpoint.Name)
 }
@@ -39,12 +39,10 @@
 func (b *bench) After(wait time.Duration, f func()) {
 	b.timers = append(b.timers, alarm{b.now + wait, len(b.timers), f})
 }
-func (b *bench) RequestEndpointList(on bool)      { b.say("watch %v", on) }
-func (b *bench) ListAll()                         { b.say("list all") }
-func (b *bench) CheckHealth(x *Endpoint)          { b.say("probe %s", x.Name) }
-func (b *bench) SendGossip(peer int, data []byte) { b.say("tell %d %q", peer, data) }
-func (b *bench) CloseIdle(x *Endpoint)            { b.say("close idle %s", x.Name) }
-func (b *bench) Log(line string)                  { b.say("log: %s", line) }
+func (b *bench) RequestEndpointList()      { b.say("watch true") }
+func (b *bench) CheckHealth(x *Endpoint)   { b.say("probe %s", x.Name) }
+func (b *bench) SendGossip(message []byte) { b.say("tell -1 %q", message) }
+func (b *bench) Log(line string)           { b.say("log: %s", line) }
 
 func (b *bench) say(format string, args ...any) {
 	if !b.quiet {
@@ -55,8 +53,8 @@
 // setting is a small deployment: two hosts, a plan with a reservation, one without, one with a limit.
 func setting() Settings {
 	return Settings{Seed: 1, Gateways: 2, CanCancel: true, MaxAttempts: 4, TimerResolution: 2 * ms, MaxListAge: 10 * time.Second,
-		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, SlowStartUnits: 8, OverloadFactor: 2, OverloadWindow: time.Second, TypicalUnits: 2, UnitsTop: 8,
-		DrainGrace: 250 * ms, Meter: 500 * ms, MaxRetryAfter: time.Second, OrderingCooldown: 300 * ms,
+		SlowStartShare: 0.2, SlowStartTime: 10 * time.Second, SlowStartUnits: 8, OverloadFactor: 2, OverloadWindow: time.Second, TypicalUnits: 2,
+		DrainGrace: 250 * ms, MaxRetryAfter: time.Second, OrderingCooldown: 300 * ms,
 		Classes: []RequestClass{
 			{Name: "read", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1, Idempotency: Idempotent},
 			{Name: "tag", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1, Idempotency: IdempotentByKey,
@@ -64,9 +62,9 @@
 			{Name: "once", LatencyObjective: 200 * ms, Timeout: time.Second, PriorityWeight: 1, Idempotency: NotIdempotent},
 			{Name: "row", LatencyObjective: 500 * ms, Timeout: time.Second, PriorityWeight: 1, Idempotency: Idempotent,
 				Ordered: true}},
-		Plans: []ServicePlan{{Name: "gold", NominalRate: 10, Reservation: 10, Weight: 3, Importance: 1},
-			{Name: "plain", NominalRate: 10, Weight: 1, Importance: 1},
-			{Name: "capped", NominalRate: 2, Limit: 8, Burst: 32, InitialBurst: 4, Weight: 1, Importance: 1}}}
+		Plans: []ServicePlan{{Name: "gold", NominalRate: 10, Reservation: 10, Weight: 3},
+			{Name: "plain", NominalRate: 10, Weight: 1},
+			{Name: "capped", NominalRate: 2, Limit: 8, Burst: 32, InitialBurst: 4, Weight: 1}}}
 }
 
 func start(s Settings, bricks ...string) *bench { return startAt(0, s, bricks...) }
@@ -86,7 +84,7 @@
 	if b.bricks[name] == nil {
 		b.bricks[name] = &Endpoint{Name: name}
 	}
-	b.in.UpdateEndpoint(b.bricks[name], "hall", cell, serving, false, boot)
+	b.in.UpdateEndpoint(b.bricks[name], EndpointUpdate{Zone: "hall", Shard: cell, Serving: serving, StartedAt: boot})
 }
 
 func (b *bench) take(queue, plan, object string, cell int, units float64) *Request {
@@ -97,7 +95,7 @@
 		b.vols[plan+object] = v
 	}
 	c := &Request{ID: b.ids, Volume: v}
-	if err := b.in.RequestReceived(c, queue, plan, object, cell, 2, units, b.now+time.Second, false); err != nil {
+	if err := b.in.RequestReceived(c, RequestArrival{Class: queue, Plan: plan, Object: object, Shard: cell, Gateways: 2, Units: units, Deadline: b.now + time.Second}); err != nil {
 		b.say("error: %v", err)
 	}
 	return c
@@ -107,7 +105,7 @@
 func (b *bench) end(how Outcome, last bool) {
 	d := b.out[0]
 	b.out = b.out[1:]
-	b.in.AttemptEnded(d, how, b.now-d.sent, last, 0, 0)
+	b.in.AttemptEnded(d, AttemptResult{Outcome: how, Duration: b.now - d.sent, RequestOver: last})
 }
 
 func (b *bench) run(d time.Duration) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -63,7 +63,7 @@
 			slack: p.InitialBurst, weight: math.Max(p.Weight, 0.01)}
 	}
 	if s.PollEndpointList {
-		h.After(time.Duration(in.rng.Int63n(int64(period)/4)), func() { in.host.RequestEndpointList(true) })
+		h.After(time.Duration(in.rng.Int63n(int64(period)/4)), func() { in.host.RequestEndpointList() })
 	}
 	h.After(period, in.turn)
 	h.After(in.lc/4, in.sweep)
@@ -100,7 +100,8 @@
 }
 
 // Listed is one line of the list.
-func (in *Scheduler) UpdateEndpoint(b *Endpoint, zone string, cellNo int, serving, gone bool, boot time.Duration) {
+func (in *Scheduler) UpdateEndpoint(b *Endpoint, update EndpointUpdate) {
+	zone, cellNo, serving, gone, boot := update.Zone, update.Shard, update.Serving, update.Removed, update.StartedAt
 	if b.quota == 0 {
 		b.quota, b.of, b.lat = startQuota, 1/in.hosts, in.lc
 		b.window, b.cell = part(b.quota, b.of), cellNo
@@ -140,12 +141,13 @@
 	in.failures++
 	wait := min(period<<min(in.failures, 3), in.askWithin/2)
 	in.log("list failed %d times, asking within %v", in.failures, wait)
-	in.host.After(wait/2+time.Duration(in.rng.Int63n(int64(wait/2)+1)), func() { in.host.RequestEndpointList(true) })
+	in.host.After(wait/2+time.Duration(in.rng.Int63n(int64(wait/2)+1)), func() { in.host.RequestEndpointList() })
 }
 
 // Taken is a command that this host now owes one final answer.
-func (in *Scheduler) RequestReceived(c *Request, queue, planName, object string, cellNo, hosts int, units float64,
-	giveUp time.Duration, repeat bool) error {
+func (in *Scheduler) RequestReceived(c *Request, arrival RequestArrival) error {
+	queue, planName, object, cellNo, hosts := arrival.Class, arrival.Plan, arrival.Object, arrival.Shard, arrival.Gateways
+	units, giveUp, repeat := arrival.Units, arrival.Deadline, arrival.Retry
 	now := in.host.Now()
 	if in.queues[queue] == nil || in.plans[planName] == nil {
 		return fmt.Errorf("unknown queue type %q or plan %q", queue, planName)
@@ -295,7 +297,8 @@
 }
 
 // Ended tells how a dispatch ended; last, that the command is over.
-func (in *Scheduler) AttemptEnded(d *Attempt, how Outcome, took time.Duration, last bool, elsewhere, meter float64) {
+func (in *Scheduler) AttemptEnded(d *Attempt, result AttemptResult) {
+	how, took, last := result.Outcome, result.Duration, result.RequestOver
 	now, c, b := in.host.Now(), d.Request, d.Endpoint
 	d.over, b.flying = true, without(b.flying, d)
 	c.out, b.out = c.out-1, b.out-1
@@ -344,7 +347,7 @@
 		}
 	}
 	if how == Served || how == ErrorResponse {
-		in.told(c, elsewhere, meter)
+		in.told(c, result.Load.ServedElsewhere, result.Load.Utilization)
 	}
 	switch {
 	case c.over:
@@ -418,7 +421,7 @@
 	}
 	b.watched = true
 	if b.stuck < now+period {
-		in.host.SendGossip(-1, append([]byte{'s'}, b.Name...))
+		in.host.SendGossip(append([]byte{'s'}, b.Name...))
 		in.stick(b)
 	}
 	in.host.After(in.shortest, func() {
@@ -445,7 +448,7 @@
 	switch b.probed = false; {
 	case how == Served && took <= 2*in.lc:
 		if b.strikes = 0; b.watched {
-			in.host.SendGossip(-1, append([]byte{'f'}, b.Name...))
+			in.host.SendGossip(append([]byte{'f'}, b.Name...))
 			in.free(b)
 		}
 		in.callLost(b, b.probe.sent)
@@ -553,7 +556,7 @@
 	if in.coldFor > now-b.boot && b.boot > 0 {
 		b.coldLog = append(b.coldLog, d)
 	}
-	in.host.Send(d, 0)
+	in.host.Send(d)
 	b.every += (min(now-b.last, 4*period) - b.every) / 4
 	b.last = now
 	b.full = b.full || b.out >= b.window
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -161,7 +161,7 @@
 	b.take("read", "plain", "z", 0, 2)
 	b.run(20 * ms)
 	b.end(Served, true)
-	b.in.AttemptEnded(lost, Canceled, b.now, false, 0, 0)
+	b.in.AttemptEnded(lost, AttemptResult{Outcome: Canceled, Duration: b.now})
 	// Output:
 	//     0ms dispatch 1.0 to a
 	//   270ms dispatch 2.0 to a
