--- a/policy/golden_driver_test.go
+++ b/policy/golden_driver_test.go
@@ -33,16 +33,19 @@
 	endpoints    int
 	shards       int
 	objects      int
-	anyShard     float64 // share of requests that any endpoint may serve
-	leaves       float64 // share of clients that close early
-	streams      float64 // share of answers that stream
-	repeats      float64 // share of rejected requests that come again
-	impatient    float64 // share of requests with a short time-out
-	lateBoots    bool    // endpoints come back after a while, with a new start
-	membership   bool    // the number of gateways changes
-	reportsUsage bool    // answers tell the volume's use over all gateways
-	unknown      float64 // share of requests with a plan that nobody knows
-	warming      bool    // all endpoints started shortly before this gateway
+	anyShard     float64       // share of requests that any endpoint may serve
+	leaves       float64       // share of clients that close early
+	streams      float64       // share of answers that stream
+	repeats      float64       // share of rejected requests that come again
+	impatient    float64       // share of requests with a short time-out
+	lateBoots    bool          // endpoints come back after a while, with a new start
+	membership   bool          // the number of gateways changes
+	reportsUsage bool          // answers tell the volume's use over all gateways
+	workers      int           // of each endpoint, where not two to four
+	pauses       bool          // nobody asks for seven seconds of each ten
+	perUnit      time.Duration // work of a unit; 0: 8 ms
+	unknown      float64       // share of requests with a plan that nobody knows
+	warming      bool          // all endpoints started shortly before this gateway
 }
 
 // fault is something wrong with a share of the endpoints for a while.
@@ -260,6 +263,9 @@
 // latency takes a worker of the endpoint for so many units and returns when they are done, from now.
 func (w *world) latency(to *storage, units float64) time.Duration {
 	perUnit := 8 * time.Millisecond
+	if w.day.load.perUnit > 0 {
+		perUnit = w.day.load.perUnit
+	}
 	if to.state[slow] {
 		perUnit *= 9
 	}
@@ -350,7 +356,11 @@
 	if w.now%(7*time.Second) < time.Second {
 		rate *= 2.5
 	}
-	w.after(time.Duration(w.spread(1/rate)*float64(time.Second)), w.arrival)
+	wait := time.Duration(w.spread(1/rate) * float64(time.Second))
+	if w.day.load.pauses && (w.now+wait)%(10*time.Second) > 3*time.Second {
+		wait += 7 * time.Second
+	}
+	w.after(wait, w.arrival)
 }
 
 func (w *world) ask(class, plan, object string, shard int, units float64, tries int) {
@@ -396,7 +406,11 @@
 }
 
 func (w *world) addStorage(name string, shard int, boot time.Duration) *storage {
-	s := &storage{node: Endpoint{Name: name}, shard: shard, workers: make([]time.Duration, 2+len(w.nodes)%3),
+	workers := w.day.load.workers
+	if workers == 0 {
+		workers = 2 + len(w.nodes)%3
+	}
+	s := &storage{node: Endpoint{Name: name}, shard: shard, workers: make([]time.Duration, workers),
 		state: map[faultKind]bool{}, serving: true, boot: boot}
 	w.nodes = append(w.nodes, s)
 	w.byName[name] = s
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -115,6 +115,27 @@
 		load:   load{length: 20 * sec, perSecond: 120, endpoints: 4, shards: 2, objects: 50, unknown: 0.02, repeats: 0.3, lateBoots: true},
 		faults: []fault{{draining, 1, 5 * sec, 9 * sec}, {vanishing, 0.5, 14 * sec, 15 * sec}},
 		digest: "40fe5a00d72c42ef314e5639"},
+	{name: "wide limits", seed: 26, tune: func(s *Settings) { s.Gateways = 1; s.MaxListAge = 40 * sec; s.PollEndpointList = true },
+		story: "One gateway before two quick endpoints with many workers, a surge each ten seconds and nothing between: limits up to " +
+			"their ceiling, send intervals over a long quiet time, a list that fails for so long that the backoff reaches its cap.",
+		load:   load{length: 50 * sec, perSecond: 700, endpoints: 2, shards: 2, objects: 400, workers: 40, perUnit: 20 * ms, pauses: true},
+		faults: []fault{{listDown, 0.1, 2 * sec, 45 * sec}},
+		digest: "2b00179d13a6d8a8463c4cc3"},
+	{name: "quiet gateways", seed: 27, tune: func(s *Settings) { s.Gateways = 20 },
+		story:  "Few requests in surges, one at a time at each endpoint: the mean send interval and pacing from it.",
+		load:   load{length: 60 * sec, perSecond: 12, endpoints: 3, shards: 1, objects: 60, pauses: true},
+		faults: []fault{{slow, 0.7, 10 * sec, 35 * sec}, {erring, 0.4, 40 * sec, 55 * sec}},
+		digest: "adca00f5f509322a59041ed9"},
+	{name: "lost or late", seed: 28, tune: plainSettings,
+		story:  "Answers that arrive late or never between others that take two to three congestion thresholds: what shows a loss.",
+		load:   load{length: 40 * sec, perSecond: 70, endpoints: 3, shards: 1, objects: 60, perUnit: 24 * ms, workers: 6},
+		faults: []fault{{losing, 1, 3 * sec, 38 * sec}},
+		digest: "4da13fafda96defa304bbaeb"},
+	{name: "lost or late, health checks", seed: 29, tune: withHealthChecks,
+		story:  "The same where a health check shows it.",
+		load:   load{length: 40 * sec, perSecond: 70, endpoints: 3, shards: 1, objects: 60, perUnit: 24 * ms, workers: 6},
+		faults: []fault{{losing, 1, 3 * sec, 38 * sec}},
+		digest: "b516979ae871407aac4c35fd"},
 }
 
 // The decisions of the module stay what they were in the landed version a32f63c, on which these digests were recorded
