--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -155,7 +155,7 @@
 	//     0 ms  x.0 goes to a, 1s left
 	//     0 ms  x aborted, may have run true
 	//   100 ms  y.0 goes to a, 1s left
-	//   100 ms  log: suspect a: full or not reached after 0s, 0 out
+	//   100 ms  log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
 	//  1062 ms  y busy-replied, may have run false
 }
 
@@ -182,15 +182,15 @@
 	r.outcome(0, policy.Served)
 	told("gone", -1)
 	// Output:
-	// 20000 ms  log: ramp a: started 2s ago, warm within 10s
-	// 20300 ms  log: close a: listed as draining or gone, 0 out
+	// 20000 ms  log: endpoint a: slow start, started 2s ago, warm within 10s
+	// 20300 ms  log: endpoint a: draining or removed, 0 in flight
 	// 20300 ms  log: barred a: draining, told by itself
 	// 20412 ms  x busy-replied, may have run false
-	// 20600 ms  log: ramp a: started 0s ago, warm within 10s
+	// 20600 ms  log: endpoint a: slow start, started 0s ago, warm within 10s
 	// 20600 ms  log: trusted a: told by list
 	// 20600 ms  y.0 goes to a, 1s left
 	// 20600 ms  y completed, may have run false
-	// 20600 ms  log: close a: listed as draining or gone, 0 out
+	// 20600 ms  log: endpoint a: draining or removed, 0 in flight
 	// 20600 ms  log: barred a: gone, told by list
 	// 20600 ms  close the line to a
 }
--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -59,7 +59,7 @@
 			PriorityWeight:    c.GetFloat64("worth"),
 			LateValue:         c.GetFloat64("late_value"),
 			Idempotency:       semantics[string(c.GetStringBytes("semantics"))],
-			IdempotencyScope:  string(c.GetStringBytes("group")),
+			IdempotencyScope:  policy.IdempotencyScope(c.GetStringBytes("group")),
 			Ordered:           c.GetBool("in_order"),
 			Writes:            i < len(writes) && writes[i].Type() == fastjson.TypeTrue,
 		}
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -131,7 +131,7 @@
 var semantics = map[pb.Semantics]policy.Idempotency{pb.Semantics_RETRYABLE: policy.Idempotent,
 	pb.Semantics_TAGGED: policy.IdempotentByKey, pb.Semantics_NON_RETRYABLE: policy.NotIdempotent}
 
-var groups = map[pb.Group]string{pb.Group_ALL: "all", pb.Group_ZONE: "zone", pb.Group_CELL: "cell"}
+var groups = map[pb.Group]policy.IdempotencyScope{pb.Group_ALL: policy.ScopeFleet, pb.Group_ZONE: policy.ScopeZone, pb.Group_CELL: policy.ScopeShard}
 
 // Policy hands checked settings over to the module; seed is used where they name none.
 func Policy(e *pb.Edge, seed int64) policy.Settings {
--- /dev/null
+++ b/policy/attempt.go
@@ -0,0 +1,171 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// Attempt is one try of a request at an endpoint. It begins with Runtime.Send and ends with exactly one AttemptEnded.
+type Attempt struct {
+	Request  *Request
+	Endpoint *Endpoint
+	Number   int           // 0 for the first attempt of its request
+	StartBy  time.Duration // it must not begin later, or its idempotency key may be forgotten; 0: any time
+
+	sentAt          time.Duration
+	minSendInterval time.Duration // the endpoint's when it was sent
+	ended           bool
+	mayHaveRun      bool // at the endpoint, or may yet
+	served          bool
+	presumedLost    bool // its answer: a quick health check, or a later attempt that was answered, showed it
+	canceledAsLost  bool
+}
+
+// Outcome tells how an attempt ended.
+type Outcome int
+
+const (
+	// Served means that the endpoint answered as asked.
+	Served Outcome = iota
+	// ErrorResponse means that the endpoint answered with an error; the request may have run.
+	ErrorResponse
+	// Rejected means that the endpoint shed the request unseen; it never ran.
+	Rejected
+	// TimedOut means that no answer came by the deadline; the request may still run.
+	TimedOut
+	// ConnectFailed means that no connection came up; the request never ran.
+	ConnectFailed
+	// ConnectionReset means that the connection broke; the request may have run.
+	ConnectionReset
+	// Canceled means that the gateway stopped waiting; the request may still run.
+	Canceled
+	// NotSent means that nothing left the gateway; the request never ran.
+	NotSent
+)
+
+// mayHaveRun tells whether the request may have had its effect, or may yet.
+func (o Outcome) mayHaveRun() bool {
+	switch o {
+	case Served, ErrorResponse, TimedOut, ConnectionReset, Canceled:
+		return true
+	default:
+		return false
+	}
+}
+
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Outcome     Outcome
+	Duration    time.Duration // since it was sent
+	RequestOver bool          // the request has its final answer
+	Load        LoadReport
+}
+
+// LoadReport is what an answer says of a volume's use through all gateways; zero values: nothing reported.
+type LoadReport struct {
+	ServedElsewhere float64 // units served for other gateways since the endpoint's last report to this one
+	Utilization     float64 // 1 + percent of the plan's nominal rate
+}
+
+// AttemptEnded takes an attempt's outcome: it is accounted, fed into latency, pace and outlier detection, and the request goes on.
+func (s *Scheduler) AttemptEnded(attempt *Attempt, result AttemptResult) {
+	now, r, e := s.runtime.Now(), attempt.Request, attempt.Endpoint
+	s.account(attempt, result.Outcome, now)
+	s.observe(attempt, result, now)
+	if result.Outcome == Served || result.Outcome == ErrorResponse {
+		s.takeLoadReport(r, result.Load, now)
+	}
+	s.continueRequest(r, result.RequestOver, now)
+	s.fillEndpoint(e)
+	if r.queue.shard != e.shard {
+		s.serveQueue(r.queue)
+	}
+}
+
+// account releases the places that an attempt held.
+func (s *Scheduler) account(attempt *Attempt, outcome Outcome, now time.Duration) {
+	r, e := attempt.Request, attempt.Endpoint
+	attempt.ended = true
+	attempt.mayHaveRun = outcome.mayHaveRun()
+	attempt.served = outcome == Served
+	e.attempts = without(e.attempts, attempt)
+	e.inFlight--
+	r.inFlight--
+	s.coolOrder(r, outcome, now)
+}
+
+// observe feeds an outcome into what is known of the endpoint. Only work done feeds latency: failures that come fast would widen
+// the limit of an endpoint that breaks down.
+func (s *Scheduler) observe(attempt *Attempt, result AttemptResult, now time.Duration) {
+	if attempt.presumedLost && !s.gossips { // the later attempt that showed the loss has fed them already
+		if attempt.served {
+			attempt.Request.Volume.served += attempt.Request.units
+		}
+		return
+	}
+	switch result.Outcome {
+	case Served:
+		s.observeServed(attempt, result.Duration, now)
+	case TimedOut, Canceled:
+		s.observeUnanswered(attempt, result.Duration, now)
+	case Rejected, ConnectFailed, ConnectionReset:
+		s.observeFailure(attempt, result, now)
+	}
+}
+
+// How fast the figures of a request class follow its answers. Work follows the quickest answers, which met nothing before them:
+// it falls twenty times faster than it rises.
+const (
+	workGainDown = 0.1
+	workGainUp   = 0.005
+	costGain     = 0.02
+)
+
+func (s *Scheduler) observeServed(attempt *Attempt, duration, now time.Duration) {
+	r, e := attempt.Request, attempt.Endpoint
+	e.markHealthy()
+	e.addLatencySample(duration)
+	excess := duration.Seconds()/r.units - r.class.workPerUnit
+	r.class.workPerUnit += math.Min(workGainDown*excess, workGainUp*excess)
+	s.updatePace(attempt, duration-r.ownWork(), now)
+	e.smoothLatency(duration)
+	r.Volume.served += r.units
+	if !s.gossips && duration <= quickAnswer*s.congestionThreshold {
+		s.presumeLost(e, attempt.sentAt, now)
+	}
+	r.class.costPerUnit += costGain * (duration.Seconds()/r.units - r.class.costPerUnit)
+}
+
+// observeUnanswered: the endpoint may still hold the request, so its age counts as a latency sample; without it the limit of an
+// endpoint that hangs would stay wide.
+func (s *Scheduler) observeUnanswered(attempt *Attempt, duration, now time.Duration) {
+	e := attempt.Endpoint
+	e.addLatencySample(duration)
+	if duration > s.congestionThreshold && !attempt.presumedLost {
+		e.consecutiveFailures++
+		s.checkHealth(e, now)
+	}
+	if !s.gossips {
+		s.updatePace(attempt, 2*duration, now)
+	}
+}
+
+// ownWork is the time that the request's own work takes at an endpoint with nothing before it.
+func (r *Request) ownWork() time.Duration {
+	return time.Duration(r.class.workPerUnit * r.units * float64(time.Second))
+}
+
+// continueRequest ends a request or queues it for a retry after one of its attempts has ended.
+func (s *Scheduler) continueRequest(r *Request, over bool, now time.Duration) {
+	switch {
+	case r.over:
+		s.leaveOrder(r)
+	case over:
+		s.finish(r)
+	case r.inFlight > 0:
+	case s.retryHopeless(r, now):
+		s.giveUp(r)
+	default:
+		s.enqueue(r)
+	}
+}
--- /dev/null
+++ b/policy/concurrency.go
@@ -0,0 +1,168 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// The concurrency limit: each endpoint has a limit on attempts in flight that all gateways estimate alike from latency, and each
+// gateway has its share of it. While latency stays under the congestion threshold a limit that is used widens, above it it
+// narrows. The share follows what the volumes of this gateway are entitled to there.
+
+const (
+	// initialFleetLimit is the limit of all gateways at an endpoint about which nothing is known.
+	initialFleetLimit = 8.0
+	// maxLimit bounds the limit, for all gateways together and for one.
+	maxLimit = 32
+	// limitGain is how much of the way to its new value a limit moves in one step.
+	limitGain = 0.5
+	// maxGrowth is the most that a limit grows in one step.
+	maxGrowth = 0.25
+	// limitPeriods is how many congestion thresholds lie between two steps of a limit.
+	limitPeriods = 2
+	// latencyGain is how fast the smoothed latency follows an answer.
+	latencyGain = 0.1
+	// idleLatencyDecay is the part of the way back to the threshold that the smoothed latency goes in a step without answers.
+	idleLatencyDecay = 8
+)
+
+// concurrency is the limit of one endpoint as this gateway knows it.
+type concurrency struct {
+	fleetLimit   float64 // attempts in flight from all gateways: the paper's Q
+	limitShare   float64 // of this gateway, 0 to 1
+	limit        int     // attempts in flight from this gateway, at least 1
+	limitMovedAt time.Duration
+	limitReached bool // since the last step
+
+	smoothedLatency time.Duration
+	latencySum      time.Duration // of the samples since the last step
+	latencySamples  int
+}
+
+func (c *concurrency) startLimit(gateways float64, latency time.Duration) {
+	c.fleetLimit = initialFleetLimit
+	c.limitShare = 1 / gateways
+	c.limit = limitOf(c.fleetLimit, c.limitShare)
+	c.smoothedLatency = latency
+}
+
+func (c *concurrency) addLatencySample(latency time.Duration) {
+	c.latencySum += latency
+	c.latencySamples++
+}
+
+func (c *concurrency) smoothLatency(latency time.Duration) {
+	c.smoothedLatency += time.Duration(latencyGain * float64(latency-c.smoothedLatency))
+}
+
+// moveLimit moves an endpoint's limit by the latency since the last step. Attempts in flight for longer than the threshold count
+// with their age, or an endpoint that hangs would keep its limit.
+func (s *Scheduler) moveLimit(e *Endpoint, now time.Duration) {
+	s.sampleInFlight(e, now)
+	if e.latencySamples == 0 { // an endpoint that gets nothing is not slow for ever
+		e.smoothedLatency += (s.congestionThreshold - e.smoothedLatency) / idleLatencyDecay
+	} else {
+		mean := e.latencySum.Seconds() / float64(e.latencySamples)
+		ratio := math.Min(s.congestionThreshold.Seconds()/mean, 1+maxGrowth/limitGain)
+		if ratio < 1 || e.limitReached { // low latency at an idle endpoint says nothing of a wider limit
+			moved := (1-limitGain)*e.fleetLimit + limitGain*ratio*e.fleetLimit
+			e.fleetLimit = math.Min(math.Max(moved, 1), maxLimit)
+		}
+	}
+	e.latencySum, e.latencySamples = 0, 0
+	e.limitMovedAt = now
+	e.limit = limitOf(e.fleetLimit, e.limitShare)
+	e.limitReached = e.inFlight >= e.limit
+}
+
+// sampleInFlight takes the age of attempts in flight for long as latency samples, and looks after those that are overdue.
+func (s *Scheduler) sampleInFlight(e *Endpoint, now time.Duration) {
+	for _, attempt := range e.attempts {
+		age := now - attempt.sentAt
+		if age <= s.congestionThreshold || attempt.presumedLost && !s.gossips {
+			continue
+		}
+		e.addLatencySample(age)
+		if !s.gossips {
+			s.updatePace(attempt, age, now)
+		} else if s.overdue(attempt, now) {
+			s.checkHealth(e, now)
+		}
+	}
+}
+
+// splitLimit sets this gateway's share of an endpoint's limit by the paper's divvy: each volume's claim lies between its
+// reservation and its demand, by weight; the share is what this gateway's demand gets of all.
+func (s *Scheduler) splitLimit(e *Endpoint) {
+	queues := s.shardOf(e.shard).queues
+	claims := make([]claim, len(queues))
+	for i, queue := range queues {
+		total := queue.demand + queue.demandElsewhere
+		reserved := queue.volume.plan.Reservation * total / math.Max(queue.volume.demand, tiny)
+		claims[i] = claim{minimum: math.Min(reserved, total), maximum: total, weight: queue.volume.plan.Weight}
+	}
+	here, sum := 0.0, 0.0
+	capacity := e.fleetLimit / s.congestionThreshold.Seconds() * s.settings.TypicalUnits
+	for i, c := range divvy(capacity, claims) {
+		sum += c.granted
+		here += c.granted * queues[i].demand / math.Max(c.maximum, tiny)
+	}
+	e.limitShare = math.Max(1/s.gateways, here/math.Max(sum, tiny))
+	e.limit = limitOf(e.fleetLimit, e.limitShare)
+}
+
+// limitOf is a gateway's share of a limit in whole attempts: one at least, or a gateway could never learn that an endpoint is well.
+func limitOf(fleetLimit, share float64) int {
+	return int(math.Min(math.Max(math.Round(fleetLimit*share), 1), maxLimit))
+}
+
+// serveQueue offers a queue's requests to the endpoints with a free place, the one that is expected to answer soonest first.
+func (s *Scheduler) serveQueue(queue *volumeQueue) {
+	free := slices.Clone(s.endpointsOf(queue.shard))
+	for len(queue.waiting) > 0 {
+		free = slices.DeleteFunc(free, func(e *Endpoint) bool { return s.freePlaces(e) <= 0 })
+		if len(free) == 0 {
+			return
+		}
+		soonest := slices.MinFunc(free, func(a, b *Endpoint) int { return cmp.Compare(a.expectedLatency(), b.expectedLatency()) })
+		if !s.sendNext(soonest) { // held back by pace or slow start: another one may do
+			free = without(free, soonest)
+		}
+	}
+}
+
+// fillEndpoint sends requests to an endpoint while it has free places and takes them.
+func (s *Scheduler) fillEndpoint(e *Endpoint) {
+	for s.freePlaces(e) > 0 {
+		if !s.sendNext(e) {
+			return
+		}
+	}
+}
+
+// expectedLatency is when one more request would be answered, from now.
+func (e *Endpoint) expectedLatency() time.Duration {
+	return e.smoothedLatency * time.Duration(e.inFlight+1)
+}
+
+// freePlaces is how many more attempts an endpoint may have in flight from this gateway.
+func (s *Scheduler) freePlaces(e *Endpoint) int {
+	now := s.runtime.Now()
+	if !e.accepting || now < e.ejectedUntil {
+		return 0
+	}
+	free := e.limit - e.inFlight
+	allOverdue := true
+	for _, attempt := range e.attempts {
+		if attempt.presumedLost && !s.gossips {
+			free++
+		}
+		allOverdue = allOverdue && s.overdue(attempt, now)
+	}
+	if s.settings.CanCancel && !s.gossips && allOverdue {
+		return max(free, 1) // without health checks one more request shows whether what is in flight was lost
+	}
+	return free
+}
--- /dev/null
+++ b/policy/endpoints.go
@@ -0,0 +1,140 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// The endpoint list: which endpoints there are, which accept attempts and when they started. Draining has no exception: nothing
+// begins at an endpoint that is listed as draining or removed. A removed endpoint is forgotten once nothing is in flight there,
+// since replacements have new names and a long run would keep them all.
+
+// Endpoint is one storage endpoint. Name is set by the gateway; the rest belongs to the scheduler.
+type Endpoint struct {
+	Name string
+
+	zone      string
+	shard     int
+	startedAt time.Duration // 0: long ago
+	accepting bool          // listed as serving
+	listed    bool          // named by the last complete list
+	known     bool          // to the scheduler
+
+	inFlight int
+	attempts []*Attempt // in flight
+
+	concurrency
+	pace
+	outlierState
+
+	virtualTime       float64 // weight tag of the request sent last
+	slowStartAttempts []*Attempt
+}
+
+// EndpointUpdate is one entry of the endpoint list.
+type EndpointUpdate struct {
+	Zone      string
+	Shard     int           // of the data that the endpoint holds
+	Serving   bool          // false: draining or removed
+	Removed   bool          // no longer part of the fleet
+	StartedAt time.Duration // on the runtime's clock; 0: not known, long ago
+}
+
+// BeginEndpointList opens a list. A complete one removes what it does not name.
+func (s *Scheduler) BeginEndpointList(complete bool) {
+	s.listFailures = 0
+	if !complete {
+		return
+	}
+	for _, e := range s.endpoints {
+		e.listed = false
+	}
+}
+
+// UpdateEndpoint takes one entry of the list; it takes effect at once.
+func (s *Scheduler) UpdateEndpoint(e *Endpoint, update EndpointUpdate) {
+	if !e.known {
+		s.addEndpoint(e, update.Shard)
+	}
+	s.takeStart(e, update.StartedAt)
+	if e.accepting && !update.Serving {
+		s.log("endpoint %s: draining or removed, %d in flight", e.Name, e.inFlight)
+	}
+	e.zone, e.listed, e.accepting = update.Zone, !update.Removed, update.Serving
+}
+
+// EndEndpointList closes a list: what it removed stops, and free places are filled.
+func (s *Scheduler) EndEndpointList() {
+	for _, e := range slices.Clone(s.endpoints) {
+		if !e.listed && e.accepting {
+			e.accepting = false
+			s.log("endpoint %s: not in the complete list, %d in flight", e.Name, e.inFlight)
+		}
+		s.fillEndpoint(e)
+		if !e.listed && e.inFlight == 0 {
+			s.removeEndpoint(e)
+		}
+	}
+}
+
+// maxBackoffDoublings bounds the backoff after failed polls to 8 demand periods.
+const maxBackoffDoublings = 3
+
+// EndpointListFailed notes that a poll or a watch failed. The next poll follows after a backoff with jitter, since all gateways
+// see a failure of discovery at the same moment.
+func (s *Scheduler) EndpointListFailed() {
+	s.listFailures++
+	wait := min(demandPeriod<<min(s.listFailures, maxBackoffDoublings), s.settings.MaxListAge/2)
+	s.log("endpoint list: failed %d times in a row, next poll within %v", s.listFailures, wait)
+	jitter := time.Duration(s.rng.Int63n(int64(wait/2) + 1))
+	s.runtime.After(wait/2+jitter, s.runtime.RequestEndpointList)
+}
+
+func (s *Scheduler) addEndpoint(e *Endpoint, shardNumber int) {
+	e.known = true
+	e.shard = shardNumber
+	e.startLimit(s.gateways, s.congestionThreshold)
+	s.endpoints = append(s.endpoints, e)
+	at := s.shardOf(shardNumber)
+	at.endpoints = append(at.endpoints, e)
+}
+
+func (s *Scheduler) removeEndpoint(e *Endpoint) {
+	e.known = false
+	s.endpoints = without(s.endpoints, e)
+	at := s.shardOf(e.shard)
+	at.endpoints = without(at.endpoints, e)
+}
+
+// takeStart notes when an endpoint started. A later start begins a new life: what was held against the old one is dropped. An
+// earlier one puts right a start that was taken for a fresh one until more was known.
+func (s *Scheduler) takeStart(e *Endpoint, startedAt time.Duration) {
+	switch {
+	case startedAt > e.startedAt:
+		e.startedAt = startedAt
+		e.consecutiveFailures = 0
+		e.ejectedUntil = 0
+		e.minSendInterval = 0
+		if age := s.runtime.Now() - startedAt; age < s.slowStart.duration {
+			s.log("endpoint %s: slow start, started %v ago, warm within %v", e.Name, age, s.slowStart.duration)
+		}
+	case startedAt < e.startedAt:
+		e.startedAt = startedAt
+	}
+}
+
+// shardOf finds a shard, or makes it.
+func (s *Scheduler) shardOf(number int) *shard {
+	if s.shards[number] == nil {
+		s.shards[number] = &shard{}
+	}
+	return s.shards[number]
+}
+
+// endpointsOf is the endpoints that may serve a shard; a negative number is data that any endpoint may take.
+func (s *Scheduler) endpointsOf(shardNumber int) []*Endpoint {
+	if shardNumber < 0 {
+		return s.endpoints
+	}
+	return s.shardOf(shardNumber).endpoints
+}
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -105,7 +105,7 @@
 func (b *bench) end(how Outcome, last bool) {
 	d := b.out[0]
 	b.out = b.out[1:]
-	b.in.AttemptEnded(d, AttemptResult{Outcome: how, Duration: b.now - d.sent, RequestOver: last})
+	b.in.AttemptEnded(d, AttemptResult{Outcome: how, Duration: b.now - d.sentAt, RequestOver: last})
 }
 
 func (b *bench) run(d time.Duration) {
--- /dev/null
+++ b/policy/lostanswer.go
@@ -0,0 +1,50 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// Lost answers: a connection that fell silent leaves an attempt in flight until its deadline. When an endpoint answers a later
+// request or a health check quickly, an attempt that is overdue there is presumed lost: it holds no place any more, and it is
+// canceled so that its request can be retried. Where no health check showed it, only once half of its request's time has passed,
+// since an endpoint that is slow for that request alone would do it twice.
+
+const (
+	// overdueThresholds and overdueWork: an attempt is overdue after so many congestion thresholds and so many times its own work.
+	overdueThresholds = 2
+	overdueWork       = 6
+)
+
+// overdue tells whether an attempt takes far longer than its own work, as of a time.
+func (s *Scheduler) overdue(attempt *Attempt, asOf time.Duration) bool {
+	r := attempt.Request
+	work := time.Duration(overdueWork * r.class.workPerUnit * r.units * float64(time.Second))
+	return asOf-attempt.sentAt > overdueThresholds*s.congestionThreshold+work
+}
+
+// presumeLost finds attempts that were overdue at an endpoint when something was sent there that was answered quickly.
+func (s *Scheduler) presumeLost(e *Endpoint, quickSentAt, now time.Duration) {
+	if !s.settings.CanCancel {
+		return
+	}
+	for _, attempt := range slices.Clone(e.attempts) {
+		r := attempt.Request
+		if attempt.canceledAsLost || r.over || r.streaming || !s.overdue(attempt, quickSentAt) {
+			continue
+		}
+		attempt.presumedLost = attempt.presumedLost || !s.gossips
+		if s.cancelLost(attempt, now) {
+			attempt.presumedLost, attempt.canceledAsLost = true, true
+			s.runtime.Cancel(attempt)
+		}
+	}
+}
+
+// cancelLost tells whether an attempt that is presumed lost is canceled: only where a retry may follow.
+func (s *Scheduler) cancelLost(attempt *Attempt, now time.Duration) bool {
+	r := attempt.Request
+	halfTimePassed := now-r.receivedAt >= r.deadline-now
+	return (s.gossips || halfTimePassed) && len(r.attempts) < s.settings.MaxAttempts &&
+		s.attemptAllowed(r, attempt.Endpoint, now) && s.retryBudget.allows(now)
+}
--- /dev/null
+++ b/policy/ordering.go
@@ -0,0 +1,58 @@
+package policy
+
+import (
+	"maps"
+	"time"
+)
+
+// Ordering: requests of an ordered class that name one object run one at a time, in the order in which they arrived. After an
+// attempt that may still run the key rests for OrderingCooldown, so that what follows is not overtaken by it. The order holds
+// among the requests of this gateway; it can't know others'.
+
+// orderingKey is the order of one object.
+type orderingKey struct {
+	waiting   []*Request // the first may run
+	restUntil time.Duration
+}
+
+// joinOrder puts a request of an ordered class behind the others with its key.
+func (s *Scheduler) joinOrder(r *Request) {
+	if !r.class.Ordered || r.object == "" {
+		return
+	}
+	if s.orderingKeys[r.object] == nil {
+		s.orderingKeys[r.object] = &orderingKey{}
+	}
+	r.ordering = s.orderingKeys[r.object]
+	r.ordering.waiting = append(r.ordering.waiting, r)
+}
+
+// itsTurn tells whether a request may run as far as order goes. A retry need not wait for its own key's rest.
+func (r *Request) itsTurn(now time.Duration) bool {
+	key := r.ordering
+	if key == nil {
+		return true
+	}
+	return key.waiting[0] == r && (now >= key.restUntil || len(r.attempts) > 0)
+}
+
+// coolOrder lets the key rest after an outcome after which the request may still run.
+func (s *Scheduler) coolOrder(r *Request, outcome Outcome, now time.Duration) {
+	if r.ordering != nil && (outcome == TimedOut || outcome == ConnectionReset || outcome == Canceled) {
+		r.ordering.restUntil = max(r.ordering.restUntil, now+s.settings.OrderingCooldown)
+	}
+}
+
+// leaveOrder lets the next request of a key run, once this one is over and none of its attempts is in flight.
+func (s *Scheduler) leaveOrder(r *Request) {
+	if r.ordering != nil && r.inFlight == 0 {
+		r.ordering.waiting = without(r.ordering.waiting, r)
+	}
+}
+
+// forgetOrder drops keys that nobody waits for.
+func (s *Scheduler) forgetOrder(now time.Duration) {
+	maps.DeleteFunc(s.orderingKeys, func(_ string, key *orderingKey) bool {
+		return len(key.waiting) == 0 && key.restUntil <= now
+	})
+}
--- /dev/null
+++ b/policy/pacing.go
@@ -0,0 +1,77 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// Pacing: a rate below one request at a time. An endpoint earns requests by its answers: slow ones open a least interval between
+// two attempts, starting from this gateway's own rate, quick ones close it. This guards against many gateways with one place each
+// at an endpoint, however few their requests, and against a full or dead endpoint that looks free since it fails fast. A
+// reservation that is due waits for a part of the interval only.
+
+const (
+	// minPaceFactor and maxPaceFactor bound how far one outcome moves the interval.
+	minPaceFactor = 0.125
+	maxPaceFactor = 3
+	// maxInterval is the longest interval, in congestion thresholds for each gateway.
+	maxInterval = 16
+	// intervalParts: an interval below one of so many parts of the congestion threshold is none.
+	intervalParts = 4
+	// dueParts: a due reservation waits for one of so many parts of the interval.
+	dueParts = 4
+	// meanIntervalGain is one over the part that a new interval has in the mean.
+	meanIntervalGain = 4
+	// longestInterval is the most that one interval counts in the mean, in demand periods.
+	longestInterval = 4
+	// slowest is an outcome's duration that moves the interval as far as any can.
+	slowest = never / 4
+)
+
+// pace is what is known of the rate at which an endpoint takes attempts from this gateway.
+type pace struct {
+	minSendInterval  time.Duration // 0: none
+	paceChangedAt    time.Duration
+	lastSentAt       time.Duration
+	meanSendInterval time.Duration
+}
+
+// updatePace moves the interval by how long an attempt took against the congestion threshold. An outcome of an attempt that was
+// sent before the last change may open the interval, but not close it.
+func (s *Scheduler) updatePace(attempt *Attempt, took, now time.Duration) {
+	e := attempt.Endpoint
+	factor := math.Min(math.Max(took.Seconds()/s.congestionThreshold.Seconds(), minPaceFactor), maxPaceFactor)
+	longest := maxInterval * s.congestionThreshold * time.Duration(s.gateways)
+	interval := min(time.Duration(factor*float64(attempt.minSendInterval)), longest)
+	if interval <= s.congestionThreshold/intervalParts {
+		interval = 0
+	}
+	opens := factor > 1 && interval > e.minSendInterval
+	closes := factor <= 1 && attempt.sentAt >= e.paceChangedAt
+	if opens || closes {
+		e.paceChangedAt, e.minSendInterval = now, interval
+	}
+}
+
+// openingInterval is the interval that an outcome starts from: the one in force, or one from this gateway's own rate.
+func (s *Scheduler) openingInterval(e *Endpoint) time.Duration {
+	fromOwnRate := min(e.meanSendInterval, s.congestionThreshold*time.Duration(s.gateways)/maxInterval)
+	return max(e.minSendInterval, fromOwnRate, s.congestionThreshold/intervalParts)
+}
+
+// paceAllows tells whether a candidate may go, so long after the last attempt.
+func (e *Endpoint) paceAllows(sinceSent time.Duration, c candidate) bool {
+	if c.urgency == objectiveMissed && e.minSendInterval > 0 { // a turn is for what can be in time
+		return false
+	}
+	if sinceSent >= e.minSendInterval {
+		return true
+	}
+	return c.due && sinceSent >= e.minSendInterval/dueParts && e.consecutiveFailures == 0
+}
+
+// noteSent takes an attempt that was sent into the mean interval.
+func (p *pace) noteSent(now time.Duration) {
+	p.meanSendInterval += (min(now-p.lastSentAt, longestInterval*demandPeriod) - p.meanSendInterval) / meanIntervalGain
+	p.lastSentAt = now
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -44,7 +44,7 @@
 	b.end(ErrorResponse, false)
 	// Output:
 	//     0ms dispatch 1.0 to a
-	//     0ms log: suspect a: full or not reached after 0s, 0 out
+	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
 	//    37ms dispatch 2.0 to a
 	//   110ms dispatch 1.1 to a
 	//   130ms abort 1
@@ -59,7 +59,7 @@
 	b.take("read", "plain", "x", 0, 2)
 	b.run(2000 * ms)
 	// Output:
-	//     0ms log: close a: listed as draining or gone, 0 out
+	//     0ms log: endpoint a: draining or removed, 0 in flight
 	//   112ms busy-reply 1, back in 100ms
 }
 
@@ -79,7 +79,7 @@
 	b.take("read", "plain", "x", 0, 2)
 	b.run(200 * ms)
 	// Output:
-	//  5000ms log: ramp a: started 0s ago, warm within 10s
+	//  5000ms log: endpoint a: slow start, started 0s ago, warm within 10s
 	//  5000ms dispatch 1.0 to a
 	//  5020ms dispatch 3.0 to a
 	//  5196ms busy-reply 2, back in 47ms
@@ -99,8 +99,8 @@
 	b.take("read", "plain", "z", 0, 1)
 	b.run(200 * ms)
 	// Output:
-	//  5000ms log: ramp a: started 100ms ago, warm within 10s
-	//  5010ms log: ramp b: started 5ms ago, warm within 10s
+	//  5000ms log: endpoint a: slow start, started 100ms ago, warm within 10s
+	//  5010ms log: endpoint b: slow start, started 5ms ago, warm within 10s
 	//  5010ms dispatch 2.0 to b
 	//  5206ms busy-reply 1, back in 50ms
 	//  6000ms dispatch 3.0 to a
@@ -130,15 +130,15 @@
 	b.in.BeginEndpointList(true)
 	b.list("b", 1, true, 0)
 	b.in.EndEndpointList()
-	fmt.Println(len(b.in.bricks))
+	fmt.Println(len(b.in.endpoints))
 	b.end(Served, true)
 	b.in.BeginEndpointList(false)
 	b.in.EndEndpointList()
 	b.run(time.Second)
-	fmt.Println(len(b.in.bricks), len(b.in.cells[0].bricks), len(b.in.keys))
+	fmt.Println(len(b.in.endpoints), len(b.in.shards[0].endpoints), len(b.in.orderingKeys))
 	// Output:
 	//     0ms dispatch 1.0 to a
-	//     0ms log: close a: gone from the list, 1 out
+	//     0ms log: endpoint a: not in the complete list, 1 in flight
 	// 2
 	// 1 0 0
 }
@@ -147,7 +147,7 @@
 // was overdue holds no place; it is called off as lost and sent again only when half of its time has passed.
 func Example_silent() {
 	b := start(setting(), "a")
-	b.in.bricks[0].window = 1
+	b.in.endpoints[0].limit = 1
 	b.take("read", "plain", "x", 0, 2)
 	b.run(270 * ms)
 	b.take("read", "plain", "y", 0, 2)
@@ -181,7 +181,7 @@
 	// Output:
 	//     0ms dispatch 1.0 to a
 	//     0ms dispatch 1.1 to a
-	//     0ms log: suspect a: full or not reached after 0s, 0 out
+	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
 }
 
 // Commands for one key run one at a time, and the key rests after an outcome that may still run.
@@ -226,9 +226,9 @@
 	b.take("read", "plain", "w", 0, 2)
 	b.take("read", "gold", "z", 0, 2)
 	b.run(40 * ms)
-	fmt.Println(b.in.bricks[0].gap)
+	fmt.Println(b.in.endpoints[0].minSendInterval)
 	b.end(Served, true)
-	fmt.Println(b.in.bricks[0].gap)
+	fmt.Println(b.in.endpoints[0].minSendInterval)
 	// Output:
 	//     0ms dispatch 1.0 to a
 	//   180ms dispatch 2.0 to a
@@ -251,19 +251,19 @@
 	b.in.HealthChecked(a, Served, 300*ms)
 	b.run(210 * ms)
 	b.in.HealthChecked(a, Served, 40*ms)
-	fmt.Println(a.gap, a.stuck)
+	fmt.Println(a.minSendInterval, a.ejectedUntil)
 	b.in.GossipReceived(0, []byte("sa"))
 	b.take("row", "plain", "y", 0, 1)
 	b.in.GossipReceived(0, []byte("fa"))
-	a.gap = 0
+	a.minSendInterval = 0
 	b.run(300 * ms)
 	b.in.HealthChecked(a, Served, 40*ms)
 	b.end(Canceled, false)
-	fmt.Println(a.gap, a.strikes)
+	fmt.Println(a.minSendInterval, a.consecutiveFailures)
 	// Output:
 	//     0ms dispatch 1.0 to a
-	//     0ms log: suspect a: full or not reached after 0s, 0 out
-	//     0ms log: stuck a: full, or its probe late; 0 out
+	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+	//     0ms log: endpoint a: ejected, overloaded or its health check late, 0 in flight
 	//     0ms tell -1 "sa"
 	//   112ms busy-reply 1, back in 181ms
 	//   200ms probe a
@@ -285,14 +285,14 @@
 	b.take("read", "plain", "x", 0, 2)
 	b.run(200 * ms)
 	b.list("a", 0, true, 0)
-	b.in.bricks[0].window = 1
+	b.in.endpoints[0].limit = 1
 	b.take("read", "plain", "x", 0, 4)
 	b.take("read", "plain", "x", 0, 3)
 	b.take("read", "plain", "x", 0, 2)
 	b.end(NotSent, true)
 	b.end(Served, true)
 	// Output:
-	//     0ms log: close a: listed as draining or gone, 0 out
+	//     0ms log: endpoint a: draining or removed, 0 in flight
 	//   112ms busy-reply 1, back in 100ms
 	//   200ms dispatch 2.0 to a
 	//   200ms dispatch 3.0 to a
@@ -302,7 +302,7 @@
 // A due reservation leaves first, then by weight; what can wait for two of the shortest targets goes after both.
 func Example_tagOrder() {
 	b := start(setting(), "a")
-	b.in.bricks[0].window = 1
+	b.in.endpoints[0].limit = 1
 	b.take("read", "gold", "x", 0, 2)
 	b.take("row", "gold", "y", 0, 2)
 	b.take("read", "plain", "x", 0, 2)
@@ -326,7 +326,7 @@
 	b.end(ErrorResponse, false)
 	b.end(ErrorResponse, false)
 	b.run(300 * ms)
-	b.in.bricks[0].lat = 90 * ms
+	b.in.endpoints[0].smoothedLatency = 90 * ms
 	b.run(100 * ms)
 	// Output:
 	//     0ms dispatch 1.0 to a
@@ -338,8 +338,8 @@
 func Example_demandAndWindow() {
 	b := start(setting(), "a")
 	show := func() {
-		a := b.in.bricks[0]
-		fmt.Printf("Q %.2f of %.2f, window %d, demand %.1f\n", a.quota, a.of, a.window, b.vols["plainx"].lanes[0].demand)
+		a := b.in.endpoints[0]
+		fmt.Printf("Q %.2f of %.2f, window %d, demand %.1f\n", a.fleetLimit, a.limitShare, a.limit, b.vols["plainx"].queues[0].demand)
 	}
 	for range 8 {
 		b.take("read", "plain", "x", 0, 1)
@@ -368,16 +368,16 @@
 
 // The divvy: all demand and an even part of the rest, or by weight between least and most.
 func Example_divvy() {
-	show := func(amount float64, parts ...share) {
-		divvy(amount, parts)
-		for i, p := range parts {
-			fmt.Printf("%d: %.1f;", i, p.got)
+	show := func(amount float64, claims ...claim) {
+		divvy(amount, claims)
+		for i, c := range claims {
+			fmt.Printf("%d: %.1f;", i, c.granted)
 		}
 		fmt.Println()
 	}
-	show(12, share{most: 2, weight: 1}, share{most: 4, weight: 1})
-	show(12, share{most: 2, weight: 1}, share{most: 40, weight: 1}, share{most: 40, weight: 1})
-	show(12, share{least: 6, most: 9, weight: 1}, share{most: 40, weight: 1}, share{most: 40, weight: 2})
+	show(12, claim{maximum: 2, weight: 1}, claim{maximum: 4, weight: 1})
+	show(12, claim{maximum: 2, weight: 1}, claim{maximum: 40, weight: 1}, claim{maximum: 40, weight: 1})
+	show(12, claim{minimum: 6, maximum: 9, weight: 1}, claim{maximum: 40, weight: 1}, claim{maximum: 40, weight: 2})
 	// Output:
 	// 0: 5.0;1: 7.0;
 	// 0: 2.0;1: 5.0;2: 5.0;
@@ -403,15 +403,15 @@
 	b.in.SetGateways(3, 0)
 	b.take("read", "plain", "x", 0, 2)
 	b.in.SetGateways(3, 4)
-	fmt.Println(b.in.coldUnits)
+	fmt.Println(b.in.slowStart.units)
 	b.list("a", 0, true, 1*ms)
-	b.in.fill(b.bricks["a"])
+	b.in.fillEndpoint(b.bricks["a"])
 	// Output:
 	//  8000ms dispatch 1.0 to a
 	// 8.0 of 16.0, 4.0 a second
 	// 4.0 of 8.0, 2.0 a second
 	// 4.0 of 32.0, 8.0 a second
-	// 10000ms log: ramp a: started 0s ago, warm within 10s
+	// 10000ms log: endpoint a: slow start, started 0s ago, warm within 10s
 	// 1
 	// 10000ms dispatch 2.0 to a
 }
--- /dev/null
+++ b/policy/scheduler.go
@@ -0,0 +1,168 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"math/rand"
+	"slices"
+	"time"
+)
+
+const (
+	// demandPeriod is how often demand is measured and capacity is divided among volumes and gateways.
+	demandPeriod = time.Second
+	// congestionShare is the congestion threshold as a part of the shortest latency objective.
+	congestionShare = 0.25
+	// minCongestionThreshold keeps periods that derive from the threshold above the resolution of timers.
+	minCongestionThreshold = time.Millisecond
+	// sweepsPerThreshold is how many times within a congestion threshold queues are swept.
+	sweepsPerThreshold = 4
+	// never is longer than any wait.
+	never = time.Duration(math.MaxInt64)
+)
+
+// Scheduler decides for one gateway. It is not safe for concurrent use: all calls, timers included, come from one goroutine.
+type Scheduler struct {
+	runtime  Runtime
+	settings Settings
+	rng      *rand.Rand
+
+	startedAt           time.Duration
+	gateways            float64       // that serve now, at least 1
+	congestionThreshold time.Duration // latency beyond which an endpoint is congested: the paper's Lc
+	shortestObjective   time.Duration // the shortest latency objective of all classes
+	timerMargin         time.Duration // how much sooner a deadline's timer is set
+	gossips             bool          // gateways check health and tell each other of outliers
+	slowStart           slowStartBudget
+	retryBudget         retryBudget
+
+	classes      map[string]*class
+	plans        map[string]*ServicePlan
+	volumes      []*Volume
+	endpoints    []*Endpoint
+	shards       map[int]*shard
+	orderingKeys map[string]*orderingKey
+	abandoned    map[retryFingerprint][]time.Duration // when requests without a good answer were first received
+	listFailures int                                  // in a row
+}
+
+// class is a request class with what its answers have shown.
+type class struct {
+	RequestClass
+	costPerUnit float64 // mean seconds that an answer takes for a unit
+	workPerUnit float64 // the same where nothing was before it at the endpoint
+}
+
+// shard holds what belongs together: the endpoints with its data and the queues for them.
+type shard struct {
+	endpoints []*Endpoint
+	queues    []*volumeQueue
+}
+
+// New makes the scheduler of a gateway that knows nothing yet, and sets its first timers.
+func New(runtime Runtime, settings Settings) *Scheduler {
+	settings.TypicalUnits = math.Max(settings.TypicalUnits, 1)
+	s := &Scheduler{
+		runtime:      runtime,
+		settings:     settings,
+		rng:          rand.New(rand.NewSource(settings.Seed)),
+		startedAt:    runtime.Now(),
+		timerMargin:  2 * settings.TimerResolution,
+		gossips:      settings.HealthChecks && settings.Gossip,
+		slowStart:    newSlowStartBudget(settings),
+		retryBudget:  newRetryBudget(settings),
+		classes:      map[string]*class{},
+		plans:        map[string]*ServicePlan{},
+		shards:       map[int]*shard{},
+		orderingKeys: map[string]*orderingKey{},
+		abandoned:    map[retryFingerprint][]time.Duration{},
+	}
+	s.addClasses()
+	s.addPlans()
+	gateways := max(settings.Gateways, 1)
+	s.SetGateways(gateways, gateways)
+	s.startTimers()
+	return s
+}
+
+func (s *Scheduler) addClasses() {
+	s.shortestObjective = never
+	for _, c := range s.settings.Classes {
+		s.classes[c.Name] = &class{RequestClass: c}
+		s.shortestObjective = min(s.shortestObjective, c.LatencyObjective)
+	}
+	s.congestionThreshold = max(time.Duration(float64(s.shortestObjective)*congestionShare), minCongestionThreshold)
+	for _, c := range s.classes {
+		c.costPerUnit = s.congestionThreshold.Seconds() / s.settings.TypicalUnits
+		c.workPerUnit = s.congestionThreshold.Seconds() / s.settings.TypicalUnits / 2
+	}
+}
+
+func (s *Scheduler) addPlans() {
+	for _, plan := range s.settings.Plans {
+		plan.Weight = math.Max(plan.Weight, minWeight)
+		s.plans[plan.Name] = &plan
+	}
+}
+
+func (s *Scheduler) startTimers() {
+	if s.settings.PollEndpointList {
+		jitter := time.Duration(s.rng.Int63n(int64(demandPeriod) / 4))
+		s.runtime.After(jitter, s.runtime.RequestEndpointList)
+	}
+	s.runtime.After(demandPeriod, s.runDemandPeriod)
+	s.runtime.After(s.congestionThreshold/sweepsPerThreshold, s.sweep)
+}
+
+// SetGateways says how many gateways serve, this one included, and over how many the slow-start budgets of endpoints are split:
+// every gateway that may still be sending counts there, also one that is not heard of. 0: this gateway has no share yet and sends
+// nothing to endpoints in slow start.
+func (s *Scheduler) SetGateways(serving, slowStartShares int) {
+	s.gateways = math.Max(1, float64(serving))
+	s.slowStart.split(slowStartShares)
+}
+
+// runDemandPeriod is the paper's period: demand, then the split of limits.
+func (s *Scheduler) runDemandPeriod() {
+	now := s.runtime.Now()
+	for _, v := range s.volumes {
+		s.measureDemand(v, now)
+	}
+	s.forgetAbandoned(now)
+	s.forgetOrder(now)
+	for _, e := range s.endpoints {
+		s.splitLimit(e)
+		s.fillEndpoint(e)
+	}
+	s.runtime.After(demandPeriod, s.runDemandPeriod)
+}
+
+// sweep moves concurrency limits, sheds what can't be answered in time any more and wakes queues that waited for a rate.
+func (s *Scheduler) sweep() {
+	now := s.runtime.Now()
+	for _, e := range s.endpoints {
+		if now-e.limitMovedAt >= limitPeriods*s.congestionThreshold {
+			s.moveLimit(e, now)
+		}
+	}
+	for _, v := range s.volumes {
+		for _, queue := range v.queues {
+			if len(queue.waiting) == 0 {
+				continue
+			}
+			s.shedLate(queue, now)
+			s.serveQueue(queue)
+		}
+	}
+	s.runtime.After(s.congestionThreshold/sweepsPerThreshold, s.sweep)
+}
+
+func (s *Scheduler) log(format string, args ...any) { s.runtime.Log(fmt.Sprintf(format, args...)) }
+
+// without returns the list without its first element equal to x.
+func without[T comparable](list []T, x T) []T {
+	if i := slices.Index(list, x); i >= 0 {
+		return slices.Delete(list, i, i+1)
+	}
+	return list
+}
