--- /dev/null
+++ b/policy/scheduler_test.go
@@ -0,0 +1,422 @@
+package policy
+
+import (
+	"fmt"
+	"time"
+)
+
+// An endpoint never answers: the request is canceled there and rejected before its deadline.
+func Example_finalAnswerInTime() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(2000 * millisecond)
+	// Output:
+	//     0ms send 1.0 to a
+	//   996ms cancel 1.0
+	//   996ms reject 1, retry after 50ms
+}
+
+// Three ordered requests with one key, the first of which is never answered. What was not sent when its latency objective passes,
+// or by half of its time, is rejected then; what was sent waits for its answer.
+func Example_notSentInTime() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("row", "plain", "k", 0, 2)
+	h.receive("row", "plain", "k", 0, 2)
+	h.advance(600 * millisecond)
+	h.receive("row", "plain", "k", 0, 2)
+	h.advance(390 * millisecond)
+	h.endOldest(Served, true)
+	// Output:
+	//     0ms send 1.0 to a
+	//   496ms reject 2, retry after 50ms
+	//   646ms reject 3, retry after 50ms
+}
+
+// A connection that does not come up, then an error response, for a request that must not run twice. It is sent again after the
+// failed connect, since it never ran; after the error it may have run, so it is neither sent again nor rejected: it fails.
+func Example_notIdempotent() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("once", "plain", "x", 0, 2)
+	h.endOldest(ConnectFailed, false)
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(110 * millisecond)
+	h.endOldest(Served, true)
+	h.advance(20 * millisecond)
+	h.endOldest(ErrorResponse, false)
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+	//    37ms send 2.0 to a
+	//   110ms send 1.1 to a
+	//   130ms fail 1
+}
+
+// The only endpoint drains before a request comes: nothing is sent there, and the request is rejected in time.
+func Example_draining() {
+	h := startScheduler(smallSettings(), "a")
+	h.scheduler.BeginEndpointList(false)
+	h.update("a", 0, false, 0)
+	h.scheduler.EndEndpointList()
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(2000 * millisecond)
+	// Output:
+	//     0ms log: endpoint a: draining or removed, 0 in flight
+	//   112ms reject 1, retry after 100ms
+}
+
+// An endpoint has just started. It holds no more than this gateway's share of its slow-start budget (2 units at first). An answer
+// frees the budget at once, an error only after the overload window, and the budget grows as the endpoint warms up.
+func Example_slowStart() {
+	h := startScheduler(smallSettings(), "a")
+	h.advance(5000 * millisecond)
+	h.update("a", 0, true, 5000*millisecond)
+	for range 3 {
+		h.receive("read", "plain", "x", 0, 2)
+	}
+	h.advance(20 * millisecond)
+	h.endOldest(Served, true)
+	h.endOldest(ErrorResponse, true)
+	h.advance(980 * millisecond)
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(200 * millisecond)
+	// Output:
+	//  5000ms log: endpoint a: slow start, started 0s ago, warm within 10s
+	//  5000ms send 1.0 to a
+	//  5020ms send 3.0 to a
+	//  5196ms reject 2, retry after 47ms
+	//  6025ms send 4.0 to a
+}
+
+// A gateway restarts while an endpoint is in slow start. It may have sent its share a moment ago, so it sends nothing there for one
+// overload window. An endpoint that started later than the gateway is not concerned.
+func Example_slowStartAfterRestart() {
+	h := startSchedulerAt(5000*millisecond, smallSettings(), "a", "b")
+	h.update("a", 0, true, 4900*millisecond)
+	h.advance(10 * millisecond)
+	h.update("b", 1, true, 5005*millisecond)
+	h.receive("read", "plain", "x", 0, 1)
+	h.receive("read", "plain", "y", 1, 1)
+	h.advance(900 * millisecond)
+	h.receive("read", "plain", "z", 0, 1)
+	h.advance(200 * millisecond)
+	// Output:
+	//  5000ms log: endpoint a: slow start, started 100ms ago, warm within 10s
+	//  5010ms log: endpoint b: slow start, started 5ms ago, warm within 10s
+	//  5010ms send 2.0 to b
+	//  5206ms reject 1, retry after 50ms
+	//  6000ms send 3.0 to a
+	//  6006ms cancel 2.0
+	//  6006ms reject 2, retry after 50ms
+}
+
+// A request with an idempotency key fails once. It may be sent again only as long as its key is known there: the attempt says by
+// when it must begin.
+func Example_idempotencyWindow() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("tag", "plain", "x", 0, 1)
+	fmt.Println(h.sent[0].StartBy)
+	h.advance(100 * millisecond)
+	h.endOldest(ErrorResponse, false)
+	fmt.Println(h.sent[0].StartBy)
+	// Output:
+	//     0ms send 1.0 to a
+	// 0s
+	//   100ms send 1.1 to a
+	// 500ms
+}
+
+// An endpoint is replaced while an attempt is in flight there. It is forgotten once that has ended: replacements have new names,
+// and a long run has many.
+func Example_removedEndpoint() {
+	h := startScheduler(smallSettings(), "a", "b")
+	h.receive("row", "plain", "x", 0, 2)
+	h.scheduler.BeginEndpointList(true)
+	h.update("b", 1, true, 0)
+	h.scheduler.EndEndpointList()
+	fmt.Println(len(h.scheduler.endpoints))
+	h.endOldest(Served, true)
+	h.scheduler.BeginEndpointList(false)
+	h.scheduler.EndEndpointList()
+	h.advance(time.Second)
+	fmt.Println(len(h.scheduler.endpoints), len(h.scheduler.shards[0].endpoints), len(h.scheduler.orderingKeys))
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms log: endpoint a: not in the complete list, 1 in flight
+	// 2
+	// 1 0 0
+}
+
+// An answer is lost where no health checks may be sent. The endpoint, full of overdue attempts, gets one request more; once that is
+// answered quickly the overdue one holds no place. It is canceled and sent again only when half of its time has passed.
+func Example_lostAnswerWithoutHealthChecks() {
+	h := startScheduler(smallSettings(), "a")
+	h.scheduler.endpoints[0].limit = 1
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(270 * millisecond)
+	h.receive("read", "plain", "y", 0, 2)
+	lost := h.sent[0]
+	h.sent = h.sent[1:]
+	h.advance(20 * millisecond)
+	h.endOldest(Served, true)
+	h.receive("read", "plain", "w", 0, 2)
+	h.advance(220 * millisecond)
+	h.endOldest(Served, true)
+	h.receive("read", "plain", "z", 0, 2)
+	h.advance(20 * millisecond)
+	h.endOldest(Served, true)
+	h.scheduler.AttemptEnded(lost, AttemptResult{Outcome: Canceled, Duration: h.now})
+	// Output:
+	//     0ms send 1.0 to a
+	//   270ms send 2.0 to a
+	//   290ms send 3.0 to a
+	//   510ms send 4.0 to a
+	//   530ms cancel 1.0
+	//   530ms send 1.1 to a
+}
+
+// Connections to an endpoint are reset, twice in a row. The first says nothing of the endpoint, the second counts as a failure.
+func Example_connectionReset() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("read", "plain", "x", 0, 2)
+	h.endOldest(ConnectionReset, false)
+	h.endOldest(ConnectionReset, false)
+	h.advance(200 * millisecond)
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms send 1.1 to a
+	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+}
+
+// Requests with one ordering key run one at a time, and the key rests after an outcome after which the request may still run.
+func Example_ordering() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("row", "plain", "k", 0, 2)
+	h.receive("row", "plain", "k", 0, 2)
+	h.receive("row", "plain", "j", 0, 2)
+	h.endOldest(ConnectionReset, true)
+	h.advance(400 * millisecond)
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms send 3.0 to a
+	//   300ms send 2.0 to a
+}
+
+// The bucket of a volume's limit starts with this gateway's part of the initial burst and fills at its part of the rate.
+func Example_rateLimit() {
+	h := startScheduler(smallSettings(), "a")
+	for range 4 {
+		h.receive("read", "capped", "x", 0, 2)
+	}
+	h.endOldest(Served, true)
+	h.advance(480 * millisecond)
+	h.receive("read", "capped", "x", 0, 2)
+	h.advance(400 * millisecond)
+	// Output:
+	//     0ms send 1.0 to a
+	//   196ms reject 2, retry after 45ms
+	//   196ms reject 3, retry after 45ms
+	//   196ms reject 4, retry after 45ms
+	//   500ms send 5.0 to a
+}
+
+// A slow answer opens the send interval, a quick one closes it; a reservation that is due waits for a part of it only.
+func Example_pacing() {
+	h := startScheduler(smallSettings(), "a")
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(180 * millisecond)
+	h.endOldest(Served, true)
+	h.receive("read", "plain", "y", 0, 2)
+	h.receive("read", "plain", "w", 0, 2)
+	h.receive("read", "gold", "z", 0, 2)
+	h.advance(40 * millisecond)
+	fmt.Println(h.scheduler.endpoints[0].minSendInterval)
+	h.endOldest(Served, true)
+	fmt.Println(h.scheduler.endpoints[0].minSendInterval)
+	// Output:
+	//     0ms send 1.0 to a
+	//   180ms send 2.0 to a
+	//   200ms send 4.0 to a
+	// 37.5ms
+	//   220ms send 3.0 to a
+	// 0s
+}
+
+// An endpoint rejects: it is ejected at all gateways and checked until a check comes back soon, then it recovers with a send interval.
+// Later an attempt is overdue and a health check quick: its answer was lost, so it is canceled and sent again. What another
+// gateway gossips is believed.
+func Example_ejection() {
+	s := smallSettings()
+	s.HealthChecks, s.Gossip, s.Ordinal = true, true, 1
+	h := startScheduler(s, "a")
+	a := h.endpoints["a"]
+	h.receive("read", "plain", "x", 0, 2)
+	h.endOldest(Rejected, false)
+	h.advance(210 * millisecond)
+	h.scheduler.HealthChecked(a, Served, 300*millisecond)
+	h.advance(210 * millisecond)
+	h.scheduler.HealthChecked(a, Served, 40*millisecond)
+	fmt.Println(a.minSendInterval, a.ejectedUntil)
+	h.scheduler.GossipReceived(0, []byte("sa"))
+	h.receive("row", "plain", "y", 0, 1)
+	h.scheduler.GossipReceived(0, []byte("fa"))
+	a.minSendInterval = 0
+	h.advance(300 * millisecond)
+	h.scheduler.HealthChecked(a, Served, 40*millisecond)
+	h.endOldest(Canceled, false)
+	fmt.Println(a.minSendInterval, a.consecutiveFailures)
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+	//     0ms log: endpoint a: ejected, overloaded or its health check late, 0 in flight
+	//     0ms gossip "sa"
+	//   112ms reject 1, retry after 181ms
+	//   200ms check health of a
+	//   410ms check health of a
+	//   420ms gossip "fa"
+	// 100ms 0s
+	//   425ms send 2.0 to a
+	//   700ms check health of a
+	//   720ms cancel 2.0
+	//   720ms send 2.1 to a
+	// 0s 0
+}
+
+// A client retries what was rejected. The retry keeps the first request's latency objective, so it yields to what can be in time.
+func Example_clientRetry() {
+	h := startScheduler(smallSettings(), "a")
+	h.scheduler.BeginEndpointList(false)
+	h.update("a", 0, false, 0)
+	h.receive("read", "plain", "x", 0, 2)
+	h.advance(200 * millisecond)
+	h.update("a", 0, true, 0)
+	h.scheduler.endpoints[0].limit = 1
+	h.receive("read", "plain", "x", 0, 4)
+	h.receive("read", "plain", "x", 0, 3)
+	h.receive("read", "plain", "x", 0, 2)
+	h.endOldest(NotSent, true)
+	h.endOldest(Served, true)
+	// Output:
+	//     0ms log: endpoint a: draining or removed, 0 in flight
+	//   112ms reject 1, retry after 100ms
+	//   200ms send 2.0 to a
+	//   200ms send 3.0 to a
+	//   200ms send 4.0 to a
+}
+
+// A reservation that is due goes first, then weight decides; what can wait for two of the shortest latency objectives goes after both.
+func Example_fairQueue() {
+	h := startScheduler(smallSettings(), "a")
+	h.scheduler.endpoints[0].limit = 1
+	h.receive("read", "gold", "x", 0, 2)
+	h.receive("row", "gold", "y", 0, 2)
+	h.receive("read", "plain", "x", 0, 2)
+	h.receive("read", "gold", "z", 0, 2)
+	for range 4 {
+		h.endOldest(NotSent, true)
+	}
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms send 4.0 to a
+	//     0ms send 3.0 to a
+	//     0ms send 2.0 to a
+}
+
+// Two errors in a row under a retry budget of one. The second retry waits for the budget and is rejected in time.
+func Example_retryBudget() {
+	s := smallSettings()
+	s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 1, 0, 5*time.Second
+	h := startScheduler(s, "a")
+	h.receive("read", "plain", "x", 0, 2)
+	h.endOldest(ErrorResponse, false)
+	h.endOldest(ErrorResponse, false)
+	h.advance(300 * millisecond)
+	h.scheduler.endpoints[0].smoothedLatency = 90 * millisecond
+	h.advance(100 * millisecond)
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms send 1.1 to a
+	//   312ms reject 1, retry after 90ms
+}
+
+// Eight requests against a limit of four. Waiting requests count as demand, attempts in flight for long narrow the limit, and errors
+// that come fast don't widen it.
+func Example_demandAndLimit() {
+	h := startScheduler(smallSettings(), "a")
+	show := func() {
+		a := h.scheduler.endpoints[0]
+		fmt.Printf("Q %.2f of %.2f, window %d, demand %.1f\n", a.fleetLimit, a.limitShare, a.limit, h.volumes["plainx"].queues[0].demand)
+	}
+	for range 8 {
+		h.receive("read", "plain", "x", 0, 1)
+	}
+	h.quiet = true
+	show()
+	h.advance(100 * millisecond)
+	show()
+	for range 4 {
+		h.endOldest(ErrorResponse, true)
+	}
+	h.advance(100 * millisecond)
+	show()
+	h.advance(800 * millisecond)
+	show()
+	// Output:
+	//     0ms send 1.0 to a
+	//     0ms send 2.0 to a
+	//     0ms send 3.0 to a
+	//     0ms send 4.0 to a
+	// Q 8.00 of 0.50, window 4, demand 0.0
+	// Q 6.00 of 0.50, window 3, demand 0.0
+	// Q 4.71 of 0.50, window 2, demand 0.0
+	// Q 1.00 of 1.00, window 1, demand 71.7
+}
+
+// The divvy gives all demand and an even part of the rest, or splits by weight between minimum and maximum.
+func Example_divvy() {
+	show := func(amount float64, claims ...claim) {
+		divvy(amount, claims)
+		for i, c := range claims {
+			fmt.Printf("%d: %.1f;", i, c.granted)
+		}
+		fmt.Println()
+	}
+	show(12, claim{maximum: 2, weight: 1}, claim{maximum: 4, weight: 1})
+	show(12, claim{maximum: 2, weight: 1}, claim{maximum: 40, weight: 1}, claim{maximum: 40, weight: 1})
+	show(12, claim{minimum: 6, maximum: 9, weight: 1}, claim{maximum: 40, weight: 1}, claim{maximum: 40, weight: 2})
+	// Output:
+	// 0: 5.0;1: 7.0;
+	// 0: 2.0;1: 5.0;2: 5.0;
+	// 0: 6.0;1: 2.0;2: 4.0;
+}
+
+// Gateways come and go. A limit's part shrinks at once, with what it holds, and grows at its rate only; a gateway without a share
+// sends nothing to an endpoint in slow start; a start that was taken for a fresh one is put right.
+func Example_membershipChange() {
+	h := startScheduler(smallSettings(), "a")
+	h.advance(8000 * millisecond)
+	h.receive("read", "capped", "x", 0, 2)
+	h.endOldest(Served, true)
+	h.advance(2000 * millisecond)
+	v := h.volumes["cappedx"]
+	show := func() { fmt.Printf("%.1f of %.1f, %.1f a second\n", v.limit.fill(h.now), v.limit.depth, v.limit.rate) }
+	show()
+	h.scheduler.SetVolumeGateways(v, 4)
+	show()
+	h.scheduler.SetVolumeGateways(v, 1)
+	show()
+	h.update("a", 0, true, 10000*millisecond)
+	h.scheduler.SetGateways(3, 0)
+	h.receive("read", "plain", "x", 0, 2)
+	h.scheduler.SetGateways(3, 4)
+	fmt.Println(h.scheduler.slowStart.units)
+	h.update("a", 0, true, 1*millisecond)
+	h.scheduler.fillEndpoint(h.endpoints["a"])
+	// Output:
+	//  8000ms send 1.0 to a
+	// 8.0 of 16.0, 4.0 a second
+	// 4.0 of 8.0, 2.0 a second
+	// 4.0 of 32.0, 8.0 a second
+	// 10000ms log: endpoint a: slow start, started 0s ago, warm within 10s
+	// 1
+	// 10000ms send 2.0 to a
+}
