--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -138,7 +138,7 @@
 		digest: "b516979ae871407aac4c35fd"},
 }
 
-// The decisions of the module stay what they were in the landed version a32f63c, on which these digests were recorded
+// The decisions of the scheduler stay what they were in the landed version a32f63c, on which these digests were recorded
 // (amd64: a compiler that fuses floating-point operations may round otherwise). A digest that differs is a decision that
 // changed: a change that is meant says so in its commit and records the digests anew.
 func TestGoldenDecisions(t *testing.T) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestGoldenDriverRepeats: the driver itself brings no chance of its own, or a digest would say nothing.
+// One day is played twice. The driver must bring no chance of its own, or a digest would say nothing.
 func TestGoldenDriverRepeats(t *testing.T) {
 	first, _ := play(goldenDays[0])
 	second, _ := play(goldenDays[0])
