--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -869,7 +869,11 @@
 func (l *line) RequestGreeting() {
 	w, h, b := l.h.w, l.h, l.b
 	if b != nil && b.up {
-		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.Greeted(b.name, b.address, true, w.now-b.started, false) }) })
+		w.at(w.now+b.way, func() {
+			h.in(func(c *engine.Core) {
+				c.Greeted(engine.Greeting{Endpoint: b.name, Address: b.address, HasStart: true, Age: w.now - b.started})
+			})
+		})
 	}
 }
 
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -184,8 +184,8 @@
 	to   *[]*pb.Captured
 }
 
-func (t tap) Enabled() bool                                                                 { return true }
-func (t tap) EndpointChanged(string, string, int, bool, bool, time.Duration, time.Duration) {}
+func (t tap) Enabled() bool                         { return true }
+func (t tap) EndpointChanged(engine.EndpointChange) {}
 func (t tap) RequestEnded(p *engine.RequestRecord) {
 	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.Class, Units: p.Units, Cell: int64(p.Shard), Repeat: p.Retry, Timeout: int64(p.Timeout),
 		Took: int64(p.Duration), Final: pb.CapturedCommand_Final(p.Result), Host: t.host}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -46,7 +46,7 @@
 func TestWriteAndRead(t *testing.T) {
 	dir := t.TempDir()
 	w := open(t, Config{Folder: dir, Queue: 5000})
-	w.EndpointChanged("b1", "north", 4, true, false, 55, 60) // before it was on: needed all the same
+	w.EndpointChanged(engine.EndpointChange{Endpoint: "b1", Zone: "north", Shard: 4, Serving: true, StartedAt: 55, ChangedAt: 60}) // before it was on: needed all the same
 	if w.Enabled() {
 		t.Error("on before Start")
 	}
@@ -267,7 +267,8 @@
 	for h, off := range []time.Duration{0, time.Hour} {
 		w := open(t, Config{Folder: dir, Head: &pb.CaptureHead{Host: fmt.Sprint("host-", h), Life: int64(h + 1)}})
 		for b := range 5 {
-			w.EndpointChanged(fmt.Sprint("b", b), "north", b, true, false, time.Duration(1e15+b*1000)+off, 1e15)
+			w.EndpointChanged(engine.EndpointChange{Endpoint: fmt.Sprint("b", b), Zone: "north", Shard: b, Serving: true,
+				StartedAt: time.Duration(1e15+b*1000) + off, ChangedAt: 1e15})
 		}
 		w.Start()
 		for i := range 100 {
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -193,10 +193,10 @@
 // Over takes a command that is over.
 func (w *Writer) RequestEnded(p *engine.RequestRecord) { w.offer(p) }
 
-// Brick takes what is known of a brick. It is kept also while the writer is off: a capture that begins later needs it.
-func (w *Writer) EndpointChanged(name, zone string, cell int, serving, gone bool, started, now time.Duration) {
-	w.offer(&pb.Captured{At: int64(now), What: &pb.Captured_Brick{Brick: &pb.CapturedBrick{Name: name, Zone: zone, Cell: int64(cell),
-		Serving: serving, Gone: gone, Started: int64(started)}}})
+// EndpointChanged takes the state of an endpoint. It is kept also while the writer is off: a capture that begins later needs it.
+func (w *Writer) EndpointChanged(change engine.EndpointChange) {
+	w.offer(&pb.Captured{At: int64(change.ChangedAt), What: &pb.Captured_Brick{Brick: &pb.CapturedBrick{Name: change.Endpoint, Zone: change.Zone,
+		Cell: int64(change.Shard), Serving: change.Serving, Gone: change.Removed, Started: int64(change.StartedAt)}}})
 }
 
 func (w *Writer) run() {
--- a/internal/endpointconn/endpointconn.go
+++ b/internal/endpointconn/endpointconn.go
@@ -251,8 +251,8 @@
 	if err != nil {
 		return fmt.Errorf("brick %s: %w", l.brick, err)
 	}
-	dated, draining := hello.Get("Age") != "", hello.Get("State") == "draining"
-	l.lines.loop.Post(func(c *engine.Core) { c.Greeted(l.brick, l.address, dated, age, draining) })
+	greeting := engine.Greeting{Endpoint: l.brick, Address: l.address, HasStart: hello.Get("Age") != "", Age: age, Draining: hello.Get("State") == "draining"}
+	l.lines.loop.Post(func(c *engine.Core) { c.Greeted(greeting) })
 	l.mu.Lock()
 	c.greeted = true
 	l.mu.Unlock()
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -62,7 +62,25 @@
 type Observer interface {
 	Enabled() bool
 	RequestEnded(p *RequestRecord)
-	EndpointChanged(name, zone string, cell int, serving, gone bool, started, now time.Duration)
+	EndpointChanged(change EndpointChange)
+}
+
+// EndpointChange is the state of an endpoint as this gateway uses it from ChangedAt on.
+type EndpointChange struct {
+	Endpoint, Zone string
+	Shard          int
+	Serving        bool          // false: draining or removed; nothing new is sent
+	Removed        bool          // it is no longer part of the fleet
+	StartedAt      time.Duration // on the engine's clock; 0: not known, long ago
+	ChangedAt      time.Duration // on the engine's clock
+}
+
+// Greeting is how an endpoint introduces itself on a new connection.
+type Greeting struct {
+	Endpoint, Address string
+	HasStart          bool          // it reports its age
+	Age               time.Duration // since its start, by its own clock; only with HasStart
+	Draining          bool          // it takes nothing new
 }
 
 // Past is a command that is over.
@@ -656,16 +674,17 @@
 	return ok
 }
 
-// OwnWord is a brick's greeting.
-func (c *Core) Greeted(name, address string, dated bool, age time.Duration, draining bool) {
+// Greeted is an endpoint's greeting.
+func (c *Core) Greeted(g Greeting) {
 	started := time.Duration(0)
-	if dated {
-		started = c.now - max(age, 0)
-		if b := c.bricks[name]; c.tap != nil && b != nil {
-			c.tap.EndpointChanged(name, b.zone, b.cell, b.serving && !draining, b.gone, started, c.now)
+	if g.HasStart {
+		started = c.now - max(g.Age, 0)
+		if b := c.bricks[g.Endpoint]; c.tap != nil && b != nil {
+			c.tap.EndpointChanged(EndpointChange{Endpoint: g.Endpoint, Zone: b.zone, Shard: b.cell, Serving: b.serving && !g.Draining,
+				Removed: b.gone, StartedAt: started, ChangedAt: c.now})
 		}
 	}
-	c.fleet.Greeted(name, address, started, draining, c.now)
+	c.fleet.Greeted(g.Endpoint, g.Address, started, g.Draining, c.now)
 	c.told()
 }
 
@@ -704,7 +723,8 @@
 	}
 	b.gone, b.serving, b.zone, b.cell, c.moved = gone, serving, zone, cell, true
 	if c.tap != nil {
-		c.tap.EndpointChanged(name, zone, cell, serving, gone, boot, c.now)
+		c.tap.EndpointChanged(EndpointChange{Endpoint: name, Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot,
+			ChangedAt: c.now})
 	}
 	c.in.UpdateEndpoint(&b.Endpoint, policy.EndpointUpdate{Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot})
 	if !serving { // what still waits for a connection there would begin after the brick is told to drain
