--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -149,18 +149,18 @@
 	// Deadline, on the loop's clock, is set by Take: the request's client waits no longer.
 	Deadline time.Duration
 
-	cmd        *command
-	clientGone bool // its client went away before the loop's turn
-	ended      atomic.Int64
+	open               *openRequest
+	clientDisconnected bool // its client went away before the loop's turn
+	endedAt            atomic.Int64
 }
 
 // End notes, on the loop's clock, that nothing is owed for the task any more: its client has gone or has its final
 // answer. Nothing may begin for it afterwards. It is safe for concurrent use; the first call counts.
-func (t *Request) End(now time.Duration) { t.ended.CompareAndSwap(0, int64(now)) }
+func (t *Request) End(now time.Duration) { t.endedAt.CompareAndSwap(0, int64(now)) }
 
 // EndedAt is when the task ended; ok is false while it has not.
 func (t *Request) EndedAt() (at time.Duration, ok bool) {
-	at = time.Duration(t.ended.Load())
+	at = time.Duration(t.endedAt.Load())
 	return at, at != 0
 }
 
@@ -178,63 +178,63 @@
 	Outcomes                                                        [policy.NotSent + 1]int64 // dispatches, by how
 }
 
-type command struct {
+type openRequest struct {
 	policy.Request
-	task   *Request
-	giveUp time.Duration
-	outs   []*dispatch
-	sent   int
-	ran    bool // a dispatch may have run
-	over   bool
-	begun  bool
-	past   *RequestRecord // nil: nobody hears of it
+	request         *Request
+	deadline        time.Duration
+	inFlight        []*attempt
+	attemptsSent    int
+	mayHaveRun      bool // a dispatch may have run
+	done            bool
+	responseStarted bool
+	record          *RequestRecord // nil: nobody hears of it
 }
 
-type dispatch struct {
+type attempt struct {
 	*policy.Attempt
-	id   uint64
-	cmd  *command
-	to   *brick // nil: a brick that was dropped
-	at   time.Duration
-	try  int // its place among the tries heard of
-	over bool
+	id          uint64
+	owner       *openRequest
+	target      *endpoint // nil: a brick that was dropped
+	sentAt      time.Duration
+	recordIndex int // its place among the tries heard of
+	ended       bool
 }
 
-type volume struct {
+type volumeEntry struct {
 	policy.Volume
-	hosts int
+	gateways int
 }
 
-type brick struct {
+type endpoint struct {
 	policy.Endpoint
-	line    EndpointConn
-	address string
-	zone    string
-	cell    int
-	out     int
-	gone    bool          // it was taken away
-	serving bool          // as the module was told
-	alive   time.Duration // when an answer last counted as its own word
-	probe   uint64
-	probed  time.Duration
+	conn              EndpointConn
+	address           string
+	zone              string
+	shard             int
+	inFlight          int
+	removed           bool          // it was taken away
+	serving           bool          // as the module was told
+	answerReportedAt  time.Duration // when an answer last counted as its own word
+	healthCheckID     uint64
+	healthCheckSentAt time.Duration
 }
 
 type timer struct {
-	at  time.Duration
-	seq uint64
-	f   func()
-	d   *dispatch // instead of f: the end of its time
+	dueAt   time.Duration
+	seq     uint64
+	fire    func()
+	expires *attempt // instead of f: the end of its time
 }
 
-type timers []timer
+type timerHeap []timer
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
+func (t timerHeap) Len() int { return len(t) }
+func (t timerHeap) Less(i, j int) bool {
+	return t[i].dueAt < t[j].dueAt || t[i].dueAt == t[j].dueAt && t[i].seq < t[j].seq
 }
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)   { *t = append(*t, x.(timer)) }
+func (t *timerHeap) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	old[len(old)-1] = timer{}
@@ -244,32 +244,32 @@
 
 // Core is one host's state beside the module. It is not safe for concurrent use.
 type Core struct {
-	in         Scheduler
-	ways       Outbound
-	volumeOf   VolumeLookup
-	timeouts   map[string]time.Duration // by queue type
-	max        int                      // dispatches of a command
-	oneAtATime bool                     // settings allow no second attempt of a command while one is out
-	probeFor   time.Duration
-
-	now        time.Duration
-	seq        uint64
-	timers     timers
-	later      []func() // what happened while the module was acting
-	commands   map[int64]*command
-	dispatches map[uint64]*dispatch
-	bricks     map[string]*brick
-	fleet      *endpointstate.Fleet
-	group      *membership.Group // nil: alone, as many hosts as settings say
-	rng        *rand.Rand        // times of this host's own
-	moved      bool              // the module was told of a brick
-	shareAt    time.Duration     // when lines are told to other hosts next
-	shared     int               // lines told so far, to go round
-	volumes    map[string]*volume
-	ids        uint64
-	closing    bool
-	counts     Counts
-	tap        Observer // nil: nobody hears of what is over
+	scheduler          Scheduler
+	outbound           Outbound
+	lookupVolume       VolumeLookup
+	timeoutByClass     map[string]time.Duration // by queue type
+	maxAttempts        int                      // dispatches of a command
+	hedgingDisabled    bool                     // settings allow no second attempt of a command while one is out
+	healthCheckTimeout time.Duration
+
+	now              time.Duration
+	timerSeq         uint64
+	timers           timerHeap
+	deferred         []func() // what happened while the module was acting
+	requests         map[int64]*openRequest
+	attempts         map[uint64]*attempt
+	endpoints        map[string]*endpoint
+	fleet            *endpointstate.Fleet
+	group            *membership.Group // nil: alone, as many hosts as settings say
+	rng              *rand.Rand        // times of this host's own
+	endpointsChanged bool              // the module was told of a brick
+	nextPeerReportAt time.Duration     // when lines are told to other hosts next
+	peerReportCursor int               // lines told so far, to go round
+	volumes          map[string]*volumeEntry
+	lastID           uint64
+	stopping         bool
+	counts           Counts
+	observer         Observer // nil: nobody hears of what is over
 
 	// Overlapped, if set, hears of each attempt that began beside another one of its request where settings forbid that.
 	OnOverlap func(request string)
@@ -278,34 +278,34 @@
 // New makes a Core whose module is made by start, at a clock that stands at now.
 func New(s policy.Settings, rules endpointstate.Rules, start func(policy.Runtime, policy.Settings) Scheduler, ways Outbound,
 	volumeOf VolumeLookup, probeFor, now time.Duration) *Core {
-	c := &Core{ways: ways, volumeOf: volumeOf, timeouts: map[string]time.Duration{}, max: s.MaxAttempts, oneAtATime: !s.Hedging,
-		probeFor: probeFor, now: now, commands: map[int64]*command{}, dispatches: map[uint64]*dispatch{},
-		bricks: map[string]*brick{}, volumes: map[string]*volume{}}
+	c := &Core{outbound: ways, lookupVolume: volumeOf, timeoutByClass: map[string]time.Duration{}, maxAttempts: s.MaxAttempts, hedgingDisabled: !s.Hedging,
+		healthCheckTimeout: probeFor, now: now, requests: map[int64]*openRequest{}, attempts: map[uint64]*attempt{},
+		endpoints: map[string]*endpoint{}, volumes: map[string]*volumeEntry{}}
 	for _, q := range s.Classes {
-		c.timeouts[q.Name] = q.Timeout
+		c.timeoutByClass[q.Name] = q.Timeout
 	}
 	c.rng = rand.New(rand.NewSource(s.Seed + 1))
 	c.fleet = endpointstate.New(rules, c, ways.Log)
-	c.in = start((*schedulerRuntime)(c), s)
-	c.age()
+	c.scheduler = start((*schedulerRuntime)(c), s)
+	c.tickEndpoints()
 	return c
 }
 
 // Tap lets t hear of what is over from now on.
-func (c *Core) Observe(t Observer) { c.tap = t }
+func (c *Core) Observe(t Observer) { c.observer = t }
 
 // Advance moves the clock, never back, and fires what is due. Call it before each event and at Next.
 func (c *Core) Advance(now time.Duration) {
 	c.now = max(c.now, now)
-	for len(c.timers) > 0 && c.timers[0].at <= c.now {
+	for len(c.timers) > 0 && c.timers[0].dueAt <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		switch {
-		case t.f != nil:
-			t.f()
-		case !t.d.over:
-			c.ended(t.d, AttemptReport{Outcome: policy.TimedOut, SeenAt: c.now})
+		case t.fire != nil:
+			t.fire()
+		case !t.expires.ended:
+			c.finishAttempt(t.expires, AttemptReport{Outcome: policy.TimedOut, SeenAt: c.now})
 		}
-		c.settle()
+		c.runDeferred()
 	}
 }
 
@@ -314,7 +314,7 @@
 	if len(c.timers) == 0 {
 		return 0, false
 	}
-	return c.timers[0].at, true
+	return c.timers[0].dueAt, true
 }
 
 // Now is the loop's clock.
@@ -328,38 +328,38 @@
 }
 
 // settle lets happen what came up while the module was acting.
-func (c *Core) settle() {
-	for len(c.later) > 0 {
-		f := c.later[0]
-		c.later[0] = nil
-		if c.later = c.later[1:]; len(c.later) == 0 {
-			c.later = nil
+func (c *Core) runDeferred() {
+	for len(c.deferred) > 0 {
+		f := c.deferred[0]
+		c.deferred[0] = nil
+		if c.deferred = c.deferred[1:]; len(c.deferred) == 0 {
+			c.deferred = nil
 		}
 		f()
 	}
 }
 
-func (c *Core) after(wait time.Duration, t timer) {
-	c.seq++
-	t.at, t.seq = c.now+max(wait, 0), c.seq
+func (c *Core) schedule(wait time.Duration, t timer) {
+	c.timerSeq++
+	t.dueAt, t.seq = c.now+max(wait, 0), c.timerSeq
 	heap.Push(&c.timers, t)
 }
 
 // Take hands a command to the module. A command that can't be handed over is aborted at once.
 func (c *Core) Submit(t *Request) {
-	if t.clientGone {
+	if t.clientDisconnected {
 		return
 	}
 	plan, hosts, key := t.Plan, t.Gateways, t.Volume+" "+t.Plan // a wrong plan must not bind a volume for others
-	if c.volumeOf != nil {
+	if c.lookupVolume != nil {
 		var ok bool
-		if plan, hosts, ok = c.volumeOf(t.Volume); !ok {
+		if plan, hosts, ok = c.lookupVolume(t.Volume); !ok {
 			t.Respond(Response{Result: Failed, Reason: fmt.Sprintf("unknown volume %q", t.Volume)})
 			return
 		}
 		key = t.Volume
 	}
-	timeout, ok := c.timeouts[t.Class]
+	timeout, ok := c.timeoutByClass[t.Class]
 	if !ok {
 		t.Respond(Response{Result: Failed, Reason: fmt.Sprintf("unknown queue type %q", t.Class)})
 		return
@@ -369,77 +369,77 @@
 	}
 	v := c.volumes[key]
 	if v == nil {
-		v = &volume{hosts: hosts}
+		v = &volumeEntry{gateways: hosts}
 		c.volumes[key] = v
 	}
-	if v.hosts != hosts {
-		v.hosts = hosts
-		c.in.SetVolumeGateways(&v.Volume, hosts)
+	if v.gateways != hosts {
+		v.gateways = hosts
+		c.scheduler.SetVolumeGateways(&v.Volume, hosts)
 	}
-	c.ids++
+	c.lastID++
 	from := c.now
 	if t.ReceivedAt > 0 {
 		from = min(from, t.ReceivedAt)
 	}
-	x := &command{Request: policy.Request{ID: int64(c.ids), Volume: &v.Volume}, task: t, giveUp: from + timeout}
-	t.cmd, t.Deadline = x, x.giveUp
-	if c.tap != nil && c.tap.Enabled() {
-		x.past = &RequestRecord{Volume: t.Volume, Plan: plan, Class: t.Class, Object: t.Object, Shard: t.Shard, BodyBytes: len(t.Body), Units: t.Units,
+	x := &openRequest{Request: policy.Request{ID: int64(c.lastID), Volume: &v.Volume}, request: t, deadline: from + timeout}
+	t.open, t.Deadline = x, x.deadline
+	if c.observer != nil && c.observer.Enabled() {
+		x.record = &RequestRecord{Volume: t.Volume, Plan: plan, Class: t.Class, Object: t.Object, Shard: t.Shard, BodyBytes: len(t.Body), Units: t.Units,
 			Retry: t.Retry, ReceivedAt: c.now, Timeout: timeout, Attempts: make([]AttemptRecord, 0, 1)}
 	}
-	c.commands[x.ID] = x
+	c.requests[x.ID] = x
 	c.counts.Received++
 	c.counts.Open++
-	if err := c.in.RequestReceived(&x.Request, policy.RequestArrival{Class: t.Class, Plan: plan, Object: t.Object, Shard: t.Shard, Gateways: hosts,
-		Units: t.Units, Deadline: x.giveUp, Retry: t.Retry}); err != nil {
-		c.answer(x, Response{Result: Failed, Reason: err.Error()})
-		c.forget(x)
+	if err := c.scheduler.RequestReceived(&x.Request, policy.RequestArrival{Class: t.Class, Plan: plan, Object: t.Object, Shard: t.Shard, Gateways: hosts,
+		Units: t.Units, Deadline: x.deadline, Retry: t.Retry}); err != nil {
+		c.respond(x, Response{Result: Failed, Reason: err.Error()})
+		c.release(x)
 	}
-	c.settle()
+	c.runDeferred()
 }
 
 // Gone tells that the client of a command went away: nothing is owed any more, and nothing is begun for it. It may come
 // before Take.
 func (c *Core) ClientDisconnected(t *Request) {
-	t.clientGone = true
+	t.clientDisconnected = true
 	t.End(c.now)
-	x := t.cmd
-	if x == nil || x.over {
+	x := t.open
+	if x == nil || x.done {
 		return
 	}
-	for _, d := range slices.Clone(x.outs) {
+	for _, d := range slices.Clone(x.inFlight) {
 		c.withdraw(d)
 	}
-	x.over = true
-	if x.past != nil {
-		x.past.Result, x.past.Duration = ClientDisconnected, c.now-x.past.ReceivedAt
+	x.done = true
+	if x.record != nil {
+		x.record.Result, x.record.Duration = ClientDisconnected, c.now-x.record.ReceivedAt
 	}
 	c.counts.ClientDisconnected++
 	c.counts.Open--
-	c.in.ClientDisconnected(&x.Request)
-	c.forget(x)
-	c.settle()
+	c.scheduler.ClientDisconnected(&x.Request)
+	c.release(x)
+	c.runDeferred()
 }
 
 // withdraw ends a dispatch as unsent if nothing of it has left; it tells whether that is so.
-func (c *Core) withdraw(d *dispatch) bool {
-	if d.over || d.to == nil || d.to.line == nil || !d.to.line.Withdraw(d.id) {
+func (c *Core) withdraw(d *attempt) bool {
+	if d.ended || d.target == nil || d.target.conn == nil || !d.target.conn.Withdraw(d.id) {
 		return false
 	}
-	c.later = append(c.later, func() { c.ended(d, AttemptReport{Outcome: policy.NotSent, SeenAt: c.now}) })
+	c.deferred = append(c.deferred, func() { c.finishAttempt(d, AttemptReport{Outcome: policy.NotSent, SeenAt: c.now}) })
 	return true
 }
 
 // answer is the one place where a final answer goes out. What has not begun by then never does, whatever settings let
 // the module call off.
-func (c *Core) answer(x *command, a Response) {
-	if x.over {
+func (c *Core) respond(x *openRequest, a Response) {
+	if x.done {
 		return
 	}
-	x.over = true
-	x.task.End(c.now)
-	if x.past != nil {
-		x.past.Result, x.past.Duration = a.Result, c.now-x.past.ReceivedAt
+	x.done = true
+	x.request.End(c.now)
+	if x.record != nil {
+		x.record.Result, x.record.Duration = a.Result, c.now-x.record.ReceivedAt
 	}
 	c.counts.Open--
 	switch a.Result {
@@ -450,21 +450,21 @@
 	default:
 		c.counts.Failed++
 	}
-	a.MayHaveRun = x.ran
-	for _, d := range x.outs {
+	a.MayHaveRun = x.mayHaveRun
+	for _, d := range x.inFlight {
 		a.MayHaveRun = !c.withdraw(d) || a.MayHaveRun
 	}
 	a.MayHaveRun = a.MayHaveRun && a.Result == Failed
-	x.task.Respond(a)
-	x.task.Body = nil
+	x.request.Respond(a)
+	x.request.Body = nil
 }
 
-func (c *Core) forget(x *command) {
-	if x.over && len(x.outs) == 0 {
-		delete(c.commands, x.ID)
-		if x.past != nil {
-			c.tap.RequestEnded(x.past)
-			x.past = nil
+func (c *Core) release(x *openRequest) {
+	if x.done && len(x.inFlight) == 0 {
+		delete(c.requests, x.ID)
+		if x.record != nil {
+			c.observer.RequestEnded(x.record)
+			x.record = nil
 		}
 	}
 }
@@ -484,7 +484,7 @@
 // AttemptEnded reports how an attempt ended. A report on an attempt that is over already, or that went to another endpoint, is
 // counted and dropped.
 func (c *Core) AttemptEnded(report AttemptReport) {
-	d := c.dispatches[report.ID]
+	d := c.attempts[report.ID]
 	if d == nil {
 		c.counts.LateOutcomes++
 		return
@@ -496,89 +496,89 @@
 	if report.SeenAt == 0 {
 		report.SeenAt = c.now
 	}
-	c.ended(d, report)
-	c.settle()
+	c.finishAttempt(d, report)
+	c.runDeferred()
 }
 
 // Begun tells that a brick has begun to stream the answer of a dispatch.
 func (c *Core) ResponseStarted(from string, id uint64) {
-	d := c.dispatches[id]
-	if d == nil || d.Endpoint.Name != from || d.cmd.over || d.cmd.begun {
+	d := c.attempts[id]
+	if d == nil || d.Endpoint.Name != from || d.owner.done || d.owner.responseStarted {
 		c.counts.LateOutcomes++
 		return
 	}
-	d.cmd.begun = true
-	if d.cmd.task.ResponseStarted != nil {
-		d.cmd.task.ResponseStarted()
+	d.owner.responseStarted = true
+	if d.owner.request.ResponseStarted != nil {
+		d.owner.request.ResponseStarted()
 	}
-	c.in.ResponseStarted(d.Attempt)
-	c.settle()
+	c.scheduler.ResponseStarted(d.Attempt)
+	c.runDeferred()
 }
 
-func (c *Core) ended(d *dispatch, report AttemptReport) {
+func (c *Core) finishAttempt(d *attempt, report AttemptReport) {
 	at, how := report.SeenAt, report.Outcome
-	if d.over {
+	if d.ended {
 		c.counts.LateOutcomes++
 		return
 	}
-	x := d.cmd
-	at = min(max(at, d.at), c.now)
-	if how == policy.TimedOut && x.begun && !x.over {
+	x := d.owner
+	at = min(max(at, d.sentAt), c.now)
+	if how == policy.TimedOut && x.responseStarted && !x.done {
 		return // a stream has no time-out
 	}
-	d.over = true
-	delete(c.dispatches, d.id)
+	d.ended = true
+	delete(c.attempts, d.id)
 	c.counts.InFlight--
 	c.counts.Outcomes[how]++
-	x.outs = slices.DeleteFunc(x.outs, func(o *dispatch) bool { return o == d })
-	if x.past != nil {
-		x.past.Attempts[d.try].Duration, x.past.Attempts[d.try].Outcome = at-d.at, how
+	x.inFlight = slices.DeleteFunc(x.inFlight, func(o *attempt) bool { return o == d })
+	if x.record != nil {
+		x.record.Attempts[d.recordIndex].Duration, x.record.Attempts[d.recordIndex].Outcome = at-d.sentAt, how
 	}
-	if how == policy.TimedOut && d.to != nil && d.to.line != nil {
-		d.to.line.Abandon(d.id)
+	if how == policy.TimedOut && d.target != nil && d.target.conn != nil {
+		d.target.conn.Abandon(d.id)
 	}
 	switch how {
 	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 	default:
-		x.ran = true
+		x.mayHaveRun = true
 	}
 	switch {
 	case how == policy.Served:
-		c.answer(x, Response{Result: Served, Body: report.Body})
-	case x.begun && !x.over: // the break of a stream is the client's
-		c.answer(x, Response{Result: Failed, Reason: "the answer broke off"})
-	}
-	c.in.AttemptEnded(d.Attempt, policy.AttemptResult{Outcome: how, Duration: at - d.at, RequestOver: x.over, Load: report.Load})
-	c.forget(x)
-	if d.to != nil {
-		if d.to.out--; how == policy.Served && c.now-d.to.alive >= time.Second {
-			d.to.alive = c.now
-			c.fleet.Answered(d.to.Name, c.now)
-			c.told()
+		c.respond(x, Response{Result: Served, Body: report.Body})
+	case x.responseStarted && !x.done: // the break of a stream is the client's
+		c.respond(x, Response{Result: Failed, Reason: "the answer broke off"})
+	}
+	c.scheduler.AttemptEnded(d.Attempt, policy.AttemptResult{Outcome: how, Duration: at - d.sentAt, RequestOver: x.done, Load: report.Load})
+	c.release(x)
+	if d.target != nil {
+		if d.target.inFlight--; how == policy.Served && c.now-d.target.answerReportedAt >= time.Second {
+			d.target.answerReportedAt = c.now
+			c.fleet.Answered(d.target.Name, c.now)
+			c.applyEndpointChanges()
 		}
-		c.drop(d.to)
+		c.dropIfRemoved(d.target)
 	}
 }
 
 // ProbeOutcome is how a probe ended; one that is over is ignored.
 func (c *Core) HealthChecked(from string, id uint64, how policy.Outcome) {
-	b := c.bricks[from]
-	if b == nil || id == 0 || b.probe != id {
+	b := c.endpoints[from]
+	if b == nil || id == 0 || b.healthCheckID != id {
 		c.counts.LateOutcomes++
 		return
 	}
-	b.probe = 0
+	b.healthCheckID = 0
 	if how == policy.TimedOut {
-		b.line.Abandon(id)
+		b.conn.Abandon(id)
 	}
-	c.in.HealthChecked(&b.Endpoint, how, c.now-b.probed)
-	c.settle()
+	c.scheduler.HealthChecked(&b.Endpoint, how, c.now-b.healthCheckSentAt)
+	c.runDeferred()
 }
 
 // Heard is a short message of another host.
 func (c *Core) GossipReceived(sender int, data []byte) {
-	c.in.GossipReceived(sender, data)
-	c.settle()
+	c.scheduler.GossipReceived(sender, data)
+	c.runDeferred()
 }
 
 // BrickLine is one line of a list.
@@ -593,7 +593,7 @@
 }
 
 // lines puts starts on this host's clock.
-func (c *Core) lines(told []EndpointEntry) []endpointstate.Report {
+func (c *Core) reports(told []EndpointEntry) []endpointstate.Report {
 	all := make([]endpointstate.Report, len(told))
 	for i, l := range told {
 		all[i] = endpointstate.Report{Name: l.Name, Address: l.Address, Zone: l.Zone, Shard: l.Shard, Serving: l.Serving && !l.Gone, Gone: l.Gone, ObservedAt: c.now}
@@ -606,19 +606,19 @@
 
 // List is a list of the list service, or the changes of one.
 func (c *Core) EndpointList(g endpointstate.Generation, whole bool, lines []EndpointEntry) {
-	c.in.BeginEndpointList(false) // what a whole list takes away the beliefs tell line by line
-	c.fleet.ListReceived(g, whole, c.lines(lines), c.now)
-	c.moved = true
-	c.told()
+	c.scheduler.BeginEndpointList(false) // what a whole list takes away the beliefs tell line by line
+	c.fleet.ListReceived(g, whole, c.reports(lines), c.now)
+	c.endpointsChanged = true
+	c.applyEndpointChanges()
 }
 
 // Told is a list, or the changes of one, of a teller whose word is taken as it is: the module hears it line by line, at
 // once, and no belief is formed.
 func (c *Core) AuthoritativeList(whole bool, lines []EndpointEntry) {
-	c.in.BeginEndpointList(whole)
+	c.scheduler.BeginEndpointList(whole)
 	if whole {
-		for _, b := range c.bricks {
-			b.gone = true
+		for _, b := range c.endpoints {
+			b.removed = true
 		}
 	}
 	for _, l := range lines {
@@ -628,16 +628,16 @@
 		}
 		c.EndpointChanged(l.Name, l.Address, l.Zone, l.Shard, l.Serving, l.Gone, l.Started)
 	}
-	c.moved = true
-	c.told()
+	c.endpointsChanged = true
+	c.applyEndpointChanges()
 }
 
 // suspend takes a server whose entry can't be read for one that drains, since that may be what it says. One that is not known
 // is passed over.
 func (c *Core) suspend(name string, boot time.Duration) {
-	if b := c.bricks[name]; b != nil {
-		c.ways.Log("an entry that can't be read; nothing new goes to " + name)
-		c.EndpointChanged(name, b.address, b.zone, b.cell, false, false, boot)
+	if b := c.endpoints[name]; b != nil {
+		c.outbound.Log("an entry that can't be read; nothing new goes to " + name)
+		c.EndpointChanged(name, b.address, b.zone, b.shard, false, false, boot)
 	}
 }
 
@@ -646,15 +646,15 @@
 
 // Known are bricks that settings name.
 func (c *Core) KnownEndpoints(lines []EndpointEntry) {
-	c.fleet.Configured(c.lines(lines), c.now)
-	c.told()
+	c.fleet.Configured(c.reports(lines), c.now)
+	c.applyEndpointChanges()
 }
 
 // Restore takes back saved beliefs.
 func (c *Core) Restore(saved []endpointstate.Belief, last endpointstate.Generation) {
 	c.fleet.Restore(saved, last, c.now)
-	c.greet()
-	c.told()
+	c.requestGreetings()
+	c.applyEndpointChanges()
 }
 
 // Fleet is what is believed; to be read only, in the loop.
@@ -663,14 +663,14 @@
 // ForgetBrick is an operator's word.
 func (c *Core) ForgetEndpoint(name string) bool {
 	ok := c.fleet.Forget(name, c.now)
-	c.told()
+	c.applyEndpointChanges()
 	return ok
 }
 
 // ForgetHost is an operator's word: the host named sends nothing any more, so nothing is kept for it.
 func (c *Core) ForgetGateway(name string) bool {
 	ok := c.group != nil && c.group.Forget(name, c.now)
-	c.settle()
+	c.runDeferred()
 	return ok
 }
 
@@ -679,57 +679,57 @@
 	started := time.Duration(0)
 	if g.HasStart {
 		started = c.now - max(g.Age, 0)
-		if b := c.bricks[g.Endpoint]; c.tap != nil && b != nil {
-			c.tap.EndpointChanged(EndpointChange{Endpoint: g.Endpoint, Zone: b.zone, Shard: b.cell, Serving: b.serving && !g.Draining,
-				Removed: b.gone, StartedAt: started, ChangedAt: c.now})
+		if b := c.endpoints[g.Endpoint]; c.observer != nil && b != nil {
+			c.observer.EndpointChanged(EndpointChange{Endpoint: g.Endpoint, Zone: b.zone, Shard: b.shard, Serving: b.serving && !g.Draining,
+				Removed: b.removed, StartedAt: started, ChangedAt: c.now})
 		}
 	}
 	c.fleet.Greeted(g.Endpoint, g.Address, started, g.Draining, c.now)
-	c.told()
+	c.applyEndpointChanges()
 }
 
 // Wrong tells that another brick is at a brick's address.
 func (c *Core) WrongEndpoint(name, address string) {
 	c.fleet.WrongEndpoint(name, address, c.now)
-	c.told()
+	c.applyEndpointChanges()
 }
 
 // Draining tells that a brick itself said that it takes nothing new.
 func (c *Core) EndpointDraining(name string) {
-	if b := c.bricks[name]; b != nil {
+	if b := c.endpoints[name]; b != nil {
 		c.fleet.Greeted(name, b.address, 0, true, c.now)
-		c.told()
+		c.applyEndpointChanges()
 	}
 }
 
 // BrickIs is how the beliefs tell the module of a brick.
 func (c *Core) EndpointChanged(name, address, zone string, cell int, serving, gone bool, boot time.Duration) {
-	b := c.bricks[name]
+	b := c.endpoints[name]
 	if b == nil {
 		if gone {
 			return
 		}
-		b = &brick{Endpoint: policy.Endpoint{Name: name}}
-		c.bricks[name] = b
+		b = &endpoint{Endpoint: policy.Endpoint{Name: name}}
+		c.endpoints[name] = b
 	}
 	if address != b.address && !gone {
-		if b.line != nil {
-			b.line.Close()
+		if b.conn != nil {
+			b.conn.Close()
 		}
-		b.address, b.line = address, c.ways.Connect(name, address)
+		b.address, b.conn = address, c.outbound.Connect(name, address)
 	}
 	if b.serving && !serving { // a drain is worth telling at once
-		c.shareAt = c.now
+		c.nextPeerReportAt = c.now
 	}
-	b.gone, b.serving, b.zone, b.cell, c.moved = gone, serving, zone, cell, true
-	if c.tap != nil {
-		c.tap.EndpointChanged(EndpointChange{Endpoint: name, Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot,
+	b.removed, b.serving, b.zone, b.shard, c.endpointsChanged = gone, serving, zone, cell, true
+	if c.observer != nil {
+		c.observer.EndpointChanged(EndpointChange{Endpoint: name, Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot,
 			ChangedAt: c.now})
 	}
-	c.in.UpdateEndpoint(&b.Endpoint, policy.EndpointUpdate{Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot})
+	c.scheduler.UpdateEndpoint(&b.Endpoint, policy.EndpointUpdate{Zone: zone, Shard: cell, Serving: serving, Removed: gone, StartedAt: boot})
 	if !serving { // what still waits for a connection there would begin after the brick is told to drain
-		for _, d := range c.dispatches {
-			if d.to == b {
+		for _, d := range c.attempts {
+			if d.target == b {
 				c.withdraw(d)
 			}
 		}
@@ -737,11 +737,11 @@
 }
 
 // share tells some other hosts what is believed: drains first, then a stretch of all lines, in turn.
-func (c *Core) share() {
-	if c.group == nil || c.now < c.shareAt {
+func (c *Core) reportToPeers() {
+	if c.group == nil || c.now < c.nextPeerReportAt {
 		return
 	}
-	c.shareAt = c.now + shareEvery
+	c.nextPeerReportAt = c.now + peerReportInterval
 	all := c.fleet.Reports()
 	slices.SortStableFunc(all, func(a, b endpointstate.Report) int {
 		switch {
@@ -756,63 +756,63 @@
 	for drained < len(all) && !all[drained].Serving {
 		drained++
 	}
-	lines := slices.Clone(all[:min(drained, shareLines)])
-	for rest := all[len(lines):]; len(lines) < shareLines && len(rest) > 0 && len(lines) < len(all); {
-		c.shared++
-		lines = append(lines, rest[c.shared%len(rest)])
+	lines := slices.Clone(all[:min(drained, peerReportEntries)])
+	for rest := all[len(lines):]; len(lines) < peerReportEntries && len(rest) > 0 && len(lines) < len(all); {
+		c.peerReportCursor++
+		lines = append(lines, rest[c.peerReportCursor%len(rest)])
 	}
-	to := c.group.RandomAddresses(shareHosts)
+	to := c.group.RandomAddresses(peerReportFanout)
 	for _, a := range to {
-		c.ways.SendEndpoints(a, c.now, lines)
+		c.outbound.SendEndpoints(a, c.now, lines)
 	}
 }
 
 // Of what hosts tell each other of bricks.
-const shareEvery, shareLines, shareHosts = 2 * time.Second, 48, 3
+const peerReportInterval, peerReportEntries, peerReportFanout = 2 * time.Second, 48, 3
 
 // PeerSays is what another host believes.
 func (c *Core) EndpointsFromPeer(lines []endpointstate.Report) {
 	c.fleet.PeerReported(lines, c.now)
-	c.told()
+	c.applyEndpointChanges()
 }
 
 // told ends a round of telling.
-func (c *Core) told() {
-	if c.moved {
-		c.moved = false
-		c.in.EndEndpointList()
-		for _, b := range c.bricks {
-			c.drop(b)
+func (c *Core) applyEndpointChanges() {
+	if c.endpointsChanged {
+		c.endpointsChanged = false
+		c.scheduler.EndEndpointList()
+		for _, b := range c.endpoints {
+			c.dropIfRemoved(b)
 		}
 	}
-	c.settle()
-	c.share()
+	c.runDeferred()
+	c.reportToPeers()
 }
 
 // age lets beliefs grow older, and asks those in doubt for their own word, each at a time of this host's own.
-func (c *Core) age() {
+func (c *Core) tickEndpoints() {
 	c.fleet.Tick(c.now)
-	c.greet()
-	c.told()
-	c.after(time.Second, timer{f: c.age})
+	c.requestGreetings()
+	c.applyEndpointChanges()
+	c.schedule(time.Second, timer{fire: c.tickEndpoints})
 }
 
 // Join lets this host find the others, and count them.
 func (c *Core) Join(self membership.Member, rules membership.Rules, seeds []string) {
 	c.group = membership.New(self, rules, seeds, (*membershipOutbound)(c), rand.New(rand.NewSource(c.rng.Int63())), c.now)
-	c.tick()
+	c.tickMembership()
 }
 
-func (c *Core) tick() {
+func (c *Core) tickMembership() {
 	c.group.Tick(c.now)
-	c.after(max(c.group.Next()-c.now, time.Millisecond), timer{f: c.tick})
+	c.schedule(max(c.group.Next()-c.now, time.Millisecond), timer{fire: c.tickMembership})
 }
 
 // Gossip is another host's word on which hosts there are.
 func (c *Core) MembershipReceived(m membership.Message) {
 	if c.group != nil {
 		c.group.Receive(m, c.now)
-		c.settle()
+		c.runDeferred()
 	}
 }
 
@@ -823,58 +823,58 @@
 type membershipOutbound Core
 
 func (w *membershipOutbound) Send(address string, m membership.Message) {
-	w.ways.SendMembership(address, m)
+	w.outbound.SendMembership(address, m)
 }
-func (w *membershipOutbound) Log(line string) { w.ways.Log(line) }
+func (w *membershipOutbound) Log(line string) { w.outbound.Log(line) }
 
 // Changed tells the module at the next turn: the group may be in the middle of a call of this Core.
 func (w *membershipOutbound) MembershipChanged(v membership.Counts) {
 	c := (*Core)(w)
-	c.later = append(c.later, func() {
-		c.ways.Log(fmt.Sprintf("hosts: %d serve, parts for %d", v.Serving, v.Parts))
-		c.in.SetGateways(v.Serving, v.Parts)
+	c.deferred = append(c.deferred, func() {
+		c.outbound.Log(fmt.Sprintf("hosts: %d serve, parts for %d", v.Serving, v.Parts))
+		c.scheduler.SetGateways(v.Serving, v.Parts)
 		if c.group != nil {
-			c.ways.MembersChanged(c.group.Members())
+			c.outbound.MembersChanged(c.group.Members())
 		}
 	})
 }
 
-func (c *Core) greet() {
+func (c *Core) requestGreetings() {
 	for _, d := range c.fleet.Doubtful() {
 		name := d[0]
-		c.after(time.Duration(c.rng.Int63n(int64(200*time.Millisecond))), timer{f: func() {
-			if b := c.bricks[name]; b != nil && b.line != nil && !b.gone {
-				b.line.RequestGreeting()
+		c.schedule(time.Duration(c.rng.Int63n(int64(200*time.Millisecond))), timer{fire: func() {
+			if b := c.endpoints[name]; b != nil && b.conn != nil && !b.removed {
+				b.conn.RequestGreeting()
 			}
 		}})
 	}
 }
 
 // drop forgets a brick that was taken away, once nothing is out there.
-func (c *Core) drop(b *brick) {
-	if !b.gone || b.out > 0 {
+func (c *Core) dropIfRemoved(b *endpoint) {
+	if !b.removed || b.inFlight > 0 {
 		return
 	}
-	if b.line != nil {
-		b.line.Close()
+	if b.conn != nil {
+		b.conn.Close()
 	}
-	if c.bricks[b.Name] == b {
-		delete(c.bricks, b.Name)
+	if c.endpoints[b.Name] == b {
+		delete(c.endpoints, b.Name)
 	}
 }
 
 // ListFailed tells that an ask or a watch failed.
 func (c *Core) EndpointListFailed() {
-	c.in.EndpointListFailed()
-	c.settle()
+	c.scheduler.EndpointListFailed()
+	c.runDeferred()
 }
 
 // Stop lets nothing go out any more.
 func (c *Core) Stop() {
-	c.closing = true
-	for _, b := range c.bricks {
-		if b.line != nil {
-			b.line.Close()
+	c.stopping = true
+	for _, b := range c.endpoints {
+		if b.conn != nil {
+			b.conn.Close()
 		}
 	}
 }
@@ -884,83 +884,85 @@
 
 func (h *schedulerRuntime) Now() time.Duration { return h.now }
 
-func (h *schedulerRuntime) After(wait time.Duration, f func()) { (*Core)(h).after(wait, timer{f: f}) }
+func (h *schedulerRuntime) After(wait time.Duration, f func()) {
+	(*Core)(h).schedule(wait, timer{fire: f})
+}
 
 func (h *schedulerRuntime) Send(d *policy.Attempt) {
 	c := (*Core)(h)
-	x := c.commands[d.Request.ID]
-	c.ids++
-	b := c.bricks[d.Endpoint.Name]
-	o := &dispatch{Attempt: d, id: c.ids, cmd: x, to: b, at: c.now}
-	c.dispatches[o.id] = o
-	x.outs = append(x.outs, o)
-	if x.past != nil {
-		o.try = len(x.past.Attempts)
-		x.past.Attempts = append(x.past.Attempts, AttemptRecord{Endpoint: d.Endpoint.Name, SentAt: c.now})
+	x := c.requests[d.Request.ID]
+	c.lastID++
+	b := c.endpoints[d.Endpoint.Name]
+	o := &attempt{Attempt: d, id: c.lastID, owner: x, target: b, sentAt: c.now}
+	c.attempts[o.id] = o
+	x.inFlight = append(x.inFlight, o)
+	if x.record != nil {
+		o.recordIndex = len(x.record.Attempts)
+		x.record.Attempts = append(x.record.Attempts, AttemptRecord{Endpoint: d.Endpoint.Name, SentAt: c.now})
 	}
 	c.counts.InFlight++
 	if b != nil {
-		b.out++
+		b.inFlight++
 	}
-	left := x.giveUp - c.now
-	if x.over || left <= 0 || x.sent >= c.max || b == nil || b.line == nil || c.closing {
-		c.later = append(c.later, func() { c.ended(o, AttemptReport{Outcome: policy.NotSent, SeenAt: c.now}) })
+	left := x.deadline - c.now
+	if x.done || left <= 0 || x.attemptsSent >= c.maxAttempts || b == nil || b.conn == nil || c.stopping {
+		c.deferred = append(c.deferred, func() { c.finishAttempt(o, AttemptReport{Outcome: policy.NotSent, SeenAt: c.now}) })
 		return
 	}
-	x.sent++
+	x.attemptsSent++
 	c.checkOverlap(x, o)
 	c.counts.Attempts++
 	if d.Number > 0 {
 		c.counts.Retries++
 	}
-	c.after(left, timer{d: o})
-	b.line.Send(o.id, x.task, d.Number, left, d.StartBy)
+	c.schedule(left, timer{expires: o})
+	b.conn.Send(o.id, x.request, d.Number, left, d.StartBy)
 }
 
 // checkOverlap counts an attempt that begins while another of its command is out and the settings forbid that.
-func (c *Core) checkOverlap(x *command, begun *dispatch) {
-	overlaps := func(o *dispatch) bool { return o != begun && !o.over }
-	if c.oneAtATime && slices.ContainsFunc(x.outs, overlaps) {
+func (c *Core) checkOverlap(x *openRequest, begun *attempt) {
+	overlaps := func(o *attempt) bool { return o != begun && !o.ended }
+	if c.hedgingDisabled && slices.ContainsFunc(x.inFlight, overlaps) {
 		c.counts.Overlapping++
 		if c.OnOverlap != nil {
-			c.OnOverlap(x.task.Trace)
+			c.OnOverlap(x.request.Trace)
 		}
 	}
 }
 
 func (h *schedulerRuntime) Reject(p *policy.Request, pause time.Duration) {
 	c := (*Core)(h)
-	if x := c.commands[p.ID]; x != nil {
-		c.answer(x, Response{Result: Rejected, RetryAfter: pause})
-		c.forget(x)
+	if x := c.requests[p.ID]; x != nil {
+		c.respond(x, Response{Result: Rejected, RetryAfter: pause})
+		c.release(x)
 	}
 }
 
 func (h *schedulerRuntime) Fail(p *policy.Request) {
 	c := (*Core)(h)
-	if x := c.commands[p.ID]; x != nil {
-		c.answer(x, Response{Result: Failed})
-		c.forget(x)
+	if x := c.requests[p.ID]; x != nil {
+		c.respond(x, Response{Result: Failed})
+		c.release(x)
 	}
 }
 
 func (h *schedulerRuntime) Cancel(d *policy.Attempt) {
 	c := (*Core)(h)
-	x := c.commands[d.Request.ID]
+	x := c.requests[d.Request.ID]
 	if x == nil {
 		return
 	}
-	for _, o := range x.outs {
-		if o.Attempt == d && !o.over {
+	for _, o := range x.inFlight {
+		if o.Attempt == d && !o.ended {
 			how := policy.Canceled
-			if o.to != nil && o.to.line != nil {
-				if o.to.line.Withdraw(o.id) {
+			if o.target != nil && o.target.conn != nil {
+				if o.target.conn.Withdraw(o.id) {
 					how = policy.NotSent
 				} else {
-					o.to.line.Cancel(o.id)
+					o.target.conn.Cancel(o.id)
 				}
 			}
-			c.later = append(c.later, func() { c.ended(o, AttemptReport{Outcome: how, SeenAt: c.now}) })
+			c.deferred = append(c.deferred, func() { c.finishAttempt(o, AttemptReport{Outcome: how, SeenAt: c.now}) })
 			return
 		}
 	}
@@ -968,18 +970,18 @@
 
 func (h *schedulerRuntime) CheckHealth(p *policy.Endpoint) {
 	c := (*Core)(h)
-	b := c.bricks[p.Name]
-	if b == nil || b.line == nil {
-		c.later = append(c.later, func() { c.in.HealthChecked(p, policy.ConnectFailed, 0) })
+	b := c.endpoints[p.Name]
+	if b == nil || b.conn == nil {
+		c.deferred = append(c.deferred, func() { c.scheduler.HealthChecked(p, policy.ConnectFailed, 0) })
 		return
 	}
-	c.ids++
-	id := c.ids
-	b.probe, b.probed = id, c.now
-	c.after(c.probeFor, timer{f: func() { c.HealthChecked(p.Name, id, policy.TimedOut) }})
-	b.line.CheckHealth(id)
+	c.lastID++
+	id := c.lastID
+	b.healthCheckID, b.healthCheckSentAt = id, c.now
+	c.schedule(c.healthCheckTimeout, timer{fire: func() { c.HealthChecked(p.Name, id, policy.TimedOut) }})
+	b.conn.CheckHealth(id)
 }
 
-func (h *schedulerRuntime) RequestEndpointList()      { h.ways.RequestEndpointList() }
-func (h *schedulerRuntime) SendGossip(message []byte) { h.ways.SendNote(message) }
-func (h *schedulerRuntime) Log(line string)           { h.ways.Log(line) }
+func (h *schedulerRuntime) RequestEndpointList()      { h.outbound.RequestEndpointList() }
+func (h *schedulerRuntime) SendGossip(message []byte) { h.outbound.SendNote(message) }
+func (h *schedulerRuntime) Log(line string)           { h.outbound.Log(line) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -28,60 +28,60 @@
 }
 
 // rig is a Core in virtual time whose ways out are noted, not taken.
-type rig struct {
+type testEngine struct {
 	*Core
 	sent      []uint64
 	unwritten map[uint64]bool // dispatches that still wait for a connection
 	quiet     bool
-	answers   map[string]int
+	responses map[string]int
 }
 
-func (r *rig) say(format string, args ...any) {
+func (r *testEngine) print(format string, args ...any) {
 	if !r.quiet {
 		fmt.Printf("%5d ms  %s\n", (r.Now()-start)/ms, fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *rig) Connect(brick, address string) EndpointConn                  { return &noted{r, brick} }
-func (r *rig) RequestEndpointList()                                        {}
-func (r *rig) SendNote([]byte)                                             {}
-func (r *rig) SendMembership(string, membership.Message)                   {}
-func (r *rig) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
-func (r *rig) MembersChanged([]membership.Member)                          {}
-func (r *rig) Log(line string)                                             { r.say("log: %s", line) }
+func (r *testEngine) Connect(brick, address string) EndpointConn                  { return &recordingConn{r, brick} }
+func (r *testEngine) RequestEndpointList()                                        {}
+func (r *testEngine) SendNote([]byte)                                             {}
+func (r *testEngine) SendMembership(string, membership.Message)                   {}
+func (r *testEngine) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
+func (r *testEngine) MembersChanged([]membership.Member)                          {}
+func (r *testEngine) Log(line string)                                             { r.print("log: %s", line) }
 
-type noted struct {
-	r     *rig
-	brick string
+type recordingConn struct {
+	engine   *testEngine
+	endpoint string
 }
 
-func (n *noted) Send(id uint64, t *Request, no int, left, _ time.Duration) {
-	n.r.sent = append(n.r.sent, id)
-	n.r.say("%s.%d goes to %s, %v left", t.Trace, no, n.brick, left)
+func (n *recordingConn) Send(id uint64, t *Request, no int, left, _ time.Duration) {
+	n.engine.sent = append(n.engine.sent, id)
+	n.engine.print("%s.%d goes to %s, %v left", t.Trace, no, n.endpoint, left)
 }
-func (n *noted) Cancel(uint64)  { n.r.say("cancel at %s", n.brick) }
-func (n *noted) Abandon(uint64) {}
-func (n *noted) Withdraw(id uint64) bool {
-	if n.r.unwritten[id] {
-		n.r.say("take back at %s", n.brick)
+func (n *recordingConn) Cancel(uint64)  { n.engine.print("cancel at %s", n.endpoint) }
+func (n *recordingConn) Abandon(uint64) {}
+func (n *recordingConn) Withdraw(id uint64) bool {
+	if n.engine.unwritten[id] {
+		n.engine.print("take back at %s", n.endpoint)
 	}
-	return n.r.unwritten[id]
+	return n.engine.unwritten[id]
 }
-func (n *noted) RequestGreeting()   { n.r.say("greet %s", n.brick) }
-func (n *noted) CheckHealth(uint64) { n.r.say("probe %s", n.brick) }
-func (n *noted) Close()             { n.r.say("close the line to %s", n.brick) }
+func (n *recordingConn) RequestGreeting()   { n.engine.print("greet %s", n.endpoint) }
+func (n *recordingConn) CheckHealth(uint64) { n.engine.print("probe %s", n.endpoint) }
+func (n *recordingConn) Close()             { n.engine.print("close the line to %s", n.endpoint) }
 
 const start = time.Duration(1e18) // a wall clock
 
-func newRig(s policy.Settings) *rig {
-	r := &rig{answers: map[string]int{}}
+func newTestEngine(s policy.Settings) *testEngine {
+	r := &testEngine{responses: map[string]int{}}
 	r.Core = New(s, endpointstate.Rules{Fresh: time.Hour, Expire: 9 * time.Hour, StartTolerance: 500 * ms}, func(h policy.Runtime, s policy.Settings) Scheduler { return policy.New(h, s) }, r,
 		func(name string) (string, int, bool) { return "plain", 1, name != "nobody" }, 100*ms, start)
 	r.EndpointList(endpointstate.Generation{}, true, []EndpointEntry{{Name: "a", Address: "1", Shard: 0, Serving: true}})
 	return r
 }
 
-func (r *rig) run(d time.Duration) {
+func (r *testEngine) run(d time.Duration) {
 	for until := r.Now() + d; ; {
 		at, ok := r.Next()
 		if !ok || at > until {
@@ -92,18 +92,18 @@
 	}
 }
 
-func (r *rig) take(trace, queue string) *Request {
+func (r *testEngine) submit(trace, queue string) *Request {
 	t := &Request{Volume: "v", Class: queue, Object: trace, Trace: trace, Units: 1}
 	t.Respond = func(a Response) {
-		r.answers[trace]++
-		r.say("%s", strings.TrimSpace(fmt.Sprintf("%s %v, may have run %v %s", trace, a.Result, a.MayHaveRun, a.Reason)))
+		r.responses[trace]++
+		r.print("%s", strings.TrimSpace(fmt.Sprintf("%s %v, may have run %v %s", trace, a.Result, a.MayHaveRun, a.Reason)))
 	}
-	t.ResponseStarted = func() { r.say("%s begins to stream", trace) }
+	t.ResponseStarted = func() { r.print("%s begins to stream", trace) }
 	r.Submit(t)
 	return t
 }
 
-func (r *rig) outcome(i int, how policy.Outcome) {
+func (r *testEngine) endAttempt(i int, how policy.Outcome) {
 	r.AttemptEnded(AttemptReport{Endpoint: "a", ID: r.sent[i], Outcome: how})
 }
 
@@ -111,10 +111,10 @@
 func Example_answerAfterTheTimeout() {
 	s := settings()
 	s.CanCancel = false
-	r := newRig(s)
-	r.take("x", "read")
+	r := newTestEngine(s)
+	r.submit("x", "read")
 	r.run(1100 * ms)
-	r.outcome(0, policy.Served)
+	r.endAttempt(0, policy.Served)
 	fmt.Printf("%+v\n", r.Counts())
 	// Output:
 	//     0 ms  x.0 goes to a, 1s left
@@ -124,13 +124,13 @@
 
 // The client leaves, and at the same moment the answer comes: nothing is owed, the answer goes nowhere.
 func Example_clientLeavesAsTheAnswerComes() {
-	r := newRig(settings())
-	t := r.take("x", "read")
+	r := newTestEngine(settings())
+	t := r.submit("x", "read")
 	r.run(50 * ms)
 	r.ClientDisconnected(t)
-	r.outcome(0, policy.Served)
-	u := r.take("y", "read")
-	r.outcome(1, policy.Served)
+	r.endAttempt(0, policy.Served)
+	u := r.submit("y", "read")
+	r.endAttempt(1, policy.Served)
 	r.ClientDisconnected(u)
 	fmt.Println(r.Counts().ClientDisconnected, r.Counts().LateOutcomes, r.Counts().Open, r.Counts().InFlight)
 	// Output:
@@ -144,12 +144,12 @@
 // A reset after the last byte was sent: a non-retryable command may have run, so it is aborted and not sent again. One
 // whose connection never took a byte may be busy-replied.
 func Example_reset() {
-	r := newRig(settings())
-	r.take("x", "once")
-	r.outcome(0, policy.ConnectionReset)
+	r := newTestEngine(settings())
+	r.submit("x", "once")
+	r.endAttempt(0, policy.ConnectionReset)
 	r.run(100 * ms)
-	r.take("y", "once")
-	r.outcome(1, policy.ConnectFailed)
+	r.submit("y", "once")
+	r.endAttempt(1, policy.ConnectFailed)
 	r.run(1100 * ms)
 	// Output:
 	//     0 ms  x.0 goes to a, 1s left
@@ -162,7 +162,7 @@
 // A list tells starts by another machine's clock: only the age counts, and the same start told again is no new one.
 // A brick that said itself that it drains stays closed until it has started anew, whatever lists say.
 func Example_startsAndDrains() {
-	r := newRig(settings())
+	r := newTestEngine(settings())
 	r.quiet = true
 	r.run(20 * time.Second)
 	r.quiet = false
@@ -175,11 +175,11 @@
 	told("serving", 2*time.Second+290*ms) // was under way 10 ms longer
 	r.EndpointDraining("a")
 	told("serving", 2*time.Second)
-	r.take("x", "read")
+	r.submit("x", "read")
 	r.run(300 * ms)
 	told("serving", 0)
-	r.take("y", "read")
-	r.outcome(0, policy.Served)
+	r.submit("y", "read")
+	r.endAttempt(0, policy.Served)
 	told("gone", -1)
 	// Output:
 	// 20000 ms  log: ramp a: started 2s ago, warm within 10s
@@ -197,13 +197,13 @@
 
 // Once an answer streams, no time runs out; its break is the client's.
 func Example_stream() {
-	r := newRig(settings())
-	r.take("x", "stream")
+	r := newTestEngine(settings())
+	r.submit("x", "stream")
 	r.run(100 * ms)
 	r.ResponseStarted("a", r.sent[0])
 	r.ResponseStarted("a", r.sent[0])
 	r.run(2000 * ms)
-	r.outcome(0, policy.ConnectionReset)
+	r.endAttempt(0, policy.ConnectionReset)
 	// Output:
 	//     0 ms  x.0 goes to a, 300ms left
 	//   100 ms  x begins to stream
@@ -212,15 +212,15 @@
 
 // What the module can't be handed is aborted at once; an answer from another brick than was asked counts for nothing.
 func Example_misfits() {
-	r := newRig(settings())
-	t := &Request{Volume: "nobody", Class: "read", Units: 1, Respond: func(a Response) { r.say("%v: %s", a.Result, a.Reason) }}
+	r := newTestEngine(settings())
+	t := &Request{Volume: "nobody", Class: "read", Units: 1, Respond: func(a Response) { r.print("%v: %s", a.Result, a.Reason) }}
 	r.Submit(t)
 	t.Volume, t.Class = "v", "strange"
 	r.Submit(t)
-	r.take("x", "read")
+	r.submit("x", "read")
 	r.AttemptEnded(AttemptReport{Endpoint: "b", ID: r.sent[0], Outcome: policy.Served})
-	r.outcome(0, policy.Served)
-	r.outcome(0, policy.Served)
+	r.endAttempt(0, policy.Served)
+	r.endAttempt(0, policy.Served)
 	fmt.Println(r.Counts().MismatchedOutcomes, r.Counts().LateOutcomes)
 	// Output:
 	//     0 ms  aborted: unknown volume "nobody"
@@ -233,32 +233,32 @@
 // Any order of outcomes, departures and time-outs leaves each command with one answer or none owed, and nothing kept.
 func TestOneAnswerWhateverComes(t *testing.T) {
 	for seed := range 200 {
-		r := newRig(settings())
+		r := newTestEngine(settings())
 		r.quiet = true
 		x := uint64(seed)*2654435761 + 12345
 		draw := func(n int) int { x = x*6364136223846793005 + 1442695040888963407; return int(x>>33) % n }
 		gone := map[string]bool{}
 		var tasks []*Request
 		for i := range 60 {
-			tasks = append(tasks, r.take(fmt.Sprint("c", i), []string{"read", "once"}[draw(2)]))
+			tasks = append(tasks, r.submit(fmt.Sprint("c", i), []string{"read", "once"}[draw(2)]))
 			r.run(time.Duration(draw(40)) * ms)
 			for range draw(4) {
 				if len(r.sent) > 0 {
-					r.outcome(draw(len(r.sent)), policy.Outcome(draw(8)))
+					r.endAttempt(draw(len(r.sent)), policy.Outcome(draw(8)))
 				}
 			}
-			if k := draw(len(tasks)); draw(6) == 0 && r.answers[tasks[k].Trace] == 0 && !gone[tasks[k].Trace] {
+			if k := draw(len(tasks)); draw(6) == 0 && r.responses[tasks[k].Trace] == 0 && !gone[tasks[k].Trace] {
 				gone[tasks[k].Trace] = true
 				r.ClientDisconnected(tasks[k])
 			}
 		}
 		r.run(3 * time.Second)
 		for _, k := range tasks {
-			if want := 1; !gone[k.Trace] && r.answers[k.Trace] != want || gone[k.Trace] && r.answers[k.Trace] != 0 {
-				t.Fatalf("seed %d: %s got %d answers, gone %v", seed, k.Trace, r.answers[k.Trace], gone[k.Trace])
+			if want := 1; !gone[k.Trace] && r.responses[k.Trace] != want || gone[k.Trace] && r.responses[k.Trace] != 0 {
+				t.Fatalf("seed %d: %s got %d answers, gone %v", seed, k.Trace, r.responses[k.Trace], gone[k.Trace])
 			}
 		}
-		if n := r.Counts(); n.Open != 0 || n.InFlight != 0 || len(r.commands) != 0 || len(r.dispatches) != 0 {
+		if n := r.Counts(); n.Open != 0 || n.InFlight != 0 || len(r.requests) != 0 || len(r.attempts) != 0 {
 			t.Fatalf("seed %d: something is left: %+v", seed, n)
 		}
 	}
@@ -267,13 +267,13 @@
 // One seed gives one run in virtual time.
 func TestSameRunTwice(t *testing.T) {
 	trace := func() []uint64 {
-		r := newRig(settings())
+		r := newTestEngine(settings())
 		r.quiet = true
 		for i := range 50 {
-			r.take(fmt.Sprint("c", i), "read")
+			r.submit(fmt.Sprint("c", i), "read")
 			r.run(time.Duration(i%7) * 5 * ms)
 			if i%3 == 0 && len(r.sent) > 0 {
-				r.outcome(len(r.sent)-1, policy.Served)
+				r.endAttempt(len(r.sent)-1, policy.Served)
 			}
 		}
 		return r.sent
@@ -286,7 +286,7 @@
 // A full queue refuses; the clock never runs back; the loop ends with its context.
 func TestLoop(t *testing.T) {
 	l := NewLoop(2)
-	r := newRig(settings())
+	r := newTestEngine(settings())
 	if !l.TryPost(func(*Core) {}) || !l.TryPost(func(*Core) {}) || l.TryPost(func(*Core) {}) {
 		t.Error("a queue of two takes two")
 	}
@@ -312,7 +312,7 @@
 // News goes before what is queued: a client that left before its command was taken leaves nothing to do.
 func TestFirst(t *testing.T) {
 	l := NewLoop(4)
-	r := newRig(settings())
+	r := newTestEngine(settings())
 	r.quiet = true
 	var order []string
 	gone := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) { t.Error("an answer for nobody") }}
@@ -334,16 +334,16 @@
 // What waits for its connection never begins once its client left or its brick drains, also where settings let nothing
 // be called off; what was written goes on.
 func TestWithdrawn(t *testing.T) {
-	for name, happens := range map[string]func(*rig, *Request){
-		"left": func(r *rig, x *Request) { r.ClientDisconnected(x) },
-		"drain": func(r *rig, _ *Request) {
+	for name, happens := range map[string]func(*testEngine, *Request){
+		"left": func(r *testEngine, x *Request) { r.ClientDisconnected(x) },
+		"drain": func(r *testEngine, _ *Request) {
 			r.AuthoritativeList(false, []EndpointEntry{{Name: "a", Address: "1", Shard: 0}})
 		},
 	} {
 		for _, written := range []bool{false, true} {
 			s := settings()
 			s.CanCancel = false
-			r := newRig(s)
+			r := newTestEngine(s)
 			r.quiet = true
 			x := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) {}}
 			r.Submit(x)
@@ -358,7 +358,7 @@
 
 // State stays flat over a long run.
 func TestStateStaysFlat(t *testing.T) {
-	r := newRig(settings())
+	r := newTestEngine(settings())
 	r.quiet = true
 	measure := func() uint64 {
 		var m runtime.MemStats
@@ -368,8 +368,8 @@
 	}
 	round := func() {
 		for range 5000 {
-			r.take("x", "read")
-			r.outcome(len(r.sent)-1, policy.Served)
+			r.submit("x", "read")
+			r.endAttempt(len(r.sent)-1, policy.Served)
 			r.sent = r.sent[:0]
 			r.run(2 * ms)
 		}
@@ -386,13 +386,13 @@
 
 // The whole loop's cost of a command, its module included, bricks that answer at once.
 func BenchmarkCommand(b *testing.B) {
-	r := newRig(settings())
+	r := newTestEngine(settings())
 	r.quiet = true
 	b.ReportAllocs()
 	for b.Loop() {
 		t := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) {}}
 		r.Submit(t)
-		r.outcome(len(r.sent)-1, policy.Served)
+		r.endAttempt(len(r.sent)-1, policy.Served)
 		r.sent = r.sent[:0]
 		r.Advance(r.Now() + 50*time.Microsecond)
 	}
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -10,19 +10,19 @@
 // Loop is the one goroutine that owns a Core. Events reach it as calls through a bounded queue.
 type Loop struct {
 	events chan func(*Core)
-	first  chan func(*Core) // before the next of events
+	urgent chan func(*Core) // before the next of events
 	clock  clock.Clock
 	done   chan struct{}
 }
 
 const (
-	firstQueue = 256
-	batch      = 64 // events between two settings of the timer
+	urgentQueueLength = 256
+	maxBatch          = 64 // events between two settings of the timer
 )
 
 // NewLoop makes one whose queue holds so many events.
 func NewLoop(queue int) *Loop {
-	return &Loop{events: make(chan func(*Core), queue), first: make(chan func(*Core), firstQueue), clock: clock.New(), done: make(chan struct{})}
+	return &Loop{events: make(chan func(*Core), queue), urgent: make(chan func(*Core), urgentQueueLength), clock: clock.New(), done: make(chan struct{})}
 }
 
 // Now is the process's clock.
@@ -44,14 +44,14 @@
 			c.Stop()
 			return
 		case <-alarm.C:
-			l.firsts(c)
+			l.runUrgent(c)
 			c.Advance(l.Now())
-		case f := <-l.first:
+		case f := <-l.urgent:
 			c.Advance(l.Now())
 			f(c)
 		case f := <-l.events:
-			for n := min(len(l.events), batch); ; n-- { // many at a time: timers need not be set for each
-				l.firsts(c)
+			for n := min(len(l.events), maxBatch); ; n-- { // many at a time: timers need not be set for each
+				l.runUrgent(c)
 				c.Advance(l.Now())
 				f(c)
 				if n <= 0 {
@@ -64,10 +64,10 @@
 }
 
 // firsts lets happen what must not wait behind the queue.
-func (l *Loop) firsts(c *Core) {
+func (l *Loop) runUrgent(c *Core) {
 	for {
 		select {
-		case f := <-l.first:
+		case f := <-l.urgent:
 			c.Advance(l.Now())
 			f(c)
 		default:
@@ -80,7 +80,7 @@
 // waits for room and fails only once the loop has ended.
 func (l *Loop) PostUrgent(f func(*Core)) bool {
 	select {
-	case l.first <- f:
+	case l.urgent <- f:
 		return true
 	case <-l.done:
 		return false
