--- a/internal/capacity/decide/goal.go
+++ b/internal/capacity/decide/goal.go
@@ -123,7 +123,7 @@
 	return margin, which
 }
 
-// Names are the plans and queue types that goals speak of but neither the fleet nor the load knows.
+// Unknown returns an error for the first goal that names a plan or request class which neither the fleet nor the load has; nil if there is none.
 func Unknown(goals []Goal, plans, types []string) error {
 	for _, g := range goals {
 		if g.Plan != "" && !slices.Contains(plans, g.Plan) {
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -93,13 +93,15 @@
 	Done       []float64 // of bricks: what was done, as a part of what a warm one does
 }
 
-// Mean and Peak are over the blocks.
+// Mean is the mean over the blocks; 0 without any.
 func (u *Use) Mean() (m float64) {
 	for _, x := range u.By {
 		m += x / float64(len(u.By))
 	}
 	return m
 }
+
+// Peak is the greatest of the blocks; 0 without any.
 func (u *Use) Peak() float64 {
 	if len(u.By) == 0 {
 		return 0
@@ -204,7 +206,6 @@
 	at      []*host
 	nominal float64
 	units   map[int64]float64 // by period of the meter
-	done    map[*brick]float64
 }
 
 type brick struct {
@@ -235,8 +236,6 @@
 	wake  time.Duration
 	taken int
 	again []time.Duration // further dispatches, for the budget
-	got   []time.Duration // commands taken
-	held  int
 }
 
 // Run plays a scenario to its end.
@@ -498,7 +497,7 @@
 			h.up = false
 			h.core.Stop()
 		} else if !e.Down && !h.up {
-			w.boot(h)
+			_ = w.boot(h) // the settings started this gateway once already
 		}
 		return
 	}
@@ -772,7 +771,7 @@
 }
 
 func object(s string) (n uint64) {
-	fmt.Sscanf(s, "%x", &n)
+	_, _ = fmt.Sscanf(s, "%x", &n) // 0 for a name that is no number
 	return n
 }
 
--- a/internal/capacity/learn/learn.go
+++ b/internal/capacity/learn/learn.go
@@ -145,7 +145,7 @@
 			begin, idle = max(free[i], d.from), free[i] <= d.from+blur && free[i] < d.from
 		}
 		took := d.to - begin
-		if took > 0 && !(blind[i] && !idle) && (idle && free[i] < d.from-time.Millisecond || !idle && free[i] > d.from+blur) {
+		if took > 0 && (!blind[i] || idle) && (idle && free[i] < d.from-time.Millisecond || !idle && free[i] > d.from+blur) {
 			out = append(out, sample{at: d.from, took: took.Seconds(), queue: d.queue, units: d.units, write: writes[d.queue], idle: idle,
 				object: map[bool]uint64{true: d.object}[d.first]})
 		}
--- a/internal/capacity/place/place.go
+++ b/internal/capacity/place/place.go
@@ -18,7 +18,7 @@
 type Cost func(w *wants.Want) float64
 
 // CostOf reads it off a model: by the first kind that knows the queue type.
-func CostOf(m *pb.CapacityModel, f *pb.CapacityFleet) Cost {
+func CostOf(m *pb.CapacityModel, _ *pb.CapacityFleet) Cost {
 	mean, n := 0.0, 0.0
 	for _, k := range m.Kind {
 		for _, w := range k.Work {
--- a/internal/capacity/report/report.go
+++ b/internal/capacity/report/report.go
@@ -58,7 +58,7 @@
 			if err != nil {
 				return err
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }()
 			h := sha256.New()
 			if _, err := io.Copy(h, f); err != nil {
 				return err
@@ -81,7 +81,7 @@
 		fmt.Fprintf(w, "left out\t%d lines lost by hosts, %d torn blocks\n", a.Lost, a.Torn)
 	}
 	fmt.Fprintf(w, "asked for\t%.2f cores in the mean, %.2f in the worst second, of %.2f\n", mean(a.Work), slices.Max(a.Work), a.Capacity)
-	w.Flush()
+	_ = w.Flush()
 	if g := a.Growth; g != nil {
 		fmt.Fprintln(out, "\nThe first limit")
 		if g.Reached {
@@ -116,7 +116,7 @@
 			}
 			fmt.Fprintf(w, "  %s\t%d\t%s\t\n", s.Kind, s.Now, least)
 		}
-		w.Flush()
+		_ = w.Flush()
 		for _, s := range a.Servers {
 			if s.Why != "" {
 				fmt.Fprintf(out, "  %s: %s\n", s.Kind, s.Why)
@@ -136,7 +136,7 @@
 			for _, s := range p.Service {
 				fmt.Fprintf(w, "    %s\t%s\t%.3f\t%.3f-%.3f\t%v\t%d\n", s.Plan, s.Type, s.Part, s.Low, s.High, s.P99.Round(time.Millisecond), s.Wanted)
 			}
-			w.Flush()
+			_ = w.Flush()
 			for i, g := range p.GiveUp {
 				fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*g.Part, g.Plan, g.Type, g.Work)
 			}
@@ -314,5 +314,5 @@
 		fmt.Fprintf(w, "clients\t%.0f%% of those without success ask again, after %.0f ms; %d repeats folded into %d wants; %.1f%% leave\n", 100*c.Repeats, 1e3*c.Wait,
 			c.Folded, c.Firsts, 100*c.Leaves)
 	}
-	w.Flush()
+	_ = w.Flush()
 }
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -77,7 +77,7 @@
 }
 
 // Cases are the ten.
-func Cases(d *pb.Drill, f *pb.CapacityFleet) []Case {
+func Cases(_ *pb.Drill, f *pb.CapacityFleet) []Case {
 	last := f.Brick[len(f.Brick)-1].Zone
 	var lost []forecast.Event
 	var cells []uint32
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	o.Capture = filepath.Join(dir, "capture")
 	if _, err := scenario.Run(ctx, d, o); err != nil {
 		return nil, err
--- a/internal/capacity/wants/wants.go
+++ b/internal/capacity/wants/wants.go
@@ -43,7 +43,7 @@
 func Unfold(lines []*pb.Captured) (all []Want, c *pb.CapacityModel_ClientModel) {
 	c = &pb.CapacityModel_ClientModel{}
 	var begin time.Duration
-	open_ := map[same]open{}
+	unfinished := map[same]open{}
 	failed, again, left := 0, 0, 0
 	var waits []time.Duration
 	for _, l := range lines {
@@ -56,7 +56,7 @@
 			begin = at
 		}
 		k := same{m.Volume, m.QueueType, m.Object, m.Units, m.Cell}
-		o, known := open_[k]
+		o, known := unfinished[k]
 		ended := at + time.Duration(m.Took)
 		got := m.Final == pb.CapturedCommand_COMPLETED
 		repeats := known && (m.Repeat || m.Object != 0) && at >= o.over && at < o.until
@@ -67,9 +67,9 @@
 			waits = append(waits, at-o.over)
 			c.Folded++
 			if o.over = ended; got {
-				delete(open_, k)
+				delete(unfinished, k)
 			} else {
-				open_[k] = o
+				unfinished[k] = o
 				failed++
 			}
 			continue
@@ -84,11 +84,11 @@
 		switch m.Final {
 		case pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_ABORTED:
 			failed++
-			open_[k] = open{len(all) - 1, at + w.Timeout, ended}
+			unfinished[k] = open{len(all) - 1, at + w.Timeout, ended}
 		case pb.CapturedCommand_LEFT: // it may ask elsewhere, after a lost connection; that is counted, not taken for patience
-			open_[k] = open{len(all) - 1, at + w.Timeout, ended}
+			unfinished[k] = open{len(all) - 1, at + w.Timeout, ended}
 		default:
-			delete(open_, k)
+			delete(unfinished, k)
 		}
 	}
 	c.Firsts = uint32(len(all))
--- a/internal/cli/ages.go
+++ b/internal/cli/ages.go
@@ -49,7 +49,7 @@
 		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%d\t%.2f of what is allowed\t%s\t\n", name, first.Round(time.Millisecond), part, part/max(up, 1e-9),
 			r.Verdict.Breaches[3], press, rules)
 	}
-	w.Flush()
+	_ = w.Flush()
 	if broken > 0 {
 		return errors.New("a rule is broken")
 	}
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -83,7 +83,7 @@
 	fmt.Fprintf(w, "dispatches\t%d to %d bricks\n", dispatches, len(bricks))
 	fmt.Fprintf(w, "lost lines\t%d\n", l.Lost)
 	fmt.Fprintf(w, "torn\t%d blocks, %d bytes\n", l.Torn.Blocks, l.Torn.Bytes)
-	w.Flush()
+	_ = w.Flush()
 }
 
 type captureCut struct {
@@ -119,7 +119,7 @@
 	for _, o := range l.Offset {
 		fmt.Fprintf(w, "%s\t%v\t%v\t%d\n", o.Host, o.Add, o.Spread, o.Marks)
 	}
-	w.Flush()
+	_ = w.Flush()
 	return write(l, c.Out)
 }
 
@@ -130,11 +130,11 @@
 	}
 	out := bufio.NewWriter(f)
 	if err := l.Write(out); err != nil {
-		f.Close()
+		_ = f.Close()
 		return err
 	}
 	if err := out.Flush(); err != nil {
-		f.Close()
+		_ = f.Close()
 		return err
 	}
 	return f.Close()
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -150,7 +150,7 @@
 		if err != nil {
 			return fmt.Errorf("logs: %w", err)
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }()
 		logs = f
 	}
 	if c.State > 0 {
@@ -334,7 +334,7 @@
 			return fmt.Sprintf("BROKEN %d times", v.Breaches[n])
 		})
 	}
-	w.Flush()
+	_ = w.Flush()
 }
 
 func breaches(out io.Writer, v *audit.Verdict) {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("reach the host: %w", err)
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	r := lineproto.NewConnReader(nc, 64<<20, 5*time.Second, 5*time.Second)
 	if _, err := lineproto.Greet(nc, r, "client", "weirctl", 2*time.Second, nil); err != nil {
 		return nil, err
--- a/internal/cli/object.go
+++ b/internal/cli/object.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	s, err := f.Stat()
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	defer body.Close()
+	defer func() { _ = body.Close() }()
 	tmp := c.File + ".part" // the name stands for the whole file, or for nothing
 	f, err := os.Create(tmp)
 	if err != nil {
@@ -129,7 +129,7 @@
 	tell, done := progress(c.From, i.Size), int64(0)
 	_, err = io.Copy(f, io.TeeReader(body, counter(func(n int) { done += int64(n); tell(done) })))
 	if err = errors.Join(err, f.Close()); err != nil {
-		os.Remove(tmp)
+		_ = os.Remove(tmp)
 		return err
 	}
 	return os.Rename(tmp, c.File)
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	defer body.Close()
+	defer func() { _ = body.Close() }()
 	_, err = io.Copy(os.Stdout, body)
 	return err
 }
@@ -212,7 +212,7 @@
 		delimiter = ""
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	defer w.Flush()
+	defer func() { _ = w.Flush() }()
 	for i, err := range o.List(ctx, volume, prefix, delimiter) {
 		if err != nil {
 			return err
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	return pb.NewPlanningClient(conn).Status(ctx, a)
--- a/internal/cli/states.go
+++ b/internal/cli/states.go
@@ -66,5 +66,5 @@
 		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", h, len(x), mean(early, heap), mean(late, heap), mean(early, routines),
 			mean(late, routines), mean(early, timers), mean(late, timers))
 	}
-	w.Flush()
+	_ = w.Flush()
 }
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -88,7 +88,7 @@
 func (d *Discovery) since(revision int64) List {
 	l := List{Revision: d.revision, Complete: revision == 0, Members: []Server{}}
 	for _, s := range d.servers {
-		if s.revision > revision && !(l.Complete && s.Phase == Terminated) {
+		if s.revision > revision && (!l.Complete || s.Phase != Terminated) {
 			l.Members = append(l.Members, s)
 		}
 	}
@@ -151,9 +151,9 @@
 	defer a.mu.Unlock()
 	for w := range a.watches {
 		if tcp, ok := w.nc.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
+			_ = tcp.SetLinger(0)
 		}
-		w.nc.Close()
+		_ = w.nc.Close()
 	}
 }
 
@@ -176,7 +176,7 @@
 	a.mu.Lock()
 	a.closed = true
 	a.mu.Unlock()
-	a.listener.Close()
+	_ = a.listener.Close()
 	a.Reset()
 	a.wake()
 	a.wg.Wait()
@@ -202,7 +202,7 @@
 		a.wg.Add(1)
 		go func() {
 			defer a.wg.Done()
-			defer nc.Close()
+			defer func() { _ = nc.Close() }()
 			a.serve(nc)
 		}()
 	}
@@ -232,17 +232,17 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		reader.Await()
+		_ = reader.Await()
 	}()
 	defer func() {
 		a.mu.Lock()
 		delete(a.watches, w)
 		a.mu.Unlock()
-		nc.Close()
+		_ = nc.Close()
 		<-ended
 	}()
 	if refuse {
-		io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	select {
@@ -266,14 +266,14 @@
 		case down:
 		case !begun:
 			begun = true
-			io.WriteString(w.nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			_, _ = io.WriteString(w.nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			fallthrough
 		default:
 			if len(l.Members) > 0 {
 				a.write(w, l)
 				revision = l.Revision
 			} else if due {
-				chunk(w.nc, "\n")
+				_ = chunk(w.nc, "\n")
 			}
 		}
 		due = false
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -146,18 +146,18 @@
 	for _, k := range l.links {
 		if k.nc != nil && l.rng.Float64() < part {
 			k.mine = true
-			k.nc.Close()
+			_ = k.nc.Close()
 		}
 	}
 }
 
 // Stall lets clients of the hosts drawn read nothing for a while.
-func (l *Load) Stall(part float64, for_ time.Duration) {
+func (l *Load) Stall(part float64, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.links {
 		if l.rng.Float64() < part {
-			k.stall = time.Now().Add(for_)
+			k.stall = time.Now().Add(duration)
 		}
 	}
 }
@@ -222,7 +222,7 @@
 	for _, k := range l.links {
 		if k.nc != nil {
 			k.mine = true
-			k.nc.Close()
+			_ = k.nc.Close()
 		}
 	}
 	l.mu.Unlock()
@@ -298,7 +298,7 @@
 	t.timer = time.AfterFunc(left, func() { l.late(k, t) })
 	l.c.Record.See(seen)
 	if _, err := k.sender.Send(o.End(body).B); err != nil {
-		k.nc.Close()
+		_ = k.nc.Close()
 	}
 }
 
@@ -365,7 +365,7 @@
 	if err != nil {
 		return
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	r := lineproto.NewConnReader(nc, 16<<20, 0, 10*time.Second)
 	if _, err := lineproto.Greet(nc, r, "client", "clients", time.Second, nil); err != nil {
 		return
@@ -374,7 +374,7 @@
 	s.Start(nc)
 	l.mu.Lock()
 	if l.ctx.Err() != nil {
-		nc.Close()
+		_ = nc.Close()
 	}
 	k.nc, k.sender, k.mine = nc, s, false
 	l.mu.Unlock()
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -57,7 +57,6 @@
 	sender   *lineproto.Sender
 	name     string
 	watching bool
-	known    int64 // number of the last list told
 }
 
 // Start brings the service up.
@@ -86,9 +85,10 @@
 	s.wg.Wait()
 }
 
-// Flap is one way to fail.
+// Flap is a way in which the service fails.
 type Flap int
 
+// The ways in which the service fails.
 const (
 	Half  Flap = iota // tells only half of the bricks, as a whole list
 	Empty             // tells none, as a whole list
@@ -114,7 +114,7 @@
 			s.tell(x, true, s.entries[:1])
 			s.number = number
 		case Cut:
-			x.conn.Close()
+			_ = x.conn.Close()
 		}
 	}
 }
@@ -205,7 +205,7 @@
 }
 
 func (s *Service) accept(l net.Listener) {
-	unhook := context.AfterFunc(s.ctx, func() { l.Close() })
+	unhook := context.AfterFunc(s.ctx, func() { _ = l.Close() })
 	defer unhook()
 	for {
 		nc, err := l.Accept()
@@ -221,8 +221,8 @@
 }
 
 func (s *Service) serve(nc net.Conn) {
-	defer nc.Close()
-	unhook := context.AfterFunc(s.ctx, func() { nc.Close() })
+	defer func() { _ = nc.Close() }()
+	unhook := context.AfterFunc(s.ctx, func() { _ = nc.Close() })
 	defer unhook()
 	r := lineproto.NewConnReader(nc, 1<<16, 0, 10*time.Second)
 	hello, err := lineproto.Greet(nc, r, "list", "list", 2*time.Second, nil)
@@ -248,7 +248,7 @@
 		var o lineproto.Out
 		switch {
 		case fails:
-			x.sender.Send(o.Start(lineproto.Abort, m.ID).End(nil).B)
+			_, _ = x.sender.Send(o.Start(lineproto.Abort, m.ID).End(nil).B)
 		case m.Verb == lineproto.Watch:
 			x.watching = true
 			s.tell(x, true, s.entries)
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -74,9 +74,9 @@
 		if which(x) {
 			for _, side := range []net.Conn{x.near, x.far} {
 				if tcp, ok := side.(*net.TCPConn); ok {
-					tcp.SetLinger(0)
+					_ = tcp.SetLinger(0)
 				}
-				side.Close()
+				_ = side.Close()
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 // Close ends it with its connections.
 func (p *Proxy) Close() {
 	p.stop()
-	p.listener.Close()
+	_ = p.listener.Close()
 	p.Reset()
 	p.wg.Wait()
 }
@@ -115,7 +115,7 @@
 }
 
 func (p *Proxy) serve(near net.Conn) {
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	select {
 	case <-time.After(p.now().ConnectDelay):
 	case <-p.ctx.Done():
@@ -125,7 +125,7 @@
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	x := &pair{near: near, far: far}
 	p.mu.Lock()
 	p.pairs[x] = true
@@ -153,7 +153,7 @@
 // pass copies one direction until it ends, and then ends both sides in the same way: a reset stays a reset. An end of the
 // gateway's sending cancels, as a close does.
 func (p *Proxy) pass(x *pair, to, from net.Conn) {
-	defer from.Close()
+	defer func() { _ = from.Close() }()
 	buffer := make([]byte, chunk)
 	for {
 		n, err := from.Read(buffer)
@@ -163,15 +163,15 @@
 		}
 		if n > 0 && !dropped {
 			if _, err := to.Write(buffer[:n]); err != nil {
-				to.Close()
+				_ = to.Close()
 				return
 			}
 		}
 		if err != nil {
 			if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, syscall.ECONNRESET) {
-				tcp.SetLinger(0)
+				_ = tcp.SetLinger(0)
 			}
-			to.Close()
+			_ = to.Close()
 			return
 		}
 	}
--- a/internal/fake/storagenode/http.go
+++ b/internal/fake/storagenode/http.go
@@ -18,7 +18,7 @@
 
 // serveHTTP reads requests of the platform's HTTP/1.1, one at a time; a closed connection cancels what it holds.
 func (b *Brick) serveHTTP(c *conn) {
-	defer c.nc.Close()
+	defer func() { _ = c.nc.Close() }()
 	unhook := context.AfterFunc(b.ctx, func() { reset(c.nc) })
 	defer unhook()
 	reader := http1.NewReader(c.nc)
@@ -87,18 +87,18 @@
 	if other > 0 {
 		text = http1.AppendField(text, "Other-Hosts", strconv.FormatFloat(other, 'g', -1, 64))
 	}
-	j.conn.nc.SetWriteDeadline(time.Now().Add(time.Second))
+	_ = j.conn.nc.SetWriteDeadline(time.Now().Add(time.Second))
 	if verb == lineproto.Done && b.rng.Float64() < b.cond.Endless {
-		io.WriteString(j.conn.nc, string(text)+"\r\n"+AnswerTo(j.command)[:6])
+		_, _ = io.WriteString(j.conn.nc, string(text)+"\r\n"+AnswerTo(j.command)[:6])
 		reset(j.conn.nc)
 		return
 	}
 	text = http1.AppendEnd(text, []byte(AnswerTo(j.command)))
-	j.conn.nc.Write(text)
+	_, _ = j.conn.nc.Write(text)
 	if b.rng.Float64() < b.cond.Copies {
-		time.AfterFunc(time.Duration(b.rng.Int63n(int64(copyDelay))), func() { j.conn.nc.Write(text) })
+		time.AfterFunc(time.Duration(b.rng.Int63n(int64(copyDelay))), func() { _, _ = j.conn.nc.Write(text) })
 	}
 	if b.cond.CloseIdle {
-		j.conn.nc.Close()
+		_ = j.conn.nc.Close()
 	}
 }
--- a/internal/fake/storagenode/storagenode.go
+++ b/internal/fake/storagenode/storagenode.go
@@ -180,7 +180,6 @@
 	condAt   time.Time
 	queue    []*job
 	running  *job
-	inflight int
 	deferred float64
 	flushAt  time.Time
 	recent   []string
@@ -286,7 +285,7 @@
 	o.Start(lineproto.Drain, 0).End(nil)
 	for c := range b.conns {
 		if c.sender != nil {
-			c.sender.Send(o.B)
+			_, _ = c.sender.Send(o.B)
 			b.noteDrain(c)
 		}
 	}
@@ -314,7 +313,7 @@
 }
 
 func (b *Brick) accept(l net.Listener) {
-	unhook := context.AfterFunc(b.ctx, func() { l.Close() })
+	unhook := context.AfterFunc(b.ctx, func() { _ = l.Close() })
 	defer unhook()
 	for no := int64(1); ; no++ {
 		nc, err := l.Accept()
@@ -334,7 +333,7 @@
 }
 
 func (b *Brick) serve(c *conn) {
-	defer c.nc.Close()
+	defer func() { _ = c.nc.Close() }()
 	unhook := context.AfterFunc(b.ctx, func() { reset(c.nc) })
 	defer unhook()
 	r := lineproto.NewConnReader(c.nc, 16<<20, 0, 10*time.Second)
@@ -361,7 +360,7 @@
 	b.mu.Unlock()
 	if draining { // told by the greeting, or just behind it
 		var o lineproto.Out
-		c.sender.Send(o.Start(lineproto.Drain, 0).End(nil).B)
+		_, _ = c.sender.Send(o.Start(lineproto.Drain, 0).End(nil).B)
 		b.noteDrain(c)
 	} else if b.c.Cold && b.c.HostOf != nil { // its greeting told how long it has been up
 		host, inc := b.c.HostOf(c.host)
@@ -385,9 +384,9 @@
 // reset ends a connection so that the other side sees a reset, not an end.
 func reset(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0)
 	}
-	nc.Close()
+	_ = nc.Close()
 }
 
 func (b *Brick) take(c *conn, m *lineproto.Message) {
@@ -397,7 +396,7 @@
 		n, _ := m.Whole("Dispatch", 0)
 		left, _ := m.Micros("Timeout", time.Hour)
 		var command uint64
-		fmt.Sscanf(m.Get("Trace"), "%d", &command)
+		_, _ = fmt.Sscanf(m.Get("Trace"), "%d", &command) // 0 where the client sent no number
 		j := &job{conn: c, id: m.ID, command: command, n: uint32(n), volume: m.Get("Volume"), queue: m.Get("Queue-Type"),
 			object: m.Get("Object"), tag: m.Get("Tag"), units: units, until: time.Now().Add(left), body: m.Body}
 		b.arrive(j)
@@ -418,7 +417,7 @@
 		b.cancel(c, m.ID)
 	default:
 		var o lineproto.Out
-		c.sender.Send(o.Start(lineproto.Bad, m.ID).Text("Reason", "unknown verb "+m.Verb).End(nil).B)
+		_, _ = c.sender.Send(o.Start(lineproto.Bad, m.ID).Text("Reason", "unknown verb "+m.Verb).End(nil).B)
 	}
 }
 
@@ -494,12 +493,12 @@
 
 // ramp is the part of its capacity that a brick has so long after its start.
 func (b *Brick) ramp(now time.Time) float64 {
-	for_, from := settings.Duration(b.c.Kind.ColdFor, 0), b.c.Kind.ColdFrom
+	rampUp, from := settings.Duration(b.c.Kind.ColdFor, 0), b.c.Kind.ColdFrom
 	age := now.Sub(b.started)
-	if !b.c.Cold || age >= for_ || for_ == 0 {
+	if !b.c.Cold || age >= rampUp || rampUp == 0 {
 		return 1
 	}
-	return from + (1-from)*age.Seconds()/for_.Seconds()
+	return from + (1-from)*age.Seconds()/rampUp.Seconds()
 }
 
 // press tips a cold brick over when it is sent too much.
@@ -683,12 +682,12 @@
 		b.answerHTTP(j, verb, other)
 		return
 	}
-	j.conn.sender.Send(o.End(body).B)
+	_, _ = j.conn.sender.Send(o.End(body).B)
 }
 
 func (b *Brick) probed(j *job) {
 	var o lineproto.Out
-	j.conn.sender.Send(o.Start(lineproto.Probed, j.id).Whole("Load-Queue", int64(len(b.queue))).End(nil).B)
+	_, _ = j.conn.sender.Send(o.Start(lineproto.Probed, j.id).Whole("Load-Queue", int64(len(b.queue))).End(nil).B)
 }
 
 // Stored tells how often an object was written here and with what last.
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -56,7 +56,7 @@
 		r.each(struck(t, len(r.hosts), rng), func(i int) {
 			r.killHost(r.hosts[i])
 			if wait(ctx, time.Now().Add(back)) {
-				r.startHost(ctx, r.hosts[i])
+				_ = r.startHost(ctx, r.hosts[i]) // one that does not start stays down for the rest of the day
 			}
 		})
 	case pb.Trouble_HOST_ROLL:
@@ -125,24 +125,24 @@
 
 // conditions are troubles that a brick has for a while.
 func (r *runner) conditions(ctx context.Context, t *pb.Trouble, end time.Time, rng *rand.Rand) {
-	var set, clear func(c *storagenode.Conditions)
+	var set, reset func(c *storagenode.Conditions)
 	extra := time.Duration(t.Extra * float64(time.Second))
 	switch t.Kind {
 	case pb.Trouble_SLOW:
-		set, clear = func(c *storagenode.Conditions) { c.Slow = t.Size }, func(c *storagenode.Conditions) { c.Slow = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.Slow = t.Size }, func(c *storagenode.Conditions) { c.Slow = 0 }
 	case pb.Trouble_FAST_ERRORS:
-		set, clear = func(c *storagenode.Conditions) { c.Errors = t.Size }, func(c *storagenode.Conditions) { c.Errors = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.Errors = t.Size }, func(c *storagenode.Conditions) { c.Errors = 0 }
 	case pb.Trouble_ANSWER_LOST:
-		set, clear = func(c *storagenode.Conditions) { c.Lost, c.Reset = t.Size, t.Reset_ }, func(c *storagenode.Conditions) { c.Lost = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.Lost, c.Reset = t.Size, t.Reset_ }, func(c *storagenode.Conditions) { c.Lost = 0 }
 	case pb.Trouble_NEIGHBOUR:
-		set, clear = func(c *storagenode.Conditions) { c.Neighbour, c.OnOff = t.Size, extra }, func(c *storagenode.Conditions) { c.Neighbour = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.Neighbour, c.OnOff = t.Size, extra }, func(c *storagenode.Conditions) { c.Neighbour = 0 }
 	case pb.Trouble_PAUSES:
 		set = func(c *storagenode.Conditions) {
 			c.Pause, c.PauseEvery = time.Duration(t.Size*float64(time.Millisecond)), extra
 		}
-		clear = func(c *storagenode.Conditions) { c.Pause = 0 }
+		reset = func(c *storagenode.Conditions) { c.Pause = 0 }
 	case pb.Trouble_HEAVY_TAIL:
-		set, clear = func(c *storagenode.Conditions) { c.Costly, c.CostlyBy = t.Extra, t.Size }, func(c *storagenode.Conditions) { c.Costly = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.Costly, c.CostlyBy = t.Extra, t.Size }, func(c *storagenode.Conditions) { c.Costly = 0 }
 	default:
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	wait(ctx, end)
 	for _, cell := range on {
-		r.at(cell).Set(clear)
+		r.at(cell).Set(reset)
 	}
 }
 
@@ -176,7 +176,7 @@
 		r.each(order[w:min(w+step, len(order))], func(i int) {
 			r.stopHost(r.hosts[i])
 			if wait(ctx, time.Now().Add(back)) {
-				r.startHost(ctx, r.hosts[i])
+				_ = r.startHost(ctx, r.hosts[i]) // one that does not start stays down for the rest of the day
 			}
 		})
 		if !wait(ctx, next) {
@@ -196,7 +196,7 @@
 	r.unlist(b, cell, "gone")
 	b.Stop()
 	if wait(ctx, time.Now().Add(back)) {
-		r.startBrick(cell, "", true, "127.0.0.1:0")
+		_, _ = r.startBrick(cell, "", true, "127.0.0.1:0") // without one the shard stays empty for the rest of the day
 	}
 }
 
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -28,9 +28,11 @@
 	First                                string
 }
 
-// Requests is how many there were; Good tells whether no byte was wrong.
+// Requests is the number of requests sent.
 func (o ObjectCounts) Requests() int { return o.Puts + o.Gets + o.Ranges + o.Deletes + o.Uploads }
-func (o ObjectCounts) Good() bool    { return o.Wrong == 0 && o.Lost == 0 }
+
+// Good reports whether no object had a wrong byte and none was lost.
+func (o ObjectCounts) Good() bool { return o.Wrong == 0 && o.Lost == 0 }
 
 func (o ObjectCounts) String() string {
 	return fmt.Sprintf("%d puts, %d in parts, %d reads, %d of ranges, %d deletes; %d failed; %d names looked at in the end; %d wrong, %d lost %s", o.Puts, o.Uploads, o.Gets,
@@ -76,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		defer l.Close()
+		defer func() { _ = l.Close() }()
 		p.objects = l.Addr().String()
 	}
 	return nil
@@ -160,13 +162,13 @@
 
 // after notes what may stand under a name once a write ended.
 func (o *objectWorks) after(n *named, now *content, err error) {
-	switch {
-	case err == nil:
+	if err == nil {
 		n.may = []*content{now}
-	default: // also where the last try can't have run: one before it may have
-		o.count(func(s *ObjectCounts) { s.Failed++ })
-		n.may = append(n.may, now)
+		return
 	}
+	// Also where the last attempt cannot have run: one before it may have.
+	o.count(func(s *ObjectCounts) { s.Failed++ })
+	n.may = append(n.may, now)
 }
 
 func (o *objectWorks) put(ctx context.Context, c *client.Client, n *named, x content, parts bool) {
@@ -199,7 +201,7 @@
 		return
 	}
 	if err == nil {
-		defer body.Close()
+		defer func() { _ = body.Close() }()
 		var b []byte
 		if b, err = io.ReadAll(body); err == nil {
 			o.judge(n, b, true, from, size)
--- a/internal/scenario/planner.go
+++ b/internal/scenario/planner.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	address := l.Addr().String()
-	l.Close()
+	_ = l.Close()
 	p := &plannerProcess{r: r, address: address, file: filepath.Join(r.dir, "planner.txtpb"), disk: filepath.Join(r.dir, "planner.db")}
 	conf := &pb.PlannerConf{Name: "planner", Listen: address, ListService: r.list.Address(), Store: p.disk, Plain: true, Fleet: r.d.Fleet, Plan: r.d.Plan, Edges: r.d.Hosts,
 		Lease: "500ms", Recover: "500ms"}
@@ -104,7 +104,7 @@
 		if strings.HasPrefix(line, "READY ") {
 			ready <- true
 		}
-		cmd.Wait()
+		_ = cmd.Wait()
 		close(exited)
 	}()
 	select {
@@ -113,10 +113,10 @@
 	case <-exited:
 		return fmt.Errorf("the planner ended at its start\n%s", tail.last())
 	case <-time.After(20 * time.Second):
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill()
 		return fmt.Errorf("the planner did not serve within 20 s\n%s", tail.last())
 	case <-ctx.Done():
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill()
 		return ctx.Err()
 	}
 }
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	for end := time.Now().Add(20 * time.Second); ; {
 		t, err := pb.NewPlanningClient(conn).Status(ctx, &pb.StatusAsk{Edges: true, View: true})
 		held, bricks := 0, 0
@@ -148,7 +148,10 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("the planner did not get %d hosts into step within 20 s: %v, %s %s", edges, err, t.GetPhase(), t.GetWhy())
+			if err == nil {
+				return fmt.Errorf("the controller did not bring %d gateways into step within 20 s: %s %s", edges, t.GetPhase(), t.GetWhy())
+			}
+			return fmt.Errorf("the controller did not bring %d gateways into step within 20 s: %w", edges, err)
 		}
 		if !wait(ctx, time.Now().Add(20*time.Millisecond)) {
 			return ctx.Err()
@@ -161,7 +164,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill()
 		<-p.exited
 		p.cmd = nil
 	}
@@ -213,14 +216,14 @@
 	case pb.Trouble_PLANNER_STALL:
 		p.mu.Lock()
 		if p.cmd != nil {
-			p.cmd.Process.Signal(syscall.SIGSTOP)
+			_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 			p.troubles.Stalls++
 		}
 		cmd := p.cmd
 		p.mu.Unlock()
 		wait(ctx, end)
 		if cmd != nil {
-			cmd.Process.Signal(syscall.SIGCONT)
+			_ = cmd.Process.Signal(syscall.SIGCONT)
 		}
 	case pb.Trouble_PLANNER_OLD:
 		old := p.disk + ".old"
@@ -235,12 +238,12 @@
 		}
 		p.count(func(t *PlannerTroubles) { t.Kills++; t.Old++ })
 		p.end()
-		os.Remove(p.disk)
+		_ = os.Remove(p.disk)
 		if every > 0 {
-			os.Rename(old, p.disk)
+			_ = os.Rename(old, p.disk)
 		}
 		if wait(ctx, time.Now().Add(back)) {
-			p.start(ctx)
+			_ = p.start(ctx) // without one the gateways keep their last view
 		}
 	}
 }
@@ -250,13 +253,13 @@
 	if err != nil {
 		return err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	out, err := os.Create(to)
 	if err != nil {
 		return err
 	}
 	if _, err := io.Copy(out, in); err != nil {
-		out.Close()
+		_ = out.Close()
 		return err
 	}
 	return out.Close()
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	r := &runner{d: d, o: o, rng: rand.New(rand.NewSource(o.Seed)), rec: record.New(), dir: dir, tags: map[string]*storagenode.Tags{}, data: map[int]*storagenode.Data{}}
 	if o.Capture != "" { // one key for all hosts, gone with the run
 		if err := os.WriteFile(filepath.Join(dir, "key"), fmt.Appendf(nil, "capture key of drill seed %d", o.Seed), 0o600); err != nil {
@@ -397,7 +397,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		found = append(found, c.LocalAddr().String())
 	}
 	return found, nil
@@ -519,12 +519,12 @@
 		r.rec.See(&pb.Seen{What: pb.Seen_HOST_UP, Host: uint32(p.no), Incarnation: p.incarnation.Load()})
 		return nil
 	case <-p.exited:
-		return fmt.Errorf("host %d ended at its start: %v\n%s", p.no, p.err, tail.last())
+		return fmt.Errorf("host %d ended at its start: %w\n%s", p.no, exitError(p.err), tail.last())
 	case <-time.After(20 * time.Second):
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill()
 		return fmt.Errorf("host %d did not serve within 20 s\n%s", p.no, tail.last())
 	case <-ctx.Done():
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill()
 		return ctx.Err()
 	}
 }
@@ -538,7 +538,7 @@
 	}
 	p.killed = true
 	r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "killed"})
-	p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
@@ -551,7 +551,7 @@
 	}
 	p.killed = true
 	r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "stopping"})
-	p.cmd.Process.Signal(syscall.SIGTERM)
+	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	longest := 5 * time.Second
 	for _, q := range r.d.QueueType {
 		longest = max(longest, settings.Duration(q.CommandTimeout, 0)+5*time.Second)
@@ -559,7 +559,7 @@
 	select {
 	case <-p.exited:
 	case <-time.After(longest):
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill()
 		<-p.exited
 	}
 	if p.err != nil {
@@ -574,7 +574,7 @@
 		p.mu.Lock()
 		if p.cmd != nil && !p.killed {
 			p.killed = true
-			p.cmd.Process.Kill()
+			_ = p.cmd.Process.Kill()
 			<-p.exited
 		}
 		p.mu.Unlock()
@@ -596,7 +596,7 @@
 		t.buf = t.buf[len(t.buf)-4<<10:]
 	}
 	if t.to != nil {
-		t.to.Write(b)
+		_, _ = t.to.Write(b)
 	}
 	return len(b), nil
 }
@@ -654,3 +654,14 @@
 	}
 	return long
 }
+
+// errExitedCleanly stands for the end of a process with exit status 0, which exec reports as no error.
+var errExitedCleanly = errors.New("exit status 0")
+
+// exitError returns the error with which a process ended; it is never nil.
+func exitError(err error) error {
+	if err == nil {
+		return errExitedCleanly
+	}
+	return err
+}
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -30,8 +30,8 @@
 	{"reload-half-written", reloadHalfWritten},
 	{"throttle", throttleSome},
 	{"discovery-down", discoveryDown},
-	{"watch-silent", func(ctx context.Context, r *run, rng *rand.Rand) { r.eachAgent(rng, 2, (*agent.Agent).Silence) }},
-	{"watch-reset", func(ctx context.Context, r *run, rng *rand.Rand) { r.eachAgent(rng, 1, (*agent.Agent).Reset) }},
+	{"watch-silent", func(_ context.Context, r *run, rng *rand.Rand) { r.eachAgent(rng, 2, (*agent.Agent).Silence) }},
+	{"watch-reset", func(_ context.Context, r *run, rng *rand.Rand) { r.eachAgent(rng, 1, (*agent.Agent).Reset) }},
 	{"agent-slow", agentSlow},
 	{"agent-refuses", agentRefuses},
 	{"drain", drainSome},
@@ -45,16 +45,16 @@
 	{"connects-late", connectsLate},
 	{"network-silent", networkSilent},
 	{"network-reset", networkReset},
-	{"clients-leave", func(ctx context.Context, r *run, rng *rand.Rand) {
+	{"clients-leave", func(ctx context.Context, r *run, _ *rand.Rand) {
 		r.load.habits.with(ctx, &r.load.habits.leave, 40, 0)
 	}},
-	{"clients-slow", func(ctx context.Context, r *run, rng *rand.Rand) {
+	{"clients-slow", func(ctx context.Context, r *run, _ *rand.Rand) {
 		r.load.habits.with(ctx, &r.load.habits.pieces, 60, 0)
 	}},
-	{"clients-reconnect", func(ctx context.Context, r *run, rng *rand.Rand) {
+	{"clients-reconnect", func(ctx context.Context, r *run, _ *rand.Rand) {
 		r.load.habits.with(ctx, &r.load.habits.fresh, 90, 0)
 	}},
-	{"burst", func(ctx context.Context, r *run, rng *rand.Rand) { r.load.habits.with(ctx, &r.load.habits.burst, 4, 1) }},
+	{"burst", func(ctx context.Context, r *run, _ *rand.Rand) { r.load.habits.with(ctx, &r.load.habits.burst, 4, 1) }},
 	{"quiet-then-burst", quietThenBurst},
 	{"clients-many", manyClients},
 	{"crowd", crowd},
@@ -177,21 +177,21 @@
 	}
 }
 
-func stopSome(ctx context.Context, r *run, rng *rand.Rand) {
+func stopSome(_ context.Context, r *run, rng *rand.Rand) {
 	together(some(rng, r.processes, 5), func(p *process) {
 		p.stop()
 		r.again(p)
 	})
 }
 
-func killSome(ctx context.Context, r *run, rng *rand.Rand) {
+func killSome(_ context.Context, r *run, rng *rand.Rand) {
 	together(some(rng, r.processes, 4), func(p *process) {
 		p.kill()
 		r.again(p)
 	})
 }
 
-func reloadSome(ctx context.Context, r *run, rng *rand.Rand) {
+func reloadSome(_ context.Context, r *run, rng *rand.Rand) {
 	together(some(rng, r.processes, 3), func(p *process) {
 		for range 1 + len(p.name())%2 { // once, or twice in quick succession
 			if err := p.reload(); err != nil {
@@ -201,13 +201,13 @@
 	})
 }
 
-func reloadWhileStopping(ctx context.Context, r *run, rng *rand.Rand) {
+func reloadWhileStopping(_ context.Context, r *run, rng *rand.Rand) {
 	together(some(rng, r.processes, 6), func(p *process) {
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			time.Sleep(50 * time.Millisecond)
-			p.reload()
+			_ = p.reload() // the process may already have ended
 		}()
 		p.stop()
 		<-done
@@ -216,7 +216,7 @@
 }
 
 // reloadHalfWritten signals processes while their new configuration is being written.
-func reloadHalfWritten(ctx context.Context, r *run, rng *rand.Rand) {
+func reloadHalfWritten(_ context.Context, r *run, rng *rand.Rand) {
 	together(some(rng, r.processes, 4), func(p *process) {
 		p.mu.Lock()
 		whole, err := os.ReadFile(p.file(".json"))
@@ -236,7 +236,7 @@
 }
 
 // quietThenBurst lets nobody ask for a while, and then everybody.
-func quietThenBurst(ctx context.Context, r *run, rng *rand.Rand) {
+func quietThenBurst(ctx context.Context, r *run, _ *rand.Rand) {
 	r.load.habits.quiet.Store(true)
 	<-ctx.Done()
 	r.load.habits.quiet.Store(false)
@@ -261,7 +261,7 @@
 	}
 }
 
-func discoveryDown(ctx context.Context, r *run, rng *rand.Rand) {
+func discoveryDown(ctx context.Context, r *run, _ *rand.Rand) {
 	set := func(down bool) {
 		r.mu.Lock()
 		r.down = down
@@ -328,7 +328,7 @@
 	if taken {
 		return
 	}
-	if _, err := r.startServer(s.cell, true); err != nil {
+	if err := r.startServer(s.cell, true); err != nil {
 		return
 	}
 	s.entry.Phase = agent.Terminating
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand"
@@ -86,7 +87,7 @@
 	l.wg.Wait()
 	for i := range l.pools {
 		for _, c := range l.pools[i].idle {
-			c.nc.Close()
+			_ = c.nc.Close()
 		}
 	}
 }
@@ -203,14 +204,14 @@
 	last := 0
 	if q.pieces {
 		last = len(text) / 2
-		io.WriteString(c.nc, text[:last])
+		_, _ = io.WriteString(c.nc, text[:last])
 		time.Sleep(30 * time.Millisecond)
 	}
 	seen := &pb.Seen{What: pb.Seen_ASKED, Host: uint32(q.process), Incarnation: c.incarnation, Command: q.number, First: q.number,
 		Volume: q.volume, Plan: uint32(q.plan), QueueType: uint32(q.class), Units: float64(q.units), Cell: int32(q.cell), Timeout: int64(requestTime)}
 	l.r.rec.See(seen)
 	if _, err := io.WriteString(c.nc, text[last:]); err != nil {
-		c.nc.Close()
+		_ = c.nc.Close()
 		l.ended(q, c, false)
 		return
 	}
@@ -224,7 +225,7 @@
 	l.mu.Lock()
 	l.left[q.number] = l.r.rec.Now()
 	l.mu.Unlock()
-	c.nc.Close()
+	_ = c.nc.Close()
 }
 
 func (l *load) hasLeft(number uint64) bool {
@@ -240,9 +241,9 @@
 		l.r.rec.See(&pb.Seen{What: pb.Seen_GIVEN_UP, Host: uint32(q.process), Command: q.number})
 	})
 	defer late.Stop()
-	c.nc.SetReadDeadline(time.Now().Add(requestTime + answerSlack + 2*blur))
+	_ = c.nc.SetReadDeadline(time.Now().Add(requestTime + answerSlack + 2*blur))
 	if err := c.reader.Await(); err != nil {
-		c.nc.Close()
+		_ = c.nc.Close()
 		l.ended(q, c, isTimeout(err))
 		return
 	}
@@ -252,23 +253,23 @@
 		body, err = c.reader.Body(h, 1<<20)
 	}
 	if err != nil {
-		c.nc.Close()
+		_ = c.nc.Close()
 		l.ended(q, c, isTimeout(err))
 		return
 	}
 	l.answered(q, h, body)
 	c.used = true
 	if h.Close || q.leave > 0 || q.once {
-		c.nc.Close()
+		_ = c.nc.Close()
 		return
 	}
-	c.nc.SetReadDeadline(time.Time{})
+	_ = c.nc.SetReadDeadline(time.Time{})
 	l.put(q.process, c)
 }
 
 func isTimeout(err error) bool {
-	timeout, ok := err.(net.Error)
-	return ok && timeout.Timeout()
+	var failure net.Error
+	return errors.As(err, &failure) && failure.Timeout()
 }
 
 // answered notes a whole answer. A body that is not the server's answer to this very request is a lost request.
@@ -306,12 +307,12 @@
 			continue
 		}
 		if half {
-			io.WriteString(nc, "GET /read/0000")
+			_, _ = io.WriteString(nc, "GET /read/0000")
 		}
 		held = append(held, nc)
 	}
 	<-ctx.Done()
 	for _, nc := range held {
-		nc.Close()
+		_ = nc.Close()
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		defer held.Close() // once all have their addresses
+		defer func() { _ = held.Close() }() // once all have their addresses
 		p := &process{r: r, number: i, address: held.Addr().String()}
 		p.known.told = map[string]int64{}
 		if p.agent, err = r.discovery.Listen(p.told); err != nil {
@@ -139,7 +139,7 @@
 	cmd.Stderr = log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none is left over if this program is killed
 	if err := cmd.Start(); err != nil {
-		log.Close()
+		_ = log.Close()
 		return fmt.Errorf("start %s: %w", p.name(), err)
 	}
 	p.incarnation.Add(1)
@@ -147,7 +147,7 @@
 	p.cmd, p.exited, p.ended = cmd, exited, false
 	go func() {
 		p.exit = cmd.Wait()
-		log.Close()
+		_ = log.Close()
 		close(exited)
 	}()
 	return nil
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	if p.r.options.Logs == LogsBroken {
-		reader.Close()
+		_ = reader.Close()
 	} else {
 		p.r.mu.Lock()
 		p.r.pipes = append(p.r.pipes, reader)
@@ -178,14 +178,14 @@
 	for {
 		answer, err := client.Get("http://" + p.address + "/-/ready")
 		if err == nil {
-			answer.Body.Close()
+			_ = answer.Body.Close()
 			if answer.StatusCode == http.StatusOK {
 				break
 			}
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended at its start: %v (log: %s)", p.name(), p.exit, p.file(".log"))
+			return fmt.Errorf("%s ended at its start: %w (log: %s)", p.name(), exitError(p.exit), p.file(".log"))
 		case <-time.After(20 * time.Millisecond):
 		}
 		if time.Since(began) > startTimeout {
@@ -239,7 +239,7 @@
 	select {
 	case <-p.exited:
 	default:
-		p.cmd.Process.Signal(s)
+		_ = p.cmd.Process.Signal(s)
 	}
 }
 
@@ -271,7 +271,7 @@
 		return
 	}
 	p.serving.Store(false)
-	p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
@@ -299,7 +299,7 @@
 			p.r.violated(Violation{Rule: "crash", Process: p.name(), At: p.r.rec.Now(), Detail: "told to stop: " + p.exit.Error(), Log: p.file(".log")})
 		}
 	case <-time.After(requestTime + killGrace):
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill()
 		<-p.exited
 	}
 	p.serving.Store(false)
@@ -343,7 +343,7 @@
 	if err != nil {
 		return nil
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -357,3 +357,14 @@
 	}
 	return violations
 }
+
+// errExitedCleanly stands for the end of a process with exit status 0, which exec reports as no error.
+var errExitedCleanly = errors.New("exit status 0")
+
+// exitError returns the error with which a process ended; it is never nil.
+func exitError(err error) error {
+	if err == nil {
+		return errExitedCleanly
+	}
+	return err
+}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -150,7 +150,7 @@
 		s.brick.Stop()
 	}
 	for _, f := range r.pipes {
-		f.Close()
+		_ = f.Close()
 	}
 }
 
@@ -171,7 +171,7 @@
 
 func (r *run) startServers() error {
 	for cell := range cells {
-		if _, err := r.startServer(cell, false); err != nil {
+		if err := r.startServer(cell, false); err != nil {
 			return err
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // startServer brings up the server of a cell and lists it; cold: it has just started, else long ago.
-func (r *run) startServer(cell int, cold bool) (*server, error) {
+func (r *run) startServer(cell int, cold bool) error {
 	r.mu.Lock()
 	r.serial++
 	id := fmt.Sprintf("s-%d", r.serial)
@@ -188,12 +188,12 @@
 	b, err := storagenode.Start(storagenode.Config{Name: id, Zone: "a", Address: "127.0.0.1:0", Cell: cell, Kind: serverKind, Speed: 1, Seed: seed, Cold: cold,
 		FallMultiple: fallMultiple, FallAfter: fallAfter, TagWindow: tagWindow, Writes: writes(), Record: r.rec, Elsewhere: true, AttemptOf: r.attempt})
 	if err != nil {
-		return nil, err
+		return err
 	}
 	p, err := proxy.Start(b.Address())
 	if err != nil {
 		b.Stop()
-		return nil, err
+		return err
 	}
 	s := &server{cell: cell, brick: b, proxy: p, entry: agent.Server{ID: id, Address: p.Address(), Zone: "a", Cell: cell, Phase: agent.InService, Size: 1}}
 	if cold {
@@ -208,7 +208,7 @@
 	}
 	r.mu.Unlock()
 	r.list(s)
-	return s, nil
+	return nil
 }
 
 // list tells discovery of a server's state, and notes from when on each process counts as told.
