--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -20,9 +20,9 @@
 )
 
 type capacityCmd struct {
-	Answer capacityAnswer `cmd:"" default:"withargs" help:"The first limit as the load grows, the least servers for goals, what a loss does."`
-	Learn  capacityLearn  `cmd:"" help:"How bricks and clients behave, as a capture shows; printed with its fit."`
-	Verify capacityVerify `cmd:"" help:"Record a drill, forecast it with more load, fewer bricks, a zone lost, run each on loopback, compare."`
+	Answer capacityAnswer `cmd:"" default:"withargs" help:"The first limit as the load grows, the fewest endpoints for goals, what a loss does."`
+	Learn  capacityLearn  `cmd:"" help:"How endpoints and clients behave, as a capture shows; printed with its fit."`
+	Verify capacityVerify `cmd:"" help:"Record a scenario, forecast it with more load, fewer endpoints, a zone lost, run each on loopback, compare."`
 }
 
 type capacityInputs struct {
@@ -106,8 +106,8 @@
 	Model     string        `type:"existingfile" help:"A model learnt before; none: it is learnt from the load." placeholder:"FILE"`
 	Goal      []string      `help:"Such as 'plan=priority target>=0.99' or 'queue=read p99<=250ms'; several count together. None: target>=0.95." sep:"none"`
 	Lose      []string      `help:"zone=NAME, brick=NAME or host=NAME; several at once with commas. More than one --lose: each by itself." sep:"none"`
-	Gone      time.Duration `help:"What is lost is gone this long before its replacement comes up cold." default:"15s"`
-	Servers   bool          `help:"Look for the least servers of each kind, too."`
+	Gone      time.Duration `help:"What is lost is gone this long before its replacement starts cold." default:"15s"`
+	Servers   bool          `help:"Look for the fewest endpoints of each kind, too."`
 	Only      bool          `help:"Leave out the search for the first limit."`
 	Seed      int64         `default:"1" help:"All chance comes from it."`
 	Stretch   time.Duration `default:"20s" help:"Length of what is played at a time."`
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -13,24 +13,24 @@
 )
 
 type captureCmd struct {
-	Start captureStart `cmd:"" help:"Let a host record its load."`
-	Stop  captureStop  `cmd:"" help:"Let it stop; what it took is on disk then."`
-	Info  captureInfo  `cmd:"" help:"What a host records now, or what is in captures on disk."`
-	Cut   captureCut   `cmd:"" help:"Keep a stretch of a capture."`
-	Merge captureMerge `cmd:"" help:"Put captures of several hosts together, by aligned clocks."`
+	Start captureStart `cmd:"" help:"Let a gateway record its load."`
+	Stop  captureStop  `cmd:"" help:"Let it stop; what it recorded is on disk then."`
+	Info  captureInfo  `cmd:"" help:"What a gateway records now, or what is in captures on disk."`
+	Cut   captureCut   `cmd:"" help:"Keep an interval of a capture."`
+	Merge captureMerge `cmd:"" help:"Put captures of several gateways together, by aligned clocks."`
 }
 
 type captureStart struct {
-	Edge string `required:"" help:"Address where clients reach the host." placeholder:"ADDR"`
+	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-func (c *captureStart) Run() error { return tape(c.Edge, "start") }
+func (c *captureStart) Run() error { return tape(c.Gateway, "start") }
 
 type captureStop struct {
-	Edge string `required:"" help:"Address where clients reach the host." placeholder:"ADDR"`
+	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-func (c *captureStop) Run() error { return tape(c.Edge, "stop") }
+func (c *captureStop) Run() error { return tape(c.Gateway, "stop") }
 
 func tape(edge, action string) error {
 	b, err := ask(edge, lineproto.Tape, "Action", action)
@@ -41,16 +41,16 @@
 }
 
 type captureInfo struct {
-	Edge  string   `help:"Address where clients reach the host." placeholder:"ADDR" xor:"from"`
-	Paths []string `arg:"" optional:"" help:"Folders or files (*.wcap)."`
+	Gateway string   `aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR" xor:"from"`
+	Paths   []string `arg:"" optional:"" help:"Folders or files (*.wcap)."`
 }
 
 func (c *captureInfo) Run() error {
-	if c.Edge != "" {
-		return tape(c.Edge, "info")
+	if c.Gateway != "" {
+		return tape(c.Gateway, "info")
 	}
 	if len(c.Paths) == 0 {
-		return fmt.Errorf("name a host with --edge, or captures on disk")
+		return fmt.Errorf("name a gateway with --gateway, or captures on disk")
 	}
 	l, err := capture.Read(c.Paths...)
 	if err != nil {
@@ -88,8 +88,8 @@
 
 type captureCut struct {
 	Paths []string      `arg:"" help:"Folders or files (*.wcap)."`
-	From  time.Duration `help:"Counted from the first command."`
-	To    time.Duration `help:"Counted from the first command." default:"8760h"`
+	From  time.Duration `help:"Counted from the first request."`
+	To    time.Duration `help:"Counted from the first request." default:"8760h"`
 	Out   string        `required:"" help:"File to write." placeholder:"FILE"`
 }
 
--- /dev/null
+++ b/internal/cli/config.go
@@ -0,0 +1,21 @@
+package cli
+
+import (
+	"fmt"
+
+	"weirhaven/internal/settings"
+)
+
+type configCheck struct {
+	File string `arg:"" type:"existingfile" help:"Settings of a gateway (weirhaven-gateway)."`
+}
+
+func (c *configCheck) Run() error {
+	e, err := settings.LoadEdge(c.File)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%s: gateway %s, %d request classes, %d service plans, %d volumes, %d endpoints: all in range\n", c.File, e.Name, len(e.QueueType),
+		len(e.Plan), len(e.Volume), len(e.Brick))
+	return nil
+}
--- a/internal/cli/plan.go
+++ b/internal/cli/controlplane.go
@@ -18,22 +18,22 @@
 	"weirhaven/internal/tlskeys"
 )
 
-type planCmd struct {
-	Status planStatus `cmd:"" help:"What a planner is doing, and what keeps it from writing."`
-	Views  planViews  `cmd:"" help:"What it gives out."`
-	Edges  planEdges  `cmd:"" help:"The edges it knows, and where they stand."`
-	Diff   planDiff   `cmd:"" help:"What an edge last reported, against the planner."`
+type controlPlaneCmd struct {
+	Status    controlPlaneStatus    `cmd:"" help:"What a controller is doing, and what keeps it from writing."`
+	Snapshots controlPlaneSnapshots `cmd:"" aliases:"views" help:"The snapshot that it serves."`
+	Gateways  controlPlaneGateways  `cmd:"" aliases:"edges" help:"The gateways that it knows, and what they hold."`
+	Diff      controlPlaneDiff      `cmd:"" help:"Differences between what a gateway last reported and the controller's snapshot."`
 }
 
-type planFlags struct {
-	Planner string `required:"" help:"Address of the planner." placeholder:"ADDR"`
-	Cert    string `help:"Certificate of the operator (PEM); none: plain, on loopback." placeholder:"FILE"`
-	Key     string `help:"Its key." placeholder:"FILE"`
-	Trusted string `help:"Certificates by which the planner is judged." placeholder:"FILE"`
-	Server  string `help:"Name in the planner's certificate." default:"weirplan"`
+type controlPlaneFlags struct {
+	Controller string `required:"" aliases:"planner" help:"Address of the controller." placeholder:"ADDR"`
+	Cert       string `help:"Certificate of the operator (PEM); none: plain, on loopback." placeholder:"FILE"`
+	Key        string `help:"Its key." placeholder:"FILE"`
+	Trusted    string `help:"Certificates that the controller's must be signed by." placeholder:"FILE"`
+	Server     string `help:"Name in the controller's certificate." default:"weirplan"`
 }
 
-func (c *planFlags) ask(a *pb.StatusAsk) (*pb.StatusTold, error) {
+func (c *controlPlaneFlags) ask(a *pb.StatusAsk) (*pb.StatusTold, error) {
 	creds := insecure.NewCredentials()
 	if c.Cert != "" {
 		k, err := tlskeys.Load(&pb.Keys{Certificate: c.Cert, Key: c.Key, Trusted: c.Trusted}, slog.Default())
@@ -41,10 +41,10 @@
 			return nil, err
 		}
 		creds = credentials.NewTLS(k.Client(c.Server))
-	} else if !tlskeys.Loopback(c.Planner) {
-		return nil, errors.New("without --cert, --key and --trusted only a planner on loopback is asked")
+	} else if !tlskeys.Loopback(c.Controller) {
+		return nil, errors.New("without --cert, --key and --trusted only a controller on loopback is asked")
 	}
-	conn, err := grpc.NewClient("passthrough:///"+c.Planner, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(256<<20)))
+	conn, err := grpc.NewClient("passthrough:///"+c.Controller, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(256<<20)))
 	if err != nil {
 		return nil, err
 	}
@@ -54,9 +54,9 @@
 	return pb.NewPlanningClient(conn).Status(ctx, a)
 }
 
-type planStatus struct{ planFlags }
+type controlPlaneStatus struct{ controlPlaneFlags }
 
-func (c *planStatus) Run() error {
+func (c *controlPlaneStatus) Run() error {
 	t, err := c.ask(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
@@ -67,23 +67,23 @@
 			up++
 		}
 	}
-	fmt.Printf("planner %s, term %d, generation %d\n%s", t.Tenure.GetPlanner(), t.Tenure.GetTerm(), t.Generation, t.Phase)
+	fmt.Printf("controller %s, term %d, generation %d\n%s", t.Tenure.GetPlanner(), t.Tenure.GetTerm(), t.Generation, t.Phase)
 	if t.Why != "" {
 		fmt.Printf(": %s", t.Why)
 	}
-	fmt.Printf("\n%d of %d edges connected\n", up, len(t.Edge))
+	fmt.Printf("\n%d of %d gateways connected\n", up, len(t.Edge))
 	return nil
 }
 
-type planViews struct{ planFlags }
+type controlPlaneSnapshots struct{ controlPlaneFlags }
 
-func (c *planViews) Run() error {
+func (c *controlPlaneSnapshots) Run() error {
 	t, err := c.ask(&pb.StatusAsk{View: true})
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "KIND\tNAME\tGENERATION\tTERM\tWHAT")
+	fmt.Fprintln(w, "KIND\tNAME\tGENERATION\tTERM\tVALUE")
 	for _, x := range t.Item {
 		what := ""
 		switch b := x.GetBrick(); {
@@ -93,14 +93,14 @@
 				what += ", drained"
 			}
 		case b != nil:
-			what = fmt.Sprintf("%s zone %s cell %d serving %v", b.Address, b.Zone, b.Cell, b.Serving)
+			what = fmt.Sprintf("%s zone %s shard %d serving %v", b.Address, b.Zone, b.Cell, b.Serving)
 			if snapshot.Drained(b) {
 				what += ", drained"
 			}
 		case x.Volume != nil:
-			what = fmt.Sprintf("plan %s through %d edges, cells %v", x.Volume.Plan, x.Volume.Hosts, x.Volume.Cell)
+			what = fmt.Sprintf("plan %s through %d gateways, shards %v", x.Volume.Plan, x.Volume.Hosts, x.Volume.Cell)
 		case x.Place != nil:
-			what = fmt.Sprintf("cell %d, given to %s", x.Place.Cell, x.Place.Edge)
+			what = fmt.Sprintf("shard %d, given to %s", x.Place.Cell, x.Place.Edge)
 		case x.Kind == pb.Item_HOSTS:
 			what = fmt.Sprint(x.Hosts)
 		}
@@ -109,28 +109,28 @@
 	return w.Flush()
 }
 
-type planEdges struct{ planFlags }
+type controlPlaneGateways struct{ controlPlaneFlags }
 
-func (c *planEdges) Run() error {
+func (c *controlPlaneGateways) Run() error {
 	t, err := c.ask(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "EDGE\tADDRESS\tCONNECTED\tHOLDS\tFOLLOWS TERM\tHEARD")
+	fmt.Fprintln(w, "GATEWAY\tADDRESS\tCONNECTED\tHOLDS\tFOLLOWS TERM\tLAST MESSAGE")
 	for _, e := range t.Edge {
 		fmt.Fprintf(w, "%s\t%s\t%v\t%d of %d\t%d\t%v ago\n", e.Name, e.Address, e.Connected, e.Generation, t.Generation, e.Term, time.Duration(e.Heard).Round(time.Millisecond))
 	}
 	return w.Flush()
 }
 
-type planDiff struct {
-	planFlags
-	Edge string `arg:"" help:"Name of an edge."`
+type controlPlaneDiff struct {
+	controlPlaneFlags
+	Gateway string `arg:"" help:"Name of a gateway."`
 }
 
-func (c *planDiff) Run() error {
-	t, err := c.ask(&pb.StatusAsk{Diff: c.Edge})
+func (c *controlPlaneDiff) Run() error {
+	t, err := c.ask(&pb.StatusAsk{Diff: c.Gateway})
 	if err != nil {
 		return err
 	}
@@ -145,8 +145,8 @@
 
 type keysMake struct {
 	Dir   string        `required:"" help:"Folder to write to; trusted.pem and trusted.key there sign, and are made if absent." placeholder:"DIR"`
-	Valid time.Duration `default:"8760h" help:"How long the certificates hold."`
-	Names []string      `arg:"" help:"A key and certificate for each: weirplan, each edge by its name, operators."`
+	Valid time.Duration `default:"8760h" help:"How long the certificates are valid."`
+	Names []string      `arg:"" help:"A key and certificate for each: the controller (weirplan unless gateways name another), each gateway by its name, operators."`
 }
 
 func (c *keysMake) Run() error { return tlskeys.Make(c.Dir, c.Names, c.Valid) }
--- a/internal/cli/standin.go
+++ b/internal/cli/fake.go
@@ -25,25 +25,25 @@
 	return ctx
 }
 
-type standinBrick struct {
+type fakeStorageNode struct {
 	Name     string        `default:"brick-1" help:"Its name."`
 	Listen   string        `default:"127.0.0.1:0" help:"Address; port 0: the kernel chooses."`
-	Cell     int           `help:"The part of the data that it holds."`
+	Shard    int           `aliases:"cell" help:"The shard that it holds."`
 	Zone     string        `default:"hall"`
 	UnitWork time.Duration `default:"4ms" help:"Work of one unit."`
 	Vary     float64       `default:"0.5" help:"Coefficient of variation of the work."`
-	Queue    uint32        `default:"100" help:"Commands that may wait."`
+	Queue    uint32        `default:"100" help:"Requests that may wait."`
 	Speed    float64       `default:"1"`
 	Cold     time.Duration `help:"Start cold, warm after this long."`
-	Slow     float64       `help:"Run so many times slower."`
-	Errors   float64       `help:"Fail this part of the commands at once."`
-	Lost     float64       `help:"Lose this part of the answers."`
+	Slow     float64       `help:"Run this many times slower."`
+	Errors   float64       `help:"Fail this fraction of the requests at once."`
+	Lost     float64       `help:"Lose this fraction of the responses."`
 	Seed     int64         `default:"1"`
 }
 
-func (c *standinBrick) Run() error {
+func (c *fakeStorageNode) Run() error {
 	ctx := untilStopped()
-	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Cell: c.Cell, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
+	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Cell: c.Shard, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
 		Cold: c.Cold > 0, FallMultiple: 2, FallAfter: time.Second, Writes: map[string]bool{},
 		Kind: &pb.BrickKind{UnitWork: c.UnitWork.String(), Vary: c.Vary, Queue: c.Queue, ColdFrom: 0.2, ColdFor: c.Cold.String()}})
 	if err != nil {
@@ -56,20 +56,20 @@
 	return nil
 }
 
-type standinLister struct {
-	Listen string   `default:"127.0.0.1:0" help:"Address; port 0: the kernel chooses."`
-	Asked  bool     `help:"Tell only when asked."`
-	Brick  []string `help:"A brick: name,address,zone,cell. Later lines on standard input, with a state behind, change the list." sep:"none"`
+type fakeDiscovery struct {
+	Listen   string   `default:"127.0.0.1:0" help:"Address; port 0: the kernel chooses."`
+	PollOnly bool     `aliases:"asked" help:"Answer polls only; push no changes."`
+	Endpoint []string `aliases:"brick" help:"An endpoint: name,address,zone,shard. Later lines on standard input, with a state behind, change the list." sep:"none"`
 }
 
-func (c *standinLister) Run() error {
+func (c *fakeDiscovery) Run() error {
 	ctx := untilStopped()
-	s, err := discovery.Start(discovery.Config{Address: c.Listen, Asked: c.Asked, Seed: 1})
+	s, err := discovery.Start(discovery.Config{Address: c.Listen, Asked: c.PollOnly, Seed: 1})
 	if err != nil {
 		return err
 	}
 	defer s.Stop()
-	for _, b := range c.Brick {
+	for _, b := range c.Endpoint {
 		if err := listLine(s, b+",serving"); err != nil {
 			return err
 		}
@@ -89,40 +89,40 @@
 func listLine(s *discovery.Service, line string) error {
 	f := strings.Split(line, ",")
 	if len(f) != 5 {
-		return fmt.Errorf("brick %q: wanted name,address,zone,cell,state", line)
+		return fmt.Errorf("endpoint %q: expected name,address,zone,shard,state", line)
 	}
-	cell, err := strconv.Atoi(f[3])
+	shard, err := strconv.Atoi(f[3])
 	if err != nil {
-		return fmt.Errorf("brick %q: cell: %w", line, err)
+		return fmt.Errorf("endpoint %q: shard: %w", line, err)
 	}
-	s.Set(discovery.Entry{Name: f[0], Address: f[1], Zone: f[2], Cell: cell, State: f[4]})
+	s.Set(discovery.Entry{Name: f[0], Address: f[1], Zone: f[2], Cell: shard, State: f[4]})
 	return nil
 }
 
-type standinClient struct {
-	Host      []string      `required:"" help:"Address of a host."`
-	Volume    string        `default:"volume-1"`
-	QueueType string        `default:"read"`
-	Rate      float64       `default:"100" help:"Units a second."`
-	Cells     int           `default:"1" help:"Cells that hold the volume's data, from 0."`
-	Length    time.Duration `default:"10s"`
-	Target    time.Duration `default:"200ms" help:"Service target."`
-	Timeout   time.Duration `default:"1s" help:"Command timeout."`
-	Seed      int64         `default:"1"`
+type fakeClient struct {
+	Gateway          []string      `required:"" aliases:"host" help:"Address of a gateway."`
+	Volume           string        `default:"volume-1"`
+	Class            string        `default:"read" aliases:"queue-type" help:"Request class."`
+	Rate             float64       `default:"100" help:"Units a second."`
+	Shards           int           `default:"1" aliases:"cells" help:"Shards that hold the volume's data, from 0."`
+	Length           time.Duration `default:"10s"`
+	LatencyObjective time.Duration `default:"200ms" aliases:"target" help:"Latency objective."`
+	Timeout          time.Duration `default:"1s" help:"Request timeout."`
+	Seed             int64         `default:"1"`
 }
 
-func (c *standinClient) Run() error {
+func (c *fakeClient) Run() error {
 	ctx := untilStopped()
 	rec := record.New()
 	v := client.Volume{Name: c.Volume, Demand: c.Rate}
-	for i := range max(c.Cells, 1) {
+	for i := range max(c.Shards, 1) {
 		v.Cells = append(v.Cells, i)
 	}
-	for i := range c.Host {
+	for i := range c.Gateway {
 		v.Hosts = append(v.Hosts, i)
 	}
-	q := &pb.QueueType{Name: c.QueueType, ServiceTarget: c.Target.String(), CommandTimeout: c.Timeout.String(), Importance: 1}
-	l := client.Start(client.Config{Hosts: func(i int) string { return c.Host[i] }, Count: len(c.Host),
+	q := &pb.QueueType{Name: c.Class, ServiceTarget: c.LatencyObjective.String(), CommandTimeout: c.Timeout.String(), Importance: 1}
+	l := client.Start(client.Config{Hosts: func(i int) string { return c.Gateway[i] }, Count: len(c.Gateway),
 		QueueTypes: []*pb.QueueType{q}, Volumes: []client.Volume{v}, Load: &pb.Load{Mix: []float64{1}, Objects: 100},
 		UsualUnits: 1, MostUnits: 1, Seed: c.Seed, Record: rec, Incarnation: func(int) uint32 { return 1 }})
 	time.Sleep(100 * time.Millisecond)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -13,11 +13,11 @@
 	"weirhaven/internal/settings"
 )
 
-// ask sends one operator's message to a host and returns its answer's body.
+// ask sends one operator's message to a gateway and returns its answer's body.
 func ask(address, verb, field, name string) ([]byte, error) {
 	nc, err := net.DialTimeout("tcp", address, 2*time.Second)
 	if err != nil {
-		return nil, fmt.Errorf("reach the host: %w", err)
+		return nil, fmt.Errorf("reach the gateway: %w", err)
 	}
 	defer func() { _ = nc.Close() }()
 	r := lineproto.NewConnReader(nc, 64<<20, 5*time.Second, 5*time.Second)
@@ -33,17 +33,17 @@
 		return nil, err
 	}
 	if m.Verb != lineproto.Done {
-		return nil, fmt.Errorf("the host refused: %s", m.Get("Reason"))
+		return nil, fmt.Errorf("the gateway refused: %s", m.Get("Reason"))
 	}
 	return m.Body, nil
 }
 
 type fleetShow struct {
-	Edge string `required:"" help:"Address where clients reach the host." placeholder:"ADDR"`
+	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
 func (c *fleetShow) Run() error {
-	b, err := ask(c.Edge, lineproto.Fleet, "Brick", "")
+	b, err := ask(c.Gateway, lineproto.Fleet, "Brick", "")
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -51,11 +51,11 @@
 }
 
 type fleetExport struct {
-	Edge string `required:"" help:"Address where clients reach the host." placeholder:"ADDR"`
+	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
 func (c *fleetExport) Run() error {
-	b, err := ask(c.Edge, lineproto.Fleet, "Form", "txtpb")
+	b, err := ask(c.Gateway, lineproto.Fleet, "Form", "txtpb")
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -63,31 +63,31 @@
 }
 
 type fleetForget struct {
-	Name string `arg:"" help:"Name of a brick, or with --host of a host that sends nothing any more."`
-	Host bool   `help:"It is a host: others may use its part from now on. Only if it is surely gone."`
-	Edge string `required:"" help:"Address where clients reach the host." placeholder:"ADDR"`
+	Name    string `arg:"" help:"Name of an endpoint, or with --peer of a gateway that sends nothing any more."`
+	Peer    bool   `aliases:"host" help:"It is a gateway: the others may use its share from now on. Only if it is surely gone."`
+	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
 func (c *fleetForget) Run() error {
 	field := "Brick"
-	if c.Host {
+	if c.Peer {
 		field = "Host"
 	}
-	_, err := ask(c.Edge, lineproto.Forget, field, c.Name)
+	_, err := ask(c.Gateway, lineproto.Forget, field, c.Name)
 	return err
 }
 
 type fleetDump struct {
-	File string `arg:"" type:"existingfile" help:"A host's store; the host must not be running."`
-	Host string `required:"" help:"The host's name."`
+	File    string `arg:"" type:"existingfile" help:"A gateway's store; the gateway must not be running."`
+	Gateway string `required:"" aliases:"host" help:"The gateway's name."`
 }
 
 func (c *fleetDump) Run() error {
-	all, hosts, last, err := store.Dump(c.File, c.Host)
+	all, hosts, last, err := store.Dump(c.File, c.Gateway)
 	if err != nil {
 		return err
 	}
-	rules, err := settings.Beliefs(&pb.Edge{}) // as a host with the usual figures would take it now
+	rules, err := settings.Beliefs(&pb.Edge{}) // as a gateway with the default settings would weigh it now
 	if err != nil {
 		return err
 	}
--- a/internal/cli/ages.go
+++ b/internal/cli/scenarioages.go
@@ -17,12 +17,12 @@
 )
 
 // byAge plays one seed with discovery up, then without it from saved lists of each age.
-func (c *drillRun) byAge(ctx context.Context, d *pb.Drill, logs io.Writer) error {
+func (c *scenarioRun) byAge(ctx context.Context, d *pb.Drill, logs io.Writer) error {
 	if d.List == nil {
 		d.List = &pb.ListHabits{}
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "list\tfirst completed after\tservice in 10 s\tratio\tto drained bricks past the grace\tmost pressure on a cold brick\trules\t\n")
+	fmt.Fprintf(w, "endpoint list\tfirst served after\tservice in 10 s\tratio\tto drained endpoints past the grace\tpeak load of a warming endpoint\trules\t\n")
 	broken, up := 0, 0.0
 	for i := -1; i < len(c.Ages); i++ {
 		one := proto.Clone(d).(*pb.Drill)
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := scenario.Run(ctx, one, scenario.Options{Seed: c.Seed, Host: []string{self, "edge", "--bound"}, Arm: name, Logs: logs})
+		r, err := scenario.Run(ctx, one, scenario.Options{Seed: c.Seed, Host: []string{self, "gateway", "--bound"}, Arm: name, Logs: logs})
 		if err != nil {
 			return err
 		}
--- a/internal/cli/import.go
+++ b/internal/cli/scenarioimport.go
@@ -11,16 +11,16 @@
 	"weirhaven/internal/settings"
 )
 
-type drillImport struct {
-	Day    string        `arg:"" type:"existingfile" help:"A bench day file (JSON)."`
-	Output string        `short:"o" help:"File for the drill; none: standard output." placeholder:"FILE"`
-	Hosts  int           `default:"6" help:"At most so many hosts."`
-	Bricks int           `default:"12" help:"At most so many bricks."`
-	Length time.Duration `default:"20s" help:"At most so long."`
+type scenarioImport struct {
+	Day       string        `arg:"" type:"existingfile" help:"A simulator's day file (JSON)."`
+	Output    string        `short:"o" help:"File for the scenario; none: standard output." placeholder:"FILE"`
+	Gateways  int           `default:"6" aliases:"hosts" help:"At most this many gateways."`
+	Endpoints int           `default:"12" aliases:"bricks" help:"At most this many endpoints."`
+	Length    time.Duration `default:"20s" help:"At most this long."`
 }
 
-func (c *drillImport) Run() error {
-	d, notes, err := scenario.Import(c.Day, scenario.Scale{Hosts: max(c.Hosts, 1), Bricks: max(c.Bricks, 1), Length: c.Length})
+func (c *scenarioImport) Run() error {
+	d, notes, err := scenario.Import(c.Day, scenario.Scale{Hosts: max(c.Gateways, 1), Bricks: max(c.Endpoints, 1), Length: c.Length})
 	if err != nil {
 		return err
 	}
@@ -30,7 +30,7 @@
 	}
 	text = append([]byte("# Made of a bench day. Changed or not carried over:\n# - "+strings.Join(notes, "\n# - ")+"\n"), text...)
 	if err := settings.Parse(d.Name, text, &pb.Drill{}); err != nil {
-		return fmt.Errorf("the day does not fit a drill: %w", err)
+		return fmt.Errorf("the day does not fit a scenario: %w", err)
 	}
 	if c.Output == "" {
 		_, err = os.Stdout.Write(text)
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -12,22 +12,22 @@
 	"weirhaven/internal/soak"
 )
 
-// soakCmd runs gateway processes under load and overlapping troubles, and judges the invariants.
+// soakCmd runs gateway processes under load and overlapping faults, and judges the invariants.
 type soakCmd struct {
 	Seed      int64         `help:"Draws the script." default:"1"`
 	Processes int           `help:"Gateway processes." default:"30"`
 	Length    time.Duration `help:"How long the load lasts." default:"60s"`
 	Rate      float64       `help:"Requests a second at each process." default:"12"`
-	Menu      []string      `help:"Play only these troubles (repeatable); all if absent. 'list' prints their names."`
+	Fault     []string      `aliases:"menu" help:"Inject only these faults (repeatable); all if absent. 'list' prints their names."`
 	Program   string        `help:"The gateway's program; weirhaven-gateway beside this one if absent." type:"path"`
-	Folder    string        `help:"Where configurations and logs go; a temporary folder if absent." type:"path"`
+	Folder    string        `help:"Folder of configurations and logs; a temporary folder if absent." type:"path"`
 }
 
 // exitViolations is the exit status of a run in which an invariant was broken.
 const exitViolations = 1
 
 func (c *soakCmd) Run() error {
-	if len(c.Menu) == 1 && c.Menu[0] == "list" {
+	if len(c.Fault) == 1 && c.Fault[0] == "list" {
 		for _, name := range soak.Names() {
 			fmt.Println(name)
 		}
@@ -43,7 +43,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	report, err := soak.Run(ctx, soak.Options{Seed: c.Seed, Processes: c.Processes, Length: c.Length, Rate: c.Rate, Menu: c.Menu, Program: []string{program, "platform"},
+	report, err := soak.Run(ctx, soak.Options{Seed: c.Seed, Processes: c.Processes, Length: c.Length, Rate: c.Rate, Menu: c.Fault, Program: []string{program, "platform"},
 		Folder: c.Folder, Out: os.Stdout})
 	if err != nil {
 		return err
--- /dev/null
+++ b/internal/cli/verdict.go
@@ -0,0 +1,101 @@
+package cli
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"text/tabwriter"
+	"time"
+
+	"weirhaven/internal/audit"
+	"weirhaven/internal/record"
+)
+
+type auditRecord struct {
+	Dir  string `arg:"" type:"existingdir" help:"Folder of a record."`
+	JSON bool   `name:"json" help:"Print JSON instead of a table."`
+}
+
+func (c *auditRecord) Run() error {
+	h, seen, err := record.Read(c.Dir)
+	if err != nil {
+		return err
+	}
+	v := audit.Judge(h, seen)
+	if c.JSON {
+		if err := json.NewEncoder(os.Stdout).Encode(v); err != nil {
+			return err
+		}
+	} else {
+		fmt.Printf("scenario %s, seed %d, %d lines\n\n", h.Drill, h.Seed, len(seen))
+		table(os.Stdout, []string{h.Arm}, []*audit.Verdict{v})
+		breaches(os.Stdout, v)
+	}
+	if !v.Kept() {
+		return errors.New("a rule is broken")
+	}
+	return nil
+}
+
+// table prints verdicts side by side.
+func table(out io.Writer, names []string, vs []*audit.Verdict) {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	row := func(name string, f func(v *audit.Verdict) string) {
+		fmt.Fprint(w, name, "\t")
+		for _, v := range vs {
+			fmt.Fprint(w, f(v), "\t")
+		}
+		fmt.Fprintln(w)
+	}
+	fmt.Fprint(w, "\t")
+	for _, n := range names {
+		fmt.Fprint(w, n, "\t")
+	}
+	fmt.Fprintln(w)
+	count := func(name string, f func(s audit.Sums) int) {
+		row(name, func(v *audit.Verdict) string { return fmt.Sprint(f(v.Sums)) })
+	}
+	count("requests received", func(s audit.Sums) int { return s.Taken })
+	count("served", func(s audit.Sums) int { return s.Completed })
+	count("rejected", func(s audit.Sums) int { return s.BusyReplied })
+	count("failed", func(s audit.Sums) int { return s.Aborted })
+	count("late", func(s audit.Sums) int { return s.Late })
+	count("client or gateway gone", func(s audit.Sums) int { return s.Unanswered })
+	count("not sent: no gateway", func(s audit.Sums) int { return s.Unreached })
+	count("attempts", func(s audit.Sums) int { return s.Dispatches })
+	count("retries", func(s audit.Sums) int { return s.Further })
+	row("service", func(v *audit.Verdict) string { return fmt.Sprintf("%.3f", v.Whole().Part()) })
+	for _, s := range vs[0].Service {
+		row("  "+s.Plan+" "+s.QueueType, func(v *audit.Verdict) string {
+			for _, x := range v.Service {
+				if x.Plan == s.Plan && x.QueueType == s.QueueType {
+					return fmt.Sprintf("%.3f", x.Part())
+				}
+			}
+			return "-"
+		})
+	}
+	for n := 1; n < len(audit.Rules); n++ {
+		row(fmt.Sprintf("rule %d, %s", n, audit.Rules[n]), func(v *audit.Verdict) string {
+			if v.Breaches[n] == 0 {
+				return "kept"
+			}
+			return fmt.Sprintf("BROKEN %d times", v.Breaches[n])
+		})
+	}
+	_ = w.Flush()
+}
+
+func breaches(out io.Writer, v *audit.Verdict) {
+	for _, b := range v.First {
+		if b == nil {
+			continue
+		}
+		fmt.Fprintf(out, "\nrule %d first broken at %v: %s\n", b.Rule, b.At.Round(time.Microsecond), b.What)
+		for _, l := range b.Trace {
+			fmt.Fprintln(out, " ", l)
+		}
+	}
+}
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -16,16 +16,16 @@
 )
 
 type capacityVerify struct {
-	Drill string  `default:"capacity" help:"The drill that is recorded."`
-	Seed  int64   `default:"1" help:"All chance comes from it."`
-	Only  string  `help:"Cases with this in their name."`
-	Aim   float64 `default:"0.15" help:"A case is good if all its figures are off by at most this part."`
+	Scenario string  `default:"capacity" aliases:"drill" help:"The scenario that is recorded."`
+	Seed     int64   `default:"1" help:"All chance comes from it."`
+	Only     string  `help:"Cases with this in their name."`
+	Aim      float64 `default:"0.15" help:"A case is good if all its figures are off by at most this part."`
 }
 
 func (c *capacityVerify) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	d, err := scenario.Load(c.Drill)
+	d, err := scenario.Load(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	o := scenario.Options{Seed: c.Seed, Host: []string{self, "edge", "--bound"}}
+	o := scenario.Options{Seed: c.Seed, Host: []string{self, "gateway", "--bound"}}
 	fmt.Fprintln(os.Stderr, "recording", d.Name, "for", d.Length)
 	l, err := verify.Record(ctx, d, o)
 	if err != nil {
