--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -31,10 +31,10 @@
 // Error tells what was wrong with a message and which status a server owes for it. The connection can't be used on.
 type Error struct {
 	Status int
-	What   string
+	Reason string
 }
 
-func (e *Error) Error() string { return e.What }
+func (e *Error) Error() string { return e.Reason }
 
 func bad(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
@@ -138,7 +138,7 @@
 func (x *Reader) Buffered() int { return x.buf.Buffered() }
 
 // Ahead is the first n bytes, or fewer, of those read beyond what was asked for.
-func (x *Reader) Ahead(n int) []byte {
+func (x *Reader) Peek(n int) []byte {
 	b, _ := x.buf.Peek(min(n, x.buf.Buffered()))
 	return b
 }
@@ -146,11 +146,11 @@
 var methods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"}
 
 // StartSize is how many bytes tell for sure whether a request may begin with them.
-const StartSize = len("\r\nCONNECT ")
+const MinRequestPrefix = len("\r\nCONNECT ")
 
 // MayStart tells whether a pipelined request may begin with b, of which more may come. What can't be one was meant as a
 // body: the length before it was wrong.
-func MayStart(b []byte) bool {
+func MayStartRequest(b []byte) bool {
 	text := strings.TrimPrefix(string(b), "\r\n")
 	if text == "\r" || text == "" {
 		return true
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -34,7 +34,7 @@
 	var wrong *Error
 	switch {
 	case errors.As(err, &wrong):
-		return fmt.Sprintf("%d: %s", wrong.Status, wrong.What)
+		return fmt.Sprintf("%d: %s", wrong.Status, wrong.Reason)
 	case err != nil:
 		return err.Error()
 	}
@@ -143,7 +143,7 @@
 func TestMayStart(t *testing.T) {
 	for b, want := range map[string]bool{"": true, "G": true, "GET ": true, "PUT /a": true, "\r\nDELETE ": true, "\r": true,
 		"GETS": false, "abc": false, "get /": false, "\x00": false, "PU/": false, " GET": false, "\r\nx": false} {
-		if MayStart([]byte(b)) != want {
+		if MayStartRequest([]byte(b)) != want {
 			t.Errorf("%q: %v", b, !want)
 		}
 	}
--- a/internal/httpgateway/buffers_test.go
+++ b/internal/httpgateway/buffers_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(func() { l.Close(); <-done })
 	h := newHost(t, &brick{l: l})
 	loop := engine.NewLoop(10)
-	p := upstream.New(upstream.Options{Loop: loop, MaxConnections: 4, Connect: time.Second, Idle: time.Second, Log: slog.New(slog.DiscardHandler)})
+	p := upstream.New(upstream.Options{Loop: loop, MaxConnections: 4, ConnectTimeout: time.Second, IdleTimeout: time.Second, Log: slog.New(slog.DiscardHandler)})
 	core := engine.New(h.config.Settings, endpointstate.Rules{}, func(p policy.Runtime, s policy.Settings) engine.Scheduler {
 		return &watched{policy.New(p, s), h.ended}
 	}, outbound{&Host{pool: p, Log: slog.New(slog.DiscardHandler)}}, nil, time.Second, loop.Now())
@@ -48,7 +48,7 @@
 	go loop.Run(ctx, core)
 	answered := make(chan engine.Response, 1)
 	loop.Post(func(c *engine.Core) {
-		c.AuthoritativeList(true, h.config.Known.Lines)
+		c.AuthoritativeList(true, h.config.KnownEndpoints.Entries)
 		c.Submit(&engine.Request{Volume: "v", Plan: "plain", Gateways: 1, Class: "write", Units: 1, Header: []byte("PUT / HTTP/1.1\r\n"),
 			Body: make([]byte, 16<<20), Respond: func(a engine.Response) { answered <- a }}) // more than all buffers between hold
 	})
--- a/internal/httpgateway/config/config.go
+++ b/internal/httpgateway/config/config.go
@@ -21,10 +21,10 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Limits                  Limits
-	Known                   List
+	KnownEndpoints          List
 	Settings                policy.Settings
-	Connect                 time.Duration // most that a connection to a brick may take to come up
-	Idle                    time.Duration // a brick closes a connection left idle for so long
+	ConnectTimeout          time.Duration // most that a connection to a brick may take to come up
+	EndpointIdleTimeout     time.Duration // a brick closes a connection left idle for so long
 }
 
 // Limits are those of the host's processes together.
@@ -37,8 +37,8 @@
 // List is a list of bricks, or what changed in it.
 type List struct {
 	Revision int64
-	Whole    bool
-	Lines    []engine.EndpointEntry
+	Complete bool
+	Entries  []engine.EndpointEntry
 }
 
 const maxFile = 4 << 20
@@ -101,12 +101,12 @@
 	if err := check(c.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Connect, c.Idle = micros(p, "limits", "connect_timeout_us"), micros(p, "limits", "conn_idle_us")
-	if c.Connect <= 0 || c.Idle <= 0 {
+	c.ConnectTimeout, c.EndpointIdleTimeout = micros(p, "limits", "connect_timeout_us"), micros(p, "limits", "conn_idle_us")
+	if c.ConnectTimeout <= 0 || c.EndpointIdleTimeout <= 0 {
 		return nil, errors.New("settings: limits.connect_timeout_us and limits.conn_idle_us must be more than 0")
 	}
 	if k := v.Get("known"); k != nil && k.Type() != fastjson.TypeNull {
-		if c.Known, err = known(k); err != nil {
+		if c.KnownEndpoints, err = known(k); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -162,7 +162,7 @@
 	if members == nil || members.Type() != fastjson.TypeArray {
 		return List{}, errors.New("no members")
 	}
-	l := List{Revision: v.GetInt64("revision"), Whole: v.GetBool("complete")}
+	l := List{Revision: v.GetInt64("revision"), Complete: v.GetBool("complete")}
 	for i, m := range members.GetArray() {
 		b, err := entry(m)
 		if err != nil {
@@ -172,7 +172,7 @@
 			return List{}, err
 		}
 		if b.Name != "" {
-			l.Lines = append(l.Lines, b)
+			l.Entries = append(l.Entries, b)
 		}
 	}
 	return l, nil
--- a/internal/httpgateway/config/config_test.go
+++ b/internal/httpgateway/config/config_test.go
@@ -22,13 +22,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Settings.Gateways != 3 || c.Settings.MaxRetryAfter != 2*time.Second || c.Idle != 30*time.Second || c.Limits.Sockets != 256 ||
+	if c.Settings.Gateways != 3 || c.Settings.MaxRetryAfter != 2*time.Second || c.EndpointIdleTimeout != 30*time.Second || c.Limits.Sockets != 256 ||
 		uint64(c.Settings.Seed) != 0x8c1f30d27a5be964 {
 		t.Errorf("%+v", c)
 	}
-	l := c.Known
-	if l.Revision != 41 || !l.Whole || len(l.Lines) != 3 || l.Lines[0].Started != 1700000000*time.Second || !l.Lines[0].Serving ||
-		l.Lines[1].Serving || l.Lines[1].Gone || !l.Lines[2].Gone || l.Lines[1].Started != 0 {
+	l := c.KnownEndpoints
+	if l.Revision != 41 || !l.Complete || len(l.Entries) != 3 || l.Entries[0].Started != 1700000000*time.Second || !l.Entries[0].Serving ||
+		l.Entries[1].Serving || l.Entries[1].Gone || !l.Entries[2].Gone || l.Entries[1].Started != 0 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -68,7 +68,7 @@
 		}
 		var p fastjson.Parser
 		if l, err := ParseList(&p, in); err == nil {
-			for _, b := range l.Lines {
+			for _, b := range l.Entries {
 				if b.Name == "" || b.Started < 0 || !b.Gone && !b.Unreadable && b.Shard < 0 || b.Unreadable && b.Serving {
 					t.Fatalf("%+v", b)
 				}
--- a/internal/httpgateway/discovery/discovery.go
+++ b/internal/httpgateway/discovery/discovery.go
@@ -22,11 +22,11 @@
 
 // Options are what a watch is made with.
 type Options struct {
-	Address string
-	Last    int64                                    // the version held so far
-	Told    func(l config.List, quiet time.Duration) // quiet: since the list before was last confirmed; -1: never
-	Current func()                                   // once: the agent has told what it has; may be nil
-	Log     *slog.Logger
+	Address   string
+	Revision  int64                                    // the version held so far
+	OnList    func(l config.List, quiet time.Duration) // quiet: since the list before was last confirmed; -1: never
+	OnCurrent func()                                   // once: the agent has told what it has; may be nil
+	Log       *slog.Logger
 }
 
 // What discovery changed must be known 6 s after the agent fell silent, whatever happened meanwhile. One clock counts from
@@ -59,7 +59,7 @@
 }
 
 // Move lets the watch go on at another address, at once.
-func (w *Watch) Move(address string) {
+func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.address == address {
@@ -102,7 +102,7 @@
 	defer stop()
 	words := make(chan word)
 	var tries []*try
-	last, wait, up, heard := w.o.Last, soonest, true, time.Now()
+	last, wait, up, heard := w.o.Revision, soonest, true, time.Now()
 	var confirmed time.Time // what was told last was known to hold then; zero: nothing was told
 	begin := func() {
 		if len(tries) == most {
@@ -166,13 +166,13 @@
 				next.Reset(doubt)
 				if x.list != nil {
 					last = x.list.Revision
-					w.o.Told(*x.list, since(confirmed))
+					w.o.OnList(*x.list, since(confirmed))
 				}
 				if x.list != nil || x.blank {
 					confirmed = heard
-					if w.o.Current != nil {
-						w.o.Current()
-						w.o.Current = nil
+					if w.o.OnCurrent != nil {
+						w.o.OnCurrent()
+						w.o.OnCurrent = nil
 					}
 				}
 			}
--- a/internal/httpgateway/discovery/discovery_test.go
+++ b/internal/httpgateway/discovery/discovery_test.go
@@ -84,7 +84,7 @@
 func watching(t *testing.T, a *agent) (*Watch, chan config.List) {
 	t.Parallel()
 	told := make(chan config.List, 100)
-	w := New(Options{Address: a.l.Addr().String(), Last: 7, Log: slog.New(slog.DiscardHandler), Told: func(l config.List, _ time.Duration) { told <- l }})
+	w := New(Options{Address: a.l.Addr().String(), Revision: 7, Log: slog.New(slog.DiscardHandler), OnList: func(l config.List, _ time.Duration) { told <- l }})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { w.Run(ctx); close(done) }()
@@ -169,8 +169,8 @@
 	old := a.next("7")
 	begin(old, list(8))
 	hears(t, told, 8)
-	w.Move(b.l.Addr().String())
-	w.Move(b.l.Addr().String())
+	w.SetAddress(b.l.Addr().String())
+	w.SetAddress(b.l.Addr().String())
 	c := b.next("8")
 	chunk(old, list(20))
 	begin(c, list(9))
@@ -234,8 +234,8 @@
 		{"host_port":"127.0.0.1:2","cell":0,"phase":"in_service"},{"id":"s","host_port":"127.0.0.1:3","cell":0,"phase":"terminating"}]}`)
 	select {
 	case l := <-told:
-		if len(l.Lines) != 2 || l.Lines[0].Name != "odd" || l.Lines[0].Serving || l.Lines[1].Name != "s" || l.Lines[1].Serving {
-			t.Errorf("%+v", l.Lines)
+		if len(l.Entries) != 2 || l.Entries[0].Name != "odd" || l.Entries[0].Serving || l.Entries[1].Name != "s" || l.Entries[1].Serving {
+			t.Errorf("%+v", l.Entries)
 		}
 	case <-time.After(3 * time.Second):
 		t.Error("the list is not told")
--- a/internal/httpgateway/downstream/conn.go
+++ b/internal/httpgateway/downstream/conn.go
@@ -21,9 +21,9 @@
 // conn is one client connection, owned by one goroutine, which alone closes it. While a request is in progress, that
 // goroutine is parked in a read, so that a client that goes away is noticed; the answer wakes it by the read's deadline.
 type conn struct {
-	front    *Front
+	server   *Server
 	nc       net.Conn
-	inbox    *inbox
+	pipeline *pipelineBuffer
 	in       *http1.Reader
 	answers  chan engine.Response
 	deadline time.Time     // the request being read must be whole
@@ -34,11 +34,11 @@
 	release  func()        // of the answer's body; set in the loop before the answer is handed over
 
 	// What finish checks: a request that was read whole is owed an answer, unless its client has gone.
-	owed     string // the request's id
-	task     *engine.Request
-	gone     bool
-	reason   metrics.Reason // why the connection ends
-	answered bool           // its last answer was written just now
+	pendingID   string // the request's id
+	task        *engine.Request
+	clientGone  bool
+	closeReason metrics.Reason // why the connection ends
+	answered    bool           // its last answer was written just now
 
 	last bool // its next answer is the last
 
@@ -59,10 +59,10 @@
 
 var longAgo = time.Unix(1, 0)
 
-func newConn(f *Front, nc net.Conn) *conn {
-	c := &conn{front: f, nc: nc, answers: make(chan engine.Response, 1), deadline: time.Now().Add(requestTimeout)}
-	c.inbox = &inbox{r: c, now: f.options.Loop.Now, room: &f.room}
-	c.in = http1.NewReader(c.inbox)
+func newConn(f *Server, nc net.Conn) *conn {
+	c := &conn{server: f, nc: nc, answers: make(chan engine.Response, 1), deadline: time.Now().Add(requestTimeout)}
+	c.pipeline = &pipelineBuffer{r: c, now: f.options.Loop.Now, room: &f.room}
+	c.in = http1.NewReader(c.pipeline)
 	return c
 }
 
@@ -77,35 +77,35 @@
 	if cause := recover(); cause != nil {
 		c.panicked(cause)
 	}
-	switch record := c.front.options.Observe; {
-	case c.gone:
-	case c.owed != "":
-		record.Violated(metrics.OneAnswer, c.owed, "closed without an answer: "+string(c.reason))
-	case c.reason != metrics.ClientAsked && c.reason != metrics.BadRequest && c.reason != metrics.PipelineLimit && c.hasWholeFollower():
-		record.Violated(metrics.OneAnswer, "pipelined", "closed over a request that was read: "+string(c.reason))
+	switch record := c.server.options.Recorder; {
+	case c.clientGone:
+	case c.pendingID != "":
+		record.RecordViolation(metrics.OneResponse, c.pendingID, "closed without an answer: "+string(c.closeReason))
+	case c.closeReason != metrics.ClientRequestedClose && c.closeReason != metrics.BadRequest && c.closeReason != metrics.PipelineLimit && c.hasWholeFollower():
+		record.RecordViolation(metrics.OneResponse, "pipelined", "closed over a request that was read: "+string(c.closeReason))
 	}
-	c.front.options.Observe.Count(metrics.Closed, c.reason)
-	c.front.options.Log.Debug("closed", "client", c.nc.RemoteAddr().String(), "reason", string(c.reason), "request", c.owed)
-	c.inbox.close()
+	c.server.options.Recorder.Count(metrics.Closed, c.closeReason)
+	c.server.options.Log.Debug("closed", "client", c.nc.RemoteAddr().String(), "reason", string(c.closeReason), "request", c.pendingID)
+	c.pipeline.close()
 	c.free()
 	c.nc.Close()
-	c.front.closed(c)
+	c.server.closed(c)
 }
 
 // hasWholeFollower reports whether a pipelined request was read whose head is whole.
 func (c *conn) hasWholeFollower() bool {
-	unparsed := c.in.Ahead(c.in.Buffered())
-	return bytes.Contains(append(unparsed[:len(unparsed):len(unparsed)], c.inbox.kept...), []byte("\r\n\r\n"))
+	unparsed := c.in.Peek(c.in.Buffered())
+	return bytes.Contains(append(unparsed[:len(unparsed):len(unparsed)], c.pipeline.buffered...), []byte("\r\n\r\n"))
 }
 
 // panicked answers what is owed after a fault of this program on this connection, which must not end the others.
 func (c *conn) panicked(cause any) {
-	c.reason = metrics.Panicked
-	c.front.options.Log.Error("panic while serving a client", "request", c.owed, "cause", cause, "stack", string(debug.Stack()))
+	c.closeReason = metrics.Panicked
+	c.server.options.Log.Error("panic while serving a client", "request", c.pendingID, "cause", cause, "stack", string(debug.Stack()))
 	if c.task != nil {
 		c.withdraw()
 	}
-	if c.owed != "" {
+	if c.pendingID != "" {
 		c.closing = true
 		c.respond(500, "", nil)
 	}
@@ -115,7 +115,7 @@
 // is served, whatever made the connection end.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.nc.Read(p)
-	if n > 0 || c.waiting || !errors.Is(err, os.ErrDeadlineExceeded) || socket.Peek(c.nc) == socket.Quiet {
+	if n > 0 || c.waiting || !errors.Is(err, os.ErrDeadlineExceeded) || socket.Peek(c.nc) == socket.Empty {
 		return n, err
 	}
 	c.nc.SetReadDeadline(time.Time{}) // what is there is read at once
@@ -130,14 +130,14 @@
 		c.endIdle(err)
 		return false
 	}
-	arrived := c.inbox.arrived(c.in.Buffered()) - c.queued
+	arrived := c.pipeline.arrived(c.in.Buffered()) - c.queued
 	c.queued = 0
 	c.startReading()
 	if !c.request(arrived) {
 		return false
 	}
 	c.deadline = time.Time{}
-	c.front.moveTo(c, resting, time.Now().Add(idleTimeout))
+	c.server.moveTo(c, resting, time.Now().Add(idleTimeout))
 	return true
 }
 
@@ -146,12 +146,12 @@
 	if c.deadline.IsZero() {
 		c.deadline = time.Now().Add(requestTimeout)
 	}
-	if _, retired := c.front.whyRetired(c); retired {
+	if _, retired := c.server.whyRetired(c); retired {
 		c.last = true
 		c.nc.SetReadDeadline(time.Now().Add(retiredReading))
 		return
 	}
-	c.front.moveTo(c, reading, c.deadline)
+	c.server.moveTo(c, reading, c.deadline)
 }
 
 // endIdle ends a connection on which no request has begun.
@@ -160,27 +160,27 @@
 	case errors.Is(err, errCut):
 		c.refuseRest()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.reason = metrics.IdleTimeout
-		if why, retired := c.front.whyRetired(c); retired {
-			c.reason = why
+		c.closeReason = metrics.IdleTimeout
+		if why, retired := c.server.whyRetired(c); retired {
+			c.closeReason = why
 		}
 		c.lingeringClose()
 	default:
-		c.gone, c.reason = true, metrics.ClientClosed
+		c.clientGone, c.closeReason = true, metrics.ClientClosed
 	}
 }
 
 // refuseRest answers the first of the requests that were dropped since more came at once than is kept.
 func (c *conn) refuseRest() {
 	c.closing = true
-	c.front.countShed(metrics.PipelineLimit)
+	c.server.countShed(metrics.PipelineLimit)
 	c.respond(503, "", nil)
-	c.reason = metrics.PipelineLimit
+	c.closeReason = metrics.PipelineLimit
 }
 
 // request serves one; it tells whether the connection goes on.
 func (c *conn) request(arrived time.Duration) bool {
-	f := c.front
+	f := c.server
 	h, err := c.in.Request()
 	if err != nil {
 		return c.fault(err)
@@ -189,7 +189,7 @@
 	if h.Method == "GET" && h.Length == 0 {
 		var body bytes.Buffer
 		if status, ok := f.probe(h.Target, &body); ok {
-			c.owed = anonymous
+			c.pendingID = anonymous
 			return c.respond(status, "", body.Bytes())
 		}
 	}
@@ -204,7 +204,7 @@
 	if t.Body, err = c.in.Body(h, maxBody); err != nil {
 		return c.fault(err)
 	}
-	c.owed = id
+	c.pendingID = id
 	if !c.ordered() {
 		return c.fault(errBeyond)
 	}
@@ -217,23 +217,23 @@
 
 // serve hands a task to the loop and passes its answer on.
 func (c *conn) serve(t *engine.Request) bool {
-	f, id := c.front, t.Trace
+	f, id := c.server, t.Trace
 	if !f.admit(c) {
 		c.last = true
 		return c.refuse(metrics.ConnectionLimit)
 	}
 	if !f.ids.claim(id) {
-		return c.fault(&http1.Error{Status: 409, What: "the id is in use or was a moment ago"})
+		return c.fault(&http1.Error{Status: 409, Reason: "the id is in use or was a moment ago"})
 	}
 	t.Respond = func(a engine.Response) {
 		c.release, t.Release = t.Release, nil
 		c.nc.SetReadDeadline(longAgo) // first: whoever has the answer sets the next deadline
 		c.answers <- a                // takes one without waiting
 	}
-	t.ClientClosed = func() bool { return socket.Peek(c.nc) == socket.Ended }
-	if c.inbox.err != nil { // the client has gone, as is known from behind what it sent
+	t.ClientClosed = func() bool { return socket.Peek(c.nc) == socket.Closed }
+	if c.pipeline.err != nil { // the client has gone, as is known from behind what it sent
 		f.ids.release(id, false)
-		c.gone, c.reason = true, metrics.ClientClosed
+		c.clientGone, c.closeReason = true, metrics.ClientClosed
 		return false
 	}
 	c.waiting = true
@@ -255,7 +255,7 @@
 		if err == errBeyond {
 			return c.fault(err)
 		}
-		c.gone, c.reason = true, metrics.ClientClosed
+		c.clientGone, c.closeReason = true, metrics.ClientClosed
 		return false
 	}
 	c.task = nil
@@ -268,13 +268,13 @@
 
 // refuse answers a request that the decision module has not seen: trying again is harmless.
 func (c *conn) refuse(why metrics.Reason) bool {
-	c.front.countShed(why)
+	c.server.countShed(why)
 	return c.respond(503, "", nil)
 }
 
 // withdraw takes back the request in progress: its client has gone, or can't be served any more.
 func (c *conn) withdraw() {
-	t, loop := c.task, c.front.options.Loop
+	t, loop := c.task, c.server.options.Loop
 	c.task = nil
 	t.End(loop.Now())
 	done := make(chan bool)
@@ -285,23 +285,23 @@
 		case <-loop.Done():
 		}
 	}
-	c.front.ids.release(t.Trace, true)
+	c.server.ids.release(t.Trace, true)
 }
 
 // errBeyond: a length was wrong, since what stands behind the body begins no request.
-var errBeyond = &http1.Error{Status: 400, What: "bytes beyond the request"}
+var errBeyond = &http1.Error{Status: 400, Reason: "bytes beyond the request"}
 
 // ordered tells whether what came behind a request may be the next one.
 func (c *conn) ordered() bool {
-	b := c.in.Ahead(http1.StartSize)
-	return http1.MayStart(append(b[:len(b):len(b)], c.inbox.head(http1.StartSize-len(b))...))
+	b := c.in.Peek(http1.MinRequestPrefix)
+	return http1.MayStartRequest(append(b[:len(b):len(b)], c.pipeline.head(http1.MinRequestPrefix-len(b))...))
 }
 
 // wait reads ahead until the answer is there. Requests that come meanwhile are kept for their turn, a bounded amount; an
 // error tells that the client went away, also behind such requests, or that it sent what can't be one.
 func (c *conn) wait() error {
 	for {
-		switch err := c.inbox.ahead(); {
+		switch err := c.pipeline.ahead(); {
 		case err == nil:
 			if !c.ordered() {
 				return errBeyond
@@ -323,7 +323,7 @@
 }
 
 func (c *conn) answer(a engine.Response) bool {
-	c.front.options.Observe.Count(metrics.Answered, metrics.Reason(a.Result.String()))
+	c.server.options.Recorder.Count(metrics.Answered, metrics.Reason(a.Result.String()))
 	switch a.Result {
 	case engine.Served:
 		return c.respond(200, "", a.Body)
@@ -335,7 +335,7 @@
 		return c.respond(503, more, nil)
 	case engine.Failed:
 		if a.Reason != "" {
-			c.front.refused(500, a.Reason)
+			c.server.refused(500, a.Reason)
 		}
 		if a.MayHaveRun {
 			return c.respond(504, "", nil)
@@ -356,16 +356,16 @@
 	switch {
 	case c.closing:
 		return true
-	case c.last || c.front.ending.Load():
-		return !c.hasFollower() || c.front.pastEnd()
+	case c.last || c.server.ending.Load():
+		return !c.hasFollower() || c.server.pastEnd()
 	}
 	return false
 }
 
-func (c *conn) hasFollower() bool { return c.in.Buffered() > 0 || len(c.inbox.kept) > 0 }
+func (c *conn) hasFollower() bool { return c.in.Buffered() > 0 || len(c.pipeline.buffered) > 0 }
 
 // pastEnd tells whether a stopping process has no time left.
-func (f *Front) pastEnd() bool {
+func (f *Server) pastEnd() bool {
 	until := time.Duration(f.until.Load())
 	return until > 0 && f.options.Loop.Now() >= until
 }
@@ -384,14 +384,14 @@
 	c.nc.SetWriteDeadline(c.until)
 	c.until = time.Time{}
 	if _, err := c.nc.Write(http1.AppendEnd(b, body)); err != nil {
-		c.gone, c.reason = true, metrics.WriteFailed
+		c.clientGone, c.closeReason = true, metrics.WriteFailed
 		return false
 	}
-	c.front.options.Log.Debug("answered", "request", c.owed, "status", status, "last", last)
-	c.owed = ""
+	c.server.options.Log.Debug("answered", "request", c.pendingID, "status", status, "last", last)
+	c.pendingID = ""
 	if last {
 		c.answered = true
-		c.reason = c.whyLast()
+		c.closeReason = c.whyLast()
 		c.lingeringClose()
 	}
 	return !last
@@ -399,33 +399,33 @@
 
 func (c *conn) whyLast() metrics.Reason {
 	switch {
-	case c.reason != "":
-		return c.reason
+	case c.closeReason != "":
+		return c.closeReason
 	case c.closing:
-		return metrics.ClientAsked
-	case c.front.ending.Load():
-		return metrics.Stopping
+		return metrics.ClientRequestedClose
+	case c.server.ending.Load():
+		return metrics.ShuttingDown
 	}
-	return metrics.MadeRoom
+	return metrics.Evicted
 }
 
 // fault answers what can't be a request, if there is anything to answer, and ends the connection.
 func (c *conn) fault(err error) bool {
 	var wrong *http1.Error
-	c.closing, c.reason = true, metrics.BadRequest
+	c.closing, c.closeReason = true, metrics.BadRequest
 	switch {
 	case errors.As(err, &wrong):
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.reason = metrics.RequestTimeout
-		wrong = &http1.Error{Status: 408, What: "not whole in time"}
+		c.closeReason = metrics.RequestTimeout
+		wrong = &http1.Error{Status: 408, Reason: "not whole in time"}
 	case errors.Is(err, errCut):
 		c.refuseRest()
 		return false
 	default: // it broke off
-		c.gone, c.reason = true, metrics.ClientClosed
+		c.clientGone, c.closeReason = true, metrics.ClientClosed
 		return false
 	}
-	c.front.refused(wrong.Status, wrong.What)
+	c.server.refused(wrong.Status, wrong.Reason)
 	return c.respond(wrong.Status, "", nil)
 }
 
@@ -434,16 +434,16 @@
 	if t, ok := c.nc.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	if !c.answered && !c.front.mayLinger(c) {
+	if !c.answered && !c.server.mayLinger(c) {
 		return
 	}
 	rest := lingerTimeout
-	if until := time.Duration(c.front.until.Load()); until > 0 {
-		rest = min(rest, max(until-c.front.options.Loop.Now(), 0))
+	if until := time.Duration(c.server.until.Load()); until > 0 {
+		rest = min(rest, max(until-c.server.options.Loop.Now(), 0))
 	}
-	if why, retired := c.front.whyRetired(c); retired && why == metrics.MadeRoom {
+	if why, retired := c.server.whyRetired(c); retired && why == metrics.Evicted {
 		rest = min(rest, spareLingering)
 	}
-	c.front.moveTo(c, lingering, time.Now().Add(rest))
+	c.server.moveTo(c, lingering, time.Now().Add(rest))
 	io.Copy(io.Discard, io.LimitReader(c.nc, 1<<20))
 }
--- a/internal/httpgateway/downstream/conn_test.go
+++ b/internal/httpgateway/downstream/conn_test.go
@@ -30,7 +30,7 @@
 	}
 	t.Cleanup(func() { client.Close(); nc.Close() })
 	log := slog.New(slog.DiscardHandler)
-	return newConn(New(Options{Loop: engine.NewLoop(1), MaxConnections: 1, Log: log, Observe: metrics.New(log)}), nc), client
+	return newConn(New(Options{Loop: engine.NewLoop(1), MaxConnections: 1, Log: log, Recorder: metrics.New(log)}), nc), client
 }
 
 // A deadline that has passed ends a connection only where nothing lies in its receive buffer: what has come is read first.
@@ -60,16 +60,20 @@
 		violated int64
 	}{
 		"nothing owed":             {func(c *conn) {}, 0},
-		"a request without answer": {func(c *conn) { c.owed = "id" }, 1},
-		"its client has gone":      {func(c *conn) { c.owed, c.gone = "id", true }, 0},
-		"a follower that was read": {func(c *conn) { c.inbox.kept, c.reason = []byte("GET / HTTP/1.1\r\n\r\n"), metrics.Stopping }, 1},
-		"behind Connection: close": {func(c *conn) { c.inbox.kept, c.reason = []byte("GET / HTTP/1.1\r\n\r\n"), metrics.ClientAsked }, 0},
+		"a request without answer": {func(c *conn) { c.pendingID = "id" }, 1},
+		"its client has gone":      {func(c *conn) { c.pendingID, c.clientGone = "id", true }, 0},
+		"a follower that was read": {func(c *conn) {
+			c.pipeline.buffered, c.closeReason = []byte("GET / HTTP/1.1\r\n\r\n"), metrics.ShuttingDown
+		}, 1},
+		"behind Connection: close": {func(c *conn) {
+			c.pipeline.buffered, c.closeReason = []byte("GET / HTTP/1.1\r\n\r\n"), metrics.ClientRequestedClose
+		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := connected(t)
 			row.change(c)
 			c.finish()
-			if n := c.front.options.Observe.Violations(); n != row.violated {
+			if n := c.server.options.Recorder.Violations(); n != row.violated {
 				t.Errorf("%d violations, wanted %d", n, row.violated)
 			}
 		})
--- a/internal/httpgateway/downstream/downstream.go
+++ b/internal/httpgateway/downstream/downstream.go
@@ -33,9 +33,9 @@
 	Loop           Loop
 	Settings       policy.Settings
 	MaxConnections int   // with a request in progress, or waiting for one; overflow more may be open
-	Ahead          int64 // bytes kept at a time, of all requests that came before their turn
+	ReadAheadBytes int64 // bytes kept at a time, of all requests that came before their turn
 	Log            *slog.Logger
-	Observe        *metrics.Recorder
+	Recorder       *metrics.Recorder
 }
 
 // Times of a connection. All are absolute from an event that the client can't repeat at will.
@@ -49,7 +49,7 @@
 )
 
 // Front is the clients' side of a gateway process.
-type Front struct {
+type Server struct {
 	options Options
 	queues  map[string]policy.RequestClass
 	plans   map[string]bool
@@ -78,16 +78,16 @@
 // Counts are running totals.
 type Counts struct {
 	Accepted, Evicted, Requests int64
-	Refused                     int64 // that can't be requests
+	BadRequests                 int64 // that can't be requests
 	Shed                        int64 // requests answered 503 before the decision module saw them
 	Open                        int
 }
 
 // New makes a front.
-func New(o Options) *Front {
-	f := &Front{options: o, queues: map[string]policy.RequestClass{}, plans: map[string]bool{}, conns: map[*conn]bool{},
+func New(o Options) *Server {
+	f := &Server{options: o, queues: map[string]policy.RequestClass{}, plans: map[string]bool{}, conns: map[*conn]bool{},
 		ids: newRequestIDs(), closedOne: make(chan struct{}, 1)}
-	f.room.Store(o.Ahead)
+	f.room.Store(o.ReadAheadBytes)
 	for _, q := range o.Settings.Classes {
 		f.queues[q.Name] = q
 	}
@@ -98,10 +98,10 @@
 }
 
 // Ready lets /-/ready answer 200.
-func (f *Front) Ready() { f.ready.Store(true) }
+func (f *Server) Ready() { f.ready.Store(true) }
 
 // Counts tells the totals so far.
-func (f *Front) Counts() Counts {
+func (f *Server) Counts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.counts
@@ -111,7 +111,7 @@
 
 // Serve accepts until the listener is closed. It goes on accepting whatever is open already: room is made by retiring a
 // connection without a request in progress. When none can go, requests on further connections are answered 503.
-func (f *Front) Serve(l net.Listener) {
+func (f *Server) Serve(l net.Listener) {
 	for {
 		f.awaitDescriptor()
 		began := time.Now()
@@ -131,10 +131,10 @@
 }
 
 // acceptFailed waits a moment. Closing a connection helps only where this process has no descriptor left.
-func (f *Front) acceptFailed(err error) {
+func (f *Server) acceptFailed(err error) {
 	var number syscall.Errno
 	errors.As(err, &number)
-	f.options.Observe.Count(metrics.Accept, metrics.Errno(number))
+	f.options.Recorder.Count(metrics.Accept, metrics.ErrnoReason(number))
 	f.mu.Lock()
 	if errors.Is(err, syscall.EMFILE) {
 		f.evictOne()
@@ -147,7 +147,7 @@
 	time.Sleep(acceptRetry)
 }
 
-func (f *Front) open(nc net.Conn) {
+func (f *Server) open(nc net.Conn) {
 	c := newConn(f, nc)
 	if !f.crowdedSince.IsZero() {
 		c.queued = min(time.Since(f.crowdedSince), mostQueued)
@@ -168,10 +168,10 @@
 }
 
 // refused counts what could not be a request and now and then says so.
-func (f *Front) refused(status int, why string) {
+func (f *Server) refused(status int, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.counts.Refused++
+	f.counts.BadRequests++
 	f.unlogged++
 	if now := time.Now(); now.Sub(f.logged) >= logEvery {
 		f.options.Log.Info("requests refused that can't be served", "since the last line", f.unlogged, "last", status, "why", why)
@@ -179,8 +179,8 @@
 	}
 }
 
-func (f *Front) countShed(why metrics.Reason) {
-	f.options.Observe.Count(metrics.Refused, why)
+func (f *Server) countShed(why metrics.Reason) {
+	f.options.Recorder.Count(metrics.Refused, why)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.Shed++
@@ -190,7 +190,7 @@
 const metricsPath, readyPath = "/-/metrics", "/-/ready"
 
 // probe answers the platform's own requests: whether this process may be used, and its counters.
-func (f *Front) probe(target string, body io.Writer) (status int, ok bool) {
+func (f *Server) probe(target string, body io.Writer) (status int, ok bool) {
 	switch target {
 	case readyPath:
 		if !f.ready.Load() || f.ending.Load() {
@@ -198,7 +198,7 @@
 		}
 		return 200, true
 	case metricsPath:
-		f.options.Observe.Write(body)
+		f.options.Recorder.Write(body)
 		return 200, true
 	}
 	return 0, false
@@ -207,7 +207,7 @@
 // Stop lets clients go. All is served as ever for a while, since clients go on using the connections they have, but no
 // request may last beyond until. Then, last before until, each answer is the last on its connection, nothing more is
 // accepted, connections without a request end, and what was taken is answered. It returns when all is, or ctx ends.
-func (f *Front) Stop(ctx context.Context, l net.Listener, until time.Duration, last time.Duration) {
+func (f *Server) Stop(ctx context.Context, l net.Listener, until time.Duration, last time.Duration) {
 	f.until.Store(int64(until))
 	select {
 	case <-time.After(until - last - f.options.Loop.Now()):
@@ -237,16 +237,16 @@
 }
 
 // retireIdle retires connections without a request, and those that have been sending one for so long.
-func (f *Front) retireIdle(readingFor time.Duration) {
+func (f *Server) retireIdle(readingFor time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.retireAll(&f.places[fresh], 0, metrics.Stopping)
-	f.retireAll(&f.places[resting], 0, metrics.Stopping)
-	f.retireAll(&f.places[reading], readingFor, metrics.Stopping)
+	f.retireAll(&f.places[fresh], 0, metrics.ShuttingDown)
+	f.retireAll(&f.places[resting], 0, metrics.ShuttingDown)
+	f.retireAll(&f.places[reading], readingFor, metrics.ShuttingDown)
 }
 
 // Close ends every connection at once.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
--- a/internal/httpgateway/downstream/eviction.go
+++ b/internal/httpgateway/downstream/eviction.go
@@ -52,7 +52,7 @@
 )
 
 // awaitDescriptor returns once one more connection may be opened.
-func (f *Front) awaitDescriptor() {
+func (f *Server) awaitDescriptor() {
 	for !f.ending.Load() {
 		if f.hasDescriptor() {
 			return
@@ -67,7 +67,7 @@
 	}
 }
 
-func (f *Front) hasDescriptor() bool {
+func (f *Server) hasDescriptor() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.conns) < f.options.MaxConnections+overflow {
@@ -82,13 +82,13 @@
 }
 
 // cut ends the lingering of a connection that is being closed. The caller holds mu.
-func (f *Front) cut(c *conn) {
+func (f *Server) cut(c *conn) {
 	f.unplace(c)
 	c.nc.SetReadDeadline(longAgo)
 }
 
 // spared is how long a connection is spared that is asked to go from an age on.
-func (f *Front) spared(age time.Duration) time.Duration {
+func (f *Server) spared(age time.Duration) time.Duration {
 	if !f.crowdedSince.IsZero() && time.Since(f.crowdedSince) >= patience {
 		return min(age, spareLeast)
 	}
@@ -96,7 +96,7 @@
 }
 
 // evictOne retires the connection that can best be done without. The caller holds mu.
-func (f *Front) evictOne() {
+func (f *Server) evictOne() {
 	for _, step := range evictionOrder {
 		oldest := f.places[step.place].Front()
 		if oldest == nil {
@@ -107,14 +107,14 @@
 			continue
 		}
 		f.counts.Evicted++
-		f.retire(c, metrics.MadeRoom)
+		f.retire(c, metrics.Evicted)
 		return
 	}
 }
 
 // retire asks a connection's goroutine to end it. That goroutine alone closes: it looks first whether a request has come,
 // which then is served as the last one. The caller holds mu.
-func (f *Front) retire(c *conn, why metrics.Reason) {
+func (f *Server) retire(c *conn, why metrics.Reason) {
 	f.unplace(c)
 	if !c.retired {
 		c.retired = true
@@ -125,7 +125,7 @@
 }
 
 // reprieve takes a retirement back: the connection has a request, which will be its last. The caller holds mu.
-func (f *Front) reprieve(c *conn) {
+func (f *Server) reprieve(c *conn) {
 	if c.retired {
 		c.retired, c.last = false, true
 		f.retiring--
@@ -133,7 +133,7 @@
 }
 
 // moveTo says what a connection does from now on, and until when it may wait for bytes.
-func (f *Front) moveTo(c *conn, p place, deadline time.Time) {
+func (f *Server) moveTo(c *conn, p place, deadline time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unplace(c)
@@ -150,7 +150,7 @@
 }
 
 // admit marks a connection as one with a request in progress; false: there are as many as there may be.
-func (f *Front) admit(c *conn) bool {
+func (f *Server) admit(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unplace(c)
@@ -163,14 +163,14 @@
 	return true
 }
 
-func (f *Front) leaveBusy(c *conn) {
+func (f *Server) leaveBusy(c *conn) {
 	if c.busy {
 		c.busy = false
 		f.busy--
 	}
 }
 
-func (f *Front) unplace(c *conn) {
+func (f *Server) unplace(c *conn) {
 	if c.element != nil {
 		c.list.Remove(c.element)
 		c.element = nil
@@ -178,7 +178,7 @@
 }
 
 // closed forgets a connection whose socket is gone.
-func (f *Front) closed(c *conn) {
+func (f *Server) closed(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unplace(c)
@@ -194,21 +194,21 @@
 }
 
 // whyRetired is the reason for which a connection's wait was ended early; none if it was not.
-func (f *Front) whyRetired(c *conn) (why metrics.Reason, retired bool) {
+func (f *Server) whyRetired(c *conn) (why metrics.Reason, retired bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return c.retiredFor, c.retired
 }
 
 // mayLinger reports whether a connection that is being closed may be kept for what its client still sends.
-func (f *Front) mayLinger(c *conn) bool {
+func (f *Server) mayLinger(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !c.retired || c.retiredFor != metrics.MadeRoom || f.retiring <= lingerSlots
+	return !c.retired || c.retiredFor != metrics.Evicted || f.retiring <= lingerSlots
 }
 
 // retireAll retires the connections of a place that are of an age. The caller holds mu.
-func (f *Front) retireAll(l *list.List, age time.Duration, why metrics.Reason) {
+func (f *Server) retireAll(l *list.List, age time.Duration, why metrics.Reason) {
 	for e := l.Front(); e != nil; e = l.Front() {
 		c := e.Value.(*conn)
 		if time.Since(c.since) < age {
--- a/internal/httpgateway/downstream/request.go
+++ b/internal/httpgateway/downstream/request.go
@@ -17,11 +17,11 @@
 	maxCell  = 1 << 20
 )
 
-func no(status int, what string) error { return &http1.Error{Status: status, What: what} }
+func no(status int, what string) error { return &http1.Error{Status: status, Reason: what} }
 
 // task makes a command of a request's head, or says why it can't be one. Nothing of a request that fails here reaches
 // the module.
-func (f *Front) task(h *http1.Head) (*engine.Request, string, error) {
+func (f *Server) task(h *http1.Head) (*engine.Request, string, error) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
--- a/internal/httpgateway/httpgateway.go
+++ b/internal/httpgateway/httpgateway.go
@@ -63,14 +63,14 @@
 	}
 	output := logging.Stderr()
 	defer output.Close()
-	h := &Host{Config: cfg, Log: slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: level})), Start: start, State: c.State}
+	h := &Host{Config: cfg, Log: slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: level})), NewScheduler: start, StateInterval: c.State}
 	if c.Customize != nil {
 		c.Customize(h)
 	}
 	reloads := make(chan *config.Config, 1)
 	go func() { // ends with the process
 		for range hup {
-			next, err := load(c.Config)
+			next, err := loadWithRetry(c.Config)
 			if err != nil {
 				h.Log.Error("reload: the old configuration stays in force", "err", err)
 				continue
@@ -86,51 +86,51 @@
 }
 
 // A file may be read while it is being written.
-const halfWritten, readAgain = 10, 50 * time.Millisecond
+const loadAttempts, loadRetryInterval = 10, 50 * time.Millisecond
 
-func load(path string) (c *config.Config, err error) {
-	for range halfWritten {
+func loadWithRetry(path string) (c *config.Config, err error) {
+	for range loadAttempts {
 		if c, err = config.Load(path); err == nil {
 			return c, nil
 		}
-		time.Sleep(readAgain)
+		time.Sleep(loadRetryInterval)
 	}
 	return nil, err
 }
 
 // Host is one host of the platform.
 type Host struct {
-	Config *config.Config
-	Log    *slog.Logger
-	Start  func(policy.Runtime, policy.Settings) engine.Scheduler
-	State  time.Duration
-	Up     func(net.Addr)
-	Dial   func(ctx context.Context, address string) (net.Conn, error)     // to bricks; nil: TCP
-	Listen func(ctx context.Context, address string) (net.Listener, error) // for clients; nil: TCP
+	Config        *config.Config
+	Log           *slog.Logger
+	NewScheduler  func(policy.Runtime, policy.Settings) engine.Scheduler
+	StateInterval time.Duration
+	OnListening   func(net.Addr)
+	Dial          func(ctx context.Context, address string) (net.Conn, error)     // to bricks; nil: TCP
+	Listen        func(ctx context.Context, address string) (net.Listener, error) // for clients; nil: TCP
 
-	loop    *engine.Loop
-	pool    *upstream.Pool
-	observe *metrics.Recorder
+	loop     *engine.Loop
+	pool     *upstream.Pool
+	recorder *metrics.Recorder
 }
 
 // Of the descriptors some are set reservedDescriptors for the listener, the watch, files and the runtime; clients may use a part of
 // the rest, bricks what is left.
 const (
-	reservedDescriptors = 24
-	clientsPart         = 0.55
-	bodiesPart          = 6  // of the memory, for answers on their way
-	aheadPart           = 16 // of the memory, for requests before their turn
-	loopQueue           = 4096
-	readyTimeout        = time.Second // that a new host waits for its agent's first word before it is ready
+	reservedDescriptors    = 24
+	clientConnectionShare  = 0.55
+	responseMemoryDivisor  = 6  // of the memory, for answers on their way
+	readAheadMemoryDivisor = 16 // of the memory, for requests before their turn
+	eventQueueLength       = 4096
+	readyTimeout           = time.Second // that a new host waits for its agent's first word before it is ready
 )
 
 // Once the end is told the platform kills a host no sooner than after the longest command timeout, killWait at most, and
 // killGrace. It is out of service until then however soon it ends, so it serves those who are still connected.
 const (
-	killWait  = 3 * time.Second
-	killGrace = 700 * time.Millisecond
-	spare     = 250 * time.Millisecond // before that all is answered
-	lastCalls = 250 * time.Millisecond // before that: connections end with their answers
+	maxKillDelay        = 3 * time.Second
+	killGrace           = 700 * time.Millisecond
+	responseMargin      = 250 * time.Millisecond // before that all is answered
+	connectionDrainTime = 250 * time.Millisecond // before that: connections end with their answers
 )
 
 // Run serves until ctx ends, then ends what it holds.
@@ -146,21 +146,21 @@
 	}
 	defer l.Close()
 	usable := c.Limits.Sockets - reservedDescriptors
-	clients := int(float64(usable) * clientsPart)
-	h.loop = engine.NewLoop(loopQueue)
-	h.observe = metrics.New(h.Log)
-	connect := c.Connect
+	clients := int(float64(usable) * clientConnectionShare)
+	h.loop = engine.NewLoop(eventQueueLength)
+	h.recorder = metrics.New(h.Log)
+	connect := c.ConnectTimeout
 	if c.Settings.DrainGrace > 0 { // a drain may be told while a dispatch waits for its connection
 		connect = min(connect, c.Settings.DrainGrace)
 	}
-	h.pool = upstream.New(upstream.Options{Loop: h.loop, MaxConnections: usable - clients, Connect: connect, Idle: c.Idle / 2, Log: h.Log, Observe: h.observe, Dial: h.Dial,
-		Bodies: int64(c.Limits.MemoryMB) << 20 / bodiesPart})
-	core := engine.New(c.Settings, endpointstate.Rules{}, h.Start, outbound{h}, nil, time.Second, h.loop.Now())
+	h.pool = upstream.New(upstream.Options{Loop: h.loop, MaxConnections: usable - clients, ConnectTimeout: connect, IdleTimeout: c.EndpointIdleTimeout / 2, Log: h.Log, Recorder: h.recorder, Dial: h.Dial,
+		ResponseMemory: int64(c.Limits.MemoryMB) << 20 / responseMemoryDivisor})
+	core := engine.New(c.Settings, endpointstate.Rules{}, h.NewScheduler, outbound{h}, nil, time.Second, h.loop.Now())
 	core.OnOverlap = func(request string) {
-		h.observe.Violated(metrics.OneAttempt, request, "an attempt began beside another one")
+		h.recorder.RecordViolation(metrics.OneAttemptInFlight, request, "an attempt began beside another one")
 	}
 	dates := slowstart.New() // used in the loop only, once that runs
-	core.AuthoritativeList(true, dates.Date(true, c.Known.Lines, h.times(-1)))
+	core.AuthoritativeList(true, dates.Translate(true, c.KnownEndpoints.Entries, h.clockReadings(-1)))
 	inner, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	var wg sync.WaitGroup
@@ -173,13 +173,15 @@
 	}
 	spawn(func() { h.loop.Run(inner, core) })
 	current := make(chan struct{})
-	w := discovery.New(discovery.Options{Address: c.Discovery, Last: c.Known.Revision, Log: h.Log, Current: func() { close(current) }, Told: func(l config.List, quiet time.Duration) {
-		at := h.times(quiet)
-		h.loop.PostUrgent(func(core *engine.Core) { core.AuthoritativeList(l.Whole, dates.Date(l.Whole, l.Lines, at)) })
+	w := discovery.New(discovery.Options{Address: c.Discovery, Revision: c.KnownEndpoints.Revision, Log: h.Log, OnCurrent: func() { close(current) }, OnList: func(l config.List, quiet time.Duration) {
+		at := h.clockReadings(quiet)
+		h.loop.PostUrgent(func(core *engine.Core) {
+			core.AuthoritativeList(l.Complete, dates.Translate(l.Complete, l.Entries, at))
+		})
 	}})
 	spawn(func() { w.Run(inner) })
-	f := downstream.New(downstream.Options{Loop: h.loop, Settings: c.Settings, MaxConnections: clients, Log: h.Log, Observe: h.observe,
-		Ahead: int64(c.Limits.MemoryMB) << 20 / aheadPart})
+	f := downstream.New(downstream.Options{Loop: h.loop, Settings: c.Settings, MaxConnections: clients, Log: h.Log, Recorder: h.recorder,
+		ReadAheadBytes: int64(c.Limits.MemoryMB) << 20 / readAheadMemoryDivisor})
 	spawn(func() { f.Serve(l) })
 	spawn(func() { // what the agent has counts from the first moment on; while it is silent the known list must do
 		select {
@@ -189,31 +191,31 @@
 		}
 		f.Ready()
 	})
-	h.Log.Info("serving", "name", c.Name, "clients", l.Addr().String(), "discovery", c.Discovery, "bricks", len(c.Known.Lines),
-		"revision", c.Known.Revision, "cores", c.Limits.Cores, "idle", c.Idle, "connect", c.Connect, "memory MB", c.Limits.MemoryMB, "connections of clients", clients,
+	h.Log.Info("serving", "name", c.Name, "clients", l.Addr().String(), "discovery", c.Discovery, "bricks", len(c.KnownEndpoints.Entries),
+		"revision", c.KnownEndpoints.Revision, "cores", c.Limits.Cores, "idle", c.EndpointIdleTimeout, "connect", c.ConnectTimeout, "memory MB", c.Limits.MemoryMB, "connections of clients", clients,
 		"of bricks", usable-clients)
-	if h.Up != nil {
-		h.Up(l.Addr())
+	if h.OnListening != nil {
+		h.OnListening(l.Addr())
 	}
-	spawn(func() { h.states(inner, f) })
+	spawn(func() { h.logStatePeriodically(inner, f) })
 	spawn(func() { // discovery may move until the end: a stopping host serves on
 		for {
 			select {
 			case next := <-reloads:
 				h.Log.Info("reload", "discovery", next.Discovery)
-				w.Move(next.Discovery)
+				w.SetAddress(next.Discovery)
 			case <-inner.Done():
 				return
 			}
 		}
 	})
 	<-ctx.Done()
-	killed := min(longest(c.Settings), killWait) + killGrace
+	killed := min(longestTimeout(c.Settings), maxKillDelay) + killGrace
 	h.Log.Info("stopping: served as ever for a while, then what is held gets its answer", "killed after", killed)
-	bound, cancel := context.WithTimeout(inner, longest(c.Settings)+killGrace+time.Second)
-	f.Stop(bound, l, h.loop.Now()+killed-spare, lastCalls)
+	bound, cancel := context.WithTimeout(inner, longestTimeout(c.Settings)+killGrace+time.Second)
+	f.Stop(bound, l, h.loop.Now()+killed-responseMargin, connectionDrainTime)
 	cancel()
-	h.state(f)
+	h.logState(f)
 	stopLoop()
 	<-h.loop.Done()
 	h.pool.Close()
@@ -228,15 +230,15 @@
 }
 
 // times reads the clocks for a list that comes after the agent was quiet for so long; -1: it was not heard before.
-func (h *Host) times(quiet time.Duration) slowstart.Times {
-	t := slowstart.Times{Now: h.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
+func (h *Host) clockReadings(quiet time.Duration) slowstart.ClockReadings {
+	t := slowstart.ClockReadings{Now: h.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
 	if quiet >= 0 {
 		t.Confirmed = t.Now - quiet
 	}
 	return t
 }
 
-func longest(s policy.Settings) (d time.Duration) {
+func longestTimeout(s policy.Settings) (d time.Duration) {
 	for _, q := range s.Classes {
 		d = max(d, q.Timeout)
 	}
@@ -244,23 +246,23 @@
 }
 
 // states logs totals now and then.
-func (h *Host) states(ctx context.Context, f *downstream.Front) {
-	if h.State <= 0 {
+func (h *Host) logStatePeriodically(ctx context.Context, f *downstream.Server) {
+	if h.StateInterval <= 0 {
 		return
 	}
-	tick := time.NewTicker(h.State)
+	tick := time.NewTicker(h.StateInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			h.state(f)
+			h.logState(f)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (h *Host) state(f *downstream.Front) {
+func (h *Host) logState(f *downstream.Server) {
 	got := make(chan engine.Counts, 1)
 	asked := time.Now()
 	if !h.loop.Post(func(c *engine.Core) { got <- c.Counts() }) {
@@ -283,8 +285,8 @@
 		"held", n.Open, "out", n.InFlight, "dispatches", n.Attempts, "further", n.Retries, "late", n.LateOutcomes,
 		"completed/errored/turned/timed out/not connected/broken/called off/unsent", fmt.Sprint(n.Outcomes), "lag", lag, "cpu", cpu,
 		"heap", m.HeapAlloc, "sys", m.Sys, "goroutines", runtime.NumGoroutine(), "clients", a.Open, "accepted", a.Accepted,
-		"evicted", a.Evicted, "refused", a.Refused, "shed", a.Shed, "violations", h.observe.Violations(), "to bricks", b.Open, "opened", b.Opened,
-		"stale", b.Stale, "spoilt", b.Spoilt, "extra", b.Extra, "exhausted", b.Exhausted)
+		"evicted", a.Evicted, "refused", a.BadRequests, "shed", a.Shed, "violations", h.recorder.Violations(), "to bricks", b.Open, "opened", b.Opened,
+		"stale", b.Stale, "spoilt", b.Malformed, "extra", b.Unsolicited, "exhausted", b.Exhausted)
 }
 
 // ways are the loop's ways out. Of these the platform has bricks and a log; its watch is always on, and hosts don't talk.
--- a/internal/httpgateway/metrics/metrics.go
+++ b/internal/httpgateway/metrics/metrics.go
@@ -20,34 +20,34 @@
 // The invariants, each checked in one place.
 const (
 	// OneAnswer: a request read whole gets exactly one final answer, or its client has gone.
-	OneAnswer Invariant = "one-answer"
+	OneResponse Invariant = "one-answer"
 	// SendInTime: no attempt begins long after its client left or was answered, past its deadline, or on a draining endpoint.
 	SendInTime Invariant = "send-in-time"
 	// DeadlineTold: the time told to a server is at most what its client has left.
-	DeadlineTold Invariant = "deadline-told"
+	DeadlinePropagated Invariant = "deadline-told"
 	// OneAttempt: one attempt of a request is out at a time, unless settings allow more.
-	OneAttempt Invariant = "one-attempt"
+	OneAttemptInFlight Invariant = "one-attempt"
 	// OneOutcome: an attempt is reported exactly once.
 	OneOutcome Invariant = "one-outcome"
 )
 
 // Invariants lists all of them.
-var Invariants = []Invariant{OneAnswer, SendInTime, DeadlineTold, OneAttempt, OneOutcome}
+var Invariants = []Invariant{OneResponse, SendInTime, DeadlinePropagated, OneAttemptInFlight, OneOutcome}
 
 // Reason names why something was closed, refused or answered.
 type Reason string
 
 // Why a client's connection ended.
 const (
-	ClientClosed   Reason = "client-closed"
-	ClientAsked    Reason = "connection-close-asked"
-	BadRequest     Reason = "bad-request"
-	RequestTimeout Reason = "request-timeout"
-	IdleTimeout    Reason = "idle-timeout"
-	MadeRoom       Reason = "made-room"
-	Stopping       Reason = "stopping"
-	WriteFailed    Reason = "write-failed"
-	Panicked       Reason = "panic"
+	ClientClosed         Reason = "client-closed"
+	ClientRequestedClose Reason = "connection-close-asked"
+	BadRequest           Reason = "bad-request"
+	RequestTimeout       Reason = "request-timeout"
+	IdleTimeout          Reason = "idle-timeout"
+	Evicted              Reason = "made-room"
+	ShuttingDown         Reason = "stopping"
+	WriteFailed          Reason = "write-failed"
+	Panicked             Reason = "panic"
 )
 
 // Why a request was refused before the decision module saw it.
@@ -103,7 +103,7 @@
 }
 
 // Violated counts a broken invariant and, at a bounded rate, logs which request broke it.
-func (r *Recorder) Violated(name Invariant, request, detail string) {
+func (r *Recorder) RecordViolation(name Invariant, request, detail string) {
 	v := r.violations[name]
 	v.count.Add(1)
 	v.mu.Lock()
@@ -126,7 +126,7 @@
 func (r *Recorder) Write(w io.Writer) { r.set.WritePrometheus(w) }
 
 // Errno is the reason for a failed system call, by its number.
-func Errno(number syscall.Errno) Reason {
+func ErrnoReason(number syscall.Errno) Reason {
 	if number == 0 {
 		return "other"
 	}
--- a/internal/httpgateway/races_test.go
+++ b/internal/httpgateway/races_test.go
@@ -367,7 +367,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Listen, c.Known, c.Discovery = h.config.Listen, h.config.Known, h.config.Discovery
+	c.Listen, c.KnownEndpoints, c.Discovery = h.config.Listen, h.config.KnownEndpoints, h.config.Discovery
 	h.config = c
 	h.agent.close()
 	h.start()
@@ -402,7 +402,7 @@
 	var c *config.Config
 	go func() {
 		var err error
-		c, err = load(file)
+		c, err = loadWithRetry(file)
 		done <- err
 	}()
 	os.WriteFile(file+"2", []byte(fewest), 0o600)
--- a/internal/httpgateway/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -244,8 +244,8 @@
 // aHost is one that has not started.
 func aHost(t *testing.T, bricks ...*brick) *host {
 	h := &host{t: t, agent: newAgent(t), ended: make(chan policy.Outcome, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
-	h.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), Connect: 2 * time.Second, Idle: 20 * time.Second,
-		Limits: config.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, Known: config.List{Revision: 7, Whole: true},
+	h.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), ConnectTimeout: 2 * time.Second, EndpointIdleTimeout: 20 * time.Second,
+		Limits: config.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, KnownEndpoints: config.List{Revision: 7, Complete: true},
 		Settings: policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, TimerResolution: 2 * ms, TypicalUnits: 1,
 			MaxRetryAfter: time.Second, DrainGrace: 250 * ms,
 			Classes: []policy.RequestClass{
@@ -255,7 +255,7 @@
 			Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1},
 				{Name: "capped", NominalRate: 1, Limit: 1, Burst: 1, InitialBurst: 1, Weight: 1}}}}
 	for i, b := range bricks {
-		h.config.Known.Lines = append(h.config.Known.Lines, engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
+		h.config.KnownEndpoints.Entries = append(h.config.KnownEndpoints.Entries, engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
 			Shard: i, Serving: true})
 	}
 	return h
@@ -264,8 +264,8 @@
 func (h *host) start() {
 	t := h.t
 	up := make(chan net.Addr, 1)
-	run := &Host{Config: h.config, Log: slog.New(slog.NewTextHandler(h.log(), &slog.HandlerOptions{Level: slog.LevelError})), Up: func(a net.Addr) { up <- a }, Dial: h.toBrick, Listen: h.listen,
-		Start: func(p policy.Runtime, s policy.Settings) engine.Scheduler { return &watched{policy.New(p, s), h.ended} }}
+	run := &Host{Config: h.config, Log: slog.New(slog.NewTextHandler(h.log(), &slog.HandlerOptions{Level: slog.LevelError})), OnListening: func(a net.Addr) { up <- a }, Dial: h.toBrick, Listen: h.listen,
+		NewScheduler: func(p policy.Runtime, s policy.Settings) engine.Scheduler { return &watched{policy.New(p, s), h.ended} }}
 	h.run = run
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
@@ -282,7 +282,7 @@
 			t.Error("the host does not end")
 			return
 		}
-		if n := run.observe.Violations(); n > 0 {
+		if n := run.recorder.Violations(); n > 0 {
 			t.Errorf("%d violations of invariants", n)
 		}
 	})
--- a/internal/httpgateway/slowstart/slowstart.go
+++ b/internal/httpgateway/slowstart/slowstart.go
@@ -10,7 +10,7 @@
 )
 
 // Times are the readings that belong to one list.
-type Times struct {
+type ClockReadings struct {
 	Now       time.Duration // on the process's clock, which began as a wall clock and is monotonic since
 	Wall      time.Duration // the wall clock now, as Unix time
 	Confirmed time.Duration // on the process's clock: until then the list before this one was known to hold; 0: not known
@@ -24,8 +24,8 @@
 const tellWithin = 6 * time.Second
 
 // Dates remembers what was told of each server, and when it started by the process's clock.
-type Dates struct {
-	servers map[string]date
+type StartTimes struct {
+	endpoints map[string]date
 }
 
 type date struct {
@@ -34,27 +34,27 @@
 }
 
 // New returns a Dates that knows no server.
-func New() *Dates { return &Dates{servers: map[string]date{}} }
+func New() *StartTimes { return &StartTimes{endpoints: map[string]date{}} }
 
 // Date returns the lines of a list with their starts on the process's clock. A server that has gone is forgotten.
-func (d *Dates) Date(whole bool, lines []engine.EndpointEntry, t Times) []engine.EndpointEntry {
-	known := d.servers
+func (d *StartTimes) Translate(whole bool, lines []engine.EndpointEntry, t ClockReadings) []engine.EndpointEntry {
+	known := d.endpoints
 	if whole {
-		d.servers = map[string]date{}
+		d.endpoints = map[string]date{}
 	}
 	dated := make([]engine.EndpointEntry, len(lines))
 	for i, line := range lines {
 		before, listed := known[line.Name]
 		switch {
 		case line.Gone:
-			delete(d.servers, line.Name)
+			delete(d.endpoints, line.Name)
 		case line.Unreadable && !listed:
 		case line.Unreadable, listed && before.told == line.Started:
-			d.servers[line.Name] = before
+			d.endpoints[line.Name] = before
 			line.Started = before.start
 		default:
 			start := startOf(line.Started, listed, t)
-			d.servers[line.Name] = date{line.Started, start}
+			d.endpoints[line.Name] = date{line.Started, start}
 			line.Started = start
 		}
 		dated[i] = line
@@ -63,7 +63,7 @@
 }
 
 // startOf dates a start that was not told before.
-func startOf(told time.Duration, restarted bool, t Times) time.Duration {
+func startOf(told time.Duration, restarted bool, t ClockReadings) time.Duration {
 	if told == 0 {
 		return 0
 	}
--- a/internal/httpgateway/slowstart/slowstart_test.go
+++ b/internal/httpgateway/slowstart/slowstart_test.go
@@ -38,13 +38,13 @@
 	} {
 		d := New()
 		if x.before != 0 {
-			d.Date(true, one(x.before), Times{Now: now - hour, Wall: now - hour})
+			d.Translate(true, one(x.before), ClockReadings{Now: now - hour, Wall: now - hour})
 		}
-		got := d.Date(false, one(x.told), Times{Now: now, Wall: now + x.step, Confirmed: x.confirmed})[0].Started
+		got := d.Translate(false, one(x.told), ClockReadings{Now: now, Wall: now + x.step, Confirmed: x.confirmed})[0].Started
 		if diff := got - x.wanted; diff < -x.tolerance || diff > x.tolerance {
 			t.Errorf("%s: %v before now, wanted %v", x.name, now-got, now-x.wanted)
 		}
-		again := d.Date(true, one(x.told), Times{Now: now + time.Minute, Wall: now + time.Minute - hour})[0].Started
+		again := d.Translate(true, one(x.told), ClockReadings{Now: now + time.Minute, Wall: now + time.Minute - hour})[0].Started
 		if again != got {
 			t.Errorf("%s: moved by %v when told again after a step", x.name, again-got)
 		}
@@ -53,9 +53,9 @@
 
 func TestForgets(t *testing.T) {
 	d := New()
-	d.Date(true, append(one(now), engine.EndpointEntry{Name: "other"}), Times{Now: now, Wall: now})
-	d.Date(false, []engine.EndpointEntry{{Name: "s", Gone: true}}, Times{Now: now, Wall: now})
-	if d.Date(true, nil, Times{Now: now, Wall: now}); len(d.servers) != 0 {
-		t.Errorf("%d servers are remembered", len(d.servers))
+	d.Translate(true, append(one(now), engine.EndpointEntry{Name: "other"}), ClockReadings{Now: now, Wall: now})
+	d.Translate(false, []engine.EndpointEntry{{Name: "s", Gone: true}}, ClockReadings{Now: now, Wall: now})
+	if d.Translate(true, nil, ClockReadings{Now: now, Wall: now}); len(d.endpoints) != 0 {
+		t.Errorf("%d servers are remembered", len(d.endpoints))
 	}
 }
--- a/internal/httpgateway/socket/socket.go
+++ b/internal/httpgateway/socket/socket.go
@@ -12,25 +12,25 @@
 
 // The states of a receive buffer.
 const (
-	Quiet  State = iota // nothing
+	Empty  State = iota // nothing
 	Unread              // bytes
-	Ended               // the peer closed or reset the connection, or it can't be used
+	Closed              // the peer closed or reset the connection, or it can't be used
 )
 
 // Peek looks at the receive buffer; a deadline that has passed does not matter. A connection that is not TCP is Quiet.
 func Peek(nc net.Conn) State {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
-		return Quiet
+		return Empty
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	err = raw.Control(func(descriptor uintptr) { state = peek(int(descriptor)) })
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
@@ -42,11 +42,11 @@
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
-			return Quiet
+			return Empty
 		case err == nil && n > 0:
 			return Unread
 		default:
-			return Ended
+			return Closed
 		}
 	}
 }
--- a/internal/httpgateway/starts_test.go
+++ b/internal/httpgateway/starts_test.go
@@ -19,7 +19,7 @@
 	h := aHost(t, b)
 	s := &h.config.Settings
 	s.SlowStartShare, s.SlowStartTime, s.SlowStartUnits, s.OverloadFactor, s.OverloadWindow = 0.2, 10*time.Second, 4, 2, time.Second
-	h.config.Known.Lines = []engine.EndpointEntry{{Name: "b0", Address: b.l.Addr().String(), Serving: true,
+	h.config.KnownEndpoints.Entries = []engine.EndpointEntry{{Name: "b0", Address: b.l.Addr().String(), Serving: true,
 		Started: time.Duration(time.Now().Add(-24 * time.Hour).UnixNano())}}
 	h.start()
 	time.Sleep(s.OverloadWindow) // a host that has just started sends nothing to servers that it may have filled before
--- a/internal/httpgateway/upstream/attempt_test.go
+++ b/internal/httpgateway/upstream/attempt_test.go
@@ -17,13 +17,13 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // reports is a loop that only notes that an outcome was reported.
-type reports struct {
+type reportingLoop struct {
 	clock.Clock
-	came chan bool
+	reported chan bool
 }
 
-func (r *reports) Post(func(*engine.Core)) bool {
-	r.came <- true
+func (r *reportingLoop) Post(func(*engine.Core)) bool {
+	r.reported <- true
 	return true
 }
 
@@ -59,8 +59,8 @@
 				n, _ := io.ReadAtLeast(nc, make([]byte, 100), 1)
 				got <- n
 			}()
-			loop := &reports{clock.New(), make(chan bool, 1)}
-			p := New(Options{Loop: loop, MaxConnections: 4, Connect: 2 * time.Second, Idle: time.Second, Log: slog.New(slog.DiscardHandler),
+			loop := &reportingLoop{clock.New(), make(chan bool, 1)}
+			p := New(Options{Loop: loop, MaxConnections: 4, ConnectTimeout: 2 * time.Second, IdleTimeout: time.Second, Log: slog.New(slog.DiscardHandler),
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					<-let
 					return new(net.Dialer).DialContext(ctx, "tcp", address)
@@ -79,7 +79,7 @@
 			if n := <-got; n > 0 != row.begins {
 				t.Errorf("%d bytes reached the server", n)
 			}
-			<-loop.came
+			<-loop.reported
 			p.Close()
 		})
 	}
--- a/internal/httpgateway/upstream/conn.go
+++ b/internal/httpgateway/upstream/conn.go
@@ -17,16 +17,16 @@
 
 // conn is one connection, owned by one goroutine.
 type conn struct {
-	endpoint *endpoint
-	nc       net.Conn // nil: not up yet
-	in       *http1.Reader
-	began    time.Time          // the dial
-	stop     context.CancelFunc // of the dial
-	next     *attempt           // handed over while it was idle
-	dead     bool               // closed, or about to be
-	used     bool               // an answer came on it
-	since    time.Time          // idle; zero: never yet
-	idled    time.Duration      // idle before the attempt that is out
+	endpoint      *endpoint
+	nc            net.Conn // nil: not up yet
+	reader        *http1.Reader
+	dialStartedAt time.Time          // the dial
+	cancelDial    context.CancelFunc // of the dial
+	next          *attempt           // handed over while it was idle
+	closed        bool               // closed, or about to be
+	served        bool               // an answer came on it
+	idleSince     time.Time          // idle; zero: never yet
+	idleBefore    time.Duration      // idle before the attempt that is out
 }
 
 var longAgo = time.Unix(1, 0)
@@ -60,16 +60,16 @@
 // panicked reports the attempt on a connection whose goroutine met a fault of this program: it may have run.
 func (c *conn) panicked(cause any) {
 	p := c.endpoint.pool
-	p.o.Log.Error("panic on a connection to a server", "server", c.endpoint.brick, "cause", cause, "stack", string(debug.Stack()))
-	p.o.Observe.Count(metrics.Attempt, metrics.Panicked)
+	p.options.Log.Error("panic on a connection to a server", "server", c.endpoint.name, "cause", cause, "stack", string(debug.Stack()))
+	p.options.Recorder.Count(metrics.Attempt, metrics.Panicked)
 	p.mu.Lock()
 	if c.nc == nil { // it never came up; whoever waits is given another
 		c.endpoint.dialing = slices.DeleteFunc(c.endpoint.dialing, func(x *conn) bool { return x == c })
 		p.counts.Open--
-		c.dead = true
+		c.closed = true
 	}
 	var lost *attempt
-	for _, j := range c.endpoint.out {
+	for _, j := range c.endpoint.inFlight {
 		if j.conn == c {
 			lost = j
 		}
@@ -77,10 +77,10 @@
 	p.mu.Unlock()
 	switch {
 	case lost == nil:
-	case lost.begun:
-		c.endpoint.report(lost, p.o.Loop.Now(), policy.ConnectionReset, nil, 0)
+	case lost.started:
+		c.endpoint.report(lost, p.options.Loop.Now(), policy.ConnectionReset, nil, 0)
 	default:
-		c.endpoint.report(lost, p.o.Loop.Now(), policy.NotSent, nil, 0)
+		c.endpoint.report(lost, p.options.Loop.Now(), policy.NotSent, nil, 0)
 	}
 }
 
@@ -90,34 +90,34 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.dialing = slices.DeleteFunc(l.dialing, func(x *conn) bool { return x == c })
-	if err == nil && c.dead {
+	if err == nil && c.closed {
 		nc.Close()
 		err = net.ErrClosed
 	}
 	if err != nil {
 		p.counts.Open--
-		c.dead = true
+		c.closed = true
 		if len(l.waiting) > len(l.dialing)+len(l.idle) {
 			l.fail(l.waiting[0])
 		}
 		return nil
 	}
-	c.nc, c.in = nc, http1.NewReader(nc)
+	c.nc, c.reader = nc, http1.NewReader(nc)
 	if len(l.waiting) > 0 {
 		j := l.waiting[0]
 		l.unwait(j)
 		j.conn = c
 		return j
 	}
-	c.nc.SetDeadline(time.Now().Add(p.idleLimit.Most()))
-	c.since = time.Now()
+	c.nc.SetDeadline(time.Now().Add(p.idleLimit.Duration()))
+	c.idleSince = time.Now()
 	l.idle = append(l.idle, c)
 	return nil
 }
 
 // exchange sends an attempt and reads its answer; it tells whether the connection can be used on.
 func (c *conn) exchange(j *attempt) bool {
-	now := c.endpoint.pool.o.Loop.Now
+	now := c.endpoint.pool.options.Loop.Now
 	begun, whole, err := c.send(j)
 	switch {
 	case !begun:
@@ -146,8 +146,8 @@
 		return false
 	}
 	c.learn(j, false)
-	good := !h.Close && c.in.Buffered() == 0 // what stands after an answer belongs to no attempt
-	if c.in.Buffered() > 0 {
+	good := !h.Close && c.reader.Buffered() == 0 // what stands after an answer belongs to no attempt
+	if c.reader.Buffered() > 0 {
 		c.stray(0)
 	}
 	how := policy.ErrorResponse
@@ -167,29 +167,29 @@
 	p := c.endpoint.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counts.Extra++
-	p.quarantine.Stray(after, p.o.Loop.Now())
+	p.counts.Unsolicited++
+	p.reuseDelay.RecordUnsolicited(after, p.options.Loop.Now())
 }
 
 func (c *conn) read(j *attempt) (*http1.Head, []byte, error) {
-	if err := c.in.Await(); err != nil {
+	if err := c.reader.Await(); err != nil {
 		return nil, nil, err
 	}
-	h, err := c.in.Answer()
+	h, err := c.reader.Answer()
 	if err != nil {
 		return nil, nil, err
 	}
 	n := h.Length
 	if n < 0 { // none is told
-		n = MaxBody
+		n = MaxResponseBody
 	}
-	if n > 0 && n <= MaxBody { // else no body is read
-		if err := c.endpoint.pool.bodies.Acquire(j.ctx, n); err != nil {
+	if n > 0 && n <= MaxResponseBody { // else no body is read
+		if err := c.endpoint.pool.responseMemory.Acquire(j.ctx, n); err != nil {
 			return nil, nil, err
 		}
-		j.held = n
+		j.reservedBytes = n
 	}
-	body, err := c.in.Body(h, MaxBody)
+	body, err := c.reader.Body(h, MaxResponseBody)
 	return h, body, err
 }
 
@@ -198,13 +198,13 @@
 	p := c.endpoint.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.endpoint.out[j.id] != j { // given up here
+	if c.endpoint.inFlight[j.id] != j { // given up here
 		return
 	}
-	if c.since.IsZero() {
-		p.idleLimit.First(broke, p.o.Loop.Now())
-	} else if p.idleLimit.Next(c.idled, broke, p.o.Loop.Now()) {
-		p.o.Log.Info("connections to bricks may lie idle for another time now", "most", p.idleLimit.Most())
+	if c.idleSince.IsZero() {
+		p.idleLimit.RecordFirstUse(broke, p.options.Loop.Now())
+	} else if p.idleLimit.RecordReuse(c.idleBefore, broke, p.options.Loop.Now()) {
+		p.options.Log.Info("connections to bricks may lie idle for another time now", "most", p.idleLimit.Duration())
 	}
 }
 
@@ -213,10 +213,10 @@
 	p := c.endpoint.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counts.Spoilt++
-	if now := time.Now(); now.Sub(p.told) >= time.Second {
-		p.told = now
-		p.o.Log.Info("an answer that can't be read", "brick", c.endpoint.brick, "why", why, "so far", p.counts.Spoilt)
+	p.counts.Malformed++
+	if now := time.Now(); now.Sub(p.malformedLoggedAt) >= time.Second {
+		p.malformedLoggedAt = now
+		p.options.Log.Info("an answer that can't be read", "brick", c.endpoint.name, "why", why, "so far", p.counts.Malformed)
 	}
 }
 
--- a/internal/httpgateway/upstream/dial.go
+++ b/internal/httpgateway/upstream/dial.go
@@ -38,7 +38,7 @@
 func (c *conn) connect(ctx context.Context) (net.Conn, error) {
 	p := c.endpoint.pool
 	for wait := redialFirst; ; wait = min(2*wait, redialMost) {
-		nc, err := p.o.Dial(ctx, c.endpoint.address)
+		nc, err := p.options.Dial(ctx, c.endpoint.address)
 		if err == nil || !isLocal(err) {
 			c.endpoint.localFailure(false)
 			return nc, err
@@ -46,8 +46,8 @@
 		c.endpoint.localFailure(true)
 		var number syscall.Errno
 		errors.As(err, &number)
-		p.o.Observe.Count(metrics.Redial, metrics.Errno(number))
-		if time.Since(c.began) >= p.o.Connect {
+		p.options.Recorder.Count(metrics.Redial, metrics.ErrnoReason(number))
+		if time.Since(c.dialStartedAt) >= p.options.ConnectTimeout {
 			return nil, err
 		}
 		select {
@@ -64,15 +64,15 @@
 	defer l.pool.mu.Unlock()
 	switch {
 	case !failed:
-		l.localSince = time.Time{}
-	case l.localSince.IsZero():
-		l.localSince = time.Now()
+		l.localFailureSince = time.Time{}
+	case l.localFailureSince.IsZero():
+		l.localFailureSince = time.Now()
 	}
 }
 
 // unconnected is the outcome of an attempt that got no connection. The caller holds mu.
 func (l *endpoint) unconnected() policy.Outcome {
-	if !l.localSince.IsZero() && time.Since(l.localSince) < localFailureMost {
+	if !l.localFailureSince.IsZero() && time.Since(l.localFailureSince) < localFailureMost {
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
--- a/internal/httpgateway/upstream/idle/idle.go
+++ b/internal/httpgateway/upstream/idle/idle.go
@@ -36,7 +36,7 @@
 }
 
 // Life is what was learnt. It is not safe for concurrent use.
-type Life struct {
+type Limit struct {
 	first tally
 	next  [steps]tally
 	at    time.Duration
@@ -45,16 +45,16 @@
 }
 
 // New begins with the time after which connections are to be closed in any case.
-func New(bound time.Duration) *Life { return &Life{most: bound, bound: bound} }
+func New(bound time.Duration) *Limit { return &Limit{most: bound, bound: bound} }
 
 // Most is how long a connection may lie idle and still be used.
-func (l *Life) Most() time.Duration { return l.most }
+func (l *Limit) Duration() time.Duration { return l.most }
 
 // First tells how the first use of a connection ended.
-func (l *Life) First(broke bool, now time.Duration) { l.count(&l.first, broke, now) }
+func (l *Limit) RecordFirstUse(broke bool, now time.Duration) { l.count(&l.first, broke, now) }
 
 // Next tells how a later use ended, after the connection had lain idle for so long. It tells whether Most has moved.
-func (l *Life) Next(idle time.Duration, broke bool, now time.Duration) bool {
+func (l *Limit) RecordReuse(idle time.Duration, broke bool, now time.Duration) bool {
 	l.count(&l.next[step(idle)], broke, now)
 	was := l.most
 	l.most = l.bound
@@ -69,7 +69,7 @@
 	return l.most != was
 }
 
-func (l *Life) count(t *tally, broke bool, now time.Duration) {
+func (l *Limit) count(t *tally, broke bool, now time.Duration) {
 	for ; now-l.at >= halfLife/4; l.at += halfLife / 4 {
 		if l.at == 0 || now-l.at > 8*halfLife {
 			l.at = now
--- a/internal/httpgateway/upstream/idle/idle_test.go
+++ b/internal/httpgateway/upstream/idle/idle_test.go
@@ -9,17 +9,17 @@
 const ms = time.Millisecond
 
 // play uses connections that lie idle for up to a second, on a way that forgets them after life and breaks some at any age.
-func play(l *Life, from time.Duration, n int, life time.Duration, breaks float64) (now time.Duration) {
+func play(l *Limit, from time.Duration, n int, life time.Duration, breaks float64) (now time.Duration) {
 	r := rand.New(rand.NewSource(1))
 	for now = from; n > 0; n-- {
 		now += 5 * ms
 		idle := time.Duration(r.ExpFloat64() * float64(100*ms))
 		broke := r.Float64() < breaks
-		if r.Float64() < 0.2 || idle > l.Most() {
-			l.First(broke, now)
+		if r.Float64() < 0.2 || idle > l.Duration() {
+			l.RecordFirstUse(broke, now)
 			continue
 		}
-		l.Next(idle, broke || idle > life, now)
+		l.RecordReuse(idle, broke || idle > life, now)
 	}
 	return now
 }
@@ -29,13 +29,13 @@
 func Example() {
 	l := New(15 * time.Second)
 	now := play(l, time.Hour, 300, time.Hour, 0.1)
-	fmt.Println(l.Most())
+	fmt.Println(l.Duration())
 	now = play(l, now, 200, 150*ms, 0.1)
-	fmt.Println(l.Most())
+	fmt.Println(l.Duration())
 	now = play(l, now, 20000, 150*ms, 0.1)
-	fmt.Println(l.Most())
+	fmt.Println(l.Duration())
 	play(l, now, 40000, time.Hour, 0.1)
-	fmt.Println(l.Most())
+	fmt.Println(l.Duration())
 	// Output:
 	// 15s
 	// 128ms
--- a/internal/httpgateway/upstream/park.go
+++ b/internal/httpgateway/upstream/park.go
@@ -15,24 +15,24 @@
 	p := c.endpoint.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.nc.SetDeadline(time.Now().Add(p.idleLimit.Most()))
-	if c.dead || c.endpoint.closed || p.ctx.Err() != nil {
+	c.nc.SetDeadline(time.Now().Add(p.idleLimit.Duration()))
+	if c.closed || c.endpoint.closed || p.ctx.Err() != nil {
 		return false
 	}
-	c.since, c.used = time.Now(), true
+	c.idleSince, c.served = time.Now(), true
 	c.endpoint.idle = append(c.endpoint.idle, c)
 	c.endpoint.match()
 	return true
 }
 
-func (c *conn) rested() time.Time { return c.since }
+func (c *conn) rested() time.Time { return c.idleSince }
 
 // park waits until the connection gets an attempt or ends. A server that closes it or sends what nobody asked for is noticed
 // here, before anything is written.
 func (c *conn) park() *attempt {
-	err := c.in.Await()
+	err := c.reader.Await()
 	if err == nil {
-		c.stray(time.Since(c.since))
+		c.stray(time.Since(c.idleSince))
 	}
 	p := c.endpoint.pool
 	p.mu.Lock()
@@ -46,10 +46,10 @@
 		return nil
 	}
 	c.nc.SetReadDeadline(time.Time{})
-	if !c.dead && errors.Is(err, os.ErrDeadlineExceeded) && socket.Peek(c.nc) == socket.Quiet {
+	if !c.closed && errors.Is(err, os.ErrDeadlineExceeded) && socket.Peek(c.nc) == socket.Empty {
 		return j
 	}
-	if c.endpoint.out[j.id] != j {
+	if c.endpoint.inFlight[j.id] != j {
 		return nil
 	}
 	p.counts.Stale++
--- a/internal/httpgateway/upstream/outcome/outcome.go
+++ b/internal/httpgateway/upstream/quarantine/quarantine.go
@@ -1,7 +1,7 @@
 // Package outcome learns how long a connection must rest after an answer before the next dispatch goes on it. A brick may
 // send an answer twice, the second copy a little later; answers carry no name, so the copy would be taken for the answer
 // to what was written meanwhile. It has no clock and no I/O.
-package outcome
+package quarantine
 
 import "time"
 
@@ -14,23 +14,23 @@
 )
 
 // Time is what was learnt. It is not safe for concurrent use.
-type Time struct {
+type Delay struct {
 	needs time.Duration
 	at    time.Duration // when it was last learnt or halved
 }
 
 // New knows of no copies.
-func New() *Time { return &Time{needs: least} }
+func New() *Delay { return &Delay{needs: least} }
 
 // Stray tells that something came so long after an answer that nobody had asked for.
-func (t *Time) Stray(after, now time.Duration) {
-	if needs := min(max(margin*after, shown), longest); after >= least/margin && needs >= t.Needs(now) {
+func (t *Delay) RecordUnsolicited(after, now time.Duration) {
+	if needs := min(max(margin*after, shown), longest); after >= least/margin && needs >= t.Duration(now) {
 		t.needs, t.at = needs, now
 	}
 }
 
 // Needs is how long a connection must rest now.
-func (t *Time) Needs(now time.Duration) time.Duration {
+func (t *Delay) Duration(now time.Duration) time.Duration {
 	for ; t.needs > least && now-t.at >= halfLife; t.at += halfLife {
 		t.needs = max(t.needs/2, least)
 	}
--- a/internal/httpgateway/upstream/upstream.go
+++ b/internal/httpgateway/upstream/upstream.go
@@ -16,7 +16,7 @@
 	"weirhaven/internal/engine"
 	"weirhaven/internal/httpgateway/metrics"
 	"weirhaven/internal/httpgateway/upstream/idle"
-	"weirhaven/internal/httpgateway/upstream/outcome"
+	"weirhaven/internal/httpgateway/upstream/quarantine"
 	"weirhaven/policy"
 )
 
@@ -30,37 +30,37 @@
 type Options struct {
 	Loop           Loop
 	MaxConnections int                                                         // connections at a time, to all servers
-	Bodies         int64                                                       // bytes of answers held at a time, until their clients have them; at least MaxBody
-	Connect        time.Duration                                               // that an attempt waits for its connection
-	Idle           time.Duration                                               // until one without an attempt is closed here
+	ResponseMemory int64                                                       // bytes of answers held at a time, until their clients have them; at least MaxBody
+	ConnectTimeout time.Duration                                               // that an attempt waits for its connection
+	IdleTimeout    time.Duration                                               // until one without an attempt is closed here
 	Dial           func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
 	Log            *slog.Logger
-	Observe        *metrics.Recorder // nil: one of its own
+	Recorder       *metrics.Recorder // nil: one of its own
 }
 
 // MaxBody is the longest body of an answer. The platform's page says 64 KiB, its servers answer with several times that.
-const MaxBody = 1 << 20
+const MaxResponseBody = 1 << 20
 
 // Counts are running totals.
 type Counts struct {
-	Opened, Dispatched, Stale, Spoilt, Extra, Evicted, Exhausted int64
-	Open                                                         int
+	Opened, Attempts, Stale, Malformed, Unsolicited, Evicted, Exhausted int64
+	Open                                                                int
 }
 
 // Pool is all connections to servers.
 type Pool struct {
-	o      Options
-	ctx    context.Context
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-	bodies *semaphore.Weighted
-
-	mu         sync.Mutex // guards all below and in lines and conns
-	endpoints  map[*endpoint]bool
-	counts     Counts
-	idleLimit  *idle.Life
-	quarantine *outcome.Time
-	told       time.Time // when answers that can't be read were logged
+	options        Options
+	ctx            context.Context
+	stop           context.CancelFunc
+	wg             sync.WaitGroup
+	responseMemory *semaphore.Weighted
+
+	mu                sync.Mutex // guards all below and in lines and conns
+	endpoints         map[*endpoint]bool
+	counts            Counts
+	idleLimit         *idle.Limit
+	reuseDelay        *quarantine.Delay
+	malformedLoggedAt time.Time // when answers that can't be read were logged
 }
 
 // A connection that is slow to come up may be one whose packets were lost: another is opened beside it after a quarter
@@ -74,15 +74,15 @@
 // New makes a pool without connections.
 func New(o Options) *Pool {
 	if o.Dial == nil {
-		dialer := net.Dialer{Timeout: max(o.Connect, dialTimeout), KeepAlive: -1}
+		dialer := net.Dialer{Timeout: max(o.ConnectTimeout, dialTimeout), KeepAlive: -1}
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}
 	}
-	if o.Observe == nil {
-		o.Observe = metrics.New(o.Log)
+	if o.Recorder == nil {
+		o.Recorder = metrics.New(o.Log)
 	}
-	p := &Pool{o: o, endpoints: map[*endpoint]bool{}, idleLimit: idle.New(o.Idle), quarantine: outcome.New(), bodies: semaphore.NewWeighted(max(o.Bodies, MaxBody))}
+	p := &Pool{options: o, endpoints: map[*endpoint]bool{}, idleLimit: idle.New(o.IdleTimeout), reuseDelay: quarantine.New(), responseMemory: semaphore.NewWeighted(max(o.ResponseMemory, MaxResponseBody))}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p
 }
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	for l := range p.endpoints {
 		l.shut()
-		for _, j := range l.out {
+		for _, j := range l.inFlight {
 			l.abandon(j)
 		}
 	}
@@ -110,7 +110,7 @@
 
 // Line is the way to one server.
 func (p *Pool) Connect(brick, address string) engine.EndpointConn {
-	l := &endpoint{pool: p, brick: brick, address: address, out: map[uint64]*attempt{}}
+	l := &endpoint{pool: p, name: brick, address: address, inFlight: map[uint64]*attempt{}}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endpoints[l] = true
@@ -118,29 +118,29 @@
 }
 
 type endpoint struct {
-	pool           *Pool
-	brick, address string
-	out            map[uint64]*attempt
-	waiting        []*attempt // for a connection, oldest first
-	dialing        []*conn    // not up yet
-	idle           []*conn    // the one used last is the last
-	closed         bool
-	localSince     time.Time // dials fail on this machine since then; zero: they don't
+	pool              *Pool
+	name, address     string
+	inFlight          map[uint64]*attempt
+	waiting           []*attempt // for a connection, oldest first
+	dialing           []*conn    // not up yet
+	idle              []*conn    // the one used last is the last
+	closed            bool
+	localFailureSince time.Time // dials fail on this machine since then; zero: they don't
 }
 
 // Dispatch puts a command on the settled connection used last, or on the first that is there for it.
 func (l *endpoint) Send(id uint64, t *engine.Request, n int, left, by time.Duration) {
-	deadline := l.pool.o.Loop.Now() + left
+	deadline := l.pool.options.Loop.Now() + left
 	if t.Deadline > 0 { // the loop may have been held up since it computed what is left
 		deadline = min(deadline, t.Deadline)
 	}
-	j := &attempt{id: id, task: t, lead: t.Header, body: t.Body, deadline: deadline, notAfter: by}
-	j.ctx, j.stop = context.WithCancel(l.pool.ctx)
+	j := &attempt{id: id, request: t, header: t.Header, body: t.Body, deadline: deadline, sendBefore: by}
+	j.ctx, j.cancel = context.WithCancel(l.pool.ctx)
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counts.Dispatched++
-	l.out[id] = j
+	p.counts.Attempts++
+	l.inFlight[id] = j
 	l.place(j)
 }
 
@@ -155,16 +155,16 @@
 	if l.match(); j.conn != nil {
 		return
 	}
-	wait := l.pool.o.Connect
+	wait := l.pool.options.ConnectTimeout
 	coming := 0
 	for _, c := range l.dialing {
-		if time.Since(c.began) < wait/extraDials {
+		if time.Since(c.dialStartedAt) < wait/extraDials {
 			coming++
 		}
 	}
-	rest := l.pool.quarantine.Needs(l.pool.o.Loop.Now())
+	rest := l.pool.reuseDelay.Duration(l.pool.options.Loop.Now())
 	for _, c := range l.idle {
-		if rest-time.Since(c.since) <= settleWait {
+		if rest-time.Since(c.idleSince) <= settleWait {
 			coming++
 		}
 	}
@@ -173,17 +173,17 @@
 		return
 	}
 	tries := 0
-	j.wait = time.AfterFunc(wait/extraDials, func() { // one more beside it, and then its time is over
+	j.connectTimer = time.AfterFunc(wait/extraDials, func() { // one more beside it, and then its time is over
 		l.pool.mu.Lock()
 		defer l.pool.mu.Unlock()
 		if !slices.Contains(l.waiting, j) {
 			return
 		}
 		if tries++; tries < extraDials {
-			if p := l.pool; len(l.dialing) < len(l.waiting)+extraDials-1 && p.counts.Open < p.o.MaxConnections/2 {
+			if p := l.pool; len(l.dialing) < len(l.waiting)+extraDials-1 && p.counts.Open < p.options.MaxConnections/2 {
 				l.dial() // while there is room: no other connection ends for it
 			}
-			j.wait.Reset(wait / extraDials)
+			j.connectTimer.Reset(wait / extraDials)
 			return
 		}
 		l.fail(j)
@@ -194,16 +194,16 @@
 func (l *endpoint) fail(j *attempt) {
 	l.unwait(j)
 	how := l.unconnected()
-	l.pool.spawn(func() { l.report(j, l.pool.o.Loop.Now(), how, nil, 0) })
+	l.pool.spawn(func() { l.report(j, l.pool.options.Loop.Now(), how, nil, 0) })
 }
 
 func (l *endpoint) unwait(j *attempt) {
 	if i := slices.Index(l.waiting, j); i >= 0 {
 		l.waiting = slices.Delete(l.waiting, i, i+1)
 	}
-	if j.wait != nil {
-		j.wait.Stop()
-		j.wait = nil
+	if j.connectTimer != nil {
+		j.connectTimer.Stop()
+		j.connectTimer = nil
 	}
 }
 
@@ -211,19 +211,19 @@
 // Under mu.
 func (l *endpoint) match() {
 	p := l.pool
-	if n := len(l.idle); n > 0 && time.Since(l.idle[n-1].since) > p.idleLimit.Most() {
+	if n := len(l.idle); n > 0 && time.Since(l.idle[n-1].idleSince) > p.idleLimit.Duration() {
 		l.shut() // the others have lain there for longer
 	}
-	calm := p.quarantine.Needs(p.o.Loop.Now())
+	calm := p.reuseDelay.Duration(p.options.Loop.Now())
 	for i := len(l.idle) - 1; i >= 0 && len(l.waiting) > 0; i-- {
 		c := l.idle[i]
-		if c.used && time.Since(c.since) < calm {
+		if c.served && time.Since(c.idleSince) < calm {
 			continue
 		}
 		l.idle = slices.Delete(l.idle, i, i+1)
 		j := l.waiting[0]
 		l.unwait(j)
-		c.idled, c.next, j.conn = time.Since(c.since), j, c
+		c.idleBefore, c.next, j.conn = time.Since(c.idleSince), j, c
 		c.nc.SetReadDeadline(longAgo) // wakes its goroutine
 	}
 	if len(l.waiting) > 0 && len(l.idle) > 0 {
@@ -238,14 +238,14 @@
 // dial opens one more connection, if there is room for it. Under mu.
 func (l *endpoint) dial() bool {
 	p := l.pool
-	if p.counts.Open >= p.o.MaxConnections && !p.evict() {
+	if p.counts.Open >= p.options.MaxConnections && !p.evict() {
 		p.counts.Exhausted++
 		return false
 	}
 	p.counts.Open++
 	p.counts.Opened++
 	ctx, stop := context.WithCancel(p.ctx)
-	c := &conn{endpoint: l, stop: stop, began: time.Now()}
+	c := &conn{endpoint: l, cancelDial: stop, dialStartedAt: time.Now()}
 	l.dialing = append(l.dialing, c)
 	p.spawn(func() { c.run(ctx) })
 	return true
@@ -281,8 +281,8 @@
 func (l *endpoint) Cancel(id uint64) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	if j := l.out[id]; j != nil {
-		delete(l.out, id)
+	if j := l.inFlight[id]; j != nil {
+		delete(l.inFlight, id)
 		l.abandon(j)
 		l.forget()
 	}
@@ -294,11 +294,11 @@
 func (l *endpoint) Withdraw(id uint64) bool {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	j := l.out[id]
-	if j == nil || j.begun {
+	j := l.inFlight[id]
+	if j == nil || j.started {
 		return false
 	}
-	delete(l.out, id)
+	delete(l.inFlight, id)
 	l.abandon(j)
 	l.forget()
 	return true
@@ -306,7 +306,7 @@
 
 // abandon lets go of an attempt. Under mu.
 func (l *endpoint) abandon(j *attempt) {
-	j.stop()
+	j.cancel()
 	l.unwait(j)
 	if j.conn != nil {
 		j.conn.kill()
@@ -315,9 +315,9 @@
 
 // kill closes a connection from outside. Under mu. One that is not up yet counts until its socket is gone.
 func (c *conn) kill() {
-	if !c.dead {
-		c.dead = true
-		c.stop()
+	if !c.closed {
+		c.closed = true
+		c.cancelDial()
 		if c.nc != nil {
 			c.endpoint.pool.counts.Open--
 			c.nc.Close()
@@ -328,7 +328,7 @@
 // Probe is not part of what the platform allows.
 func (l *endpoint) CheckHealth(id uint64) {
 	l.pool.spawn(func() {
-		l.pool.o.Loop.Post(func(c *engine.Core) { c.HealthChecked(l.brick, id, policy.ConnectFailed) })
+		l.pool.options.Loop.Post(func(c *engine.Core) { c.HealthChecked(l.name, id, policy.ConnectFailed) })
 	})
 }
 
@@ -358,7 +358,7 @@
 
 // forget drops a closed line that has nothing out. Under mu.
 func (l *endpoint) forget() {
-	if l.closed && len(l.out) == 0 {
+	if l.closed && len(l.inFlight) == 0 {
 		delete(l.pool.endpoints, l)
 	}
 }
@@ -367,29 +367,29 @@
 func (l *endpoint) report(j *attempt, at time.Duration, how policy.Outcome, body []byte, elsewhere float64) {
 	p := l.pool
 	p.mu.Lock()
-	mine := l.out[j.id] == j
+	mine := l.inFlight[j.id] == j
 	if mine {
-		delete(l.out, j.id)
+		delete(l.inFlight, j.id)
 	}
 	twice := mine && j.reported
 	j.reported = j.reported || mine
 	l.forget()
 	p.mu.Unlock()
-	j.stop()
+	j.cancel()
 	if twice {
-		p.o.Observe.Violated(metrics.OneOutcome, j.task.Trace, "an attempt was reported twice")
+		p.options.Recorder.RecordViolation(metrics.OneOutcome, j.request.Trace, "an attempt was reported twice")
 	}
 	if mine {
-		p.o.Observe.Count(metrics.Attempt, outcomes[how])
-		p.o.Log.Debug("attempt", "request", j.task.Trace, "server", l.brick, "outcome", string(outcomes[how]), "begun", j.begun)
+		p.options.Recorder.Count(metrics.Attempt, outcomeNames[how])
+		p.options.Log.Debug("attempt", "request", j.request.Trace, "server", l.name, "outcome", string(outcomeNames[how]), "begun", j.started)
 	}
-	release := func() { p.bodies.Release(j.held) }
-	if !mine || !p.o.Loop.Post(func(c *engine.Core) {
-		j.task.Release = release
-		c.AttemptEnded(engine.AttemptReport{Endpoint: l.brick, ID: j.id, Outcome: how, SeenAt: at, Body: body,
+	release := func() { p.responseMemory.Release(j.reservedBytes) }
+	if !mine || !p.options.Loop.Post(func(c *engine.Core) {
+		j.request.Release = release
+		c.AttemptEnded(engine.AttemptReport{Endpoint: l.name, ID: j.id, Outcome: how, SeenAt: at, Body: body,
 			Load: policy.LoadReport{ServedElsewhere: elsewhere}})
-		if j.task.Release != nil { // nobody takes the body
-			j.task.Release = nil
+		if j.request.Release != nil { // nobody takes the body
+			j.request.Release = nil
 			release()
 		}
 	}) {
