--- /dev/null
+++ b/internal/httpgateway/command.go
@@ -0,0 +1,102 @@
+package httpgateway
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"weirhaven/internal/engine"
+	"weirhaven/internal/httpgateway/config"
+	"weirhaven/internal/logging"
+	"weirhaven/policy"
+)
+
+// Command is the command line of the gateway.
+type Command struct {
+	Config string        `env:"EDGE_CONFIG" required:"" help:"The platform's configuration, JSON."`
+	State  time.Duration `default:"5s" help:"How often totals are logged; 0: never."`
+	Debug  bool          `env:"EDGE_DEBUG" help:"Log each request and each attempt, with its outcome and reason."`
+
+	// Customize, for tests, changes the gateway before it runs.
+	Customize func(*Host) `kong:"-"`
+}
+
+// Execute runs the gateway until SIGTERM or SIGINT and then shuts it down gracefully. SIGHUP reloads the configuration. It
+// returns an error when the configuration can't be read or the client address can't be listened on.
+func (c *Command) Execute(newScheduler func(policy.Runtime, policy.Settings) engine.Scheduler) error {
+	// Signals are caught before all else: one that comes early must not end the program.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	cfg, err := config.Load(c.Config)
+	if err != nil {
+		return err
+	}
+	applyLimits(cfg.Limits)
+	output := logging.Stderr()
+	defer output.Close()
+	log := slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: c.logLevel()}))
+	g := &Host{Config: cfg, Log: log, NewScheduler: newScheduler, StateInterval: c.State}
+	if c.Customize != nil {
+		c.Customize(g)
+	}
+	reloads := make(chan *config.Config, 1)
+	go c.reload(hangups, reloads, g.Log) // ends with the process
+	return g.Run(ctx, reloads)
+}
+
+func (c *Command) logLevel() slog.Level {
+	if c.Debug {
+		return slog.LevelDebug
+	}
+	return slog.LevelInfo
+}
+
+// applyLimits keeps the Go runtime within the platform's limits. The heap may grow to half of the allowed memory before the
+// collector works harder; the rest is for the program itself, its stacks and the kernel.
+func applyLimits(limits config.Limits) {
+	if limits.Cores <= 1 {
+		runtime.GOMAXPROCS(1)
+	}
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 / 2)
+}
+
+// reload reads the configuration again on each signal and hands it on. A reload that was not picked up yet is replaced by
+// the newer one.
+func (c *Command) reload(hangups <-chan os.Signal, reloads chan *config.Config, log *slog.Logger) {
+	for range hangups {
+		next, err := loadWithRetry(c.Config)
+		if err != nil {
+			log.Error("reload failed; the old configuration stays in force", "err", err)
+			continue
+		}
+		select {
+		case <-reloads:
+		default:
+		}
+		reloads <- next
+	}
+}
+
+// A configuration file that is still being written fails to parse; it is read again a few times before the reload fails.
+const (
+	loadAttempts      = 10
+	loadRetryInterval = 50 * time.Millisecond
+)
+
+func loadWithRetry(path string) (cfg *config.Config, err error) {
+	for range loadAttempts {
+		if cfg, err = config.Load(path); err == nil {
+			return cfg, nil
+		}
+		time.Sleep(loadRetryInterval)
+	}
+	return nil, err
+}
--- a/internal/httpgateway/downstream/downstream.go
+++ b/internal/httpgateway/downstream/downstream.go
@@ -204,10 +204,10 @@
 	return 0, false
 }
 
-// Stop lets clients go. All is served as ever for a while, since clients go on using the connections they have, but no
+// Shutdown lets clients go. All is served as ever for a while, since clients go on using the connections they have, but no
 // request may last beyond until. Then, last before until, each answer is the last on its connection, nothing more is
 // accepted, connections without a request end, and what was taken is answered. It returns when all is, or ctx ends.
-func (f *Server) Stop(ctx context.Context, l net.Listener, until time.Duration, last time.Duration) {
+func (f *Server) Shutdown(ctx context.Context, l net.Listener, until time.Duration, last time.Duration) {
 	f.until.Store(int64(until))
 	select {
 	case <-time.After(until - last - f.options.Loop.Now()):
--- /dev/null
+++ b/internal/httpgateway/outbound.go
@@ -0,0 +1,36 @@
+package httpgateway
+
+import (
+	"time"
+
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/membership"
+)
+
+// outbound is what the engine's loop may call. On this platform that is endpoints and a log: the watch of the endpoint list
+// is always open, and gateways don't talk to each other, so the other calls do nothing.
+type outbound struct{ *Host }
+
+// Connect returns the way to one endpoint. It opens no connection.
+func (o outbound) Connect(endpoint, address string) engine.EndpointConn {
+	return o.pool.Connect(endpoint, address)
+}
+
+// Log writes a line of the scheduler.
+func (o outbound) Log(line string) { o.Host.Log.Info(line, "from", "scheduler") }
+
+// RequestEndpointList does nothing: the watch is always open.
+func (o outbound) RequestEndpointList() {}
+
+// SendNote does nothing: there are no peers.
+func (o outbound) SendNote([]byte) {}
+
+// SendMembership does nothing: there are no peers.
+func (o outbound) SendMembership(string, membership.Message) {}
+
+// SendEndpoints does nothing: there are no peers.
+func (o outbound) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
+
+// MembersChanged does nothing: there are no peers.
+func (o outbound) MembersChanged([]membership.Member) {}
--- /dev/null
+++ b/internal/httpgateway/shutdown.go
@@ -0,0 +1,39 @@
+package httpgateway
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"weirhaven/internal/httpgateway/downstream"
+	"weirhaven/policy"
+)
+
+// After SIGTERM the platform takes a gateway out of service and kills it no sooner than after the longest request timeout,
+// of which maxKillDelay counts at most, and killGrace. However soon it ends it is out of service until then, so it goes on
+// serving the clients that are still connected for as long as it may.
+const (
+	maxKillDelay        = 3 * time.Second
+	killGrace           = 700 * time.Millisecond
+	responseMargin      = 250 * time.Millisecond // so long before the kill all requests have their responses
+	connectionDrainTime = 250 * time.Millisecond // before that, connections end with their next response
+	shutdownOverrun     = time.Second            // past the kill time; then connections are closed whatever they owe
+)
+
+// shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the kill time.
+func (h *Host) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
+	longest := longestTimeout(h.Config.Settings)
+	killAfter := min(longest, maxKillDelay) + killGrace
+	h.Log.Info("graceful shutdown started", "kill_after", killAfter)
+	bounded, cancel := context.WithTimeout(ctx, longest+killGrace+shutdownOverrun)
+	defer cancel()
+	server.Shutdown(bounded, listener, h.loop.Now()+killAfter-responseMargin, connectionDrainTime)
+}
+
+// longestTimeout is the longest timeout of any request class.
+func longestTimeout(settings policy.Settings) (longest time.Duration) {
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Timeout)
+	}
+	return longest
+}
--- /dev/null
+++ b/internal/httpgateway/state.go
@@ -0,0 +1,113 @@
+package httpgateway
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"runtime"
+	"syscall"
+	"time"
+
+	"weirhaven/internal/engine"
+	"weirhaven/internal/httpgateway/downstream"
+)
+
+func (h *Host) logServing(clients net.Addr, shares shares) {
+	c := h.Config
+	h.Log.Info("serving", "name", c.Name, "listen", clients.String(), "discovery", c.Discovery,
+		"endpoints", len(c.KnownEndpoints.Entries), "revision", c.KnownEndpoints.Revision,
+		"cores", c.Limits.Cores, "memory_mb", c.Limits.MemoryMB,
+		"endpoint_idle_timeout", c.EndpointIdleTimeout, "connect_timeout", c.ConnectTimeout,
+		"max_client_connections", shares.clientConnections, "max_upstream_connections", shares.upstreamConnections)
+}
+
+// logStatePeriodically logs totals until ctx ends.
+func (h *Host) logStatePeriodically(ctx context.Context, server *downstream.Server) {
+	if h.StateInterval <= 0 {
+		return
+	}
+	ticker := time.NewTicker(h.StateInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			h.logState(server)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// logState logs the totals of the engine, of both sides and of the process; it logs nothing once the loop has ended. Its
+// message and the attributes heap and goroutines are read by package soak.
+func (h *Host) logState(server *downstream.Server) {
+	requests, loopDelay, ok := h.engineCounts()
+	if !ok {
+		return
+	}
+	attrs := []slog.Attr{
+		slog.Int64("received", requests.Received),
+		slog.Int64("served", requests.Served),
+		slog.Int64("rejected", requests.Rejected),
+		slog.Int64("failed", requests.Failed),
+		slog.Int64("client_disconnected", requests.ClientDisconnected),
+		slog.Int("open", requests.Open),
+		slog.Int("in_flight", requests.InFlight),
+		slog.Int64("attempts", requests.Attempts),
+		slog.Int64("retries", requests.Retries),
+		slog.Int64("late_outcomes", requests.LateOutcomes),
+		slog.String("served/error_response/rejected/timed_out/connect_failed/connection_reset/canceled/not_sent", fmt.Sprint(requests.Outcomes)),
+		slog.Duration("loop_delay", loopDelay),
+	}
+	attrs = append(attrs, processState()...)
+	attrs = append(attrs, h.connectionState(server)...)
+	h.Log.LogAttrs(context.Background(), slog.LevelInfo, "state", attrs...)
+}
+
+// engineCounts asks the loop for its totals and measures how long the question waited there; ok is false once the loop has
+// ended.
+func (h *Host) engineCounts() (counts engine.Counts, delay time.Duration, ok bool) {
+	replies := make(chan engine.Counts, 1)
+	askedAt := time.Now()
+	if !h.loop.Post(func(core *engine.Core) { replies <- core.Counts() }) {
+		return counts, 0, false
+	}
+	select {
+	case counts = <-replies:
+		return counts, time.Since(askedAt), true
+	case <-h.loop.Done():
+		return counts, 0, false
+	}
+}
+
+func processState() []slog.Attr {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // fails only on an invalid argument
+	return []slog.Attr{
+		slog.Duration("cpu", time.Duration(usage.Utime.Nano()+usage.Stime.Nano())),
+		slog.Uint64("heap", memory.HeapAlloc),
+		slog.Uint64("sys", memory.Sys),
+		slog.Int("goroutines", runtime.NumGoroutine()),
+	}
+}
+
+func (h *Host) connectionState(server *downstream.Server) []slog.Attr {
+	upstream, clients := h.pool.Counts(), server.Counts()
+	return []slog.Attr{
+		slog.Int("client_connections", clients.Open),
+		slog.Int64("accepted", clients.Accepted),
+		slog.Int64("evicted", clients.Evicted),
+		slog.Int64("bad_requests", clients.BadRequests),
+		slog.Int64("shed", clients.Shed),
+		slog.Int64("violations", h.recorder.Violations()),
+		slog.Int("upstream_connections", upstream.Open),
+		slog.Int64("opened", upstream.Opened),
+		slog.Int64("stale", upstream.Stale),
+		slog.Int64("malformed", upstream.Malformed),
+		slog.Int64("unsolicited", upstream.Unsolicited),
+		slog.Int64("exhausted", upstream.Exhausted),
+	}
+}
