--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -722,7 +722,7 @@
 		return
 	}
 	c.shareAt = c.now + shareEvery
-	all := c.fleet.Reports()
+	all := c.fleet.ReportsForPeers()
 	slices.SortStableFunc(all, func(a, b endpointstate.Report) int {
 		switch {
 		case a.Serving == b.Serving:
@@ -785,7 +785,7 @@
 
 func (c *Core) tick() {
 	c.group.Tick(c.now)
-	c.after(max(c.group.Next()-c.now, time.Millisecond), timer{f: c.tick})
+	c.after(max(c.group.NextTick()-c.now, time.Millisecond), timer{f: c.tick})
 }
 
 // Gossip is another host's word on which hosts there are.
--- a/internal/fleet/endpointstate/endpointstate.go
+++ b/internal/fleet/endpointstate/endpointstate.go
@@ -63,17 +63,17 @@
 // Belief is what is held of one brick.
 type Belief struct {
 	Report
-	Source       Source
-	Trust        Trust
-	Reason       string
-	DrainedUpTo  time.Duration // starts up to this were drained; 0: none. It stays when a later start serves
-	DrainKnownAt time.Duration // when the drain was told
-	GreetedAt    time.Duration // when its own word was last heard
-	MissedLists  int           // whole lists in a row that did not name it
-	absent       bool          // a whole list did not name it; a later one that does brings it back
-	told         Report
-	toldAt       bool
-	boot         time.Duration // as the module was told
+	Source         Source
+	Trust          Trust
+	Reason         string
+	DrainedUpTo    time.Duration // starts up to this were drained; 0: none. It stays when a later start serves
+	DrainKnownAt   time.Duration // when the drain was told
+	GreetedAt      time.Duration // when its own word was last heard
+	OmittedByLists int           // whole lists in a row that did not name it
+	absent         bool          // a whole list did not name it; a later one that does brings it back
+	told           Report
+	toldAt         bool
+	boot           time.Duration // as the module was told
 }
 
 // Module is told of beliefs as they change.
@@ -115,10 +115,7 @@
 }
 
 // Last is the latest list believed.
-func (f *Fleet) Last() Generation { return f.last }
-
-// Heard tells whether a list was believed since the start.
-func (f *Fleet) EverNotified() bool { return f.heard }
+func (f *Fleet) LastGeneration() Generation { return f.last }
 
 // Beliefs are all that is held, by name.
 func (f *Fleet) Beliefs() []Belief {
@@ -149,7 +146,7 @@
 		if s.ObservedAt > now { // the clock was set back since: nothing tells how old this is
 			s.ObservedAt = 0
 		}
-		s.told, s.toldAt, s.boot, s.MissedLists, s.GreetedAt = Report{}, false, 0, 0, 0
+		s.told, s.toldAt, s.boot, s.OmittedByLists, s.GreetedAt = Report{}, false, 0, 0, 0
 		s.absent = !s.Serving && s.DrainedUpTo == 0
 		b := &s
 		f.bricks[s.Name] = b
@@ -196,7 +193,7 @@
 // ListHolds tells that the list service is there and has nothing new: what it told last is as true as then.
 func (f *Fleet) ListUnchanged(now time.Duration) {
 	for _, b := range f.bricks {
-		if b.Source == List && !f.barred(b) && b.MissedLists == 0 && b.ObservedAt != 0 && f.heard {
+		if b.Source == List && !f.barred(b) && b.OmittedByLists == 0 && b.ObservedAt != 0 && f.heard {
 			b.ObservedAt = now
 		}
 	}
@@ -217,11 +214,11 @@
 	for _, b := range f.sorted() {
 		switch {
 		case named[b.Name]:
-			b.MissedLists = 0
+			b.OmittedByLists = 0
 		case f.barred(b): // as it is
 		default:
-			b.MissedLists++
-			if implausible && b.MissedLists < 2 {
+			b.OmittedByLists++
+			if implausible && b.OmittedByLists < 2 {
 				if b.Source != SelfReported { // its own word stands
 					b.ObservedAt = 0
 				}
@@ -246,7 +243,7 @@
 }
 
 // Tellings are the lines that are worth telling another host: what is trusted, and each drain, by the latest start that it bars.
-func (f *Fleet) Reports() (all []Report) {
+func (f *Fleet) ReportsForPeers() (all []Report) {
 	for _, b := range f.sorted() {
 		l := b.Report
 		switch {
@@ -394,7 +391,7 @@
 	if from == SelfReported && l.Started != 0 {
 		started = l.Started
 	}
-	b.Report, b.Source, b.MissedLists, b.absent = l, from, 0, false // l is of a serving brick, so it is gone no more
+	b.Report, b.Source, b.OmittedByLists, b.absent = l, from, 0, false // l is of a serving brick, so it is gone no more
 	b.Started = started
 	if from == SelfReported {
 		b.GreetedAt = now
--- a/internal/fleet/endpointstate/endpointstate_test.go
+++ b/internal/fleet/endpointstate/endpointstate_test.go
@@ -62,7 +62,7 @@
 func TestSavedListByAge(t *testing.T) {
 	f, _, _ := newFleet(rules())
 	f.ListReceived(Generation{"e", 7}, true, list("b1", "b2"), 1000*s)
-	saved, last := f.Beliefs(), f.Last()
+	saved, last := f.Beliefs(), f.LastGeneration()
 	for age, want := range map[time.Duration]Trust{5 * s: Trusted, 100 * s: Doubted, -50 * s: Doubted} {
 		f, m, _ := newFleet(rules())
 		f.Restore(saved, last, 1000*s+age)
@@ -93,7 +93,7 @@
 	if m.serving["b1"] || m.serving["b2"] {
 		t.Fatal("a drained brick serves again without a new start")
 	}
-	saved, last := f.Beliefs(), f.Last()
+	saved, last := f.Beliefs(), f.LastGeneration()
 	f, m, _ = newFleet(rules())
 	f.Restore(saved, last, 240*s)
 	if m.serving["b1"] || m.serving["b2"] {
@@ -216,7 +216,7 @@
 		case 2:
 			f.Greeted("b1", "127.0.0.1:1", p.started, !p.serving, now)
 		case 3:
-			saved, last := f.Beliefs(), f.Last()
+			saved, last := f.Beliefs(), f.LastGeneration()
 			*f = *New(rules(), f.module, f.log)
 			f.Restore(saved, last, now)
 		default:
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -27,11 +27,11 @@
 const (
 	Alive State = iota
 	Suspect
-	Removed
+	Faulty
 	Left
 )
 
-func (s State) String() string { return [...]string{"alive", "suspect", "removed", "left"}[s] }
+func (s State) String() string { return [...]string{"alive", "suspect", "faulty", "left"}[s] }
 
 // Member is what is known of one host.
 type Member struct {
@@ -59,7 +59,7 @@
 	Kind      Kind
 	Seq       uint64
 	From      Member
-	About     string   // of Ask, and of an Ack that answers one
+	Target    string   // of Ask, and of an Ack that answers one
 	Total     int      // of Sync: how many members its sender knows
 	Checksums []uint64 // of Join: what its sender knows, in parts by name; none: it knows nothing
 	Updates   []Member
@@ -83,7 +83,7 @@
 	PingInterval      time.Duration // between two pings of a host
 	AckTimeout        time.Duration // for an answer, before others are asked to try
 	SuspicionTimeout  time.Duration // suspicion, times log10 of the count
-	RetainRemoved     time.Duration // members that have left or were removed so long ago; parts of removed ones end only by it
+	RetainDeparted    time.Duration // members that have left or were removed so long ago; parts of removed ones end only by it
 	IndirectPings     int           // asked to try
 	UpdatesPerMessage int           // pieces in a message; four times as many while much waits
 	FullSyncTurns     int           // each so many turns all that is known is asked for, so that lost news is made up for
@@ -91,7 +91,7 @@
 
 // Usual figures: a silent host is removed within some seconds.
 func DefaultRules() Rules {
-	return Rules{PingInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 5 * time.Second, RetainRemoved: 24 * time.Hour,
+	return Rules{PingInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 5 * time.Second, RetainDeparted: 24 * time.Hour,
 		IndirectPings: 3, UpdatesPerMessage: 8, FullSyncTurns: 10}
 }
 
@@ -178,7 +178,7 @@
 func (g *Group) Counts() Counts { return g.view }
 
 // Settled tells whether every member that may be sending counts this host.
-func (g *Group) Settled() bool {
+func (g *Group) CountedByAll() bool {
 	if g.self.Ordinal >= g.self.Planned && !g.joined {
 		return false
 	}
@@ -210,7 +210,7 @@
 	if !g.joined { // nobody has told yet: it must not take itself for alone
 		v.Serving = max(v.Serving, planned)
 	}
-	if !g.Settled() {
+	if !g.CountedByAll() {
 		v.Parts = 0
 	}
 	if v != g.view {
@@ -220,7 +220,7 @@
 }
 
 // Next is when Tick wants to be called.
-func (g *Group) Next() time.Duration {
+func (g *Group) NextTick() time.Duration {
 	if p := g.probe; p != nil && !p.asked {
 		return min(g.next, p.at+g.rules.AckTimeout)
 	}
@@ -235,7 +235,7 @@
 	if p := g.probe; p != nil && !p.asked && now >= p.at+g.rules.AckTimeout {
 		p.asked = true
 		for _, e := range g.some(g.rules.IndirectPings, p.name) {
-			g.send(e.Address, Message{Kind: PingRequest, Seq: p.seq, About: p.name})
+			g.send(e.Address, Message{Kind: PingRequest, Seq: p.seq, Target: p.name})
 		}
 	}
 	if now < g.next {
@@ -277,7 +277,7 @@
 	bound := time.Duration(float64(g.rules.SuspicionTimeout) * math.Max(1, math.Log10(float64(len(g.members)+1))))
 	var due []string
 	for name, e := range g.members {
-		if e.State == Suspect && now-e.since >= bound || e.State >= Removed && now-e.since >= g.rules.RetainRemoved {
+		if e.State == Suspect && now-e.since >= bound || e.State >= Faulty && now-e.since >= g.rules.RetainDeparted {
 			due = append(due, name)
 		}
 	}
@@ -286,7 +286,7 @@
 		e := g.members[name]
 		if e.State == Suspect {
 			m := e.Member
-			m.State = Removed
+			m.State = Faulty
 			g.apply(m, now)
 			continue
 		}
@@ -320,7 +320,7 @@
 			return nil
 		}
 		e := g.members[g.order[g.at]]
-		if g.at++; e == nil || e.State == Left || e.State == Removed && g.rng.Intn(4) > 0 {
+		if g.at++; e == nil || e.State == Left || e.State == Faulty && g.rng.Intn(4) > 0 {
 			continue
 		}
 		return e
@@ -416,22 +416,22 @@
 		g.joined = g.joined || len(g.members)+1 >= m.Total
 		e.acked = true
 	case PingRequest:
-		if about := g.members[m.About]; about != nil && len(g.asks) < 1024 {
+		if about := g.members[m.Target]; about != nil && len(g.asks) < 1024 {
 			g.seq++
-			g.asks[g.seq] = ask{from.Address, m.Seq, m.About, now + 2*g.rules.PingInterval}
+			g.asks[g.seq] = ask{from.Address, m.Seq, m.Target, now + 2*g.rules.PingInterval}
 			g.send(about.Address, Message{Kind: Ping, Seq: g.seq})
 		}
 	case Ack:
-		if a, ok := g.asks[m.Seq]; ok && m.About == "" && a.about == from.Name {
+		if a, ok := g.asks[m.Seq]; ok && m.Target == "" && a.about == from.Name {
 			delete(g.asks, m.Seq)
-			g.send(a.to, Message{Kind: Ack, Seq: a.seq, About: from.Name})
+			g.send(a.to, Message{Kind: Ack, Seq: a.seq, Target: from.Name})
 			break
 		}
-		if m.About == "" { // its own answer to this host's ping: it counts this host
+		if m.Target == "" { // its own answer to this host's ping: it counts this host
 			g.stale = g.stale || !e.acked
 			e.acked = true
 		}
-		if p := g.probe; p != nil && p.seq == m.Seq && (p.name == from.Name || p.name == m.About) {
+		if p := g.probe; p != nil && p.seq == m.Seq && (p.name == from.Name || p.name == m.Target) {
 			g.probe = nil
 		}
 	}
@@ -480,7 +480,7 @@
 		g.ways.Log(fmt.Sprintf("host %s: %s, was %s", m.Name, m.State, e.State))
 		e.since = now
 	}
-	if m.Incarnation > e.Incarnation && m.State == Alive && e.State >= Removed {
+	if m.Incarnation > e.Incarnation && m.State == Alive && e.State >= Faulty {
 		e.acked = false // a new life: what it counted is gone
 	}
 	e.Member, g.stale = m, true
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -95,10 +95,10 @@
 	tick = func() {
 		if !x.down && x.life == life {
 			x.g.Tick(x.net.now)
-			x.net.after(max(x.g.Next()-x.net.now, time.Millisecond), tick)
+			x.net.after(max(x.g.NextTick()-x.net.now, time.Millisecond), tick)
 		}
 	}
-	x.net.after(x.g.Next()-x.net.now, tick)
+	x.net.after(x.g.NextTick()-x.net.now, tick)
 }
 
 func grow(hosts, planned int, lost float64, seed int64) *net {
@@ -132,7 +132,7 @@
 			continue
 		}
 		for _, m := range x.g.Members() {
-			if m.State == Removed && !n.nodes[m.Ordinal].down {
+			if m.State == Faulty && !n.nodes[m.Ordinal].down {
 				wrong++
 			}
 		}
@@ -238,9 +238,9 @@
 	n.run(10 * time.Second)
 	n.agree(3, 10*time.Second)
 	g := n.nodes[0].g
-	old := Member{Name: "h1", Ordinal: 1, Address: "1", Incarnation: 1, State: Removed}
+	old := Member{Name: "h1", Ordinal: 1, Address: "1", Incarnation: 1, State: Faulty}
 	from := Member{Name: "h2", Ordinal: 2, Address: "2", Incarnation: 2 << 20}
-	g.Receive(Message{Kind: Ping, From: from, Updates: []Member{old, {Name: "h0", Incarnation: 5 << 20, State: Removed}}}, n.now)
+	g.Receive(Message{Kind: Ping, From: from, Updates: []Member{old, {Name: "h0", Incarnation: 5 << 20, State: Faulty}}}, n.now)
 	if v := g.Counts(); v.Serving != 3 || g.Members()[0].Incarnation != 5<<20+1 {
 		t.Errorf("%+v %+v", v, g.Members()[0])
 	}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -70,7 +70,7 @@
 func TestHosts(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	all := []membership.Member{{Name: "a", Ordinal: 1, Address: "127.0.0.1:1", Planned: 3, Incarnation: 9}, {Name: "b", State: membership.Removed}}
+	all := []membership.Member{{Name: "a", Ordinal: 1, Address: "127.0.0.1:1", Planned: 3, Incarnation: 9}, {Name: "b", State: membership.Faulty}}
 	if err := errors.Join(s.SaveHosts(all), s.SaveHosts(all[:1]), s.SaveHosts(all)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -103,7 +103,7 @@
 func (e *Edge) beliefs() (all []endpointstate.Belief, hosts []membership.Member, last endpointstate.Generation, ok bool) {
 	done := make(chan bool, 1)
 	if !e.loop.Post(func(c *engine.Core) {
-		all, last = c.Fleet().Beliefs(), c.Fleet().Last()
+		all, last = c.Fleet().Beliefs(), c.Fleet().LastGeneration()
 		if g := c.Membership(); g != nil {
 			hosts = g.Members()
 		}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -81,7 +81,7 @@
 		a, err := netip.ParseAddrPort(m.Address)
 		switch {
 		case m.Name == e.conf.Name:
-		case m.State == membership.Left || m.State == membership.Removed || err != nil:
+		case m.State == membership.Left || m.State == membership.Faulty || err != nil:
 			delete(p.to, m.Ordinal)
 		case e.peerNetworks == nil || e.peerNetworks.Contains(a.Addr().Unmap()):
 			p.to[m.Ordinal] = a
@@ -95,7 +95,7 @@
 	if e.peers.conn == nil || err != nil || e.peerNetworks != nil && !e.peerNetworks.Contains(a.Addr().Unmap()) {
 		return
 	}
-	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.About, Total: int64(m.Total), Sums: m.Checksums}
+	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.Target, Total: int64(m.Total), Sums: m.Checksums}
 	for _, n := range m.Updates {
 		g.News = append(g.News, gossipHost(n))
 	}
@@ -170,7 +170,7 @@
 	if proto.Unmarshal(body, g) != nil || g.Kind < 0 || g.Kind > int32(membership.Sync) {
 		return m, false
 	}
-	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, About: g.About, Total: int(g.Total), Checksums: g.Sums}
+	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, Target: g.About, Total: int(g.Total), Checksums: g.Sums}
 	if m.From, ok = memberOf(g.From); !ok {
 		return m, false
 	}
