--- /dev/null
+++ b/internal/fleet/endpointstate/trust.go
@@ -0,0 +1,85 @@
+package endpointstate
+
+import (
+	"fmt"
+	"time"
+)
+
+// Rule 5: trust decays with age.
+//
+// Inputs: the age of a belief (now - ObservedAt), Rules.Fresh, Rules.Expire, Rules.GreetingValid; the last greeting.
+//
+// A belief is trusted up to the age Fresh, then doubted, and dropped after Expire; one from the settings is trusted at any age. A doubted
+// endpoint may have been restarted unnoticed, and all gateways together would overload one that is still warming up. So the sink
+// is notified of it as just started, which puts it in slow start until its greeting gives the real start.
+
+// Tick lets time pass: trust decays, and endpoints that nobody reported for Rules.Expire are dropped. Call it about once a second.
+func (f *Fleet) Tick(now time.Duration) {
+	for _, b := range f.sorted() {
+		f.update(b, now)
+		if f.isExpired(b, now) {
+			f.notifyDropped(b)
+			delete(f.endpoints, b.Name)
+		}
+	}
+}
+
+// isExpired reports whether neither a report nor a drain of an endpoint is younger than Rules.Expire. A belief whose age is not
+// known (ObservedAt is 0) is kept: it may have been contradicted a moment ago.
+func (f *Fleet) isExpired(b *Belief, now time.Duration) bool {
+	return b.Source != Settings && b.ObservedAt != 0 && now-b.ObservedAt > f.rules.Expire && now-b.DrainKnownAt > f.rules.Expire
+}
+
+// Doubtful returns the name and address of each doubted endpoint, sorted by name: those whose greeting would settle the doubt.
+func (f *Fleet) Doubtful() (all [][2]string) {
+	for _, b := range f.sorted() {
+		if b.Trust == Doubted {
+			all = append(all, [2]string{b.Name, b.Address})
+		}
+	}
+	return all
+}
+
+// update sets a belief's trust, notifies the sink of what has changed and logs a change of trust.
+func (f *Fleet) update(b *Belief, now time.Duration) {
+	previous, known := b.Trust, b.notified.sent
+	b.Trust = f.trust(b, now)
+	switch b.Trust {
+	case Barred: // the reason was set with the drain or the removal
+		f.notify(b, false, b.Gone, b.Started)
+	case Trusted:
+		b.Reason = reasonToldBy + b.Source.String()
+		f.notify(b, true, false, b.Started)
+	case Doubted:
+		b.Reason = reasonDoubted
+		f.notify(b, true, false, f.assumedStart(b, previous, now))
+	}
+	if known && previous != b.Trust {
+		f.log(fmt.Sprintf("%s %s: %s", b.Trust, b.Name, b.Reason))
+	}
+}
+
+func (f *Fleet) trust(b *Belief, now time.Duration) Trust {
+	switch {
+	case f.isBarred(b):
+		return Barred
+	case b.Source == Settings, b.ObservedAt != 0 && now-b.ObservedAt <= f.rules.Fresh:
+		return Trusted
+	}
+	return Doubted
+}
+
+// assumedStart is the start that a doubted endpoint is notified with: the moment at which the doubt began, or its real start
+// where it was trusted and heard itself so recently that a restart would have been noticed.
+func (f *Fleet) assumedStart(b *Belief, previous Trust, now time.Duration) time.Duration {
+	if !b.notified.sent {
+		return now
+	}
+	if previous == Doubted {
+		return b.notified.startedAt
+	}
+	if previous == Trusted && b.GreetedAt > 0 && now-b.GreetedAt <= f.rules.GreetingValid {
+		return b.Started
+	}
+	return now
+}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -28,10 +28,10 @@
 	Alive State = iota
 	Suspect
 	Faulty
-	Left
+	Departed
 )
 
-func (s State) String() string { return [...]string{"alive", "suspect", "faulty", "left"}[s] }
+func (s State) String() string { return [...]string{"alive", "suspect", "faulty", "departed"}[s] }
 
 // Member is what is known of one host.
 type Member struct {
@@ -154,7 +154,7 @@
 // Restore takes members saved: they are asked first, and count as parts until they say goodbye.
 func (g *Group) Restore(saved []Member, now time.Duration) {
 	for _, m := range saved {
-		if m.Name != g.self.Name && m.State != Left {
+		if m.Name != g.self.Name && m.State != Departed {
 			g.members[m.Name] = &entry{Member: m, since: now}
 			g.seeds = append(g.seeds, m.Address)
 		}
@@ -183,7 +183,7 @@
 		return false
 	}
 	for _, e := range g.members {
-		if e.State != Left && !e.acked && e.Planned <= g.self.Ordinal {
+		if e.State != Departed && !e.acked && e.Planned <= g.self.Ordinal {
 			return false
 		}
 	}
@@ -198,7 +198,7 @@
 	v := Counts{Serving: 1, Parts: 1}
 	planned := g.self.Planned
 	for _, e := range g.members {
-		if e.State != Left {
+		if e.State != Departed {
 			v.Parts++
 			planned = max(planned, e.Planned)
 		}
@@ -320,7 +320,7 @@
 			return nil
 		}
 		e := g.members[g.order[g.at]]
-		if g.at++; e == nil || e.State == Left || e.State == Faulty && g.rng.Intn(4) > 0 {
+		if g.at++; e == nil || e.State == Departed || e.State == Faulty && g.rng.Intn(4) > 0 {
 			continue
 		}
 		return e
@@ -386,7 +386,7 @@
 		g.apply(n, now)
 	}
 	e := g.members[from.Name]
-	if e == nil || e.State == Left {
+	if e == nil || e.State == Departed {
 		return
 	}
 	var about []Member
@@ -464,7 +464,7 @@
 	}
 	e := g.members[m.Name]
 	if e == nil {
-		if m.State == Left {
+		if m.State == Departed {
 			return
 		}
 		g.members[m.Name] = &entry{Member: m, since: now}
@@ -509,7 +509,7 @@
 func (g *Group) Leave() {
 	g.self.Incarnation++
 	m := g.self
-	m.State = Left
+	m.State = Departed
 	told := 0
 	for _, name := range g.order { // a goodbye that nobody hears keeps a part for a day: the suspected hear it too, each twice
 		if e := g.members[name]; e != nil && e.State <= Suspect && told < 2*g.rules.IndirectPings+2 {
@@ -529,7 +529,7 @@
 		return false
 	}
 	m := e.Member
-	m.State = Left
+	m.State = Departed
 	m.Incarnation++
 	g.apply(m, now)
 	g.tell()
--- a/internal/fleet/store/stored_data_test.go
+++ b/internal/fleet/store/stored_data_test.go
@@ -36,7 +36,7 @@
 		{Name: "edge-a", Ordinal: 0, Address: "127.0.0.1:7201", Planned: 4, Incarnation: 1_790_000_000_000_000_001, State: membership.Alive},
 		{Name: "edge-b", Ordinal: 1, Address: "127.0.0.1:7202", Planned: 4, Incarnation: 2, State: membership.Suspect},
 		{Name: "edge-c", Ordinal: 2, Address: "127.0.0.1:7203", Planned: 3, Incarnation: 3, State: membership.Faulty},
-		{Name: "edge-d", Ordinal: 65535, Address: "[::1]:7204", Planned: 65535, Incarnation: 1<<64 - 1, State: membership.Left},
+		{Name: "edge-d", Ordinal: 65535, Address: "[::1]:7204", Planned: 65535, Incarnation: 1<<64 - 1, State: membership.Departed},
 	}
 }
 
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, h := range hosts {
-		if h.State != membership.Left {
+		if h.State != membership.Departed {
 			f.Host = append(f.Host, &pb.HostLine{Name: h.Name})
 		}
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -81,7 +81,7 @@
 		a, err := netip.ParseAddrPort(m.Address)
 		switch {
 		case m.Name == e.conf.Name:
-		case m.State == membership.Left || m.State == membership.Faulty || err != nil:
+		case m.State == membership.Departed || m.State == membership.Faulty || err != nil:
 			delete(p.to, m.Ordinal)
 		case e.peerNetworks == nil || e.peerNetworks.Contains(a.Addr().Unmap()):
 			p.to[m.Ordinal] = a
@@ -162,7 +162,7 @@
 		Incarnation: h.GetIncarnation(), State: membership.State(h.GetState())}
 	_, err := netip.ParseAddrPort(m.Address)
 	return m, err == nil && m.Name != "" && len(m.Name) <= 64 && m.Ordinal >= 0 && m.Ordinal < 1<<16 && m.Planned >= 0 &&
-		m.Planned < 1<<16 && m.State >= membership.Alive && m.State <= membership.Left
+		m.Planned < 1<<16 && m.State >= membership.Alive && m.State <= membership.Departed
 }
 
 func messageOf(body []byte) (m membership.Message, ok bool) {
