--- a/internal/engine/peerreports.go
+++ b/internal/engine/peerreports.go
@@ -30,7 +30,7 @@
 		return
 	}
 	c.nextPeerReportAt = c.now + peerReportInterval
-	all := c.fleet.Reports()
+	all := c.fleet.ReportsForPeers()
 	slices.SortStableFunc(all, drainedFirst)
 	drained := slices.IndexFunc(all, func(report endpointstate.Report) bool { return report.Serving })
 	if drained < 0 {
