--- a/internal/simulatorwire/simulatorwire_test.go
+++ b/internal/simulatorwire/simulatorwire_test.go
@@ -37,7 +37,7 @@
 		{"kind":"view","form":"INCREMENTAL","buffer":0,"index":3},{"kind":"client_gone","rid":11}`) +
 	batch(70000, `{"kind":"crash_now"},{"kind":"enlist","seed":8,"profile_data":`+profile+`}`)
 
-// Example is a short exchange with its kept answers.
+// A short exchange with its recorded answers: the wire must stay as it is.
 func Example() {
 	if err := Serve(strings.NewReader(exchange), os.Stdout); err != nil {
 		fmt.Println(err)
@@ -55,29 +55,32 @@
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":1000000,"cookie":"1"},{"kind":"remind","after_us":12500,"cookie":"2"}]}]}
 }
 
+// A simulator of another version sends what this one doesn't know. The adapter must end with an error that names the place,
+// instead of running on with a guess.
 func TestBadInput(t *testing.T) {
 	start := batch(2000, `{"kind":"enlist","seed":7,"profile_data":`+profile+`}`)
-	for in, says := range map[string]string{
+	for in, want := range map[string]string{
 		"nonsense\n":                         "batch 1 is not JSON",
 		"[]\n":                               "batch 1: not an object",
 		`{"ts_us":1}` + "\n":                 "no parts",
 		`{"parts":[]}` + "\n":                "no ts_us",
 		batch(1, `{"kind":"knock"}`):         "knock before enlist",
 		batch(1, `{"seed":1}`):               "no kind",
-		start + batch(1, `{"kind":"dance"}`): "batch 2: host 1, event 0: dance: unknown event",
+		start + batch(1, `{"kind":"dance"}`): "batch 2: gateway 1, event 0: dance: unknown event",
 		start + batch(1, `{"kind":"view","form":"FULL","buffer":3}`):           "unknown list number 3",
 		start + batch(1, `{"kind":"timeout_fired","cookie":"x"}`):              `unknown timer "x"`,
-		start + batch(1, `{"kind":"reply","rid":1,"n":0,"brick":"a"}`):         `unknown brick "a"`,
+		start + batch(1, `{"kind":"reply","rid":1,"n":0,"brick":"a"}`):         `unknown endpoint "a"`,
 		start + batch(1, `{"kind":"from_peer","sender":1,"data":"!"}`):         "not base64",
 		strings.Replace(start, `"repeatable"`, `"sometimes"`, 1):               "unknown semantics",
 		start + batch(1, `{"kind":"knock","rid":1,"cls":"read","group_no":0}`): "no give_up_at_us",
 	} {
-		if err := Serve(strings.NewReader(in), io.Discard); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: %v, wanted %q", in, err, says)
+		if err := Serve(strings.NewReader(in), io.Discard); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, wanted %q", in, err, want)
 		}
 	}
 }
 
+// Any input, also noise, must give the same answers each time, and no panic.
 func FuzzServe(f *testing.F) {
 	f.Add([]byte(exchange))
 	for _, l := range strings.SplitAfter(exchange, "\n") {
