--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -88,13 +88,13 @@
 }
 
 // checkOverlap counts an attempt that begins while another of its request is in flight and settings forbid that.
-func (c *Core) checkOverlap(begun *attempt) {
-	if !c.hedgingDisabled || !slices.ContainsFunc(begun.owner.inFlight, func(a *attempt) bool { return a != begun && !a.ended }) {
+func (c *Core) checkOverlap(sent *attempt) {
+	if !c.hedgingDisabled || !slices.ContainsFunc(sent.owner.inFlight, func(a *attempt) bool { return a != sent && !a.ended }) {
 		return
 	}
 	c.counts.Overlapping++
 	if c.OnOverlap != nil {
-		c.OnOverlap(begun.owner.request.Trace)
+		c.OnOverlap(sent.owner.request.Trace)
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	c.scheduler.AttemptEnded(a.Attempt, policy.AttemptResult{Outcome: report.Outcome, Duration: report.SeenAt - a.sentAt, RequestOver: open.done,
 		Load: report.Load})
-	c.releaseIfOver(open)
+	c.releaseIfDone(open)
 	c.endpointAttemptEnded(a.target, report.Outcome)
 }
 
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -134,7 +134,7 @@
 	}
 	if err := c.scheduler.RequestReceived(&open.Request, arrival); err != nil {
 		c.respond(open, Response{Result: Failed, Reason: err.Error()})
-		c.releaseIfOver(open)
+		c.releaseIfDone(open)
 	}
 	c.runDeferred()
 }
@@ -215,7 +215,7 @@
 	c.recordResult(open, ClientDisconnected)
 	c.countResult(ClientDisconnected)
 	c.scheduler.ClientDisconnected(&open.Request)
-	c.releaseIfOver(open)
+	c.releaseIfDone(open)
 	c.runDeferred()
 }
 
@@ -240,8 +240,8 @@
 	open.request.Body = nil
 }
 
-// releaseIfOver forgets a request that has its result and no attempt in flight, and passes its record to the observer.
-func (c *Core) releaseIfOver(open *openRequest) {
+// releaseIfDone forgets a request that has its result and no attempt in flight, and passes its record to the observer.
+func (c *Core) releaseIfDone(open *openRequest) {
 	if !open.done || len(open.inFlight) > 0 {
 		return
 	}
--- a/internal/engine/runtime.go
+++ b/internal/engine/runtime.go
@@ -56,7 +56,7 @@
 	c := r.core()
 	if open := c.requests[request.ID]; open != nil {
 		c.respond(open, response)
-		c.releaseIfOver(open)
+		c.releaseIfDone(open)
 	}
 }
 
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -49,12 +49,21 @@
 // timerHeap is a container/heap of timers, the earliest first.
 type timerHeap []timer
 
+// Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].seq < h[j].seq
 }
+
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(t any)   { *h = append(*h, t.(timer)) }
+
+// Push implements heap.Interface.
+func (h *timerHeap) Push(t any) { *h = append(*h, t.(timer)) }
+
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	timers := *h
 	last := timers[len(timers)-1]
