--- a/internal/fake/direct/direct.go
+++ b/internal/fake/direct/direct.go
@@ -1,5 +1,6 @@
-// Package direct is the baseline that drills compare with: a host that sends every command at once to a brick that
-// holds its data, within an even part of each limit, and tells the client whatever came of it.
+// Package direct is the baseline that scenarios compare the scheduler with: it sends each request at once to a random
+// endpoint of its shard, within this gateway's even part of the volume's limit, and passes on whatever comes of it. It
+// doesn't queue, retry, check health or slow down.
 package direct
 
 import (
@@ -10,123 +11,159 @@
 	"weirhaven/policy"
 )
 
-type decider struct {
-	host   policy.Runtime
-	rng    *rand.Rand
-	bricks []*entry
-	out    map[*policy.Request]*policy.Attempt
-	early  time.Duration
-	plans  map[string]policy.ServicePlan
-	stores map[*policy.Volume]*store
+// listRetryInterval is the wait before the endpoint list is asked for again.
+const listRetryInterval = time.Second
+
+// scheduler is an engine.Scheduler.
+type scheduler struct {
+	runtime        policy.Runtime
+	rng            *rand.Rand
+	plans          map[string]policy.ServicePlan
+	deadlineMargin time.Duration // a request fails so long before its deadline, so that the response is in time
+	endpoints      []*endpoint
+	inFlight       map[*policy.Request]*policy.Attempt
+	buckets        map[*policy.Volume]*tokenBucket
 }
 
-type store struct {
-	level float64
-	at    time.Duration
+type endpoint struct {
+	endpoint *policy.Endpoint
+	shard    int
+	serving  bool
 }
 
-type entry struct {
-	brick *policy.Endpoint
-	cell  int
-	up    bool
+// tokenBucket is this gateway's even part of a volume's limit.
+type tokenBucket struct {
+	level     float64 // units
+	updatedAt time.Duration
 }
 
-// Start makes one in place of the module.
-func Start(h policy.Runtime, s policy.Settings) engine.Scheduler {
+// Start returns the baseline in place of a *policy.Scheduler.
+func Start(runtime policy.Runtime, settings policy.Settings) engine.Scheduler {
 	plans := map[string]policy.ServicePlan{}
-	for _, p := range s.Plans {
-		plans[p.Name] = p
+	for _, plan := range settings.Plans {
+		plans[plan.Name] = plan
+	}
+	if settings.PollEndpointList {
+		runtime.After(0, runtime.RequestEndpointList)
 	}
-	if s.PollEndpointList {
-		h.After(0, func() { h.RequestEndpointList() })
+	return &scheduler{
+		runtime:        runtime,
+		rng:            rand.New(rand.NewSource(settings.Seed)),
+		plans:          plans,
+		deadlineMargin: 2 * settings.TimerResolution,
+		inFlight:       map[*policy.Request]*policy.Attempt{},
+		buckets:        map[*policy.Volume]*tokenBucket{},
 	}
-	return &decider{host: h, rng: rand.New(rand.NewSource(s.Seed)), out: map[*policy.Request]*policy.Attempt{},
-		early: 2 * s.TimerResolution, plans: plans, stores: map[*policy.Volume]*store{}}
 }
 
-// passes takes a command's units from this host's even part of its volume's limit.
-func (d *decider) passes(v *policy.Volume, p policy.ServicePlan, hosts, units float64) bool {
-	if p.Limit == 0 {
+// takeTokens takes a request's units from this gateway's part of its volume's limit; it reports whether they were there.
+func (s *scheduler) takeTokens(volume *policy.Volume, plan policy.ServicePlan, gateways, units float64) bool {
+	if plan.Limit == 0 {
 		return true
 	}
-	now := d.host.Now()
-	s := d.stores[v]
-	if s == nil {
-		s = &store{p.InitialBurst / hosts, now}
-		d.stores[v] = s
+	now := s.runtime.Now()
+	bucket := s.buckets[volume]
+	if bucket == nil {
+		bucket = &tokenBucket{level: plan.InitialBurst / gateways, updatedAt: now}
+		s.buckets[volume] = bucket
 	}
-	s.level, s.at = min(s.level+p.Limit/hosts*(now-s.at).Seconds(), p.Burst/hosts), now
-	if s.level < units {
+	refill := plan.Limit / gateways * (now - bucket.updatedAt).Seconds()
+	bucket.level, bucket.updatedAt = min(bucket.level+refill, plan.Burst/gateways), now
+	if bucket.level < units {
 		return false
 	}
-	s.level -= units
+	bucket.level -= units
 	return true
 }
 
-func (d *decider) BeginEndpointList(whole bool) {
+// BeginEndpointList implements engine.Scheduler.
+func (s *scheduler) BeginEndpointList(whole bool) {
 	if whole {
-		d.bricks = nil
+		s.endpoints = nil
 	}
 }
 
-func (d *decider) UpdateEndpoint(b *policy.Endpoint, update policy.EndpointUpdate) {
-	up := update.Serving && !update.Removed
-	for _, e := range d.bricks {
-		if e.brick == b {
-			e.up = up
+// UpdateEndpoint implements engine.Scheduler.
+func (s *scheduler) UpdateEndpoint(updated *policy.Endpoint, update policy.EndpointUpdate) {
+	serving := update.Serving && !update.Removed
+	for _, known := range s.endpoints {
+		if known.endpoint == updated {
+			known.serving = serving
 			return
 		}
 	}
-	d.bricks = append(d.bricks, &entry{b, update.Shard, up})
+	s.endpoints = append(s.endpoints, &endpoint{endpoint: updated, shard: update.Shard, serving: serving})
 }
 
-func (d *decider) EndEndpointList() {}
-func (d *decider) EndpointListFailed() {
-	d.host.After(time.Second, func() { d.host.RequestEndpointList() })
+// EndEndpointList implements engine.Scheduler.
+func (s *scheduler) EndEndpointList() {}
+
+// EndpointListFailed implements engine.Scheduler.
+func (s *scheduler) EndpointListFailed() {
+	s.runtime.After(listRetryInterval, s.runtime.RequestEndpointList)
 }
 
-func (d *decider) RequestReceived(c *policy.Request, arrival policy.RequestArrival) error {
-	var at []*policy.Endpoint
-	for _, e := range d.bricks {
-		if e.up && (arrival.Shard < 0 || e.cell == arrival.Shard) {
-			at = append(at, e.brick)
-		}
-	}
-	if len(at) == 0 || !d.passes(c.Volume, d.plans[arrival.Plan], float64(arrival.Gateways), arrival.Units) {
-		d.host.Reject(c, 0)
+// RequestReceived implements engine.Scheduler.
+func (s *scheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
+	candidates := s.candidates(arrival.Shard)
+	if len(candidates) == 0 || !s.takeTokens(request.Volume, s.plans[arrival.Plan], float64(arrival.Gateways), arrival.Units) {
+		s.runtime.Reject(request, 0)
 		return nil
 	}
-	x := &policy.Attempt{Request: c, Endpoint: at[d.rng.Intn(len(at))]}
-	d.out[c] = x
-	d.host.After(arrival.Deadline-d.early-d.host.Now(), func() {
-		if d.out[c] == x {
-			delete(d.out, c)
-			d.host.Fail(c)
+	attempt := &policy.Attempt{Request: request, Endpoint: candidates[s.rng.Intn(len(candidates))]}
+	s.inFlight[request] = attempt
+	s.runtime.After(arrival.Deadline-s.deadlineMargin-s.runtime.Now(), func() {
+		if s.inFlight[request] == attempt {
+			delete(s.inFlight, request)
+			s.runtime.Fail(request)
 		}
 	})
-	d.host.Send(x)
+	s.runtime.Send(attempt)
 	return nil
 }
 
-func (d *decider) ResponseStarted(*policy.Attempt) {}
+// candidates returns the endpoints that serve a shard; below 0: any shard.
+func (s *scheduler) candidates(shard int) (candidates []*policy.Endpoint) {
+	for _, known := range s.endpoints {
+		if known.serving && (shard < 0 || known.shard == shard) {
+			candidates = append(candidates, known.endpoint)
+		}
+	}
+	return candidates
+}
 
-func (d *decider) AttemptEnded(x *policy.Attempt, result policy.AttemptResult) {
-	c := x.Request
-	if d.out[c] != x {
+// ResponseStarted implements engine.Scheduler.
+func (s *scheduler) ResponseStarted(*policy.Attempt) {}
+
+// AttemptEnded implements engine.Scheduler.
+func (s *scheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+	request := attempt.Request
+	if s.inFlight[request] != attempt {
+		return
+	}
+	delete(s.inFlight, request)
+	if result.RequestOver {
 		return
 	}
-	delete(d.out, c)
-	switch {
-	case result.RequestOver:
-	case result.Outcome == policy.Rejected || result.Outcome == policy.ConnectFailed || result.Outcome == policy.NotSent:
-		d.host.Reject(c, 0)
+	switch result.Outcome {
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent: // never ran: a retry is harmless
+		s.runtime.Reject(request, 0)
 	default:
-		d.host.Fail(c)
+		s.runtime.Fail(request)
 	}
 }
 
-func (d *decider) ClientDisconnected(c *policy.Request)                          { delete(d.out, c) }
-func (d *decider) HealthChecked(*policy.Endpoint, policy.Outcome, time.Duration) {}
-func (d *decider) GossipReceived(int, []byte)                                    {}
-func (d *decider) SetGateways(int, int)                                          {}
-func (d *decider) SetVolumeGateways(*policy.Volume, int)                         {}
+// ClientDisconnected implements engine.Scheduler.
+func (s *scheduler) ClientDisconnected(request *policy.Request) { delete(s.inFlight, request) }
+
+// HealthChecked implements engine.Scheduler.
+func (s *scheduler) HealthChecked(*policy.Endpoint, policy.Outcome, time.Duration) {}
+
+// GossipReceived implements engine.Scheduler.
+func (s *scheduler) GossipReceived(int, []byte) {}
+
+// SetGateways implements engine.Scheduler.
+func (s *scheduler) SetGateways(int, int) {}
+
+// SetVolumeGateways implements engine.Scheduler.
+func (s *scheduler) SetVolumeGateways(*policy.Volume, int) {}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,4 +1,5 @@
-// Package lifecycle is how long a program lives: until it is told to stop, or until whoever started it is gone.
+// Package lifecycle decides how long a program runs: until a signal stops it, or until the process that started it is
+// gone.
 package lifecycle
 
 import (
@@ -9,16 +10,18 @@
 	"syscall"
 )
 
-// Context ends at SIGTERM or SIGINT; bound: also when standard input does, so that no process is left over by whoever started it.
-func Context(bound bool) (context.Context, context.CancelFunc) {
-	told, unhook := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	if !bound {
-		return told, unhook
+// Context returns a context that is done at SIGTERM or SIGINT; with untilStdinEnds also once standard input ends, so that
+// no process outlives the one that holds the other end of its standard input. The caller must call the function returned
+// when it needs the context no more; signals have their usual effect again then. Further calls of it do nothing.
+func Context(untilStdinEnds bool) (context.Context, context.CancelFunc) {
+	signaled, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	if !untilStdinEnds {
+		return signaled, stopSignals
 	}
-	ctx, abandon := context.WithCancel(told)
-	go func() { // ends with the process
-		io.Copy(io.Discard, os.Stdin)
-		abandon()
+	ctx, cancel := context.WithCancel(signaled)
+	go func() { // ends with standard input, at the latest with the process: a read of it can't be interrupted
+		_, _ = io.Copy(io.Discard, os.Stdin) // an error is an end, too
+		cancel()
 	}()
-	return ctx, func() { abandon(); unhook() }
+	return ctx, func() { cancel(); stopSignals() }
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes a process's log without ever waiting for whoever reads it. A reader that stalls costs log lines, one
-// that ends costs all further ones; neither holds up or ends the process.
+// Package logging writes a process's log without ever blocking on its reader. A reader that stalls costs log lines, one
+// that ends costs all further ones; neither blocks or ends the process.
 package logging
 
 import (
@@ -14,67 +14,70 @@
 )
 
 const (
-	// queued is how many lines wait for the reader at most; one more is dropped.
-	queued = 512
-	// flushTimeout is how long Close waits for lines that are queued.
+	// queueLength bounds the lines that wait for the reader; one more is dropped.
+	queueLength = 512
+	// flushTimeout bounds how long Close waits until queued lines are written.
 	flushTimeout = 200 * time.Millisecond
 )
 
 // Writer queues what is written to it. It is safe for concurrent use.
 type Writer struct {
-	lines   chan []byte
+	lines   chan []byte // nil ends run
 	dropped atomic.Int64
 	close   sync.Once
-	done    chan struct{}
+	done    chan struct{} // closed when run has returned
 }
 
-// New returns a Writer in front of w, which one goroutine writes to until Close.
-func New(w io.Writer) *Writer {
-	l := &Writer{lines: make(chan []byte, queued), done: make(chan struct{})}
-	go l.run(w)
-	return l
+// New returns a Writer in front of target. One goroutine writes to target until Close; if target blocks, that goroutine
+// ends with the process.
+func New(target io.Writer) *Writer {
+	w := &Writer{lines: make(chan []byte, queueLength), done: make(chan struct{})}
+	go w.run(target)
+	return w
 }
 
-// Stderr returns a Writer in front of standard error. A broken pipe there does not end the process any more.
+// Stderr returns a Writer in front of standard error. From then on a broken pipe there, the sign that the log's reader has
+// ended, doesn't end the process: SIGPIPE is ignored.
 func Stderr() *Writer {
 	signal.Ignore(syscall.SIGPIPE)
 	return New(os.Stderr)
 }
 
-// Write queues a line, or drops it where too many wait. It never fails and never waits.
-func (l *Writer) Write(line []byte) (int, error) {
+// Write queues a line, or drops it if too many wait. It never fails and never blocks. After Close lines are lost.
+func (w *Writer) Write(line []byte) (int, error) {
 	select {
-	case l.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
-		l.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-func (l *Writer) run(w io.Writer) {
-	defer close(l.done)
-	for line := range l.lines {
+func (w *Writer) run(target io.Writer) {
+	defer close(w.done)
+	for line := range w.lines {
 		if line == nil {
 			return
 		}
-		w.Write(line)
-		if n := l.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(w, "level=WARN msg=\"log lines were dropped: the log's reader is too slow\" lines=%d\n", n)
+		_, _ = target.Write(line) // there is no other place to report a failure of the log
+		if n := w.dropped.Swap(0); n > 0 {
+			fmt.Fprintf(target, "level=WARN msg=\"log lines were dropped: the log's reader is too slow\" lines=%d\n", n)
 		}
 	}
 }
 
-// Close writes what is queued, and waits for that a moment. Nothing may be written afterwards.
-func (l *Writer) Close() {
-	l.close.Do(func() {
+// Close writes what is queued and ends the Writer's goroutine, but waits no longer than flushTimeout. Further calls do
+// nothing.
+func (w *Writer) Close() {
+	w.close.Do(func() {
 		timeout := time.After(flushTimeout)
 		select {
-		case l.lines <- nil:
+		case w.lines <- nil:
 		case <-timeout:
 			return
 		}
 		select {
-		case <-l.done:
+		case <-w.done:
 		case <-timeout:
 		}
 	})
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,50 +10,54 @@
 	"testing"
 )
 
-// A reader that stalls: writing goes on at once, and when it reads again it learns how many lines it missed.
+// The log's reader stalls, such as a full pipe to a collector that hangs. Writing must go on at once, and once the reader reads
+// again it must learn how many lines were dropped.
 func TestStalledReader(t *testing.T) {
 	reader, writer := io.Pipe()
-	l := New(writer)
-	const lines = queued + 100
+	log := New(writer)
+	const lines = queueLength + 100
 	for i := range lines {
-		fmt.Fprintln(l, "line", i)
+		fmt.Fprintln(log, "line", i)
 	}
-	got := make(chan string)
+	read := make(chan string)
 	go func() {
 		all, _ := io.ReadAll(reader)
-		got <- string(all)
+		read <- string(all)
 	}()
-	l.Close()
+	log.Close()
 	writer.Close()
-	text := <-got
-	if kept := strings.Count(text, "line "); kept < queued || kept >= lines || !strings.Contains(text, "lines were dropped") {
-		t.Errorf("%d lines kept of %d; told: %v", kept, lines, strings.Contains(text, "lines were dropped"))
+	text := <-read
+	noticed := strings.Contains(text, "lines were dropped")
+	if kept := strings.Count(text, "line "); kept < queueLength || kept >= lines || !noticed {
+		t.Errorf("%d lines kept of %d; the drop was noticed: %v", kept, lines, noticed)
 	}
 }
 
-// A reader that has ended: nothing fails.
+// The log's reader has ended, so that writing to its pipe fails. Nothing else may fail, and the process must not end by
+// SIGPIPE.
 func TestBrokenReader(t *testing.T) {
-	l := Stderr()
-	defer l.Close()
+	stderr := Stderr() // for its effect on the process
+	defer stderr.Close()
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	reader.Close()
 	broken := New(writer)
-	fmt.Fprintln(broken, "to nobody")
+	fmt.Fprintln(broken, "a line")
 	broken.Close()
 	if _, err := writer.Write([]byte("x")); err == nil || !strings.Contains(err.Error(), syscall.EPIPE.Error()) {
 		t.Errorf("%v, wanted a broken pipe", err)
 	}
 }
 
+// Lines come out in the order in which they were written, all of them before Close returns.
 func TestOrder(t *testing.T) {
 	var out bytes.Buffer
-	l := New(&out)
-	fmt.Fprint(l, "a")
-	fmt.Fprint(l, "b")
-	l.Close()
+	log := New(&out)
+	fmt.Fprint(log, "a")
+	fmt.Fprint(log, "b")
+	log.Close()
 	if out.String() != "ab" {
 		t.Errorf("%q", out.String())
 	}
