--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,4 +1,5 @@
-// Package record keeps what an observer beside the hosts saw of the sockets: one clock, one order, one file.
+// Package record keeps what an observer beside the gateways saw on the sockets of clients and endpoints during a scenario or
+// a soak: one clock, one order, one file. Package audit judges from it alone; nothing that a gateway says of itself is in it.
 package record
 
 import (
@@ -17,91 +18,100 @@
 	"weirhaven/internal/pb"
 )
 
-// Version of the file's form.
+// Version is that of the file's format. Read takes no other.
 const Version = 1
 
-// File is the record's name in its folder.
+// File is the record's file name in its folder.
 const File = "record.pb"
 
-// Recorder takes what is seen, from any goroutine.
+const (
+	writeBuffer = 1 << 18 // bytes
+	readBuffer  = 1 << 18 // bytes
+)
+
+// Recorder collects what is seen. It is safe for concurrent use.
 type Recorder struct {
 	start time.Time
 	mu    sync.Mutex
 	seen  []*pb.Seen
 }
 
-// New starts the observer's clock.
+// New returns an empty Recorder whose clock starts at 0 now.
 func New() *Recorder { return &Recorder{start: time.Now()} }
 
-// Now is the observer's clock.
+// Now returns the observer's clock: the time since New.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// See notes what was seen just now. A nil Recorder notes nothing.
-func (r *Recorder) See(s *pb.Seen) {
+// See records what was seen just now: it sets At and keeps the message, which the caller must not change afterwards. A nil
+// Recorder records nothing.
+func (r *Recorder) See(seen *pb.Seen) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.At = int64(time.Since(r.start))
-	r.seen = append(r.seen, s)
+	seen.At = int64(time.Since(r.start)) // under the lock, so that the order is that of the times
+	r.seen = append(r.seen, seen)
 }
 
-// All is what was seen so far, in order.
+// All returns what was seen so far, in the order of At.
 func (r *Recorder) All() []*pb.Seen {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.seen)
 }
 
-// Write puts a record into a folder, which is made.
-func Write(dir string, h *pb.Header, seen []*pb.Seen) (err error) {
+// Write writes a record into dir, which is made if need be, in place of one that is there. It sets the header's Version.
+func Write(dir string, header *pb.Header, seen []*pb.Seen) (err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
-	f, err := os.Create(filepath.Join(dir, File))
+	file, err := os.Create(filepath.Join(dir, File))
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
-	defer func() { err = errors.Join(err, f.Close()) }()
-	w := bufio.NewWriterSize(f, 1<<18)
-	h.Version = Version
-	if _, err := protodelim.MarshalTo(w, h); err != nil {
+	defer func() { err = errors.Join(err, file.Close()) }()
+	writer := bufio.NewWriterSize(file, writeBuffer)
+	header.Version = Version
+	if _, err := protodelim.MarshalTo(writer, header); err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
-	for _, s := range seen {
-		if _, err := protodelim.MarshalTo(w, s); err != nil {
+	for _, message := range seen {
+		if _, err := protodelim.MarshalTo(writer, message); err != nil {
 			return fmt.Errorf("record: %w", err)
 		}
 	}
-	return w.Flush()
+	if err := writer.Flush(); err != nil {
+		return fmt.Errorf("record: %w", err)
+	}
+	return nil
 }
 
-// Read reads a record from its folder.
-func Read(dir string) (*pb.Header, []*pb.Seen, error) {
-	name := filepath.Join(dir, File)
-	f, err := os.Open(name)
+// Read reads the record in dir. The error wraps os.ErrNotExist if there is none; a record of another Version is an error, too.
+func Read(dir string) (header *pb.Header, seen []*pb.Seen, err error) {
+	path := filepath.Join(dir, File)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("record: %w", err)
 	}
-	defer f.Close()
-	r := bufio.NewReaderSize(f, 1<<18)
-	h := &pb.Header{}
-	if err := protodelim.UnmarshalFrom(r, h); err != nil {
-		return nil, nil, fmt.Errorf("%s is no record: %w", name, err)
+	defer func() { _ = file.Close() }() // only read
+	reader := bufio.NewReaderSize(file, readBuffer)
+	header = &pb.Header{}
+	if err := protodelim.UnmarshalFrom(reader, header); err != nil {
+		return nil, nil, fmt.Errorf("%s is no record: %w", path, err)
 	}
-	if h.Version != Version {
-		return nil, nil, fmt.Errorf("%s: form %d of a record; this program reads form %d", name, h.Version, Version)
+	if header.Version != Version {
+		return nil, nil, fmt.Errorf("%s: record format %d; this program reads format %d", path, header.Version, Version)
 	}
-	var seen []*pb.Seen
 	for {
-		s := &pb.Seen{}
-		switch err := protodelim.UnmarshalFrom(r, s); {
-		case errors.Is(err, io.EOF):
-			return h, seen, nil
-		case err != nil:
-			return nil, nil, fmt.Errorf("%s breaks off after %d lines: %w", name, len(seen), err)
+		message := &pb.Seen{}
+		err := protodelim.UnmarshalFrom(reader, message)
+		if errors.Is(err, io.EOF) {
+			return header, seen, nil
+		}
+		if err != nil {
+			return nil, nil, fmt.Errorf("%s breaks off after %d messages: %w", path, len(seen), err)
 		}
-		seen = append(seen, s)
+		seen = append(seen, message)
 	}
 }
