--- a/client/client.go
+++ b/client/client.go
@@ -161,7 +161,7 @@
 	if a.StatusCode < 300 {
 		return a, nil
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }() // only read
 	e := &Error{Status: a.StatusCode, Code: http.StatusText(a.StatusCode), MayHaveRun: a.StatusCode >= 500 && a.Header.Get("X-Weirhaven-May-Have-Run") != "no"}
 	var told struct{ Code, Message string }
 	if b, _ := io.ReadAll(io.LimitReader(a.Body, 64<<10)); xml.Unmarshal(b, &told) == nil && told.Code != "" {
@@ -198,7 +198,7 @@
 	if err != nil {
 		return Info{}, err
 	}
-	a.Body.Close()
+	_ = a.Body.Close() // it has no bytes
 	return info(name, a), nil
 }
 
@@ -225,7 +225,7 @@
 func (c *Client) Delete(ctx context.Context, volume, name string) error {
 	a, err := c.do(ctx, &request{method: "DELETE", volume: volume, name: name})
 	if err == nil {
-		a.Body.Close()
+		_ = a.Body.Close() // what it says is done
 	}
 	return err
 }
@@ -256,7 +256,7 @@
 				NextContinuationToken string
 			}
 			err = xml.NewDecoder(a.Body).Decode(&page)
-			a.Body.Close()
+			_ = a.Body.Close()
 			if err != nil {
 				yield(Info{}, fmt.Errorf("the list can't be read: %w", err))
 				return
@@ -322,7 +322,7 @@
 	if err != nil {
 		return "", err
 	}
-	a.Body.Close()
+	_ = a.Body.Close()
 	o.Progress(size)
 	return strings.Trim(a.Header.Get("ETag"), `"`), nil
 }
@@ -343,15 +343,20 @@
 	if err != nil {
 		return "", err
 	}
-	var begun struct{ UploadId string }
+	var begun struct {
+		UploadID string `xml:"UploadId"`
+	}
 	err = xml.NewDecoder(a.Body).Decode(&begun)
-	a.Body.Close()
-	if err != nil || begun.UploadId == "" {
+	_ = a.Body.Close() // only read
+	if err != nil || begun.UploadID == "" {
 		return "", fmt.Errorf("begin of an upload: the answer can't be read: %w", err)
 	}
 	defer func() {
 		if err != nil { // what arrived is given up; where that fails, the host does it when the upload is old
-			c.do(context.WithoutCancel(ctx), &request{method: "DELETE", volume: volume, name: name, query: url.Values{"uploadId": {begun.UploadId}}})
+			aborted, abortErr := c.do(context.WithoutCancel(ctx), &request{method: "DELETE", volume: volume, name: name, query: url.Values{"uploadId": {begun.UploadID}}})
+			if abortErr == nil {
+				_ = aborted.Body.Close() // 204: it has no bytes
+			}
 		}
 	}()
 	type part struct {
@@ -372,12 +377,12 @@
 				return err
 			}
 			q.method, q.volume, q.name = "PUT", volume, name
-			q.query = url.Values{"uploadId": {begun.UploadId}, "partNumber": {strconv.Itoa(i + 1)}}
+			q.query = url.Values{"uploadId": {begun.UploadID}, "partNumber": {strconv.Itoa(i + 1)}}
 			a, err := c.do(gctx, q)
 			if err != nil {
 				return fmt.Errorf("part %d: %w", i+1, err)
 			}
-			a.Body.Close()
+			_ = a.Body.Close()
 			done[i] = part{i + 1, a.Header.Get("ETag")}
 			mu.Lock()
 			sent += n
@@ -400,14 +405,14 @@
 	if err != nil {
 		return "", err
 	}
-	q.method, q.volume, q.name, q.query, q.once, q.header = "POST", volume, name, url.Values{"uploadId": {begun.UploadId}}, true, http.Header{}
+	q.method, q.volume, q.name, q.query, q.once, q.header = "POST", volume, name, url.Values{"uploadId": {begun.UploadID}}, true, http.Header{}
 	if o.OnlyNew {
 		q.header.Set("If-None-Match", "*")
 	}
 	if a, err = c.do(ctx, q); err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }() // only read
 	var ended struct{ ETag string }
 	if err := xml.NewDecoder(a.Body).Decode(&ended); err != nil {
 		return "", fmt.Errorf("end of an upload: the answer can't be read: %w", err)
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -97,11 +97,11 @@
 			}
 			skipping = true
 			torn.Bytes++
-			in.Discard(1)
+			_, _ = in.Discard(1) // peeked: it is there
 			continue
 		}
 		sum := binary.LittleEndian.Uint32(h[12:])
-		in.Discard(blockHead)
+		_, _ = in.Discard(blockHead) // peeked: it is there
 		body := make([]byte, packed)
 		n, err := io.ReadFull(in, body)
 		if err != nil {
--- a/internal/capture/load.go
+++ b/internal/capture/load.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	from := len(l.Lines)
 	head, torn, err := Segment(f, func(c *pb.Captured) error {
 		if n := c.GetLost(); n > 0 {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	defer p.zip.Close()
+	defer func() { _ = p.zip.Close() }() // it holds memory only
 	head := proto.Clone(l.Heads[0]).(*pb.CaptureHead)
 	for _, h := range l.Heads[1:] {
 		if h.Key != head.Key {
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -141,7 +141,7 @@
 	return all
 }
 
-// Start and Stop turn it on and off. What was taken until Stop is on disk once it returns.
+// Start begins a capture.
 func (w *Writer) Start() {
 	w.mu.Lock()
 	w.state.Since = time.Duration(time.Now().UnixNano())
@@ -149,6 +149,7 @@
 	w.on.Store(true)
 }
 
+// Stop ends a capture. What was taken until then is on disk once it returns.
 func (w *Writer) Stop() {
 	w.on.Store(false)
 	flushed := make(chan bool, 1)
@@ -187,10 +188,10 @@
 	}
 }
 
-// On tells whether lines are taken; the loop makes none otherwise.
+// Enabled reports whether requests are captured; the engine records none otherwise.
 func (w *Writer) Enabled() bool { return w.on.Load() }
 
-// Over takes a command that is over.
+// RequestEnded takes a request that is over.
 func (w *Writer) RequestEnded(p *engine.RequestRecord) { w.offer(p) }
 
 // EndpointChanged takes the state of an endpoint. It is kept also while the writer is off: a capture that begins later needs it.
@@ -221,7 +222,7 @@
 			}
 			w.flush()
 			if w.out != nil {
-				w.out.Close()
+				_ = w.out.Close() // it ends: nobody is left to be notified
 			}
 			return
 		}
@@ -266,7 +267,7 @@
 		return 0
 	}
 	w.mac.Reset()
-	io.WriteString(w.mac, object)
+	_, _ = io.WriteString(w.mac, object) // a hash never fails
 	return binary.LittleEndian.Uint64(w.mac.Sum(nil)) | 1
 }
 
@@ -285,7 +286,7 @@
 		return
 	}
 	if lost := w.lost.Load(); lost > w.told {
-		w.pack.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.told)}})
+		_ = w.pack.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.told)}})
 		w.told = lost
 	}
 	lines := int64(w.pack.lines)
@@ -294,7 +295,7 @@
 	if err != nil {
 		w.lost.Add(lines)
 		if w.out != nil {
-			w.out.Close()
+			_ = w.out.Close() // the segment is given up already
 			w.out = nil
 		}
 	} else {
@@ -365,15 +366,15 @@
 	if err != nil {
 		return err
 	}
-	defer p.zip.Close()
-	p.add(w.c.Head)
+	defer func() { _ = p.zip.Close() }() // it holds memory only
+	_ = p.add(w.c.Head) // what can't be encoded is left out, here and below: a capture must not end for it
 	names := make([]string, 0, len(w.marks))
 	for name := range w.marks {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		p.add(w.marks[name])
+		_ = p.add(w.marks[name])
 	}
 	n, err := out.Write(p.block())
 	w.size = int64(n)
--- a/internal/object/api/api.go
+++ b/internal/object/api/api.go
@@ -99,12 +99,12 @@
 }
 
 func (p *paced) Read(b []byte) (int, error) {
-	p.control.SetReadDeadline(time.Now().Add(p.stall))
+	_ = p.control.SetReadDeadline(time.Now().Add(p.stall))
 	return p.body.Read(b)
 }
 
 func (p *paced) Write(b []byte) (int, error) {
-	p.control.SetWriteDeadline(time.Now().Add(p.stall))
+	_ = p.control.SetWriteDeadline(time.Now().Add(p.stall))
 	return p.ResponseWriter.Write(b)
 }
 
@@ -424,7 +424,7 @@
 	}
 	c.w.WriteHeader(f.Status)
 	if c.r.Method != http.MethodHead {
-		c.xml(struct {
+		_ = c.xml(struct { // a client that went away needs no answer
 			XMLName                 xml.Name `xml:"Error"`
 			Code, Message, Resource string
 		}{Code: f.Code, Message: f.Text, Resource: c.r.URL.Path})
@@ -555,10 +555,11 @@
 		return err
 	}
 	return c.answer(struct {
-		XMLName               xml.Name `xml:"InitiateMultipartUploadResult"`
-		Space                 string   `xml:"xmlns,attr"`
-		Bucket, Key, UploadId string
-	}{Space: space, Bucket: c.volume, Key: c.name, UploadId: u.Id})
+		XMLName     xml.Name `xml:"InitiateMultipartUploadResult"`
+		Space       string   `xml:"xmlns,attr"`
+		Bucket, Key string
+		UploadID    string `xml:"UploadId"`
+	}{Space: space, Bucket: c.volume, Key: c.name, UploadID: u.Id})
 }
 
 func (c *call) putPart(id string) error {
@@ -625,15 +626,16 @@
 		Size               int64
 	}
 	out := struct {
-		XMLName               xml.Name `xml:"ListPartsResult"`
-		Space                 string   `xml:"xmlns,attr"`
-		Bucket, Key, UploadId string
-		PartNumberMarker      int
-		NextPartNumberMarker  uint32
-		MaxParts              int
-		IsTruncated           bool
-		Part                  []part
-	}{Space: space, Bucket: c.volume, Key: c.name, UploadId: id, PartNumberMarker: after, MaxParts: most}
+		XMLName              xml.Name `xml:"ListPartsResult"`
+		Space                string   `xml:"xmlns,attr"`
+		Bucket, Key          string
+		UploadID             string `xml:"UploadId"`
+		PartNumberMarker     int
+		NextPartNumberMarker uint32
+		MaxParts             int
+		IsTruncated          bool
+		Part                 []part
+	}{Space: space, Bucket: c.volume, Key: c.name, UploadID: id, PartNumberMarker: after, MaxParts: most}
 	for _, p := range all {
 		if int(p.Number) <= after {
 			continue
@@ -653,7 +655,11 @@
 	if err != nil {
 		return err
 	}
-	type upload struct{ Key, UploadId, Initiated string }
+	type upload struct {
+		Key       string
+		UploadID  string `xml:"UploadId"`
+		Initiated string
+	}
 	out := struct {
 		XMLName xml.Name `xml:"ListMultipartUploadsResult"`
 		Space   string   `xml:"xmlns,attr"`
--- a/internal/object/api/api_test.go
+++ b/internal/object/api/api_test.go
@@ -511,7 +511,7 @@
 		{engine.Response{Result: engine.Failed, MayHaveRun: true}, 500, "InternalError", "", "yes"},
 	} {
 		n := 0
-		w.b.failing(func(task *engine.Request) *engine.Response {
+		w.b.failing(func(*engine.Request) *engine.Response {
 			if n++; n%3 == 0 {
 				return &x.answer
 			}
@@ -611,8 +611,8 @@
 // A read goes on with what it began with, though the object is replaced and swept meanwhile: old or new whole, never mixed.
 func TestReadWhileReplaced(t *testing.T) {
 	w := start(t)
-	old, new := random(20<<10, 1), random(20<<10, 2)
-	w.put(t, "a", old)
+	before, after := random(20<<10, 1), random(20<<10, 2)
+	w.put(t, "a", before)
 	began, goOn := make(chan bool), make(chan bool)
 	n := 0
 	w.b.failing(func(task *engine.Request) *engine.Response {
@@ -635,15 +635,15 @@
 		got <- b
 	}()
 	<-began
-	w.put(t, "a", new)
+	w.put(t, "a", after)
 	if n, _, err := w.g.Sweep(ctx); err != nil || n != 0 {
 		t.Error("what is being read was swept", n, err)
 	}
 	close(goOn)
-	if b := <-got; !bytes.Equal(b, old) {
-		t.Errorf("%d bytes, the old object's: %v", len(b), bytes.Equal(b, old))
+	if b := <-got; !bytes.Equal(b, before) {
+		t.Errorf("%d bytes, the former object's: %v", len(b), bytes.Equal(b, before))
 	}
-	if b, _, err := w.get("a", ""); err != nil || !bytes.Equal(b, new) {
+	if b, _, err := w.get("a", ""); err != nil || !bytes.Equal(b, after) {
 		t.Error(err)
 	}
 	if n, left, err := w.g.Sweep(ctx); err != nil || n != 20 || left != 0 {
--- a/internal/object/decide/http.go
+++ b/internal/object/decide/http.go
@@ -22,10 +22,11 @@
 // Verdict on a request's conditions.
 type Verdict int
 
+// The verdicts.
 const (
 	Proceed Verdict = iota
 	NotModified
-	Failed // 412
+	Failed // a precondition: status 412
 )
 
 // Conditions weighs preconditions in the order of RFC 9110, section 13.2.2. read: GET or HEAD.
@@ -105,8 +106,8 @@
 			return nil, true, false
 		}
 		var r Range
-		switch {
-		case a == "": // the last so many
+		switch a {
+		case "": // the last so many
 			n, err := strconv.ParseInt(b, 10, 64)
 			if err != nil || n < 0 {
 				return nil, true, false
--- a/internal/object/gate/gate.go
+++ b/internal/object/gate/gate.go
@@ -173,7 +173,7 @@
 		}
 	}
 	window := make(chan bool, g.c.Window)
-	buffers := sync.Pool{New: func() any { return make([]byte, g.c.Extent) }}
+	buffers := sync.Pool{New: func() any { b := make([]byte, g.c.Extent); return &b }}
 	few := make([]byte, min(g.c.Extent, 16<<10))
 	digest := md5.New()
 	for ctx.Err() == nil {
@@ -184,8 +184,10 @@
 		}
 		n, err := io.ReadFull(in, few) // a client that is slow holds no more than this
 		buf := few
+		var pooled *[]byte // buf, if it came from buffers
 		if err == nil && g.c.Extent > int64(len(few)) {
-			buf = buffers.Get().([]byte)
+			pooled = buffers.Get().(*[]byte)
+			buf = *pooled
 			copy(buf, few)
 			var more int
 			more, err = io.ReadFull(in, buf[n:])
@@ -207,8 +209,8 @@
 				defer wg.Done()
 				defer func() { <-window }()
 				e, tried, f := g.extent(ctx, volume, cells, buf[:n])
-				if int64(cap(buf)) == g.c.Extent {
-					buffers.Put(buf[:cap(buf)])
+				if pooled != nil {
+					buffers.Put(pooled)
 				}
 				mu.Lock()
 				all = append(all, tried...)
--- a/internal/object/gate/gate_test.go
+++ b/internal/object/gate/gate_test.go
@@ -40,8 +40,8 @@
 	return true
 }
 
-func (m *memory) Gone(*engine.Request)                 {}
-func (m *memory) Cells(volume string) ([]uint32, bool) { return []uint32{0}, true }
+func (m *memory) Gone(*engine.Request)          {}
+func (m *memory) Cells(string) ([]uint32, bool) { return []uint32{0}, true }
 
 // clock is moved by the test.
 type clock struct {
--- a/internal/object/index/index.go
+++ b/internal/object/index/index.go
@@ -48,7 +48,7 @@
 		return nil
 	})
 	if err != nil {
-		db.Close()
+		_ = db.Close() // nothing was written
 		return nil, fmt.Errorf("index %s: %w", file, err)
 	}
 	return &Index{db}, nil
@@ -390,7 +390,7 @@
 // Uploads are those open, of a volume or of all (empty), by name.
 func (x *Index) Uploads(volume string) (all []*pb.UploadRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(uploads).ForEach(func(k, v []byte) error {
+		return tx.Bucket(uploads).ForEach(func(_, v []byte) error {
 			u := &pb.UploadRecord{}
 			if err := proto.Unmarshal(v, u); err != nil {
 				return err
@@ -434,7 +434,7 @@
 func (x *Index) Sweepable(age, now, reader time.Duration, most int) (remove []*pb.LooseRecord, all int, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		var found []*pb.LooseRecord
-		err := tx.Bucket(loose).ForEach(func(k, v []byte) error {
+		err := tx.Bucket(loose).ForEach(func(_, v []byte) error {
 			l := &pb.LooseRecord{}
 			if err := proto.Unmarshal(v, l); err != nil {
 				return err
--- a/internal/object/index/index_test.go
+++ b/internal/object/index/index_test.go
@@ -102,7 +102,7 @@
 	}
 	n := 0
 	x.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(held).ForEach(func(k, v []byte) error {
+		return tx.Bucket(held).ForEach(func(k, _ []byte) error {
 			n++
 			if !use[string(k)] {
 				t.Fatalf("%s is held by nothing: it would leak", k)
