--- a/internal/httpgateway/upstream/dial.go
+++ b/internal/httpgateway/upstream/dial.go
@@ -11,16 +11,18 @@
 	"weirhaven/policy"
 )
 
-// After a dial that failed on this machine another follows after redialFirst, then after twice as long, at most redialMost.
+// A dial that fails on this machine is repeated after minRedialInterval, then after twice as long each time, up to
+// maxRedialInterval.
 const (
-	redialFirst = 5 * time.Millisecond
-	redialMost  = 50 * time.Millisecond
-	// localFailureMost is how long failures of this machine may last before they count as the server's: it may be cut off.
-	localFailureMost = time.Second
+	minRedialInterval = 5 * time.Millisecond
+	maxRedialInterval = 50 * time.Millisecond
+	// maxLocalFailure is how long dials may fail on this machine before that counts as the endpoint's failure: the endpoint
+	// may be cut off from here.
+	maxLocalFailure = time.Second
 )
 
-// localErrors are those of a system call that say nothing of the server: this machine or process was short of something
-// for a moment.
+// localErrors are errors of system calls that tell nothing about the endpoint: this machine or process was short of
+// something for a moment.
 var localErrors = []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EMFILE,
 	syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EPERM, syscall.EACCES, syscall.EINTR, syscall.ECONNABORTED}
 
@@ -33,46 +35,46 @@
 	return false
 }
 
-// connect opens the connection. A failure of this machine is not the server's: it is tried again within the time that an
-// attempt waits for its connection.
+// connect dials the endpoint. If the dial fails on this machine, a healthy endpoint would look down and its shard would lose
+// capacity; so such a dial is repeated within the time that an attempt waits for its connection. Nothing was sent yet.
 func (c *conn) connect(ctx context.Context) (net.Conn, error) {
 	p := c.endpoint.pool
-	for wait := redialFirst; ; wait = min(2*wait, redialMost) {
+	for interval := minRedialInterval; ; interval = min(2*interval, maxRedialInterval) {
 		nc, err := p.options.Dial(ctx, c.endpoint.address)
 		if err == nil || !isLocal(err) {
-			c.endpoint.localFailure(false)
+			c.endpoint.recordLocalFailure(false)
 			return nc, err
 		}
-		c.endpoint.localFailure(true)
-		var number syscall.Errno
-		errors.As(err, &number)
-		p.options.Recorder.Count(metrics.Redial, metrics.ErrnoReason(number))
+		c.endpoint.recordLocalFailure(true)
+		var errno syscall.Errno
+		errors.As(err, &errno)
+		p.options.Recorder.Count(metrics.Redial, metrics.ErrnoReason(errno))
 		if time.Since(c.dialStartedAt) >= p.options.ConnectTimeout {
 			return nil, err
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(interval):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// localFailure notes whether the last dial failed on this machine.
-func (l *endpoint) localFailure(failed bool) {
-	l.pool.mu.Lock()
-	defer l.pool.mu.Unlock()
+// recordLocalFailure notes whether the last dial failed on this machine.
+func (e *endpoint) recordLocalFailure(failed bool) {
+	e.pool.mu.Lock()
+	defer e.pool.mu.Unlock()
 	switch {
 	case !failed:
-		l.localFailureSince = time.Time{}
-	case l.localFailureSince.IsZero():
-		l.localFailureSince = time.Now()
+		e.localFailureSince = time.Time{}
+	case e.localFailureSince.IsZero():
+		e.localFailureSince = time.Now()
 	}
 }
 
-// unconnected is the outcome of an attempt that got no connection. The caller holds mu.
-func (l *endpoint) unconnected() policy.Outcome {
-	if !l.localFailureSince.IsZero() && time.Since(l.localFailureSince) < localFailureMost {
+// unconnectedOutcome is the outcome of an attempt that got no connection. The caller holds mu.
+func (e *endpoint) unconnectedOutcome() policy.Outcome {
+	if !e.localFailureSince.IsZero() && time.Since(e.localFailureSince) < maxLocalFailure {
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
--- a/internal/httpgateway/upstream/idle/idle.go
+++ b/internal/httpgateway/upstream/idle/idle.go
@@ -1,8 +1,9 @@
-// Package idle learns how long a connection may lie idle before what is written to it comes to nothing. Machines on the way
-// close such connections without a word, sooner than they say. It has no clock and no I/O.
+// Package idle learns how long a connection may be idle before an attempt that is sent on it is lost. Machines on the way to
+// an endpoint drop idle connections without a word, and sooner than they say; the next attempt then breaks, though the
+// endpoint is healthy.
 //
-// It compares how often the next use of a connection broke, by how long it had lain, with how often the first use of a new one
-// did: what breaks at any age says nothing of lying idle.
+// It compares how often connections broke at a reuse, by how long they had been idle, with how often new ones broke at their
+// first use: what breaks at any age says nothing about being idle. It has no clock and no I/O.
 package idle
 
 import (
@@ -12,81 +13,102 @@
 )
 
 const (
-	shortest = time.Millisecond // of the first step; each is twice as long as the one before
-	steps    = 20
-	// A dispatch that breaks costs its work and more; a new connection costs the brick a handshake, some twentieth of that.
-	worth = 0.05
-	// So many deviations from what breaks at any age are taken for chance; a step once given up stays so without them,
-	// until no more than so many uses are known of it.
-	chance, known = 2.5, 3
-	// What is known counts half after so long, so that a step given up is tried again.
+	firstBucket = time.Millisecond // the first bucket holds idle times below that; each next one reaches twice as far
+	bucketCount = 20
+	// reconnectCost is the share of broken reuses that is worth bearing: a new connection costs the endpoint a handshake, some
+	// twentieth of the work of an attempt that breaks.
+	reconnectCost = 0.05
+	// significance is the number of standard deviations beyond the base rate that still counts as chance.
+	significance = 2.5
+	// A bucket that was ruled out stays so without significance until at most minSamples uses of it are known.
+	minSamples = 3
+	// halfLife is the time after which samples count half, so that a bucket which was ruled out is tried again.
 	halfLife = 20 * time.Second
+	// decaySteps is the number of steps in which a half-life is applied, and decayPerStep the factor of each.
+	decaySteps   = 4
+	decayPerStep = 0.8409
+	// maxCatchUp is the longest time without samples for which decay is still applied step by step.
+	maxCatchUp = 8 * halfLife
 )
 
-type tally struct{ held, broke float64 }
+// samples are uses of connections by how they ended, decayed.
+type samples struct{ survived, broken float64 }
 
-// beyond tells whether more broke than base and what is worth it can explain.
-func (t tally) beyond(base tally, given bool) bool {
-	n := t.held + t.broke
-	p := min((base.broke+1)/(base.held+base.broke+10)+worth, 1)
-	if given {
-		return n > known && t.broke > p*n
+func (s *samples) decay() { s.survived, s.broken = s.survived*decayPerStep, s.broken*decayPerStep }
+
+func (s *samples) add(broken bool) {
+	if broken {
+		s.broken++
+	} else {
+		s.survived++
+	}
+}
+
+// exceeds reports whether more broke than the base rate, reconnectCost and chance explain. ruledOut: it did so far.
+func (s samples) exceeds(base samples, ruledOut bool) bool {
+	n := s.survived + s.broken
+	p := min((base.broken+1)/(base.survived+base.broken+10)+reconnectCost, 1)
+	if ruledOut {
+		return n > minSamples && s.broken > p*n
 	}
-	return t.broke > p*n+chance*math.Sqrt(n*p*(1-p))+1
+	return s.broken > p*n+significance*math.Sqrt(n*p*(1-p))+1
 }
 
-// Life is what was learnt. It is not safe for concurrent use.
+// Limit is the learnt bound on how long a connection may be idle. It is not safe for concurrent use.
 type Limit struct {
-	first tally
-	next  [steps]tally
-	at    time.Duration
-	most  time.Duration
-	bound time.Duration
+	firstUses samples
+	reuses    [bucketCount]samples // by how long the connection had been idle
+	decayedAt time.Duration
+	limit     time.Duration
+	maximum   time.Duration
 }
 
-// New begins with the time after which connections are to be closed in any case.
-func New(bound time.Duration) *Limit { return &Limit{most: bound, bound: bound} }
+// New returns a Limit that begins at maximum and never exceeds it.
+func New(maximum time.Duration) *Limit { return &Limit{limit: maximum, maximum: maximum} }
 
-// Most is how long a connection may lie idle and still be used.
-func (l *Limit) Duration() time.Duration { return l.most }
+// Duration is how long a connection may be idle and still be used.
+func (l *Limit) Duration() time.Duration { return l.limit }
 
-// First tells how the first use of a connection ended.
-func (l *Limit) RecordFirstUse(broke bool, now time.Duration) { l.count(&l.first, broke, now) }
+// RecordFirstUse records how the first use of a new connection ended. now is any monotonic clock, the same at each call.
+func (l *Limit) RecordFirstUse(broken bool, now time.Duration) {
+	l.decay(now)
+	l.firstUses.add(broken)
+}
 
-// Next tells how a later use ended, after the connection had lain idle for so long. It tells whether Most has moved.
-func (l *Limit) RecordReuse(idle time.Duration, broke bool, now time.Duration) bool {
-	l.count(&l.next[step(idle)], broke, now)
-	was := l.most
-	l.most = l.bound
-	base := l.first
-	for i, t := range l.next {
-		if t.beyond(base, shortest<<i/2 >= was) {
-			l.most = min(shortest<<i/2, l.bound)
+// RecordReuse records how a use ended before which the connection had been idle for so long. It reports whether Duration has
+// changed.
+func (l *Limit) RecordReuse(idle time.Duration, broken bool, now time.Duration) bool {
+	l.decay(now)
+	l.reuses[bucket(idle)].add(broken)
+	before := l.limit
+	l.limit = l.maximum
+	base := l.firstUses
+	for i, s := range l.reuses {
+		if start := firstBucket << i / 2; s.exceeds(base, start >= before) {
+			l.limit = min(start, l.maximum)
 			break
 		}
-		base.held, base.broke = base.held+t.held, base.broke+t.broke
+		base.survived, base.broken = base.survived+s.survived, base.broken+s.broken
 	}
-	return l.most != was
+	return l.limit != before
 }
 
-func (l *Limit) count(t *tally, broke bool, now time.Duration) {
-	for ; now-l.at >= halfLife/4; l.at += halfLife / 4 {
-		if l.at == 0 || now-l.at > 8*halfLife {
-			l.at = now
-			break
+// decay lets what was recorded so far fade.
+func (l *Limit) decay(now time.Duration) {
+	const step = halfLife / decaySteps
+	for ; now-l.decayedAt >= step; l.decayedAt += step {
+		if l.decayedAt == 0 || now-l.decayedAt > maxCatchUp {
+			l.decayedAt = now
+			return
 		}
-		const keeps = 0.8409 // four times make a half
-		l.first.held, l.first.broke = l.first.held*keeps, l.first.broke*keeps
-		for i := range l.next {
-			l.next[i].held, l.next[i].broke = l.next[i].held*keeps, l.next[i].broke*keeps
+		l.firstUses.decay()
+		for i := range l.reuses {
+			l.reuses[i].decay()
 		}
 	}
-	if broke {
-		t.broke++
-	} else {
-		t.held++
-	}
 }
 
-// step is the i for which idle is below shortest<<i and not below half of that.
-func step(idle time.Duration) int { return min(bits.Len64(uint64(max(idle, 0)/shortest)), steps-1) }
+// bucket is the i for which idle is below firstBucket<<i and not below half of that.
+func bucket(idle time.Duration) int {
+	return min(bits.Len64(uint64(max(idle, 0)/firstBucket)), bucketCount-1)
+}
--- a/internal/httpgateway/upstream/quarantine/quarantine.go
+++ b/internal/httpgateway/upstream/quarantine/quarantine.go
@@ -1,38 +1,42 @@
-// Package outcome learns how long a connection must rest after an answer before the next dispatch goes on it. A brick may
-// send an answer twice, the second copy a little later; answers carry no name, so the copy would be taken for the answer
-// to what was written meanwhile. It has no clock and no I/O.
+// Package quarantine learns how long a connection must rest after a response before the next attempt goes on it. An endpoint
+// may send a response twice, the duplicate a little later; responses carry no id, so a duplicate that comes after the next
+// attempt was sent would be taken for the response to that attempt, and a client would get the data of another request.
+// A connection on which a duplicate comes during its rest is closed instead. The package has no clock and no I/O.
 package quarantine
 
 import "time"
 
 const (
-	least    = 10 * time.Millisecond  // before any copy was seen: one that comes with its answer is seen at once
-	longest  = 250 * time.Millisecond // a later one says more of the brick than of its answer
-	shown    = 50 * time.Millisecond  // once a later one was seen
-	margin   = 4                      // copies later than the latest seen come too
-	halfLife = 20 * time.Second
+	minDelay = 10 * time.Millisecond  // before any duplicate was seen; one that comes with its response is seen at once
+	maxDelay = 250 * time.Millisecond // a duplicate that is later tells more about the endpoint than about its response
+	// minDelayAfterDuplicate is the shortest delay once a duplicate was seen that came later than its response.
+	minDelayAfterDuplicate = 50 * time.Millisecond
+	margin                 = 4 // duplicates that are later than the latest seen come too
+	halfLife               = 20 * time.Second
 )
 
-// Time is what was learnt. It is not safe for concurrent use.
+// Delay is the learnt rest of a connection. It is not safe for concurrent use.
 type Delay struct {
-	needs time.Duration
-	at    time.Duration // when it was last learnt or halved
+	delay     time.Duration
+	updatedAt time.Duration // when it was last raised or halved
 }
 
-// New knows of no copies.
-func New() *Delay { return &Delay{needs: least} }
+// New returns the shortest Delay: no duplicate was seen.
+func New() *Delay { return &Delay{delay: minDelay} }
 
-// Stray tells that something came so long after an answer that nobody had asked for.
-func (t *Delay) RecordUnsolicited(after, now time.Duration) {
-	if needs := min(max(margin*after, shown), longest); after >= least/margin && needs >= t.Duration(now) {
-		t.needs, t.at = needs, now
+// RecordUnsolicited records that bytes came so long after a response that belong to no attempt. now is any monotonic clock,
+// the same at each call.
+func (d *Delay) RecordUnsolicited(after, now time.Duration) {
+	delay := min(max(margin*after, minDelayAfterDuplicate), maxDelay)
+	if after >= minDelay/margin && delay >= d.Duration(now) {
+		d.delay, d.updatedAt = delay, now
 	}
 }
 
-// Needs is how long a connection must rest now.
-func (t *Delay) Duration(now time.Duration) time.Duration {
-	for ; t.needs > least && now-t.at >= halfLife; t.at += halfLife {
-		t.needs = max(t.needs/2, least)
+// Duration is how long a connection must rest now. It halves with each half-life in which no duplicate is recorded.
+func (d *Delay) Duration(now time.Duration) time.Duration {
+	for ; d.delay > minDelay && now-d.updatedAt >= halfLife; d.updatedAt += halfLife {
+		d.delay = max(d.delay/2, minDelay)
 	}
-	return t.needs
+	return d.delay
 }
--- a/internal/httpgateway/upstream/quarantine/quarantine_test.go
+++ b/internal/httpgateway/upstream/quarantine/quarantine_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A copy that came 40 ms late makes connections rest for longer; one that came at once changes nothing; what was learnt
-// fades, never below the least.
+// A duplicate that came 40 ms after its response makes connections rest for longer; one that came with it changes nothing.
+// What was learnt fades, never below the shortest delay.
 func Example() {
 	const ms = time.Millisecond
-	t, now := New(), time.Hour
-	fmt.Println(t.Duration(now))
-	t.RecordUnsolicited(0, now)
-	fmt.Println(t.Duration(now))
-	t.RecordUnsolicited(40*ms, now)
-	t.RecordUnsolicited(3*ms, now)
-	fmt.Println(t.Duration(now))
-	fmt.Println(t.Duration(now + 19*time.Second))
-	fmt.Println(t.Duration(now + 20*time.Second))
-	fmt.Println(t.Duration(now + time.Hour))
-	t.RecordUnsolicited(time.Minute, now+2*time.Hour)
-	fmt.Println(t.Duration(now + 2*time.Hour))
+	d, now := New(), time.Hour
+	fmt.Println(d.Duration(now))
+	d.RecordUnsolicited(0, now)
+	fmt.Println(d.Duration(now))
+	d.RecordUnsolicited(40*ms, now)
+	d.RecordUnsolicited(3*ms, now)
+	fmt.Println(d.Duration(now))
+	fmt.Println(d.Duration(now + 19*time.Second))
+	fmt.Println(d.Duration(now + 20*time.Second))
+	fmt.Println(d.Duration(now + time.Hour))
+	d.RecordUnsolicited(time.Minute, now+2*time.Hour)
+	fmt.Println(d.Duration(now + 2*time.Hour))
 	// Output:
 	// 10ms
 	// 10ms
--- /dev/null
+++ b/internal/httpgateway/upstream/send.go
@@ -0,0 +1,70 @@
+package upstream
+
+import (
+	"fmt"
+	"time"
+
+	"weirhaven/internal/httpgateway/metrics"
+)
+
+const (
+	// schedulingSlack is how long this process may be suspended between reading its clock and writing; the checks allow for it.
+	schedulingSlack = 150 * time.Millisecond
+	// maxSendAfterEnd is the longest time after its client left, or was answered, within which an attempt may begin.
+	maxSendAfterEnd = 100 * time.Millisecond
+	// writeOverrun is how long past its deadline an attempt's connection may still be in use; the engine cancels it before.
+	writeOverrun = time.Second
+)
+
+// send is the one place where bytes of an attempt leave. An attempt may have waited for its connection while its client
+// left, its request was answered, its deadline passed or its endpoint began to drain; were it sent then, the endpoint would
+// do work that nobody waits for, or run a write that was reported as not run. The guard holds since it reads the state and
+// the clock right before the write, under the lock under which attempts are given up.
+//
+// started is false if not a byte was written; complete is true if all were.
+func (c *conn) send(a *attempt) (started, complete bool, err error) {
+	now := c.endpoint.pool.options.Loop.Now
+	if clientClosed := a.request.ClientClosed; clientClosed != nil && clientClosed() {
+		a.request.End(now())
+	}
+	decidedAt := now()
+	if !c.start(a, decidedAt) {
+		return false, false, nil
+	}
+	_ = c.nc.SetDeadline(time.Now().Add(a.deadline - decidedAt + writeOverrun)) // a broken connection fails the write
+	remaining := a.deadline - now()
+	message := a.encode(remaining)
+	startedAt := now()
+	n, err := c.nc.Write(message)
+	c.checkSend(a, remaining, startedAt)
+	return true, n >= len(message), err
+}
+
+// start decides whether an attempt may be sent now, and marks it as started if so.
+func (c *conn) start(a *attempt, now time.Duration) bool {
+	p := c.endpoint.pool
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	_, ended := a.request.EndedAt()
+	switch {
+	case c.endpoint.inFlight[a.id] != a, c.closed: // canceled
+	case ended, now >= a.deadline, a.sendBefore != 0 && now >= a.sendBefore:
+	default:
+		a.started = true
+	}
+	return a.started
+}
+
+// checkSend counts the invariants that a write violated which began at startedAt and gave its endpoint remaining.
+func (c *conn) checkSend(a *attempt, remaining, startedAt time.Duration) {
+	recorder, request := c.endpoint.pool.options.Recorder, a.request.Trace
+	if endedAt, ended := a.request.EndedAt(); ended && startedAt-endedAt > maxSendAfterEnd {
+		recorder.RecordViolation(metrics.SendInTime, request, fmt.Sprintf("an attempt began %v after its request ended", startedAt-endedAt))
+	}
+	if startedAt-a.deadline > schedulingSlack {
+		recorder.RecordViolation(metrics.SendInTime, request, fmt.Sprintf("an attempt began %v after its deadline", startedAt-a.deadline))
+	}
+	if excess := remaining - (a.deadline - startedAt); excess > schedulingSlack {
+		recorder.RecordViolation(metrics.DeadlinePropagated, request, fmt.Sprintf("the endpoint was given %v more than is left", excess))
+	}
+}
--- /dev/null
+++ b/internal/httpgateway/upstream/send_test.go
@@ -0,0 +1,87 @@
+package upstream
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"weirhaven/internal/clock"
+	"weirhaven/internal/engine"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// reportingLoop is a loop that only notes that an outcome was reported.
+type reportingLoop struct {
+	clock.Clock
+	reported chan bool
+}
+
+func (r *reportingLoop) Post(func(*engine.Core)) bool {
+	r.reported <- true
+	return true
+}
+
+// An attempt waits for its connection. Meanwhile its client disconnects, or has its final response, or a time limit passes;
+// the engine's loop has had no turn to cancel the attempt. Then the connection comes up. Not a byte may be sent: the endpoint
+// would do work that nobody waits for. The attempt is reported all the same.
+func TestSendGuard(t *testing.T) {
+	for name, row := range map[string]struct {
+		sent       bool
+		timeout    time.Duration
+		sendBefore func(now time.Duration) time.Duration
+		change     func(request *engine.Request, now time.Duration)
+	}{
+		"nothing happened":                     {sent: true, timeout: time.Second},
+		"client disconnected, noticed":         {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.End(now) }},
+		"client disconnected, not noticed yet": {timeout: time.Second, change: func(request *engine.Request, _ time.Duration) { request.ClientClosed = func() bool { return true } }},
+		"deadline passed":                      {timeout: 20 * time.Millisecond},
+		"the request's deadline passed":        {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.Deadline = now + time.Millisecond }},
+		"its own time limit passed":            {timeout: time.Second, sendBefore: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer l.Close()
+			mayConnect, received := make(chan bool), make(chan int, 1)
+			go func() {
+				nc, err := l.Accept()
+				if err != nil {
+					return
+				}
+				defer nc.Close()
+				n, _ := io.ReadAtLeast(nc, make([]byte, 100), 1)
+				received <- n
+			}()
+			loop := &reportingLoop{clock.New(), make(chan bool, 1)}
+			p := New(Options{Loop: loop, MaxConnections: 4, ConnectTimeout: 2 * time.Second, IdleTimeout: time.Second, Log: slog.New(slog.DiscardHandler),
+				Dial: func(ctx context.Context, address string) (net.Conn, error) {
+					<-mayConnect
+					return new(net.Dialer).DialContext(ctx, "tcp", address)
+				}})
+			request, now := &engine.Request{Header: []byte("GET / HTTP/1.1\r\n")}, loop.Now()
+			var sendBefore time.Duration
+			if row.sendBefore != nil {
+				sendBefore = row.sendBefore(now)
+			}
+			if row.change != nil {
+				row.change(request, now)
+			}
+			p.Connect("s", l.Addr().String()).Send(1, request, 0, row.timeout, sendBefore)
+			time.Sleep(50 * time.Millisecond)
+			close(mayConnect)
+			if n := <-received; n > 0 != row.sent {
+				t.Errorf("%d bytes reached the endpoint", n)
+			}
+			<-loop.reported
+			p.Close()
+		})
+	}
+}
