--- a/internal/httpgateway/downstream/request.go
+++ b/internal/httpgateway/downstream/request.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"strconv"
 	"strings"
 	"time"
 
@@ -10,95 +9,108 @@
 	"weirhaven/internal/http1"
 )
 
+// Fields of a request on the wire, in canonical form. The platform's names are mapped to this program's here alone.
 const (
-	maxBody  = 64 << 10
-	maxHosts = 10000
-	maxUnits = 1e6
-	maxCell  = 1 << 20
+	fieldClass   = "X-Lane"         // the request class, the same as in the path
+	fieldPlan    = "Tier"           // the service plan
+	fieldTimeout = "X-Remaining-Ms" // what the client has left, in milliseconds
+	fieldID      = "X-Txn"          // the request's id, the same for all attempts
+	fieldRetry   = "X-Resent"       // "1": the client sent the same request before
+	fieldIOInfo  = "Io-Info"        // size and place of the request, see parseIOInfo
 )
 
-func no(status int, what string) error { return &http1.Error{Status: status, Reason: what} }
+const (
+	maxBody     = 64 << 10 // bytes
+	maxIDLength = 64       // bytes
+)
+
+func badRequest(status int, reason string) error { return &http1.Error{Status: status, Reason: reason} }
+
+// parseRequest makes a request of its head, or returns an *http1.Error that says why it can't be one. Nothing of a request
+// that fails here reaches the scheduler.
+func (s *Server) parseRequest(head *http1.Head) (*engine.Request, error) {
+	target, err := s.parseTarget(head)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.checkHead(head, target.class); err != nil {
+		return nil, err
+	}
+	timeoutMs, ok := http1.Whole(head.Get(fieldTimeout))
+	if !ok || timeoutMs > math.MaxInt32 {
+		return nil, badRequest(400, "the time left is no whole number")
+	}
+	info, ok := parseIOInfo(head.Get(fieldIOInfo))
+	if !ok {
+		return nil, badRequest(400, "units, shard or gateways are missing or out of range")
+	}
+	return &engine.Request{Volume: target.volume, Class: target.class, Object: target.object, Trace: head.Get(fieldID),
+		Plan: head.Get(fieldPlan), Timeout: max(time.Duration(timeoutMs)*time.Millisecond, 1), Retry: head.Get(fieldRetry) == "1",
+		Units: info.units, Shard: info.shard, Gateways: info.gateways, Header: forwardedHead(head)}, nil
+}
+
+type target struct{ class, volume, object string }
 
-// task makes a command of a request's head, or says why it can't be one. Nothing of a request that fails here reaches
-// the module.
-func (f *Server) task(h *http1.Head) (*engine.Request, string, error) {
-	path, _, _ := strings.Cut(h.Target, "?")
+// parseTarget reads the path, /class/volume/object; a query is passed on as it is.
+func (s *Server) parseTarget(head *http1.Head) (target, error) {
+	path, _, _ := strings.Cut(head.Target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 {
-		return nil, "", no(404, "no such path")
+		return target{}, badRequest(404, "no such path")
 	}
-	queue, volume, object := parts[1], parts[2], parts[3]
-	q, ok := f.queues[queue]
-	id := h.Get("X-Txn")
-	switch {
+	t := target{class: parts[1], volume: parts[2], object: parts[3]}
+	switch _, ok := s.classes[t.class]; {
 	case !ok:
-		return nil, "", no(404, "unknown queue type")
-	case h.Get("X-Lane") != queue:
-		return nil, "", no(400, "the queue type differs between path and head")
-	case !hex16(volume) || !hex16(object):
-		return nil, "", no(404, "volume or object is not of 16 hexadecimal digits")
-	case q.Writes && h.Method != "PUT" || !q.Writes && h.Method != "GET":
-		return nil, "", no(405, "the method does not fit the queue type")
-	case !f.plans[h.Get("Tier")]:
-		return nil, "", no(400, "unknown plan")
-	case !token(id):
-		return nil, "", no(400, "no id, or one that is none")
-	case h.Method == "GET" && h.Length != 0:
-		return nil, "", no(400, "a read with a body")
-	case h.Method == "PUT" && h.Times("Content-Length")+h.Times("Transfer-Encoding") == 0:
-		return nil, "", no(411, "a write without a length")
-	case h.Length > maxBody:
-		return nil, "", no(413, "body too large")
+		return target{}, badRequest(404, "unknown request class")
+	case head.Get(fieldClass) != t.class:
+		return target{}, badRequest(400, "the request class differs between path and head")
+	case !isHex16(t.volume) || !isHex16(t.object):
+		return target{}, badRequest(404, "volume or object is not of 16 hexadecimal digits")
 	}
-	ms, ok := http1.Whole(h.Get("X-Remaining-Ms"))
-	if !ok || ms > math.MaxInt32 {
-		return nil, "", no(400, "the time left is no whole number")
+	return t, nil
+}
+
+// checkHead checks method, plan, id and length.
+func (s *Server) checkHead(head *http1.Head, class string) error {
+	method := "GET"
+	if s.classes[class].Writes {
+		method = "PUT"
 	}
-	t := &engine.Request{Volume: volume, Class: queue, Object: object, Trace: id, Plan: h.Get("Tier"),
-		Timeout: max(time.Duration(ms)*time.Millisecond, 1), Retry: h.Get("X-Resent") == "1"}
-	if !shape(t, h.Get("Io-Info")) {
-		return nil, "", no(400, "units, shard or hosts are missing or out of range")
+	switch {
+	case head.Method != method:
+		return badRequest(405, "the method does not fit the request class")
+	case !s.plans[head.Get(fieldPlan)]:
+		return badRequest(400, "unknown plan")
+	case !isToken(head.Get(fieldID)):
+		return badRequest(400, "no id, or one that is none")
+	case method == "GET" && head.Length != 0:
+		return badRequest(400, "a read with a body")
+	case method == "PUT" && head.Times("Content-Length")+head.Times("Transfer-Encoding") == 0:
+		return badRequest(411, "a write without a length")
+	case head.Length > maxBody:
+		return badRequest(413, "body too large")
 	}
-	b := make([]byte, 0, 128+len(h.Target))
-	b = append(append(append(append(b, h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
-	t.Header = h.AppendForward(b, "X-Remaining-Ms")
-	return t, id, nil
+	return nil
 }
 
-// shape reads how large a command is, where its data lies and through how many hosts its volume works.
-func shape(t *engine.Request, info string) bool {
-	var units, shard, hosts bool
-	for _, part := range strings.Split(info, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		switch name {
-		case "units":
-			x, err := strconv.ParseFloat(value, 64)
-			if units || err != nil || !(x > 0 && x <= maxUnits) {
-				return false
-			}
-			t.Units, units = x, true
-		case "shard":
-			n, err := strconv.Atoi(value)
-			if shard || err != nil || n < -1 || n > maxCell {
-				return false
-			}
-			t.Shard, shard = n, true
-		case "hosts":
-			n, ok := http1.Whole(value)
-			if hosts || !ok || n < 1 || n > maxHosts {
-				return false
-			}
-			t.Gateways, hosts = int(n), true
-		}
-	}
-	return units && shard && hosts
+// forwardedHead is the head that attempts begin with. The time left is added when an attempt is sent.
+func forwardedHead(head *http1.Head) []byte {
+	text := make([]byte, 0, 128+len(head.Target))
+	text = append(append(append(append(text, head.Method...), ' '), head.Target...), " HTTP/1.1\r\n"...)
+	return head.AppendForward(text, fieldTimeout)
 }
 
-func hex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdefABCDEF") == "" }
+func isHex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdefABCDEF") == "" }
 
-// token tells whether an id can be passed on as it is.
-func token(s string) bool {
-	return s != "" && len(s) <= 64 && strings.IndexFunc(s, func(r rune) bool {
-		return !(r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_' || r == '.')
-	}) < 0
+// isToken reports whether an id can be passed on as it is.
+func isToken(s string) bool {
+	return s != "" && len(s) <= maxIDLength && strings.IndexFunc(s, notInToken) < 0
+}
+
+func notInToken(r rune) bool {
+	switch {
+	case r >= '0' && r <= '9', r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r == '-', r == '_', r == '.':
+		return false
+	}
+	return true
 }
--- /dev/null
+++ b/internal/httpgateway/downstream/respond.go
@@ -0,0 +1,127 @@
+package downstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"time"
+
+	"weirhaven/internal/engine"
+	"weirhaven/internal/http1"
+	"weirhaven/internal/httpgateway/metrics"
+)
+
+// writeResponse maps the engine's result to a status and writes it; it reports whether the connection goes on.
+func (c *conn) writeResponse(response engine.Response) bool {
+	c.server.options.Recorder.Count(metrics.Responded, metrics.Reason(response.Result.String()))
+	switch response.Result {
+	case engine.Served:
+		return c.respond(200, "", response.Body)
+	case engine.Rejected: // it did not run
+		fields := ""
+		if response.RetryAfter > 0 {
+			fields = "Retry-After: " + strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64) + "\r\n"
+		}
+		return c.respond(503, fields, nil)
+	case engine.Failed:
+		if response.Reason != "" {
+			c.server.countBadRequest(500, response.Reason)
+		}
+		if response.MayHaveRun {
+			return c.respond(504, "", nil)
+		}
+		return c.respond(500, "", nil)
+	}
+	return false
+}
+
+// statusTexts are the reason phrases of all statuses that are written.
+var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
+	409: "Conflict", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
+	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout",
+	505: "HTTP Version Not Supported"}
+
+// respond writes one response, with fields beside the usual ones, and settles what was owed; it reports whether the
+// connection goes on.
+func (c *conn) respond(status int, fields string, body []byte) bool {
+	last := c.isLastResponse()
+	message := make([]byte, 0, 128+len(fields)+len(body))
+	message = fmt.Appendf(message, "HTTP/1.1 %d %s\r\n%s", status, statusTexts[status], fields)
+	if last {
+		message = http1.AppendField(message, "Connection", "close")
+	}
+	if c.writeDeadline.IsZero() {
+		c.writeDeadline = time.Now().Add(writeTimeout)
+	}
+	_ = c.nc.SetWriteDeadline(c.writeDeadline)
+	c.writeDeadline = time.Time{}
+	if _, err := c.nc.Write(http1.AppendEnd(message, body)); err != nil {
+		c.clientGone, c.closeReason = true, metrics.WriteFailed
+		return false
+	}
+	c.server.options.Log.Debug("response sent", "request", c.pendingID, "status", status, "last", last)
+	c.pendingID = ""
+	if last {
+		c.answered = true
+		c.closeReason = c.reasonOfLast()
+		c.lingeringClose()
+	}
+	return !last
+}
+
+// isLastResponse reports whether the connection ends with the response that is written now. A request that was read behind
+// it is served first, unless the client asked to close.
+func (c *conn) isLastResponse() bool {
+	switch {
+	case c.mustClose:
+		return true
+	case c.lastResponse || c.server.draining.Load():
+		return !c.hasPipelined() || c.server.pastShutdownDeadline()
+	}
+	return false
+}
+
+func (c *conn) hasPipelined() bool { return c.reader.Buffered() > 0 || len(c.pipeline.buffered) > 0 }
+
+// reasonOfLast is why the connection ends with the response that was just written.
+func (c *conn) reasonOfLast() metrics.Reason {
+	switch {
+	case c.closeReason != "":
+		return c.closeReason
+	case c.mustClose:
+		return metrics.ClientRequestedClose
+	case c.server.draining.Load():
+		return metrics.ShuttingDown
+	}
+	return metrics.Evicted
+}
+
+// maxLingerBytes bounds what is read and dropped of a client that goes on sending.
+const maxLingerBytes = 1 << 20
+
+// lingeringClose ends a connection so that its last response is received: nothing more is sent, and a bounded rest is read.
+// Were the socket closed with unread bytes in it, the kernel would answer with a reset, which destroys a response that the
+// client has not read yet.
+func (c *conn) lingeringClose() {
+	if tcp, ok := c.nc.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
+	}
+	if !c.answered && !c.server.mayLinger(c) {
+		return
+	}
+	c.server.moveTo(c, lingering, time.Now().Add(c.lingerTime()))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.nc, maxLingerBytes)) // ends with the client, or at the deadline
+}
+
+// lingerTime is how long the connection may linger: less while the process shuts down or others need room.
+func (c *conn) lingerTime() time.Duration {
+	linger := lingerTimeout
+	if deadline := time.Duration(c.server.shutdownDeadline.Load()); deadline > 0 {
+		linger = min(linger, max(deadline-c.server.options.Loop.Now(), 0))
+	}
+	if reason, retired := c.server.retirement(c); retired && reason == metrics.Evicted {
+		linger = min(linger, minLingering)
+	}
+	return linger
+}
