--- a/internal/httpgateway/config/config.go
+++ b/internal/httpgateway/config/config.go
@@ -1,11 +1,13 @@
-// Package config reads what the platform tells a host: its configuration file and the lists of bricks that stand in it or
-// come from discovery.
+// Package config reads what the platform gives a gateway: its configuration file, and the endpoint lists that stand in it or
+// come from the agent. The JSON keys are the platform's; they are mapped to this program's terms here and nowhere else.
+//
+// A configuration is read whole or not at all: an error names the field. A list from the agent is read as far as it can be,
+// since the other entries must not suffer from one. The package does no I/O but Load.
 package config
 
 import (
 	"errors"
 	"fmt"
-	"math"
 	"net/netip"
 	"os"
 	"strconv"
@@ -13,37 +15,35 @@
 
 	"github.com/valyala/fastjson"
 
-	"weirhaven/internal/engine"
 	"weirhaven/policy"
 )
 
 // Config is a whole configuration.
 type Config struct {
-	Name, Listen, Discovery string
-	Limits                  Limits
-	KnownEndpoints          List
-	Settings                policy.Settings
-	ConnectTimeout          time.Duration // most that a connection to a brick may take to come up
-	EndpointIdleTimeout     time.Duration // a brick closes a connection left idle for so long
+	Name                string
+	Listen              string // address for clients, with its port
+	Discovery           string // address of the agent, with its port
+	Limits              Limits
+	KnownEndpoints      List // as of when the configuration was written; empty if it has none
+	Settings            policy.Settings
+	ConnectTimeout      time.Duration // the longest time that a connection to an endpoint may take to come up; above 0
+	EndpointIdleTimeout time.Duration // an endpoint closes a connection that was idle for so long; above 0
 }
 
-// Limits are those of the host's processes together.
+// Limits are those of all processes of the gateway together.
 type Limits struct {
-	Cores    float64
-	MemoryMB int
-	Sockets  int
+	Cores    float64 // above 0
+	MemoryMB int     // MiB, above 0
+	Sockets  int     // at least MinSockets
 }
 
-// List is a list of bricks, or what changed in it.
-type List struct {
-	Revision int64
-	Complete bool
-	Entries  []engine.EndpointEntry
-}
+// MinSockets is the least number of sockets with which a gateway can work at all.
+const MinSockets = 64
 
+// maxFile is the largest configuration file that is read, in bytes.
 const maxFile = 4 << 20
 
-// Load reads a configuration file.
+// Load reads a configuration file. It returns an error when the file can't be read, is too large or is no configuration.
 func Load(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -73,140 +73,84 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("not an object")
 	}
-	c := &Config{Name: string(v.GetStringBytes("name")), Listen: string(v.GetStringBytes("listen")),
-		Discovery: string(v.GetStringBytes("discovery"))}
-	for field, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
-		if _, err := netip.ParseAddrPort(address); err != nil {
-			return nil, fmt.Errorf("%s: %q is no address with a port", field, address)
-		}
+	c := &Config{Name: stringAt(v, "name"), Listen: stringAt(v, "listen"), Discovery: stringAt(v, "discovery")}
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
 	}
-	c.Limits = Limits{Cores: v.GetFloat64("limits", "cores"), MemoryMB: v.GetInt("limits", "memory_mb"),
-		Sockets: v.GetInt("limits", "sockets")}
-	switch l := c.Limits; {
-	case !(l.Cores > 0):
-		return nil, fmt.Errorf("limits.cores: %v, wanted more than 0", l.Cores)
-	case l.MemoryMB <= 0:
-		return nil, fmt.Errorf("limits.memory_mb: %d, wanted more than 0", l.MemoryMB)
-	case l.Sockets < MinSockets:
-		return nil, fmt.Errorf("limits.sockets: %d, wanted at least %d", l.Sockets, MinSockets)
-	}
-	seed, err := strconv.ParseUint(string(v.GetStringBytes("seed")), 16, 64)
-	if err != nil {
-		return nil, fmt.Errorf("seed: %s is no hexadecimal number", v.Get("seed"))
+	if c.Limits, err = parseLimits(v.Get("limits")); err != nil {
+		return nil, err
 	}
-	p := v.Get("settings")
-	if c.Settings, err = Settings(p, int64(seed)); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	if err := c.parseSettings(v); err != nil {
+		return nil, err
 	}
-	if err := check(c.Settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	c.ConnectTimeout, c.EndpointIdleTimeout = micros(p, "limits", "connect_timeout_us"), micros(p, "limits", "conn_idle_us")
-	if c.ConnectTimeout <= 0 || c.EndpointIdleTimeout <= 0 {
-		return nil, errors.New("settings: limits.connect_timeout_us and limits.conn_idle_us must be more than 0")
-	}
-	if k := v.Get("known"); k != nil && k.Type() != fastjson.TypeNull {
-		if c.KnownEndpoints, err = known(k); err != nil {
+	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
+		if c.KnownEndpoints, err = parseKnownEndpoints(known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
 	return c, nil
 }
 
-// MinSockets is the least with which a host can work at all.
-const MinSockets = 64
-
-func check(s policy.Settings) error {
-	if len(s.Classes) == 0 || len(s.Plans) == 0 {
-		return errors.New("no classes or no plans")
-	}
-	for i, q := range s.Classes {
-		if q.Name == "" || q.LatencyObjective <= 0 || q.Timeout <= 0 {
-			return fmt.Errorf("classes[%d]: name, aim_us and give_up_us are wanted", i)
-		}
-	}
-	for i, p := range s.Plans {
-		if p.Name == "" || p.Limit < 0 || p.Reservation < 0 || p.NominalRate < 0 {
-			return fmt.Errorf("plans[%d]: a name is wanted, and no rate below 0", i)
+func (c *Config) checkAddresses() error {
+	for field, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			return fmt.Errorf("%s: %q is no address with a port", field, address)
 		}
 	}
-	if s.MaxAttempts < 1 {
-		return fmt.Errorf("limits.max_attempts: %d, wanted at least 1", s.MaxAttempts)
-	}
 	return nil
 }
 
-// ParseList reads a list as discovery tells it. An entry that can't be read does not take the others with it: it is marked
-// Unreadable, or left out where it names no server.
-func ParseList(p *fastjson.Parser, text []byte) (List, error) {
-	v, err := p.ParseBytes(text)
-	if err != nil {
-		return List{}, fmt.Errorf("not JSON: %w", err)
-	}
-	return list(v, func(entry engine.EndpointEntry, _ error) (engine.EndpointEntry, error) {
-		return engine.EndpointEntry{Name: entry.Name, Unreadable: true}, nil
-	})
+func parseLimits(v *fastjson.Value) (Limits, error) {
+	limits := Limits{Cores: v.GetFloat64("cores"), MemoryMB: v.GetInt("memory_mb"), Sockets: v.GetInt("sockets")}
+	switch {
+	case !(limits.Cores > 0):
+		return limits, fmt.Errorf("limits.cores: %v, wanted more than 0", limits.Cores)
+	case limits.MemoryMB <= 0:
+		return limits, fmt.Errorf("limits.memory_mb: %d, wanted more than 0", limits.MemoryMB)
+	case limits.Sockets < MinSockets:
+		return limits, fmt.Errorf("limits.sockets: %d, wanted at least %d", limits.Sockets, MinSockets)
+	}
+	return limits, nil
 }
 
-// known reads the list of a configuration, which has to be readable as a whole.
-func known(v *fastjson.Value) (List, error) {
-	return list(v, func(entry engine.EndpointEntry, err error) (engine.EndpointEntry, error) { return entry, err })
+// parseSettings reads the scheduler's settings and the time limits that stand among them.
+func (c *Config) parseSettings(v *fastjson.Value) error {
+	seed, err := strconv.ParseUint(stringAt(v, "seed"), 16, 64)
+	if err != nil {
+		return fmt.Errorf("seed: %s is no hexadecimal number", v.Get("seed"))
+	}
+	settings := v.Get("settings")
+	if c.Settings, err = Settings(settings, int64(seed)); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	if err := checkSettings(c.Settings); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	c.ConnectTimeout = microseconds(settings, "limits", "connect_timeout_us")
+	c.EndpointIdleTimeout = microseconds(settings, "limits", "conn_idle_us")
+	if c.ConnectTimeout <= 0 || c.EndpointIdleTimeout <= 0 {
+		return errors.New("settings: limits.connect_timeout_us and limits.conn_idle_us must be more than 0")
+	}
+	return nil
 }
 
-// list reads a list; unreadable tells what becomes of an entry with an error.
-func list(v *fastjson.Value, unreadable func(engine.EndpointEntry, error) (engine.EndpointEntry, error)) (List, error) {
-	if v.Type() != fastjson.TypeObject {
-		return List{}, errors.New("not an object")
-	}
-	members := v.Get("members")
-	if members == nil || members.Type() != fastjson.TypeArray {
-		return List{}, errors.New("no members")
+// checkSettings refuses settings with which the scheduler can't work.
+func checkSettings(settings policy.Settings) error {
+	if len(settings.Classes) == 0 || len(settings.Plans) == 0 {
+		return errors.New("no classes or no plans")
 	}
-	l := List{Revision: v.GetInt64("revision"), Complete: v.GetBool("complete")}
-	for i, m := range members.GetArray() {
-		b, err := entry(m)
-		if err != nil {
-			b, err = unreadable(b, fmt.Errorf("members[%d].%w", i, err))
-		}
-		if err != nil {
-			return List{}, err
+	for i, class := range settings.Classes {
+		if class.Name == "" || class.LatencyObjective <= 0 || class.Timeout <= 0 {
+			return fmt.Errorf("classes[%d]: name, aim_us and give_up_us are wanted", i)
 		}
-		if b.Name != "" {
-			l.Entries = append(l.Entries, b)
+	}
+	for i, plan := range settings.Plans {
+		if plan.Name == "" || plan.Limit < 0 || plan.Reservation < 0 || plan.NominalRate < 0 {
+			return fmt.Errorf("plans[%d]: a name is wanted, and no rate below 0", i)
 		}
 	}
-	return l, nil
-}
-
-// entry reads one server of a list. An error names the field; the server's name is there if it can be read.
-func entry(m *fastjson.Value) (engine.EndpointEntry, error) {
-	b := engine.EndpointEntry{Name: string(m.GetStringBytes("id")), Address: string(m.GetStringBytes("host_port")),
-		Zone: string(m.GetStringBytes("locality")), Shard: -1}
-	phase := string(m.GetStringBytes("phase"))
-	b.Serving, b.Gone = phase == "in_service", phase == "terminated"
-	if phase != "in_service" && phase != "terminating" && phase != "terminated" {
-		return b, fmt.Errorf("phase: unknown phase %q", phase)
-	}
-	if b.Name == "" {
-		return b, errors.New("id: none")
-	}
-	if _, err := netip.ParseAddrPort(b.Address); err != nil && !b.Gone {
-		return b, fmt.Errorf("host_port: %q is no address with a port", b.Address)
-	}
-	if n, err := strconv.Atoi(cellText(m.Get("cell"))); err == nil && n >= 0 {
-		b.Shard = n
-	} else if !b.Gone {
-		return b, errors.New("cell: no whole number from 0")
-	}
-	if up := m.GetFloat64("up_since_ms"); up > 0 && up < math.MaxInt64/1e6 {
-		b.Started = time.Duration(up) * time.Millisecond
-	}
-	return b, nil
-}
-
-func cellText(v *fastjson.Value) string {
-	if v == nil {
-		return ""
+	if settings.MaxAttempts < 1 {
+		return fmt.Errorf("limits.max_attempts: %d, wanted at least 1", settings.MaxAttempts)
 	}
-	return string(v.MarshalTo(nil))
+	return nil
 }
--- a/internal/httpgateway/config/config_test.go
+++ b/internal/httpgateway/config/config_test.go
@@ -8,7 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-const whole = `{"name":"h1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+// wholeText is a configuration with all that is checked.
+const wholeText = `{"name":"h1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.25,"memory_mb":64,"sockets":256},
 "known":{"revision":41,"complete":true,"members":[
 {"id":"b1","host_port":"127.0.0.1:3","locality":"a","cell":3,"phase":"in_service","up_since_ms":1700000000000},
@@ -17,8 +18,9 @@
 "settings":{"balancers":3,"limits":{"max_attempts":4,"conn_idle_us":30000000,"connect_timeout_us":250000,"retry_after":true,"max_retry_after_us":2000000},
 "classes":[{"name":"read","aim_us":500000,"give_up_us":3000000,"semantics":"repeatable"}],"plans":[{"name":"plain","never_over":2}]}}`
 
+// Each field of a configuration and of its endpoint list is read, in the units of the platform.
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(whole))
+	c, err := Parse([]byte(wholeText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,11 +35,12 @@
 	}
 }
 
-// What is wrong is named.
+// A configuration is wrong in one field. The gateway must not start with a guess in its place; the error names the field, so
+// that whoever wrote it finds it.
 func TestBadConfiguration(t *testing.T) {
-	for _, x := range [][3]string{
-		{whole, "", "not JSON"},
-		{whole, "[]", "not an object"},
+	for _, row := range [][3]string{
+		{wholeText, "", "not JSON"},
+		{wholeText, "[]", "not an object"},
 		{`"127.0.0.1:1"`, `"nowhere"`, `listen: "nowhere"`},
 		{`"127.0.0.1:2"`, `""`, `discovery: ""`},
 		{`"cores":0.25`, `"cores":0`, "limits.cores"},
@@ -53,24 +56,26 @@
 		{`"max_attempts":4`, `"max_attempts":0`, "settings: limits.max_attempts"},
 		{`"connect_timeout_us":250000`, `"connect_timeout_us":0`, "connect_timeout_us"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(whole, x[0], x[1], 1))); err == nil || !strings.Contains(err.Error(), x[2]) {
-			t.Errorf("%s: %v, wanted %q", x[1], err, x[2])
+		if _, err := Parse([]byte(strings.Replace(wholeText, row[0], row[1], 1))); err == nil || !strings.Contains(err.Error(), row[2]) {
+			t.Errorf("%s: %v, wanted %q", row[1], err, row[2])
 		}
 	}
 }
 
+// Whatever stands in a file or comes from an agent, reading it does not panic, and what is read keeps the bounds that others
+// rely on.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(wholeText))
 	f.Add([]byte(`{"revision":1,"members":[{"id":"a","host_port":"127.0.0.1:3","cell":1e3,"phase":"in_service"}]}`))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		if c, err := Parse(in); err == nil && (c.Limits.Sockets < MinSockets || len(c.Settings.Plans) == 0) {
+	f.Fuzz(func(t *testing.T, text []byte) {
+		if c, err := Parse(text); err == nil && (c.Limits.Sockets < MinSockets || len(c.Settings.Plans) == 0) {
 			t.Fatalf("%+v", c)
 		}
-		var p fastjson.Parser
-		if l, err := ParseList(&p, in); err == nil {
-			for _, b := range l.Entries {
-				if b.Name == "" || b.Started < 0 || !b.Gone && !b.Unreadable && b.Shard < 0 || b.Unreadable && b.Serving {
-					t.Fatalf("%+v", b)
+		var parser fastjson.Parser
+		if list, err := ParseList(&parser, text); err == nil {
+			for _, e := range list.Entries {
+				if e.Name == "" || e.Started < 0 || !e.Gone && !e.Unreadable && e.Shard < 0 || e.Unreadable && e.Serving {
+					t.Fatalf("%+v", e)
 				}
 			}
 		}
--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -3,82 +3,102 @@
 import (
 	"errors"
 	"fmt"
-	"time"
 
 	"github.com/valyala/fastjson"
 
 	"weirhaven/policy"
 )
 
-var semantics = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey,
+var idempotencyOf = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey,
 	"once": policy.NotIdempotent}
 
-// Settings reads the settings object, the one that a simulated instance gets in its first message and a real host finds
-// in its configuration. A key that this page doesn't read is skipped.
-func Settings(p *fastjson.Value, seed int64) (policy.Settings, error) {
-	if p == nil || p.Type() != fastjson.TypeObject {
+// Settings reads the settings object, the one that a simulated gateway gets in its first message and a real one finds in its
+// configuration. A key that isn't read here is skipped; a key that is missing leaves the setting at 0 or off. It returns an
+// error when v is no object or a class has unknown semantics; the values themselves aren't checked.
+func Settings(v *fastjson.Value, seed int64) (policy.Settings, error) {
+	if v == nil || v.Type() != fastjson.TypeObject {
 		return policy.Settings{}, errors.New("not an object")
 	}
-	s := policy.Settings{
-		Seed: seed, Ordinal: p.GetInt("ordinal"), Gateways: p.GetInt("balancers"),
-		PollEndpointList:   string(p.GetStringBytes("discovery")) == "ask",
-		Hedging:            p.GetBool("limits", "second_copies"),
-		CanCancel:          p.GetBool("limits", "cancel"),
-		HealthChecks:       p.GetBool("limits", "may_probe"),
-		Gossip:             p.GetBool("limits", "peers"),
-		ClientsMarkRetries: p.GetBool("client_habits", "marks_retry"),
-		MaxAttempts:        p.GetInt("limits", "max_attempts"),
-		TimerResolution:    micros(p, "resolution_us"),
-		MaxListAge:         micros(p, "contract", "ask_within_us"),
-		DrainGrace:         micros(p, "contract", "drain_grace_us"),
-		SlowStartShare:     p.GetFloat64("contract", "cold_from"),
-		SlowStartTime:      micros(p, "contract", "cold_us"),
-		SlowStartUnits:     p.GetFloat64("family_info", "cold_units"),
-		OverloadFactor:     p.GetFloat64("contract", "fall_multiple"),
-		OverloadWindow:     micros(p, "contract", "overload_for_us"),
-		RetryBudget:        p.Exists("contract", "resend_ratio") || p.Exists("contract", "free_resends"),
-		RetryBudgetFree:    p.GetFloat64("contract", "free_resends"),
-		RetryBudgetRatio:   p.GetFloat64("contract", "resend_ratio"),
-		RetryBudgetWindow:  micros(p, "contract", "budget_span_us"),
-		OrderingCooldown:   micros(p, "contract", "key_rest_us"),
-		TypicalUnits:       p.GetFloat64("family_info", "usual_units"),
+	settings := policy.Settings{
+		Seed:             seed,
+		Ordinal:          v.GetInt("ordinal"),
+		Gateways:         v.GetInt("balancers"),
+		PollEndpointList: stringAt(v, "discovery") == "ask",
+		TimerResolution:  microseconds(v, "resolution_us"),
+		TypicalUnits:     v.GetFloat64("family_info", "usual_units"),
 	}
-	if p.GetBool("limits", "retry_after") {
-		s.MaxRetryAfter = micros(p, "limits", "max_retry_after_us")
+	readCapabilities(v, &settings)
+	readContract(v, &settings)
+	for _, value := range v.GetArray("plans") {
+		settings.Plans = append(settings.Plans, parsePlan(value))
 	}
-	writes := p.GetArray("family_info", "changes_data")
-	for i, c := range p.GetArray("classes") {
-		if _, ok := semantics[string(c.GetStringBytes("semantics"))]; !ok {
-			return s, fmt.Errorf("class %s: unknown semantics %s", c.Get("name"), c.Get("semantics"))
+	writes := v.GetArray("family_info", "changes_data")
+	for i, value := range v.GetArray("classes") {
+		class, err := parseClass(value)
+		if err != nil {
+			return settings, err
 		}
-		q := policy.RequestClass{
-			Name:              string(c.GetStringBytes("name")),
-			LatencyObjective:  micros(c, "aim_us"),
-			Timeout:           micros(c, "give_up_us"),
-			IdempotencyWindow: micros(c, "window_us"),
-			PriorityWeight:    c.GetFloat64("worth"),
-			LateValue:         c.GetFloat64("late_value"),
-			Idempotency:       semantics[string(c.GetStringBytes("semantics"))],
-			IdempotencyScope:  string(c.GetStringBytes("group")),
-			Ordered:           c.GetBool("in_order"),
-			Writes:            i < len(writes) && writes[i].Type() == fastjson.TypeTrue,
-		}
-		s.Classes = append(s.Classes, q)
+		class.Writes = i < len(writes) && writes[i].Type() == fastjson.TypeTrue
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, c := range p.GetArray("plans") {
-		s.Plans = append(s.Plans, policy.ServicePlan{
-			Name:         string(c.GetStringBytes("name")),
-			NominalRate:  c.GetFloat64("nominal"),
-			Reservation:  c.GetFloat64("guaranteed"),
-			Limit:        c.GetFloat64("never_over"),
-			Burst:        c.GetFloat64("cap_depth"),
-			InitialBurst: c.GetFloat64("cap_slack"),
-			Weight:       c.GetFloat64("parts"),
-		})
+	return settings, nil
+}
+
+// readCapabilities reads what the gateway may do, and what clients do.
+func readCapabilities(v *fastjson.Value, settings *policy.Settings) {
+	settings.Hedging = v.GetBool("limits", "second_copies")
+	settings.CanCancel = v.GetBool("limits", "cancel")
+	settings.HealthChecks = v.GetBool("limits", "may_probe")
+	settings.Gossip = v.GetBool("limits", "peers")
+	settings.MaxAttempts = v.GetInt("limits", "max_attempts")
+	settings.ClientsMarkRetries = v.GetBool("client_habits", "marks_retry")
+	if v.GetBool("limits", "retry_after") {
+		settings.MaxRetryAfter = microseconds(v, "limits", "max_retry_after_us")
 	}
-	return s, nil
 }
 
-func micros(v *fastjson.Value, keys ...string) time.Duration {
-	return time.Duration(v.GetFloat64(keys...)) * time.Microsecond
+// readContract reads what endpoints and the platform promise or demand.
+func readContract(v *fastjson.Value, settings *policy.Settings) {
+	settings.MaxListAge = microseconds(v, "contract", "ask_within_us")
+	settings.DrainGrace = microseconds(v, "contract", "drain_grace_us")
+	settings.SlowStartShare = v.GetFloat64("contract", "cold_from")
+	settings.SlowStartTime = microseconds(v, "contract", "cold_us")
+	settings.SlowStartUnits = v.GetFloat64("family_info", "cold_units")
+	settings.OverloadFactor = v.GetFloat64("contract", "fall_multiple")
+	settings.OverloadWindow = microseconds(v, "contract", "overload_for_us")
+	settings.RetryBudget = v.Exists("contract", "resend_ratio") || v.Exists("contract", "free_resends")
+	settings.RetryBudgetFree = v.GetFloat64("contract", "free_resends")
+	settings.RetryBudgetRatio = v.GetFloat64("contract", "resend_ratio")
+	settings.RetryBudgetWindow = microseconds(v, "contract", "budget_span_us")
+	settings.OrderingCooldown = microseconds(v, "contract", "key_rest_us")
+}
+
+func parseClass(v *fastjson.Value) (policy.RequestClass, error) {
+	idempotency, ok := idempotencyOf[stringAt(v, "semantics")]
+	if !ok {
+		return policy.RequestClass{}, fmt.Errorf("class %s: unknown semantics %s", v.Get("name"), v.Get("semantics"))
+	}
+	return policy.RequestClass{
+		Name:              stringAt(v, "name"),
+		LatencyObjective:  microseconds(v, "aim_us"),
+		Timeout:           microseconds(v, "give_up_us"),
+		PriorityWeight:    v.GetFloat64("worth"),
+		LateValue:         v.GetFloat64("late_value"),
+		Idempotency:       idempotency,
+		IdempotencyWindow: microseconds(v, "window_us"),
+		IdempotencyScope:  stringAt(v, "group"),
+		Ordered:           v.GetBool("in_order"),
+	}, nil
+}
+
+func parsePlan(v *fastjson.Value) policy.ServicePlan {
+	return policy.ServicePlan{
+		Name:         stringAt(v, "name"),
+		NominalRate:  v.GetFloat64("nominal"),
+		Reservation:  v.GetFloat64("guaranteed"),
+		Limit:        v.GetFloat64("never_over"),
+		Burst:        v.GetFloat64("cap_depth"),
+		InitialBurst: v.GetFloat64("cap_slack"),
+		Weight:       v.GetFloat64("parts"),
+	}
 }
