--- a/internal/httpgateway/slowstart/slowstart.go
+++ b/internal/httpgateway/slowstart/slowstart.go
@@ -1,6 +1,9 @@
-// Package slowstart dates the starts of servers on the clock of this process. Discovery tells a start as a wall-clock time, and
-// wall clocks may be stepped by an hour; how long a server has been up is a span of real time that must not move with them.
-// It has no clock and no I/O, and is not safe for concurrent use.
+// Package slowstart puts the start times of endpoints on this process's monotonic clock. The agent reports a start as a
+// wall-clock time, and a wall clock may be stepped by an hour; then an endpoint that has just started looks an hour old, gets
+// its full share at once and is pushed over. How long an endpoint has been up is a span of real time, so a start time is
+// translated once, when it is first reported, and doesn't move with the wall clock afterwards.
+//
+// The package has no clock and no I/O, and is not safe for concurrent use.
 package slowstart
 
 import (
@@ -9,70 +12,74 @@
 	"weirhaven/internal/engine"
 )
 
-// Times are the readings that belong to one list.
+// ClockReadings are the clocks at the moment in which a list was received.
 type ClockReadings struct {
-	Now       time.Duration // on the process's clock, which began as a wall clock and is monotonic since
-	Wall      time.Duration // the wall clock now, as Unix time
-	Confirmed time.Duration // on the process's clock: until then the list before this one was known to hold; 0: not known
+	Now       time.Duration // the process's clock, which began as a wall clock and is monotonic since
+	Wall      time.Duration // the wall clock, as Unix time
+	Confirmed time.Duration // on the process's clock: until then the list before was known to hold; 0: not known
 }
 
-// stepped is by how much the wall clock and the process's clock must differ to be told apart: less is slewing and scheduling.
-const stepped = 100 * time.Millisecond
-
-// tellWithin is how long discovery may take to tell of a restart. One that seems to lie further before the list that still
-// had the former start can't be: the wall clock is off.
-const tellWithin = 6 * time.Second
+const (
+	// minClockStep is the difference between the wall clock and the process's clock from which the wall clock was stepped; less
+	// is slewing, or the time between the two readings.
+	minClockStep = 100 * time.Millisecond
+	// maxReportDelay is how long the agent may take to report a restart. A restart that seems to lie further before the list
+	// that still had the former start can't be: the wall clock is off.
+	maxReportDelay = 6 * time.Second
+)
 
-// Dates remembers what was told of each server, and when it started by the process's clock.
+// StartTimes remembers what was reported of each endpoint, and what that is on the process's clock.
 type StartTimes struct {
-	endpoints map[string]date
+	endpoints map[string]startTime
 }
 
-type date struct {
-	told  time.Duration // as discovery told it; 0: long ago
-	start time.Duration // on the process's clock; 0: long ago
+type startTime struct {
+	reported time.Duration // as the agent reported it; 0: long ago
+	local    time.Duration // on the process's clock; 0: long ago
 }
 
-// New returns a Dates that knows no server.
-func New() *StartTimes { return &StartTimes{endpoints: map[string]date{}} }
+// New returns StartTimes that know no endpoint.
+func New() *StartTimes { return &StartTimes{endpoints: map[string]startTime{}} }
 
-// Date returns the lines of a list with their starts on the process's clock. A server that has gone is forgotten.
-func (d *StartTimes) Translate(whole bool, lines []engine.EndpointEntry, t ClockReadings) []engine.EndpointEntry {
-	known := d.endpoints
-	if whole {
-		d.endpoints = map[string]date{}
+// Translate returns the entries of a list with their starts on the process's clock. complete: the list is the whole one, and
+// an endpoint that isn't in it is forgotten, as is one that is gone. The entries that are passed in are not changed.
+func (s *StartTimes) Translate(complete bool, entries []engine.EndpointEntry, readings ClockReadings) []engine.EndpointEntry {
+	known := s.endpoints
+	if complete {
+		s.endpoints = map[string]startTime{}
 	}
-	dated := make([]engine.EndpointEntry, len(lines))
-	for i, line := range lines {
-		before, listed := known[line.Name]
+	translated := make([]engine.EndpointEntry, len(entries))
+	for i, entry := range entries {
+		before, listed := known[entry.Name]
 		switch {
-		case line.Gone:
-			delete(d.endpoints, line.Name)
-		case line.Unreadable && !listed:
-		case line.Unreadable, listed && before.told == line.Started:
-			d.endpoints[line.Name] = before
-			line.Started = before.start
+		case entry.Gone:
+			delete(s.endpoints, entry.Name)
+		case entry.Unreadable && !listed:
+		case entry.Unreadable, listed && before.reported == entry.Started:
+			s.endpoints[entry.Name] = before
+			entry.Started = before.local
 		default:
-			start := startOf(line.Started, listed, t)
-			d.endpoints[line.Name] = date{line.Started, start}
-			line.Started = start
+			local := localStart(entry.Started, listed, readings)
+			s.endpoints[entry.Name] = startTime{reported: entry.Started, local: local}
+			entry.Started = local
 		}
-		dated[i] = line
+		translated[i] = entry
 	}
-	return dated
+	return translated
 }
 
-// startOf dates a start that was not told before.
-func startOf(told time.Duration, restarted bool, t ClockReadings) time.Duration {
-	if told == 0 {
+// localStart translates a start that was not reported before; restarted: the endpoint had another start before.
+func localStart(reported time.Duration, restarted bool, readings ClockReadings) time.Duration {
+	if reported == 0 {
 		return 0
 	}
-	start := told
-	if offset := t.Wall - t.Now; offset < -stepped || offset > stepped {
-		start = max(told, told-offset) // by whichever clock it is younger: the start was told before or after the step
+	start := reported
+	if offset := readings.Wall - readings.Now; offset < -minClockStep || offset > minClockStep {
+		// The start was read before or after the step: the younger of the two is safe, it only warms up for longer.
+		start = max(reported, reported-offset)
 	}
-	if restarted && start < t.Confirmed-tellWithin {
-		start = t.Confirmed
+	if restarted && start < readings.Confirmed-maxReportDelay {
+		start = readings.Confirmed
 	}
-	return min(start, t.Now)
+	return min(start, readings.Now)
 }
--- a/internal/httpgateway/slowstart/slowstart_test.go
+++ b/internal/httpgateway/slowstart/slowstart_test.go
@@ -7,55 +7,60 @@
 	"weirhaven/internal/engine"
 )
 
-// Times at which the wall clock read the same as the process's clock, apart from the step that a row names.
+// The wall clock reads the same as the process's clock, apart from the step that a row names.
 const (
 	now  = 1_000_000 * time.Second
 	hour = time.Hour
 )
 
-func one(started time.Duration) []engine.EndpointEntry {
+// oneEntry is a list of one endpoint, s.
+func oneEntry(started time.Duration) []engine.EndpointEntry {
 	return []engine.EndpointEntry{{Name: "s", Started: started, Serving: true}}
 }
 
+// The wall clock is stepped by an hour, before or after an endpoint restarts and reports its start. Were the start taken as
+// reported, an endpoint that has just started would look old and get its full share, or an old one would look young. The
+// translated start may err by the row's tolerance, and doesn't move when the same start is reported again.
 func TestStart(t *testing.T) {
-	for _, x := range []struct {
-		name              string
-		before, told      time.Duration // before 0: not listed before
-		step, confirmed   time.Duration
-		wanted, tolerance time.Duration
+	for _, row := range []struct {
+		name             string
+		before, reported time.Duration // before 0: not listed before
+		step, confirmed  time.Duration
+		want, tolerance  time.Duration
 	}{
 		{"long ago", 0, 0, 0, 0, 0, 0},
-		{"no step: as told, to the nanosecond", 0, now - 5*time.Second, 0, 0, now - 5*time.Second, 0},
+		{"no step: as reported, to the nanosecond", 0, now - 5*time.Second, 0, 0, now - 5*time.Second, 0},
 		{"in the future: now", 0, now + hour, 0, 0, now, 0},
-		{"told before the clock was set forward", 0, now - time.Second, hour, 0, now - time.Second, 0},
-		{"told after the clock was set forward", 0, now - time.Second + hour, hour, 0, now, time.Second},
-		{"told before the clock was set back", 0, now - time.Second, -hour, 0, now, time.Second},
-		{"told after the clock was set back", 0, now - time.Second - hour, -hour, 0, now - time.Second, 0},
+		{"reported before the clock was set forward", 0, now - time.Second, hour, 0, now - time.Second, 0},
+		{"reported after the clock was set forward", 0, now - time.Second + hour, hour, 0, now, time.Second},
+		{"reported before the clock was set back", 0, now - time.Second, -hour, 0, now, time.Second},
+		{"reported after the clock was set back", 0, now - time.Second - hour, -hour, 0, now - time.Second, 0},
 		{"an old one after a step stays old", 0, now - 24*hour, hour, 0, now - 24*hour, hour},
 		{"restarted: not before it was last listed with its former start", now - 24*hour, now - hour, 0, now - 2*time.Second, now - 2*time.Second, 0},
-		{"restarted, told as late as may be: as told", now - 24*hour, now - 7*time.Second, 0, now - 2*time.Second, now - 7*time.Second, 0},
-		{"restarted, after a long silence: as told", now - 24*hour, now - time.Minute, 0, now - hour, now - time.Minute, 0},
+		{"restarted, reported as late as may be: as reported", now - 24*hour, now - 7*time.Second, 0, now - 2*time.Second, now - 7*time.Second, 0},
+		{"restarted, after a long silence: as reported", now - 24*hour, now - time.Minute, 0, now - hour, now - time.Minute, 0},
 	} {
 		d := New()
-		if x.before != 0 {
-			d.Translate(true, one(x.before), ClockReadings{Now: now - hour, Wall: now - hour})
+		if row.before != 0 {
+			d.Translate(true, oneEntry(row.before), ClockReadings{Now: now - hour, Wall: now - hour})
 		}
-		got := d.Translate(false, one(x.told), ClockReadings{Now: now, Wall: now + x.step, Confirmed: x.confirmed})[0].Started
-		if diff := got - x.wanted; diff < -x.tolerance || diff > x.tolerance {
-			t.Errorf("%s: %v before now, wanted %v", x.name, now-got, now-x.wanted)
+		got := d.Translate(false, oneEntry(row.reported), ClockReadings{Now: now, Wall: now + row.step, Confirmed: row.confirmed})[0].Started
+		if diff := got - row.want; diff < -row.tolerance || diff > row.tolerance {
+			t.Errorf("%s: %v before now, wanted %v", row.name, now-got, now-row.want)
 		}
-		again := d.Translate(true, one(x.told), ClockReadings{Now: now + time.Minute, Wall: now + time.Minute - hour})[0].Started
+		again := d.Translate(true, oneEntry(row.reported), ClockReadings{Now: now + time.Minute, Wall: now + time.Minute - hour})[0].Started
 		if again != got {
-			t.Errorf("%s: moved by %v when told again after a step", x.name, again-got)
+			t.Errorf("%s: moved by %v when reported again after a step", row.name, again-got)
 		}
 	}
 }
 
+// Endpoints come and go for months. One that is gone, or no longer in a complete list, is forgotten, so that nothing grows.
 func TestForgets(t *testing.T) {
 	d := New()
-	d.Translate(true, append(one(now), engine.EndpointEntry{Name: "other"}), ClockReadings{Now: now, Wall: now})
+	d.Translate(true, append(oneEntry(now), engine.EndpointEntry{Name: "other"}), ClockReadings{Now: now, Wall: now})
 	d.Translate(false, []engine.EndpointEntry{{Name: "s", Gone: true}}, ClockReadings{Now: now, Wall: now})
 	if d.Translate(true, nil, ClockReadings{Now: now, Wall: now}); len(d.endpoints) != 0 {
-		t.Errorf("%d servers are remembered", len(d.endpoints))
+		t.Errorf("%d endpoints are remembered", len(d.endpoints))
 	}
 }
--- a/internal/httpgateway/socket/socket.go
+++ b/internal/httpgateway/socket/socket.go
@@ -1,4 +1,5 @@
-// Package socket looks at a TCP connection without reading from it or waiting.
+// Package socket looks at the receive buffer of a TCP connection without reading from it or waiting. A connection on which
+// no goroutine reads tells nothing by itself of a peer that has gone.
 package socket
 
 import (
@@ -12,12 +13,13 @@
 
 // The states of a receive buffer.
 const (
-	Empty  State = iota // nothing
+	Empty  State = iota // nothing, and the connection is open
 	Unread              // bytes
 	Closed              // the peer closed or reset the connection, or it can't be used
 )
 
-// Peek looks at the receive buffer; a deadline that has passed does not matter. A connection that is not TCP is Quiet.
+// Peek looks at the receive buffer; a read deadline that has passed doesn't matter. A connection that is not TCP is Empty. It
+// may be called from any goroutine, beside one that reads.
 func Peek(nc net.Conn) State {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -28,17 +30,16 @@
 		return Closed
 	}
 	state := Closed
-	err = raw.Control(func(descriptor uintptr) { state = peek(int(descriptor)) })
-	if err != nil {
+	if err := raw.Control(func(descriptor uintptr) { state = peek(int(descriptor)) }); err != nil {
 		return Closed
 	}
 	return state
 }
 
 func peek(descriptor int) State {
-	var b [1]byte
+	var buffer [1]byte
 	for {
-		n, _, err := syscall.Recvfrom(descriptor, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(descriptor, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
