--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,27 +10,31 @@
 	"testing/iotest"
 )
 
-func request(in string) string {
+// readRequest reads one request, with a body of at most 16 bytes, and describes it or its error.
+func readRequest(in string) string {
 	r := NewReader(strings.NewReader(in))
 	h, err := r.Request()
 	var body []byte
 	if err == nil {
 		body, err = r.Body(h, 16)
 	}
-	return show(err, func() string { return fmt.Sprintf("%s %s %q, %d left", h.Method, h.Target, body, r.Buffered()) })
+	return describe(err, func() string { return fmt.Sprintf("%s %s %q, %d buffered", h.Method, h.Target, body, r.Buffered()) })
 }
 
-func answer(in string) string {
+// readResponse reads one response, with a body of at most 16 bytes, and describes it or its error.
+func readResponse(in string) string {
 	r := NewReader(strings.NewReader(in))
 	h, err := r.Answer()
 	var body []byte
 	if err == nil {
 		body, err = r.Body(h, 16)
 	}
-	return show(err, func() string { return fmt.Sprintf("%d %q, close %v, %d left", h.Status, body, h.Close, r.Buffered()) })
+	return describe(err, func() string {
+		return fmt.Sprintf("%d %q, close %v, %d buffered", h.Status, body, h.Close, r.Buffered())
+	})
 }
 
-func show(err error, good func() string) string {
+func describe(err error, good func() string) string {
 	var wrong *Error
 	switch {
 	case errors.As(err, &wrong):
@@ -41,14 +45,16 @@
 	return good()
 }
 
+// A client sends what another hop would read differently: two lengths, a space before a colon, an unknown coding, bytes beyond
+// a bound. Each is an error with its status, so that no request hides in another. What is whole and certain is read.
 func TestRequests(t *testing.T) {
 	head := "PUT /a HTTP/1.1\r\nHost: h\r\n"
 	for in, want := range map[string]string{
-		"\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\n":                                   `GET /a "", 0 left`,
+		"\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\n":                                   `GET /a "", 0 buffered`,
 		"\r\n\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\n":                               "400: malformed start line",
-		"GET /a?b=1 HTTP/1.1\r\nHost: h\r\n\r\n":                                   `GET /a?b=1 "", 0 left`,
-		head + "Content-Length: 3\r\n\r\nabcGET":                                   `PUT /a "abc", 3 left`,
-		head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\nX": `PUT /a "abc", 1 left`,
+		"GET /a?b=1 HTTP/1.1\r\nHost: h\r\n\r\n":                                   `GET /a?b=1 "", 0 buffered`,
+		head + "Content-Length: 3\r\n\r\nabcGET":                                   `PUT /a "abc", 3 buffered`,
+		head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\nX": `PUT /a "abc", 1 buffered`,
 		head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":           "400: both Content-Length and Transfer-Encoding",
 		head + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc":                 "400: 2 lengths",
 		head + "Content-Length: -3\r\n\r\nabc":                                     `400: length "-3" is no whole number`,
@@ -75,25 +81,26 @@
 		head + strings.Repeat("X: y\r\n", 100000):                                  "431: longer than allowed",
 		head + "X: y": "unexpected EOF",
 	} {
-		if got := request(in); got != want {
+		if got := readRequest(in); got != want {
 			t.Errorf("%.80q:\n got %s\nwant %s", in, got, want)
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
+// An endpoint sends interim responses, noise, endless heads and bodies. Each is read, or is an error within the bounds.
+func TestResponses(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for in, want := range map[string]string{
-		ok:                              `200 "ok", close false, 0 left`,
-		ok + ok:                         fmt.Sprintf(`200 "ok", close false, %d left`, len(ok)),
-		strings.Repeat(interim, 7) + ok: `200 "ok", close false, 0 left`,
-		strings.Repeat(interim, 8) + ok: "502: more than 8 interim answers",
-		"HTTP/1.1 101 Switching Protocols\r\n\r\n":                          "502: an upgrade that nobody asked for",
-		"HTTP/1.1 204 No Content\r\n\r\n":                                   `204 "", close false, 0 left`,
-		"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n": `200 "", close true, 0 left`,
-		"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n":                      `200 "", close true, 0 left`,
-		"HTTP/1.1 200 OK\r\n\r\nok":                                         `200 "ok", close true, 0 left`,
+		ok:                              `200 "ok", close false, 0 buffered`,
+		ok + ok:                         fmt.Sprintf(`200 "ok", close false, %d buffered`, len(ok)),
+		strings.Repeat(interim, 7) + ok: `200 "ok", close false, 0 buffered`,
+		strings.Repeat(interim, 8) + ok: "502: more than 8 interim responses",
+		"HTTP/1.1 101 Switching Protocols\r\n\r\n":                          "502: unrequested upgrade",
+		"HTTP/1.1 204 No Content\r\n\r\n":                                   `204 "", close false, 0 buffered`,
+		"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n": `200 "", close true, 0 buffered`,
+		"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n":                      `200 "", close true, 0 buffered`,
+		"HTTP/1.1 200 OK\r\n\r\nok":                                         `200 "ok", close true, 0 buffered`,
 		"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 17):                 "413: body of more than 16 bytes",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok":           "413: body of 3000000000 bytes, at most 16",
 		"HTTP/1.1 2000 OK\r\n\r\n":                                          "502: malformed status line",
@@ -101,13 +108,13 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok":                    "unexpected EOF",
 		strings.Repeat("x", 1<<20):                                          "431: longer than allowed",
 	} {
-		if got := answer(in); got != want {
+		if got := readResponse(in); got != want {
 			t.Errorf("%.80q:\n got %s\nwant %s", in, got, want)
 		}
 	}
 }
 
-// An endless body comes as it arrives, in whatever pieces; one that is not chunked is refused.
+// An endless body is handed on as it arrives, in whatever pieces; one that is not chunked is an error.
 func TestStream(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	r := NewReader(iotest.OneByteReader(strings.NewReader(head + "5\r\na\nbc\n\r\n1\r\n\n\r\n3\r\ncut\r\n9\r\nbroken")))
@@ -119,16 +126,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := io.ReadAll(body); string(got) != "a\nbc\n\ncutbroken" || err != io.ErrUnexpectedEOF {
+	if got, err := io.ReadAll(body); string(got) != "a\nbc\n\ncutbroken" || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("%q %v", got, err)
 	}
-	if _, err := r.Stream(&Head{Length: 3}, 4); show(err, nil) != "502: the body is not chunked" {
+	if _, err := r.Stream(&Head{Length: 3}, 4); describe(err, nil) != "502: the body is not chunked" {
 		t.Error(err)
 	}
 }
 
-// What is end to end is passed on, known or not; what is for this hop alone or framing is not, nor what its sender sets.
-func TestForward(t *testing.T) {
+// A proxy passes on fields that it doesn't know: another customer's requests carry a mark in one. It doesn't pass on what is for
+// this hop alone, framing, or a field that it sets itself.
+func TestAppendForward(t *testing.T) {
 	r := NewReader(strings.NewReader("PUT /a HTTP/1.1\r\nHost: h\r\nX-Mine: 1\r\nidempotency-key: k\r\nVia: a\r\nVia: b\r\n" +
 		"Connection: keep-alive, X-Hop\r\nX-Hop: 2\r\nKeep-Alive: 5\r\nTE: x\r\nExpect: y\r\nContent-Length: 0\r\n\r\n"))
 	h, err := r.Request()
@@ -140,7 +148,8 @@
 	}
 }
 
-func TestMayStart(t *testing.T) {
+// A body is longer than its length says, and the rest would be read as the next request. It is told apart by the first bytes.
+func TestMayStartRequest(t *testing.T) {
 	for b, want := range map[string]bool{"": true, "G": true, "GET ": true, "PUT /a": true, "\r\nDELETE ": true, "\r": true,
 		"GETS": false, "abc": false, "get /": false, "\x00": false, "PU/": false, " GET": false, "\r\nx": false} {
 		if MayStartRequest([]byte(b)) != want {
@@ -149,8 +158,9 @@
 	}
 }
 
-// A body without a length is whole where its connection ended in good order, and not where it broke.
-func TestUntilEnd(t *testing.T) {
+// An endpoint sends a body without a length and its connection is reset in the middle. Were the part taken for the whole body, a
+// client would get damaged data; only an end in good order makes it whole.
+func TestBodyUntilEnd(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\n\r\nok"
 	broken := errors.New("reset")
 	r := NewReader(io.MultiReader(strings.NewReader(text), iotest.ErrReader(broken)))
@@ -192,7 +202,8 @@
 	})
 }
 
-func FuzzAnswer(f *testing.F) {
+// However a response is made, reading it is bounded.
+func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
--- /dev/null
+++ b/internal/http1/response.go
@@ -0,0 +1,43 @@
+package http1
+
+import "strings"
+
+// Answer reads the head of a response; interim ones before it are skipped, a bounded number of them. An *Error says that it is
+// malformed; any other error is the connection's.
+func (r *Reader) Answer() (*Head, error) {
+	for range maxInterim {
+		line, err := r.line()
+		if err != nil {
+			return nil, err
+		}
+		h, version, err := parseStatusLine(line)
+		if err != nil {
+			return nil, err
+		}
+		if err := r.readFields(h); err != nil {
+			return nil, err
+		}
+		switch {
+		case h.Status == 101:
+			return nil, malformed(502, "unrequested upgrade")
+		case h.Status < 200:
+			r.bound.remaining = maxHead + readAhead
+			continue
+		case h.Status == 204 || h.Status == 304: // never have a body
+			h.Length = 0
+		}
+		h.Close = h.Close || version == "HTTP/1.0" || h.Length == UntilEnd
+		return h, nil
+	}
+	return nil, malformed(502, "more than %d interim responses", maxInterim)
+}
+
+func parseStatusLine(line string) (h *Head, version string, err error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, ok := Whole(code)
+	if version != "HTTP/1.1" && version != "HTTP/1.0" || len(code) != 3 || !ok || status < 100 {
+		return nil, "", malformed(502, "malformed status line")
+	}
+	return &Head{Status: int(status)}, version, nil
+}
--- /dev/null
+++ b/internal/http1/write.go
@@ -0,0 +1,20 @@
+package http1
+
+import "strconv"
+
+// AppendField appends a field to a head. Control characters are left out of the value: they could end the field early.
+func AppendField(head []byte, name, value string) []byte {
+	head = append(append(head, name...), ": "...)
+	for i := range len(value) {
+		if c := value[i]; c >= ' ' && c != 0x7f || c == '\t' {
+			head = append(head, c)
+		}
+	}
+	return append(head, "\r\n"...)
+}
+
+// AppendEnd ends a head with its body's length, and appends the body.
+func AppendEnd(head, body []byte) []byte {
+	head = strconv.AppendInt(append(head, "Content-Length: "...), int64(len(body)), 10)
+	return append(append(head, "\r\n\r\n"...), body...)
+}
