--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -86,7 +86,7 @@
 		LateValue:         v.GetFloat64("late_value"),
 		Idempotency:       idempotency,
 		IdempotencyWindow: microseconds(v, "window_us"),
-		IdempotencyScope:  stringAt(v, "group"),
+		IdempotencyScope:  policy.IdempotencyScope(stringAt(v, "group")),
 		Ordered:           v.GetBool("in_order"),
 	}, nil
 }
