--- /dev/null
+++ b/internal/fleet/store/encoding.go
@@ -0,0 +1,56 @@
+package store
+
+import (
+	"fmt"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
+)
+
+// The protobuf names of what is stored (brick, cell, host) are the format's and stay.
+
+// writeMeta writes whose file it is, in which format, and the generation of the list believed last.
+func (s *Store) writeMeta(tx *bbolt.Tx, last endpointstate.Generation) error {
+	bucket, err := tx.CreateBucketIfNotExists(metaBucket)
+	if err != nil {
+		return err
+	}
+	value, err := proto.Marshal(&pb.SavedMeta{Format: FormatVersion, Host: s.gateway, Epoch: last.Epoch, Number: last.Number})
+	if err != nil {
+		return err
+	}
+	return bucket.Put(metaKey, value)
+}
+
+// decodeMeta reads what writeMeta wrote and checks that the file is this gateway's and its format known.
+func (s *Store) decodeMeta(value []byte) (last endpointstate.Generation, err error) {
+	meta := &pb.SavedMeta{}
+	if err := proto.Unmarshal(value, meta); err != nil || meta.Format == 0 {
+		return last, ErrNotAStore
+	}
+	if meta.Format > FormatVersion {
+		return last, fmt.Errorf("%w: it has format %d, this one knows %d", ErrNewerFormat, meta.Format, FormatVersion)
+	}
+	if meta.Host != s.gateway {
+		return last, fmt.Errorf("%w: it is that of %q, this is %q", ErrOtherGateway, meta.Host, s.gateway)
+	}
+	return endpointstate.Generation{Epoch: meta.Epoch, Number: meta.Number}, nil
+}
+
+func encodeBelief(b endpointstate.Belief) *pb.SavedBrick {
+	return &pb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Shard), Serving: b.Serving, Gone: b.Gone,
+		Started: int64(b.Started), At: int64(b.ObservedAt), From: int32(b.Source), Drained: int64(b.DrainedUpTo),
+		Since: int64(b.DrainKnownAt), Why: b.Reason}
+}
+
+func decodeBelief(saved *pb.SavedBrick) endpointstate.Belief {
+	return endpointstate.Belief{
+		Report: endpointstate.Report{Name: saved.Name, Address: saved.Address, Zone: saved.Zone, Shard: int(saved.Cell),
+			Serving: saved.Serving, Gone: saved.Gone, Started: time.Duration(saved.Started), ObservedAt: time.Duration(saved.At)},
+		Source:      endpointstate.Source(saved.From),
+		DrainedUpTo: time.Duration(saved.Drained), DrainKnownAt: time.Duration(saved.Since), Reason: saved.Why}
+}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -19,7 +19,7 @@
 	"weirhaven/internal/pb"
 )
 
-func bricks(n int, at time.Duration) (all []endpointstate.Belief) {
+func servingBeliefs(n int, at time.Duration) (all []endpointstate.Belief) {
 	for i := range n {
 		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i),
 			Zone: "north", Shard: i, Serving: true, Started: time.Duration(i), ObservedAt: at}})
@@ -37,21 +37,20 @@
 	return s, aside
 }
 
+// A restart finds what was saved; only what has changed is written.
 func TestSaveAndLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	all := bricks(5, time.Hour)
+	all := servingBeliefs(5, time.Hour)
 	all[2].DrainedUpTo, all[2].Reason, all[2].Serving = 7, "draining, told by list", false
 	gen := endpointstate.Generation{Epoch: "e", Number: 9}
-	for want, in := range map[int][]endpointstate.Belief{5: all} {
-		if n, err := s.Save(in, gen); n != want || err != nil {
-			t.Fatal(n, err)
-		}
+	if n, err := s.Save(all, gen); n != 5 || err != nil {
+		t.Fatal(n, err)
 	}
-	older := bricks(5, time.Hour+Grain/2)
+	older := servingBeliefs(5, time.Hour+AgeGranularity/2)
 	older[2] = all[2]
 	if n, err := s.Save(older, gen); n != 0 || err != nil {
-		t.Errorf("wrote %d lines though nothing changed: %v", n, err)
+		t.Errorf("wrote %d entries though nothing changed: %v", n, err)
 	}
 	if n, err := s.Save(all[1:], gen); n != 1 || err != nil {
 		t.Errorf("%d %v", n, err)
@@ -62,45 +61,48 @@
 	if err != nil || aside != "" || last != gen || len(got) != 4 || got[1].DrainedUpTo != 7 || got[0].Report != all[1].Report {
 		t.Errorf("%v %q %v %+v", err, aside, last, got)
 	}
-	if n, err := s.Save(all[2:], gen); n != 1 || err != nil { // what was kept by an earlier life can be dropped by this one
+	if n, err := s.Save(all[2:], gen); n != 1 || err != nil { // what an earlier process saved can be dropped by this one
 		t.Errorf("%d %v", n, err)
 	}
 }
 
-func TestHosts(t *testing.T) {
+// Members are kept over a restart and written only when they change.
+func TestMembers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
 	all := []membership.Member{{Name: "a", Ordinal: 1, Address: "127.0.0.1:1", Planned: 3, Incarnation: 9}, {Name: "b", State: membership.Faulty}}
-	if err := errors.Join(s.SaveHosts(all), s.SaveHosts(all[:1]), s.SaveHosts(all)); err != nil {
+	if err := errors.Join(s.SaveMembers(all), s.SaveMembers(all[:1]), s.SaveMembers(all)); err != nil {
 		t.Fatal(err)
 	}
-	before, after := s.db.Stats(), s.db.Stats()
-	s.SaveHosts(all)
-	if after = s.db.Stats(); after.TxStats.GetWrite() != before.TxStats.GetWrite() {
-		t.Error("the same hosts were written again")
+	before := s.db.Stats()
+	s.SaveMembers(all)
+	if after := s.db.Stats(); after.TxStats.GetWrite() != before.TxStats.GetWrite() {
+		t.Error("the same members were written again")
 	}
 	s.Close()
 	s, _ = mustOpen(t, file, "h")
-	if got, err := s.Hosts(); err != nil || !slices.Equal(got, all) {
+	if got, err := s.Members(); err != nil || !slices.Equal(got, all) {
 		t.Errorf("%v %+v", err, got)
 	}
 }
 
-func TestOnlyOneHost(t *testing.T) {
+// Two gateways are started with one store by mistake: they would count as one, so the second must not start.
+func TestOneGatewayAStore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	mustOpen(t, file, "h")
 	if _, _, err := Open(file, "h"); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second host opened it: %v", err)
+		t.Errorf("a second gateway opened it: %v", err)
 	}
 }
 
-// What can't be read is set aside and still there; the host starts with nothing.
+// A gateway finds a store that is torn, cut off, of a later version, another gateway's or no store at all. The file is set aside, whole,
+// and the gateway starts with nothing.
 func TestSetAside(t *testing.T) {
 	for name, spoil := range map[string]func(file string){
 		"foreign": func(file string) { os.WriteFile(file, []byte(strings.Repeat("not a store\n", 1000)), 0o600) },
 		"torn": func(file string) {
 			s, _ := mustOpen(t, file, "h")
-			s.Save(bricks(200, 1), endpointstate.Generation{})
+			s.Save(servingBeliefs(200, 1), endpointstate.Generation{})
 			s.Close()
 			b, _ := os.ReadFile(file)
 			copy(b[4096*2:], make([]byte, len(b)-4096*2)) // the metas stand, what they point to does not
@@ -108,7 +110,7 @@
 		},
 		"cut": func(file string) {
 			s, _ := mustOpen(t, file, "h")
-			s.Save(bricks(200, 1), endpointstate.Generation{})
+			s.Save(servingBeliefs(200, 1), endpointstate.Generation{})
 			s.Close()
 			os.Truncate(file, 4096+100)
 		},
@@ -116,14 +118,14 @@
 			db, _ := bbolt.Open(file, 0o600, nil)
 			db.Update(func(tx *bbolt.Tx) error {
 				b, _ := tx.CreateBucket(metaBucket)
-				v, _ := proto.Marshal(&pb.SavedMeta{Format: Format + 1, Host: "h"})
+				v, _ := proto.Marshal(&pb.SavedMeta{Format: FormatVersion + 1, Host: "h"})
 				return b.Put(metaKey, v)
 			})
 			db.Close()
 		},
 		"another host's": func(file string) {
 			s, _ := mustOpen(t, file, "g")
-			s.Save(bricks(1, 1), endpointstate.Generation{})
+			s.Save(servingBeliefs(1, 1), endpointstate.Generation{})
 			s.Close()
 		},
 	} {
@@ -133,7 +135,7 @@
 		before, _ := os.ReadFile(file)
 		s, aside := mustOpen(t, file, "h")
 		if all, _, err := s.Load(); err != nil || len(all) != 0 || aside == "" {
-			t.Errorf("%s: %v %d lines, aside %q", name, err, len(all), aside)
+			t.Errorf("%s: %v %d entries, aside %q", name, err, len(all), aside)
 		}
 		kept, _ := filepath.Glob(file + ".aside-*")
 		if len(kept) != 1 {
@@ -148,11 +150,11 @@
 	}
 }
 
-// A full disk fails a save and nothing else: what was kept before is still there, and the next save makes up for it.
+// The disk fills up. A save fails and nothing else: what was saved before is still there, and the next save makes up for it.
 func TestFullDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	if _, err := s.Save(bricks(3, 1), endpointstate.Generation{Number: 1}); err != nil {
+	if _, err := s.Save(servingBeliefs(3, 1), endpointstate.Generation{Number: 1}); err != nil {
 		t.Fatal(err)
 	}
 	info, err := os.Stat(file)
@@ -167,7 +169,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full); err != nil {
 		t.Fatal(err)
 	}
-	_, err = s.Save(bricks(5000, 2), endpointstate.Generation{Number: 2})
+	_, err = s.Save(servingBeliefs(5000, 2), endpointstate.Generation{Number: 2})
 	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was); rerr != nil {
 		t.Fatal(rerr)
 	}
@@ -175,18 +177,19 @@
 		t.Error("a save that had no room did not fail")
 	}
 	if all, last, err := s.Load(); err != nil || len(all) != 3 || last.Number != 1 {
-		t.Errorf("%v, %d lines of list %d", err, len(all), last.Number)
+		t.Errorf("%v, %d entries of list %d", err, len(all), last.Number)
 	}
-	if n, err := s.Save(bricks(5000, 2), endpointstate.Generation{Number: 2}); err != nil || n != 4997 { // three have not changed
+	if n, err := s.Save(servingBeliefs(5000, 2), endpointstate.Generation{Number: 2}); err != nil || n != 4997 { // three have not changed
 		t.Errorf("%d %v", n, err)
 	}
 }
 
-// A disk that takes no writes gives back what was kept, fails saves with a clear word, and is left as it is.
+// The disk was remounted read-only. The gateway starts from what was saved, saves fail with an error of their own, and the file is left
+// as it is.
 func TestReadOnlyDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	if _, err := s.Save(bricks(3, 1), endpointstate.Generation{Number: 4}); err != nil {
+	if _, err := s.Save(servingBeliefs(3, 1), endpointstate.Generation{Number: 4}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -202,12 +205,12 @@
 	}
 	defer s.Close()
 	if all, last, err := s.Load(); err != nil || len(all) != 3 || last.Number != 4 {
-		t.Errorf("%v, %d lines of list %d", err, len(all), last.Number)
+		t.Errorf("%v, %d entries of list %d", err, len(all), last.Number)
 	}
-	if _, err := s.Save(bricks(4, 2), endpointstate.Generation{Number: 5}); !errors.Is(err, ErrReadOnly) {
+	if _, err := s.Save(servingBeliefs(4, 2), endpointstate.Generation{Number: 5}); !errors.Is(err, ErrReadOnly) {
 		t.Error(err)
 	}
-	if err := s.SaveHosts([]membership.Member{{Name: "x"}}); !errors.Is(err, ErrReadOnly) {
+	if err := s.SaveMembers([]membership.Member{{Name: "x"}}); !errors.Is(err, ErrReadOnly) {
 		t.Error(err)
 	}
 	if after, _ := os.ReadFile(file); string(after) != string(before) {
@@ -215,12 +218,12 @@
 	}
 }
 
-// What one changed line, and a whole list, cost as the list grows.
+// What the save of one changed belief costs as the fleet grows.
 func BenchmarkSave(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s, _ := mustOpen(b, filepath.Join(b.TempDir(), "fleet.db"), "h")
-			all := bricks(n, 1)
+			all := servingBeliefs(n, 1)
 			s.Save(all, endpointstate.Generation{})
 			before := s.db.Stats().TxStats
 			for i := 0; b.Loop(); i++ {
@@ -236,33 +239,33 @@
 	}
 }
 
-// A save that is told as failed may have reached the disk all the same. When things are then as they were before it, the next
+// A save that reports an error may have reached the disk all the same. When the beliefs are then as they were before it, the next
 // save must not take the disk for up to date.
 func TestFailedSaveIsUnknown(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
-	before, gen := bricks(2, time.Hour), endpointstate.Generation{Epoch: "e", Number: 1}
+	before, gen := servingBeliefs(2, time.Hour), endpointstate.Generation{Epoch: "e", Number: 1}
 	hosts := []membership.Member{{Name: "h", Address: "127.0.0.1:1"}}
 	if _, err := s.Save(before, gen); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.SaveHosts(hosts); err != nil {
+	if err := s.SaveMembers(hosts); err != nil {
 		t.Fatal(err)
 	}
 	s.update = func(f func(*bbolt.Tx) error) error { return errors.Join(s.db.Update(f), syscall.EIO) }
-	after := bricks(3, time.Hour)
+	after := servingBeliefs(3, time.Hour)
 	after[0].Serving = false
 	if _, err := s.Save(after, gen); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
 	}
-	if err := s.SaveHosts(nil); !errors.Is(err, syscall.EIO) {
+	if err := s.SaveMembers(nil); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
 	}
 	s.update = s.db.Update
 	if _, err := s.Save(before, gen); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.SaveHosts(hosts); err != nil {
+	if err := s.SaveMembers(hosts); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -271,7 +274,7 @@
 	if err != nil || len(all) != 2 || !all[0].Serving {
 		t.Errorf("%v: the disk kept what a failed save had written: %v", err, all)
 	}
-	if len(s.hosts) != 1 {
-		t.Errorf("%d hosts, wanted 1", len(s.hosts))
+	if len(s.members) != 1 {
+		t.Errorf("%d members, wanted 1", len(s.members))
 	}
 }
--- a/internal/fleet/store/stored_data_test.go
+++ b/internal/fleet/store/stored_data_test.go
@@ -11,7 +11,7 @@
 	"weirhaven/internal/fleet/membership"
 )
 
-// storedBeliefs are the lines of the sample, in the order of their names.
+// storedBeliefs are the beliefs of the sample, in the order of their names.
 func storedBeliefs() []endpointstate.Belief {
 	const moment = 1_790_000_000 * time.Second
 	return []endpointstate.Belief{
@@ -31,7 +31,7 @@
 }
 
 // storedHosts are the members of the sample, one in each state.
-func storedHosts() []membership.Member {
+func storedMembers() []membership.Member {
 	return []membership.Member{
 		{Name: "edge-a", Ordinal: 0, Address: "127.0.0.1:7201", Planned: 4, Incarnation: 1_790_000_000_000_000_001, State: membership.Alive},
 		{Name: "edge-b", Ordinal: 1, Address: "127.0.0.1:7202", Planned: 4, Incarnation: 2, State: membership.Suspect},
@@ -54,7 +54,7 @@
 	return file
 }
 
-// A host that ran version a32f63c wrote what it believed of the fleet and who its members were. Every later version must start from it
+// A gateway that ran version a32f63c wrote what it believed of the fleet and who its members were. Every later version must start from it
 // as if it had written it itself.
 func TestStoredDataIsRead(t *testing.T) {
 	file := storedFile(t)
@@ -72,27 +72,27 @@
 	if last != storedGeneration() {
 		t.Errorf("generation %+v, wanted %+v", last, storedGeneration())
 	}
-	hosts, err := s.Hosts()
-	if err != nil || !slices.Equal(hosts, storedHosts()) {
-		t.Errorf("%v, members:\n%+v\nwanted\n%+v", err, hosts, storedHosts())
+	hosts, err := s.Members()
+	if err != nil || !slices.Equal(hosts, storedMembers()) {
+		t.Errorf("%v, members:\n%+v\nwanted\n%+v", err, hosts, storedMembers())
 	}
 }
 
-// The file that version a32f63c wrote is gone on with: what has not changed is not written again, and what is dropped is gone.
-func TestStoredDataIsGoneOnWith(t *testing.T) {
+// The file that version a32f63c wrote is continued: what has not changed is not written again, and what is dropped is gone.
+func TestStoredDataIsContinued(t *testing.T) {
 	file := storedFile(t)
 	s, _ := mustOpen(t, file, "edge-a")
 	if written, err := s.Save(storedBeliefs(), storedGeneration()); written != 0 || err != nil {
-		t.Errorf("%d lines written though nothing changed: %v", written, err)
+		t.Errorf("%d entries written though nothing changed: %v", written, err)
 	}
 	if written, err := s.Save(storedBeliefs()[1:], storedGeneration()); written != 1 || err != nil {
-		t.Errorf("%d lines written for one dropped: %v", written, err)
+		t.Errorf("%d entries written for one dropped: %v", written, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	beliefs, hosts, last, err := Dump(file, "edge-a")
-	if err != nil || !slices.Equal(beliefs, storedBeliefs()[1:]) || !slices.Equal(hosts, storedHosts()) || last != storedGeneration() {
+	if err != nil || !slices.Equal(beliefs, storedBeliefs()[1:]) || !slices.Equal(hosts, storedMembers()) || last != storedGeneration() {
 		t.Errorf("%v, left after it:\n%+v\n%+v\n%+v", err, beliefs, hosts, last)
 	}
 }
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -49,7 +49,7 @@
 		return fmt.Errorf("store %s: %w", file, err)
 	}
 	core.Restore(saved, last)
-	hosts, err := s.Hosts()
+	hosts, err := s.Members()
 	if err != nil {
 		return fmt.Errorf("store %s: %w", file, err)
 	}
@@ -89,7 +89,7 @@
 	}
 	k.edge.planner.learnt(all)
 	_, err := k.store.Save(all, last)
-	err = errors.Join(err, k.store.SaveHosts(hosts))
+	err = errors.Join(err, k.store.SaveMembers(hosts))
 	if (err != nil) != k.bad {
 		if k.bad = err != nil; k.bad {
 			k.edge.log.Warn("saving fails; trying on", "err", err)
