--- /dev/null
+++ b/internal/endpointconn/conn.go
@@ -0,0 +1,195 @@
+package endpointconn
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"weirhaven/internal/engine"
+	"weirhaven/internal/lineproto"
+	"weirhaven/policy"
+)
+
+// role is this side's role in greetings, as it stands on the wire.
+const role = "host"
+
+// What may be queued to an endpoint, in bytes: one body of the allowed size, a head of headBytes for each queued message, and slack.
+const (
+	headBytes  = 64
+	slackBytes = 1 << 20
+)
+
+// conn is one connection, from dialing to its end.
+type conn struct {
+	endpoint *endpoint
+	sender   *lineproto.Sender
+	ctx      context.Context
+	cancel   context.CancelFunc
+
+	// Guarded by endpoint.mu.
+	greeted       bool
+	awaitingSince time.Time // since when something has been awaited and nothing received; zero: nothing is awaited
+	inFlight      map[uint64]pending
+}
+
+// pending is an attempt or a health check without an outcome.
+type pending struct {
+	offset      int64 // where its message begins in the stream
+	healthCheck bool
+}
+
+func newConn(e *endpoint) *conn {
+	ctx, cancel := context.WithCancel(e.connector.ctx)
+	limits := e.connector.limits
+	return &conn{endpoint: e, ctx: ctx, cancel: cancel, inFlight: map[uint64]pending{},
+		sender: lineproto.NewSender(limits.Body+headBytes*limits.BrickQueue+slackBytes, limits.Stall)}
+}
+
+// run serves the connection and then reports all that is still in flight.
+func (c *conn) run() {
+	err := c.serve()
+	c.cancel()
+	c.sender.Close()
+	<-c.sender.Done() // no byte leaves after this, so MayHaveLeft is final
+	e := c.endpoint
+	e.mu.Lock()
+	if e.conn == c {
+		e.conn = nil
+	}
+	inFlight := c.inFlight
+	c.inFlight = nil
+	e.mu.Unlock()
+	if err != nil && e.connector.ctx.Err() == nil {
+		e.connector.log.Debug("endpoint connection ended", "endpoint", e.name, "address", e.address, "in flight", len(inFlight), "err", err)
+	}
+	for id, p := range inFlight {
+		outcome := policy.ConnectFailed
+		if c.sender.MayHaveLeft(p.offset) {
+			outcome = policy.ConnectionReset
+		}
+		e.report(id, outcome, p.healthCheck, nil)
+	}
+}
+
+// serve connects, exchanges greetings and reads until the connection ends, and returns why it did.
+func (c *conn) serve() error {
+	netConn, err := c.dial()
+	if err != nil {
+		return fmt.Errorf("connect to endpoint %s: %w", c.endpoint.name, err)
+	}
+	defer func() { _ = netConn.Close() }()
+	stopWatching := context.AfterFunc(c.ctx, func() { _ = netConn.Close() })
+	defer stopWatching()
+	limits := c.endpoint.connector.limits
+	reader := lineproto.NewConnReader(netConn, limits.Body, limits.Idle, limits.Stall)
+	if err := c.exchangeGreetings(netConn, reader); err != nil {
+		return err
+	}
+	c.sender.Start(netConn)
+	return c.readMessages(reader)
+}
+
+func (c *conn) dial() (net.Conn, error) {
+	connector := c.endpoint.connector
+	ctx, cancel := context.WithTimeout(c.ctx, connector.limits.Connect)
+	defer cancel()
+	return connector.dialer.DialContext(ctx, "tcp", c.endpoint.address)
+}
+
+// exchangeGreetings checks that the endpoint expected is at the address, and passes its greeting on.
+func (c *conn) exchangeGreetings(netConn net.Conn, reader *lineproto.Reader) error {
+	e := c.endpoint
+	hello, err := lineproto.Greet(netConn, reader, role, e.connector.gateway, e.connector.limits.Connect, nil)
+	if err != nil {
+		return fmt.Errorf("endpoint %s at %s: %w", e.name, e.address, err)
+	}
+	if name := hello.Get("Name"); name != e.name {
+		e.connector.loop.Post(func(core *engine.Core) { core.WrongEndpoint(e.name, e.address) })
+		return fmt.Errorf("endpoint %s: at its address %s is %q now; the endpoint list is out of date", e.name, e.address, name)
+	}
+	age, err := hello.Micros("Age", 0)
+	if err != nil {
+		return fmt.Errorf("endpoint %s: %w", e.name, err)
+	}
+	hasAge, draining := hello.Get("Age") != "", hello.Get("State") == "draining"
+	e.connector.loop.Post(func(core *engine.Core) { core.Greeted(e.name, e.address, hasAge, age, draining) })
+	e.mu.Lock()
+	c.greeted = true
+	e.mu.Unlock()
+	return nil
+}
+
+func (c *conn) readMessages(reader *lineproto.Reader) error {
+	for {
+		m, err := reader.Read()
+		if err != nil {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() && c.awaitsResponse() {
+				continue // each attempt has a timeout of its own
+			}
+			return err
+		}
+		if err := c.receive(m); err != nil {
+			return err
+		}
+	}
+}
+
+// awaitsResponse reports whether something was sent, less than the idle time ago, that may still be answered. Otherwise a
+// silent connection is over: nothing is expected on it, or it is half open (the peer is gone and its end never arrived).
+func (c *conn) awaitsResponse() bool {
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
+	return !c.awaitingSince.IsZero() && time.Since(c.awaitingSince) < c.endpoint.connector.limits.Idle
+}
+
+// outcomes maps the verbs of final responses.
+var outcomes = map[string]policy.Outcome{
+	lineproto.Done:   policy.Served,
+	lineproto.Probed: policy.Served,
+	lineproto.Busy:   policy.Rejected,
+	lineproto.Abort:  policy.ErrorResponse,
+	lineproto.Bad:    policy.ErrorResponse,
+}
+
+// receive takes one message of the endpoint. An error ends the connection. Verbs of later minor versions of the protocol are
+// ignored.
+func (c *conn) receive(m *lineproto.Message) error {
+	e := c.endpoint
+	switch m.Verb {
+	case lineproto.Drain:
+		e.connector.loop.Post(func(core *engine.Core) { core.EndpointDraining(e.name) })
+		return nil
+	case lineproto.Begun:
+		e.connector.loop.Post(func(core *engine.Core) { core.ResponseStarted(e.name, m.ID) })
+		return nil
+	}
+	outcome, ok := outcomes[m.Verb]
+	if !ok {
+		return nil
+	}
+	p, known := c.complete(m.ID)
+	if !known {
+		if m.Verb == lineproto.Bad && m.ID == 0 {
+			return fmt.Errorf("endpoint %s can't understand this gateway: %s", e.name, m.Get("Reason"))
+		}
+		p.healthCheck = m.Verb == lineproto.Probed // canceled or abandoned: the engine counts a late outcome
+	}
+	e.report(m.ID, outcome, p.healthCheck, m)
+	return nil
+}
+
+// complete takes what is in flight by that id out, and begins to wait anew for the rest; known is false if there is none.
+func (c *conn) complete(id uint64) (p pending, known bool) {
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
+	p, known = c.inFlight[id]
+	delete(c.inFlight, id)
+	c.awaitingSince = time.Time{}
+	if len(c.inFlight) > 0 {
+		c.awaitingSince = time.Now()
+	}
+	return p, known
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,7 +45,7 @@
 	limits settings.Limits
 	log    *slog.Logger
 	loop   *engine.Loop
-	lines  *endpointconn.Lines
+	lines  *endpointconn.Connector
 	lister *discovery.Conn
 	peers  *peers
 
