--- a/internal/endpointconn/conn.go
+++ b/internal/endpointconn/conn.go
@@ -113,8 +113,9 @@
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.name, err)
 	}
-	hasAge, draining := hello.Get("Age") != "", hello.Get("State") == "draining"
-	e.connector.loop.Post(func(core *engine.Core) { core.Greeted(e.name, e.address, hasAge, age, draining) })
+	greeting := engine.Greeting{Endpoint: e.name, Address: e.address, HasStart: hello.Get("Age") != "", Age: age,
+		Draining: hello.Get("State") == "draining"}
+	e.connector.loop.Post(func(core *engine.Core) { core.Greeted(greeting) })
 	e.mu.Lock()
 	c.greeted = true
 	e.mu.Unlock()
