--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -182,8 +182,8 @@
 func followerWith(t testing.TB, name, file string, p *pb.Planner) *edge {
 	t.Helper()
 	e := &edge{t: t, items: map[snapshot.Key]*pb.Item{}, drained: map[string]bool{}}
-	f, err := client.Open(client.Config{Planner: p, Name: name, Address: "127.0.0.1:1", File: file, Log: quiet, Sink: e, Seed: 1, Least: 10 * time.Millisecond,
-		Most: 100 * time.Millisecond, Silent: 700 * time.Millisecond})
+	f, err := client.Open(client.Config{Planner: p, Name: name, Address: "127.0.0.1:1", File: file, Log: quiet, Sink: e, Seed: 1, MinBackoff: 10 * time.Millisecond,
+		MaxBackoff: 100 * time.Millisecond, SilenceTimeout: 700 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -683,7 +683,7 @@
 		var log strings.Builder
 		var mu sync.Mutex
 		f, err := client.Open(client.Config{Planner: p, Name: name, Address: "x", File: filepath.Join(t.TempDir(), "e"), Sink: &edge{t: t, items: map[snapshot.Key]*pb.Item{},
-			drained: map[string]bool{}}, Seed: 1, Least: 5 * time.Millisecond, Most: 20 * time.Millisecond, Log: slog.New(slog.NewTextHandler(&locked{&mu, &log}, nil))})
+			drained: map[string]bool{}}, Seed: 1, MinBackoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, Log: slog.New(slog.NewTextHandler(&locked{&mu, &log}, nil))})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tlskeys/tlskeys.go
+++ b/internal/tlskeys/tlskeys.go
@@ -263,3 +263,7 @@
 	}
 	return put(name+".pem", &pem.Block{Type: "CERTIFICATE", Bytes: der}, 0o644)
 }
+
+// DefaultServerName is the name that a controller's certificate must hold if a gateway's settings give none. It is the program's former
+// name: certificates that were made under it stay valid.
+const DefaultServerName = "weirplan"
