--- a/internal/controlplane/client/stored_data_test.go
+++ b/internal/controlplane/client/stored_data_test.go
@@ -13,19 +13,19 @@
 	"weirhaven/internal/pb"
 )
 
-func storedTenure() *pb.Tenure { return &pb.Tenure{Term: 12, Planner: "planner-b"} }
+func storedTerm() *pb.Tenure { return &pb.Tenure{Term: 12, Planner: "planner-b"} }
 
 const (
 	storedGeneration = 21
-	storedStart      = 1_790_000_000_000_000_000 // of a brick, ns since 1970
+	storedStart      = 1_790_000_000_000_000_000 // of an endpoint, ns since 1970
 )
 
-// storedItems are the view that the edge held, in the order in which it tells them.
-func storedItems() []*pb.Item {
+// storedRecords are the snapshot that the gateway held, in its order.
+func storedRecords() []*pb.Item {
 	return []*pb.Item{
 		{Kind: pb.Item_BRICK, Name: "brick-1", Generation: 20, Term: 12,
 			Brick: &pb.PlanBrick{Address: "127.0.0.1:7101", Zone: "north", Cell: 3, Serving: true, Started: storedStart}},
-		{Kind: pb.Item_BRICK, Name: "brick-2", Generation: 20, Term: 12, // serving by the planner's word, until its drain was learnt elsewhere
+		{Kind: pb.Item_BRICK, Name: "brick-2", Generation: 20, Term: 12, // serving in the controller's record, until the gateway learned of its drain
 			Brick: &pb.PlanBrick{Address: "127.0.0.1:7102", Zone: "south", Cell: 4, Started: storedStart, Drained: storedStart}},
 		{Kind: pb.Item_BRICK, Name: "brick-3", Generation: 21, Term: 12, Gone: true, Brick: &pb.PlanBrick{Cell: 5, Drained: -1}},
 		{Kind: pb.Item_VOLUME, Name: "volume-1", Generation: 20, Term: 12,
@@ -38,14 +38,14 @@
 	}
 }
 
-// told is a sink that remembers.
-type told struct {
-	items []*pb.Item
-	fresh bool
+// recordingSink keeps what it is given.
+type recordingSink struct {
+	records []*pb.Item
+	fresh   bool
 }
 
-func (s *told) Changed(items []*pb.Item, fresh bool) {
-	s.items, s.fresh = append(s.items, items...), s.fresh || fresh
+func (s *recordingSink) Changed(records []*pb.Item, fresh bool) {
+	s.records, s.fresh = append(s.records, records...), s.fresh || fresh
 }
 
 // openStored opens a copy of the sample.
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // a run that is over at once closes the file
+	t.Cleanup(func() { // a Run that ends at once closes the file
 		ended, end := context.WithCancel(context.Background())
 		end()
 		f.Run(ended)
@@ -72,33 +72,33 @@
 	return f
 }
 
-func sameItems(t *testing.T, got, want []*pb.Item) {
+func sameRecords(t *testing.T, got, want []*pb.Item) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("%d items, wanted %d: %v", len(got), len(want), got)
+		t.Fatalf("%d records, wanted %d: %v", len(got), len(want), got)
 	}
 	for i := range want {
 		if !proto.Equal(got[i], want[i]) {
-			t.Errorf("item %d: %v\nwanted %v", i, got[i], want[i])
+			t.Errorf("record %d: %v\nwanted %v", i, got[i], want[i])
 		}
 	}
 }
 
-// An edge of version a32f63c followed a planner, learnt a drain and was given a place; it kept all that. Every later version must
-// start from it without any planner.
+// A gateway of version a32f63c followed a controller, learned a drain and was given a placement; it kept all that. Every later version
+// must start from it while no controller can be reached: else it sends requests to a drained endpoint.
 func TestStoredDataIsRead(t *testing.T) {
-	sink := &told{}
+	sink := &recordingSink{}
 	f := openStored(t, sink)
-	address, tenure, generation, items := f.State()
-	if address != "" || !proto.Equal(tenure, storedTenure()) || generation != storedGeneration {
-		t.Errorf("following %q, tenure %v, generation %d", address, tenure, generation)
+	address, term, generation, records := f.State()
+	if address != "" || !proto.Equal(term, storedTerm()) || generation != storedGeneration {
+		t.Errorf("following %q, term %v, generation %d", address, term, generation)
 	}
-	sameItems(t, items, storedItems())
-	sameItems(t, sink.items, storedItems())
+	sameRecords(t, records, storedRecords())
+	sameRecords(t, sink.records, storedRecords())
 	if sink.fresh {
-		t.Error("what was read from disk was told as a planner's word")
+		t.Error("what was read from disk was given as fresh")
 	}
-	for _, want := range storedItems() {
+	for _, want := range storedRecords() {
 		if got := f.Get(snapshot.Key{Kind: want.Kind, Name: want.Name}); !proto.Equal(got, want) {
 			t.Errorf("%v\nwanted %v", got, want)
 		}
--- a/internal/controlplane/store/stored_data_test.go
+++ b/internal/controlplane/store/stored_data_test.go
@@ -12,10 +12,10 @@
 
 const storedGeneration = 1<<40 + 17
 
-func storedTenure() *pb.Tenure { return &pb.Tenure{Term: 12, Planner: "planner-b"} }
+func storedTerm() *pb.Tenure { return &pb.Tenure{Term: 12, Planner: "planner-b"} }
 
-// storedItems are one of each kind, and some that are gone, in the order of the file.
-func storedItems() []*pb.Item {
+// storedRecords are one of each kind, and some tombstones, in the order of the file.
+func storedRecords() []*pb.Item {
 	const started = 1_790_000_000_000_000_000
 	return []*pb.Item{
 		{Kind: pb.Item_BRICK, Name: "brick-1", Generation: 5, Term: 11,
@@ -58,43 +58,44 @@
 	return s, saved
 }
 
-func sameItems(t *testing.T, got, want []*pb.Item) {
+func sameRecords(t *testing.T, got, want []*pb.Item) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("%d items, wanted %d: %v", len(got), len(want), got)
+		t.Fatalf("%d records, wanted %d: %v", len(got), len(want), got)
 	}
 	for i := range want {
 		if !proto.Equal(got[i], want[i]) {
-			t.Errorf("item %d: %v\nwanted %v", i, got[i], want[i])
+			t.Errorf("record %d: %v\nwanted %v", i, got[i], want[i])
 		}
 	}
 }
 
-// A planner of version a32f63c wrote its tenure, generation and items. Every later version must take them back, each value as it was.
+// A controller of version a32f63c wrote its term, generation and records. Every later version must read them, each value as it was:
+// else the first start after an upgrade forgets placements and drains.
 func TestStoredDataIsRead(t *testing.T) {
 	_, saved := mustOpen(t, storedFile(t))
-	if !proto.Equal(saved.Term, storedTenure()) || saved.Generation != storedGeneration {
-		t.Errorf("tenure %v, generation %d; wanted %v, %d", saved.Term, saved.Generation, storedTenure(), uint64(storedGeneration))
+	if !proto.Equal(saved.Term, storedTerm()) || saved.Generation != storedGeneration {
+		t.Errorf("term %v, generation %d; wanted %v, %d", saved.Term, saved.Generation, storedTerm(), uint64(storedGeneration))
 	}
-	sameItems(t, saved.Records, storedItems())
+	sameRecords(t, saved.Records, storedRecords())
 }
 
-// The file that version a32f63c wrote is gone on with: a later tenure and a changed item replace what stood there, the rest stays.
-func TestStoredDataIsGoneOnWith(t *testing.T) {
+// A later version writes to the file of version a32f63c. A higher term and a changed record replace what was there, the rest stays.
+func TestStoredDataIsWrittenTo(t *testing.T) {
 	file := storedFile(t)
 	s, _ := mustOpen(t, file)
-	want := storedItems()
+	want := storedRecords()
 	want[0].Generation, want[0].Brick.Serving = storedGeneration+1, false
-	tenure := &pb.Tenure{Term: 13, Planner: "planner-a"}
-	if err := s.Persist(tenure, storedGeneration+1, want[:1]); err != nil {
+	term := &pb.Tenure{Term: 13, Planner: "planner-a"}
+	if err := s.Persist(term, storedGeneration+1, want[:1]); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	_, saved := mustOpen(t, file)
-	if !proto.Equal(saved.Term, tenure) || saved.Generation != storedGeneration+1 {
-		t.Errorf("tenure %v, generation %d", saved.Term, saved.Generation)
+	if !proto.Equal(saved.Term, term) || saved.Generation != storedGeneration+1 {
+		t.Errorf("term %v, generation %d", saved.Term, saved.Generation)
 	}
-	sameItems(t, saved.Records, want)
+	sameRecords(t, saved.Records, want)
 }
