--- a/internal/engine/membership.go
+++ b/internal/engine/membership.go
@@ -40,7 +40,7 @@
 
 func (c *Core) tickMembership() {
 	c.group.Tick(c.now)
-	c.schedule(max(c.group.Next()-c.now, minMembershipTick), timer{fire: c.tickMembership})
+	c.schedule(max(c.group.NextTick()-c.now, minMembershipTick), timer{fire: c.tickMembership})
 }
 
 // membershipOutbound is the Core as the membership sees it: a membership.Outbound.
