--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -51,6 +51,7 @@
 	Out string `help:"Write the model here, protobuf text format." placeholder:"FILE"`
 }
 
+// Run learns a model from captures, prints it and, with --out, writes it.
 func (c *capacityLearn) Run() error {
 	l, f, err := c.read()
 	if err != nil {
@@ -116,44 +117,70 @@
 	Out       string        `help:"Put answer.txt, answer.json and charts into this folder." placeholder:"DIR"`
 }
 
+// Run answers from captures and a fleet's description, prints the answer and, with --out, writes it to a folder.
 func (c *capacityAnswer) Run() error {
 	start := time.Now()
 	l, f, err := c.read()
 	if err != nil {
 		return err
 	}
-	var m *pb.CapacityModel
-	var w []wants.Want
-	if c.Model == "" {
-		m, w, err = learnt(l, f, c.Load)
-	} else {
-		m = &pb.CapacityModel{}
-		err = settings.Load(c.Model, m)
-		w, _ = wants.Unfold(l.Lines)
-	}
+	model, offered, err := c.model(l, f)
 	if err != nil {
 		return err
 	}
-	var goals []decide.Goal
-	for _, text := range c.Goal {
-		g, err := decide.ParseGoal(text)
-		if err != nil {
-			return err
-		}
-		goals = append(goals, g)
+	goals, err := c.goals()
+	if err != nil {
+		return err
 	}
-	s := &study.Study{Fleet: f, Model: m, Wants: w, Goals: goals, Seed: c.Seed, Length: c.Stretch, Stretches: c.Stretches, Jobs: c.Jobs, Captured: captured(l),
+	s := &study.Study{Fleet: f, Model: model, Wants: offered, Goals: goals, Seed: c.Seed, Length: c.Stretch, Stretches: c.Stretches, Jobs: c.Jobs, Captured: captured(l),
 		Progress: func(line string) {
 			fmt.Fprintf(os.Stderr, "%6.1fs %s\n", time.Since(start).Seconds(), line)
 		}}
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	a := &report.Answer{Commands: int(s.Captured.Commands), Wants: len(w), Folded: int(m.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
-		Seed: c.Seed, Capacity: s.Capacity(), Work: s.Work(), Limits: s.Limits(f, w)}
+	a := &report.Answer{Commands: int(s.Captured.Commands), Wants: len(offered), Folded: int(model.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
+		Seed: c.Seed, Capacity: s.Capacity(), Work: s.Work(), Limits: s.Limits(f, offered)}
 	if a.Inputs, err = report.Digest(append(c.Load, c.Fleet)...); err != nil {
 		return err
 	}
+	if err := c.search(s, a); err != nil {
+		return err
+	}
+	a.Took = time.Since(start)
+	report.Text(os.Stdout, a)
+	if c.Out != "" {
+		return report.Write(c.Out, a)
+	}
+	return nil
+}
+
+// model reads the model that the flags name, or learns one from the load; offered is what clients asked for.
+func (c *capacityAnswer) model(l *capture.Load, f *pb.CapacityFleet) (m *pb.CapacityModel, offered []wants.Want, err error) {
+	if c.Model == "" {
+		return learnt(l, f, c.Load)
+	}
+	m = &pb.CapacityModel{}
+	if err := settings.Load(c.Model, m); err != nil {
+		return nil, nil, err
+	}
+	offered, _ = wants.Unfold(l.Lines)
+	return m, offered, nil
+}
+
+func (c *capacityAnswer) goals() (goals []decide.Goal, err error) {
+	for _, text := range c.Goal {
+		g, err := decide.ParseGoal(text)
+		if err != nil {
+			return nil, err
+		}
+		goals = append(goals, g)
+	}
+	return goals, nil
+}
+
+// search plays what the flags ask for: the load's growth, the fewest endpoints, losses. A signal ends it.
+func (c *capacityAnswer) search(s *study.Study, a *report.Answer) (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if !c.Only {
@@ -173,10 +200,5 @@
 		}
 		a.Losses = append(a.Losses, loss)
 	}
-	a.Took = time.Since(start)
-	report.Text(os.Stdout, a)
-	if c.Out != "" {
-		return report.Write(c.Out, a)
-	}
 	return nil
 }
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -24,16 +24,18 @@
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
+// Run lets a gateway begin to record its load.
 func (c *captureStart) Run() error { return tape(c.Gateway, "start") }
 
 type captureStop struct {
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
+// Run lets a gateway end its recording; what it recorded is on disk then.
 func (c *captureStop) Run() error { return tape(c.Gateway, "stop") }
 
-func tape(edge, action string) error {
-	b, err := ask(edge, lineproto.Tape, "Action", action)
+func tape(gateway, action string) error {
+	b, err := ask(gateway, lineproto.Tape, "Action", action)
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -45,6 +47,7 @@
 	Paths   []string `arg:"" optional:"" help:"Folders or files (*.wcap)."`
 }
 
+// Run describes what a gateway records, or captures on disk.
 func (c *captureInfo) Run() error {
 	if c.Gateway != "" {
 		return tape(c.Gateway, "info")
@@ -61,16 +64,16 @@
 }
 
 func describe(l *capture.Load) {
-	commands, dispatches, finals := 0, 0, map[pb.CapturedCommand_Final]int{}
-	volumes, bricks, hosts := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	requests, attempts, results := 0, 0, map[pb.CapturedCommand_Final]int{}
+	volumes, endpoints, gateways := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, x := range l.Lines {
 		if m := x.GetCommand(); m != nil {
-			commands++
-			dispatches += len(m.Dispatch)
-			finals[m.Final]++
-			volumes[m.Volume], hosts[m.Host] = true, true
+			requests++
+			attempts += len(m.Dispatch)
+			results[m.Final]++
+			volumes[m.Volume], gateways[m.Host] = true, true
 		} else if b := x.GetBrick(); b != nil {
-			bricks[b.Name] = true
+			endpoints[b.Name] = true
 		}
 	}
 	from, to := l.Span()
@@ -78,10 +81,10 @@
 	fmt.Fprintf(w, "files\t%d\n", l.Files)
 	fmt.Fprintf(w, "from\t%s\n", time.Unix(0, int64(from)).UTC().Format(time.RFC3339Nano))
 	fmt.Fprintf(w, "span\t%v\n", (to - from).Round(time.Millisecond))
-	fmt.Fprintf(w, "commands\t%d by %d hosts, of %d volumes\n", commands, len(hosts), len(volumes))
-	fmt.Fprintf(w, "final answers\t%d completed, %d busy-replied, %d aborted, %d left\n", finals[0], finals[1], finals[2], finals[3])
-	fmt.Fprintf(w, "dispatches\t%d to %d bricks\n", dispatches, len(bricks))
-	fmt.Fprintf(w, "lost lines\t%d\n", l.Lost)
+	fmt.Fprintf(w, "requests\t%d by %d gateways, of %d volumes\n", requests, len(gateways), len(volumes))
+	fmt.Fprintf(w, "results\t%d served, %d rejected, %d failed, %d clients disconnected\n", results[0], results[1], results[2], results[3])
+	fmt.Fprintf(w, "attempts\t%d to %d endpoints\n", attempts, len(endpoints))
+	fmt.Fprintf(w, "lost records\t%d\n", l.Lost)
 	fmt.Fprintf(w, "torn\t%d blocks, %d bytes\n", l.Torn.Blocks, l.Torn.Bytes)
 	_ = w.Flush()
 }
@@ -93,6 +96,7 @@
 	Out   string        `required:"" help:"File to write." placeholder:"FILE"`
 }
 
+// Run writes an interval of captures to one file.
 func (c *captureCut) Run() error {
 	l, err := capture.Read(c.Paths...)
 	if err != nil {
@@ -106,6 +110,7 @@
 	Out   string   `required:"" help:"File to write." placeholder:"FILE"`
 }
 
+// Run writes captures of several gateways to one file, by aligned clocks.
 func (c *captureMerge) Run() error {
 	l, err := capture.Read(c.Paths...)
 	if err != nil {
@@ -115,7 +120,7 @@
 		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; their times stand as they are")
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "HOST\tMOVED BY\tSURE TO\tSTARTS SHARED")
+	fmt.Fprintln(w, "GATEWAY\tCLOCK OFFSET\tUNCERTAINTY\tSHARED STARTS")
 	for _, o := range l.Offset {
 		fmt.Fprintf(w, "%s\t%v\t%v\t%d\n", o.Host, o.Add, o.Spread, o.Marks)
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -46,6 +46,7 @@
 	Baseline string `help:"Decide by a baseline instead of the module." enum:",direct" default:""`
 }
 
+// Run runs a gateway in this process until a signal ends it.
 func (c *gatewayRun) Run() error {
 	if c.Baseline == "direct" {
 		return c.Execute(direct.Start)
@@ -55,4 +56,5 @@
 
 type controllerRun struct{ server.Command }
 
+// Run runs a controller in this process until a signal ends it.
 func (c *controllerRun) Run() error { return c.Execute(gateway.Logger) }
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -10,6 +10,7 @@
 	File string `arg:"" type:"existingfile" help:"Settings of a gateway (weirhaven-gateway)."`
 }
 
+// Run prints what settings hold, or the error that names file, line and field.
 func (c *configCheck) Run() error {
 	e, err := settings.LoadEdge(c.File)
 	if err != nil {
--- a/internal/cli/controlplane.go
+++ b/internal/cli/controlplane.go
@@ -56,6 +56,7 @@
 
 type controlPlaneStatus struct{ controlPlaneFlags }
 
+// Run prints a controller's phase, and what keeps it from writing.
 func (c *controlPlaneStatus) Run() error {
 	t, err := c.ask(&pb.StatusAsk{Edges: true})
 	if err != nil {
@@ -77,6 +78,7 @@
 
 type controlPlaneSnapshots struct{ controlPlaneFlags }
 
+// Run prints each entry of the snapshot that a controller serves.
 func (c *controlPlaneSnapshots) Run() error {
 	t, err := c.ask(&pb.StatusAsk{View: true})
 	if err != nil {
@@ -111,6 +113,7 @@
 
 type controlPlaneGateways struct{ controlPlaneFlags }
 
+// Run prints the gateways that a controller knows.
 func (c *controlPlaneGateways) Run() error {
 	t, err := c.ask(&pb.StatusAsk{Edges: true})
 	if err != nil {
@@ -129,6 +132,7 @@
 	Gateway string `arg:"" help:"Name of a gateway."`
 }
 
+// Run prints where a gateway and its controller differ.
 func (c *controlPlaneDiff) Run() error {
 	t, err := c.ask(&pb.StatusAsk{Diff: c.Gateway})
 	if err != nil {
@@ -149,4 +153,5 @@
 	Names []string      `arg:"" help:"A key and certificate for each: the controller (weirplan unless gateways name another), each gateway by its name, operators."`
 }
 
+// Run writes a key and a certificate for each name.
 func (c *keysMake) Run() error { return tlskeys.Make(c.Dir, c.Names, c.Valid) }
--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -41,6 +41,7 @@
 	Seed     int64         `default:"1"`
 }
 
+// Run serves until a signal ends it.
 func (c *fakeStorageNode) Run() error {
 	ctx := untilStopped()
 	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Cell: c.Shard, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
@@ -62,6 +63,7 @@
 	Endpoint []string `aliases:"brick" help:"An endpoint: name,address,zone,shard. Later lines on standard input, with a state behind, change the list." sep:"none"`
 }
 
+// Run serves until a signal ends it.
 func (c *fakeDiscovery) Run() error {
 	ctx := untilStopped()
 	s, err := discovery.Start(discovery.Config{Address: c.Listen, Asked: c.PollOnly, Seed: 1})
@@ -111,6 +113,7 @@
 	Seed             int64         `default:"1"`
 }
 
+// Run sends load for the length asked for, and prints what came of it.
 func (c *fakeClient) Run() error {
 	ctx := untilStopped()
 	rec := record.New()
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -42,6 +42,7 @@
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
+// Run prints what a gateway believes of each endpoint.
 func (c *fleetShow) Run() error {
 	b, err := ask(c.Gateway, lineproto.Fleet, "Brick", "")
 	if err == nil {
@@ -54,6 +55,7 @@
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
+// Run prints a gateway's fleet as the capacity planner reads it.
 func (c *fleetExport) Run() error {
 	b, err := ask(c.Gateway, lineproto.Fleet, "Form", "txtpb")
 	if err == nil {
@@ -68,6 +70,7 @@
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
+// Run lets a gateway forget an endpoint, or another gateway.
 func (c *fleetForget) Run() error {
 	field := "Brick"
 	if c.Peer {
@@ -82,6 +85,7 @@
 	Gateway string `required:"" aliases:"host" help:"The gateway's name."`
 }
 
+// Run prints the same as fleet show, from a store on disk.
 func (c *fleetDump) Run() error {
 	all, hosts, last, err := store.Dump(c.File, c.Gateway)
 	if err != nil {
@@ -92,13 +96,14 @@
 		return err
 	}
 	now := time.Duration(time.Now().UnixNano())
-	f := endpointstate.New(rules, nobody{}, func(string) {})
+	f := endpointstate.New(rules, noSink{}, func(string) {})
 	f.Restore(all, last, now)
 	fmt.Print(gateway.Table(f.Beliefs(), hosts, last, now))
 	return nil
 }
 
-// nobody is told of beliefs that are only shown.
-type nobody struct{}
+// noSink is the sink of beliefs that are only printed.
+type noSink struct{}
 
-func (nobody) EndpointChanged(string, string, string, int, bool, bool, time.Duration) {}
+// EndpointChanged does nothing.
+func (noSink) EndpointChanged(string, string, string, int, bool, bool, time.Duration) {}
--- a/internal/cli/object.go
+++ b/internal/cli/object.go
@@ -73,6 +73,7 @@
 	OnlyNew  bool   `help:"Not over an object that is there."`
 }
 
+// Run stores a file as an object and prints its entity tag.
 func (c *objectPut) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
@@ -106,6 +107,7 @@
 	File string `arg:"" help:"File to write."`
 }
 
+// Run fetches an object; the file appears whole or not at all.
 func (c *objectGet) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
@@ -137,6 +139,7 @@
 
 type counter func(n int)
 
+// Write counts the bytes written.
 func (c counter) Write(b []byte) (int, error) {
 	c(len(b))
 	return len(b), nil
@@ -148,6 +151,7 @@
 	Range string `help:"FROM-TO, FROM- or -LAST, in bytes from 0." placeholder:"RANGE"`
 }
 
+// Run prints an object, or a range of it.
 func (c *objectCat) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
@@ -200,6 +204,7 @@
 	All    bool   `help:"Names beyond the next / too."`
 }
 
+// Run prints names, sizes and times of objects.
 func (c *objectLs) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
@@ -231,6 +236,7 @@
 	Names []string `arg:"" help:"VOLUME/NAME."`
 }
 
+// Run removes objects.
 func (c *objectRm) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -22,6 +22,7 @@
 
 type scenarioList struct{}
 
+// Run prints the scenarios that come with the program.
 func (scenarioList) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SCENARIO\tLENGTH\tGATEWAYS\tFAULTS")
@@ -66,6 +67,7 @@
 	Exits   []string `json:",omitempty"`
 }
 
+// Run plays a scenario; it fails if a rule was broken in any run.
 func (c *scenarioRun) Run() error {
 	d, err := c.load()
 	if err != nil {
--- a/internal/cli/scenarioimport.go
+++ b/internal/cli/scenarioimport.go
@@ -19,6 +19,7 @@
 	Length    time.Duration `default:"20s" help:"At most this long."`
 }
 
+// Run turns a simulator's day into a scenario.
 func (c *scenarioImport) Run() error {
 	d, notes, err := scenario.Import(c.Day, scenario.Scale{Hosts: max(c.Gateways, 1), Bricks: max(c.Endpoints, 1), Length: c.Length})
 	if err != nil {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -26,6 +26,7 @@
 // exitViolations is the exit status of a run in which an invariant was broken.
 const exitViolations = 1
 
+// Run soaks; an invariant that was violated ends the program with exitViolations.
 func (c *soakCmd) Run() error {
 	if len(c.Fault) == 1 && c.Fault[0] == "list" {
 		for _, name := range soak.Names() {
--- a/internal/cli/states.go
+++ b/internal/cli/states.go
@@ -22,6 +22,7 @@
 	Heap, Goroutines, Held, Timers float64
 }
 
+// Write takes a piece of the gateways' logs, keeps its state lines and passes all on.
 func (s *states) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cli/verdict.go
+++ b/internal/cli/verdict.go
@@ -18,6 +18,7 @@
 	JSON bool   `name:"json" help:"Print JSON instead of a table."`
 }
 
+// Run judges a record; it fails if a rule is broken.
 func (c *auditRecord) Run() error {
 	h, seen, err := record.Read(c.Dir)
 	if err != nil {
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -22,6 +22,7 @@
 	Aim      float64 `default:"0.15" help:"A case is good if all its figures are off by at most this part."`
 }
 
+// Run plays and forecasts cases, and prints how far they are apart.
 func (c *capacityVerify) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
