--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -43,7 +43,7 @@
 
 type gatewayRun struct {
 	gateway.Command
-	Baseline string `help:"Decide by a baseline instead of the module." enum:",direct" default:""`
+	Baseline string `help:"Decide by a baseline instead of the scheduler." enum:",direct" default:""`
 }
 
 // Run runs a gateway in this process until a signal ends it.
