--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -367,7 +367,7 @@
 		return err
 	}
 	defer func() { _ = p.zip.Close() }() // it holds memory only
-	_ = p.add(w.c.Head) // what can't be encoded is left out, here and below: a capture must not end for it
+	_ = p.add(w.c.Head)                  // what can't be encoded is left out, here and below: a capture must not end for it
 	names := make([]string, 0, len(w.marks))
 	for name := range w.marks {
 		names = append(names, name)
