--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -228,15 +228,15 @@
 }
 
 // dropIfRemoved forgets an endpoint that was removed, once nothing is in flight there.
-func (c *Core) dropIfRemoved(removed *endpoint) {
-	if !removed.removed || removed.inFlight > 0 {
+func (c *Core) dropIfRemoved(target *endpoint) {
+	if !target.removed || target.inFlight > 0 {
 		return
 	}
-	if removed.conn != nil {
-		removed.conn.Close()
+	if target.conn != nil {
+		target.conn.Close()
 	}
-	if c.endpoints[removed.Name] == removed {
-		delete(c.endpoints, removed.Name)
+	if c.endpoints[target.Name] == target {
+		delete(c.endpoints, target.Name)
 	}
 }
 
--- a/internal/simulatorwire/gateway.go
+++ b/internal/simulatorwire/gateway.go
@@ -26,11 +26,11 @@
 	lastTimer int64
 }
 
-// openRequest is a request until it is over and each of its attempts has its outcome.
+// openRequest is a request until it is done and each of its attempts has its outcome.
 type openRequest struct {
 	request  *policy.Request
 	inFlight map[int]*policy.Attempt // by number
-	over     bool
+	done     bool
 }
 
 var outcomes = map[string]policy.Outcome{
@@ -252,7 +252,7 @@
 	}
 	requestOver := event.GetBool("last")
 	delete(open.inFlight, attempt.Number)
-	open.over = open.over || requestOver
+	open.done = open.done || requestOver
 	g.scheduler.AttemptEnded(attempt, policy.AttemptResult{
 		Outcome:     outcome,
 		Duration:    duration,
@@ -324,16 +324,16 @@
 	return nil, fmt.Errorf("unknown endpoint %q", name)
 }
 
-// endRequest notes that a request is over.
+// endRequest notes that a request is done.
 func (g *gateway) endRequest(id int64) {
 	open := g.requests[id]
-	open.over = true
+	open.done = true
 	g.release(id, open)
 }
 
-// release forgets a request that is over and has no attempt in flight.
+// release forgets a request that is done and has no attempt in flight.
 func (g *gateway) release(id int64, open *openRequest) {
-	if open.over && len(open.inFlight) == 0 {
+	if open.done && len(open.inFlight) == 0 {
 		delete(g.requests, id)
 	}
 }
