--- a/internal/httpgateway/eviction_test.go
+++ b/internal/httpgateway/eviction_test.go
@@ -11,8 +11,22 @@
 	"time"
 )
 
-// atOnce runs many clients at once, each with a new connection for every few requests.
-func atOnce(clients int, one func(client int)) {
+// A client has just connected and hasn't sent its request. It is not the one that makes room while others have had their
+// response and stay.
+func TestJustConnected(t *testing.T) {
+	endpoint := newEndpoint(t, respondNumbered)
+	gateway := startGateway(t, endpoint)
+	for i := range 21 {
+		wantResponse(t, gateway.dial(), readRequest(fmt.Sprint("a", i)), 200, fmt.Sprint("answer ", i))
+	}
+	just := gateway.dial()
+	wantResponse(t, gateway.dial(), readRequest("b"), 200, "answer 21")
+	wantResponse(t, gateway.dial(), readRequest("c"), 200, "answer 22")
+	wantResponse(t, just, readRequest("d"), 200, "answer 23")
+}
+
+// concurrently runs clients beside each other and waits for them.
+func concurrently(clients int, one func(client int)) {
 	var wg sync.WaitGroup
 	for i := range clients {
 		wg.Add(1)
@@ -24,44 +38,44 @@
 	wg.Wait()
 }
 
-// busyHost is a host with one quick server, for tests that don't look at single attempts.
-func busyHost(t *testing.T) *host {
-	b := newBrick(t, answers)
-	h := newHost(t, b)
+// startBusyGateway starts a gateway with one quick endpoint, for tests that don't look at single attempts.
+func startBusyGateway(t *testing.T) *testGateway {
+	endpoint := newEndpoint(t, respondNumbered)
+	gateway := startGateway(t, endpoint)
 	stop := make(chan bool)
 	t.Cleanup(func() { close(stop) })
 	go func() {
 		for {
 			select {
-			case <-b.seen:
-			case <-h.ended:
+			case <-endpoint.requests:
+			case <-gateway.outcomes:
 			case <-stop:
 				return
 			}
 		}
 	}()
-	return h
+	return gateway
 }
 
-// More clients than connections, each request on a new connection and in two pieces: whatever makes room, a request that
-// was sent whole gets an answer.
+// There are more clients than connections, each request comes on a new connection and in two pieces. Whichever connection
+// makes room, a request that was sent whole gets a response.
 func TestEvictionAnswersRequests(t *testing.T) {
-	h := busyHost(t)
+	gateway := startBusyGateway(t)
 	var whole, unanswered atomic.Int64
-	atOnce(60, func(client int) {
+	concurrently(60, func(client int) {
 		rng := rand.New(rand.NewSource(int64(client)))
 		for n := range 20 {
-			c := h.dial()
-			text := read(fmt.Sprintf("c%d-%d", client, n))
-			if !say(c, text[:40]) {
+			c := gateway.dial()
+			text := readRequest(fmt.Sprintf("c%d-%d", client, n))
+			if !send(c, text[:40]) {
 				continue
 			}
 			time.Sleep(time.Duration(rng.Int63n(int64(30 * ms))))
-			if !say(c, text[40:]) {
+			if !send(c, text[40:]) {
 				continue // closed in the middle of the request
 			}
 			whole.Add(1)
-			if status, _ := hear(c); status == 0 {
+			if status, _ := receive(c); status == 0 {
 				unanswered.Add(1)
 			}
 			c.Close()
@@ -72,21 +86,22 @@
 	}
 }
 
-// More clients than connections, several requests on each connection, the next at once: a connection may end between two of
-// them, but not over one that was read. The cleanup of the host checks that nothing was owed where it closed.
+// There are more clients than connections, and each sends several requests on one, the next as soon as it has a response. A
+// connection may end between two requests, but not over one that was read; when the gateway ends, its own check tells
+// whether one did.
 func TestEvictionBetweenRequests(t *testing.T) {
-	h := busyHost(t)
-	var answered, first atomic.Int64
-	atOnce(40, func(client int) {
+	gateway := startBusyGateway(t)
+	var answered, firstUnanswered atomic.Int64
+	concurrently(40, func(client int) {
 		for n := range 40 {
-			c, connected := h.dial(), time.Now()
+			c, connected := gateway.dial(), time.Now()
 			for k := range 5 {
-				say(c, read(fmt.Sprintf("c%d-%d-%d", client, n, k)))
-				prompt := time.Since(connected) < 20*ms // else this client was held up: it looked like one that says nothing
-				status, _ := hear(c)
+				send(c, readRequest(fmt.Sprintf("c%d-%d-%d", client, n, k)))
+				prompt := time.Since(connected) < 20*ms // else this client was held up: it looked like a silent one
+				status, _ := receive(c)
 				if status == 0 {
 					if k == 0 && prompt {
-						first.Add(1)
+						firstUnanswered.Add(1)
 					}
 					break
 				}
@@ -95,54 +110,56 @@
 			c.Close()
 		}
 	})
-	if answered.Load() < 1600 || first.Load() > 0 {
-		t.Errorf("%d answered; %d first requests of a connection were not", answered.Load(), first.Load())
+	if answered.Load() < 1600 || firstUnanswered.Load() > 0 {
+		t.Errorf("%d answered; %d first requests of a connection were not", answered.Load(), firstUnanswered.Load())
 	}
 }
 
-// A request that has come whole while its connection is retired is served, and that answer is the last.
-func TestRequestMeetsRetirement(t *testing.T) {
-	b := newBrick(t, answers)
-	h := newHost(t, b)
-	resting := h.dial()
-	want(t, resting, read("a0"), 200, "answer 0")
+// A request arrives whole in the moment in which its connection is evicted. It is served, and its response is the last on
+// the connection.
+func TestRequestMeetsEviction(t *testing.T) {
+	endpoint := newEndpoint(t, respondNumbered)
+	gateway := startGateway(t, endpoint)
+	resting := gateway.dial()
+	wantResponse(t, resting, readRequest("a0"), 200, "answer 0")
 	for i := range 21 { // now all connections rest, and that one is the oldest
-		want(t, h.dial(), read(fmt.Sprint("b", i)), 200, fmt.Sprint("answer ", i+1))
+		wantResponse(t, gateway.dial(), readRequest(fmt.Sprint("b", i)), 200, fmt.Sprint("answer ", i+1))
 	}
-	say(resting, read("a1"))
-	if status, _ := ask(h.dial(), read("c")); status != 200 {
+	send(resting, readRequest("a1"))
+	if status, _ := roundTrip(gateway.dial(), readRequest("c")); status != 200 {
 		t.Errorf("the request that needed room got %d", status)
 	}
-	if status, _ := hear(resting); status != 200 {
+	if status, _ := receive(resting); status != 200 {
 		t.Errorf("the request of a connection that made room got %d", status)
 	}
 }
 
-// All connections hold requests: one more is answered 503 at once, nothing of it is sent, and the others are served.
+// All connections have a request in progress, so none can make room. One more request is answered 503 at once, nothing of it
+// is sent, and the others are served.
 func TestConnectionLimit(t *testing.T) {
 	hold := make(chan bool)
-	b := newBrick(t, func(c net.Conn, n int) bool { <-hold; return answers(c, n) })
-	h := newHost(t, b)
+	endpoint := newEndpoint(t, func(c net.Conn, n int) bool { <-hold; return respondNumbered(c, n) })
+	gateway := startGateway(t, endpoint)
 	var waiting []net.Conn
 	for i := range 22 {
-		c := h.dial()
-		say(c, read(fmt.Sprint("a", i)))
+		c := gateway.dial()
+		send(c, readRequest(fmt.Sprint("a", i)))
 		waiting = append(waiting, c)
 	}
 	time.Sleep(100 * ms) // all are read
 	began := time.Now()
-	if status, _ := ask(h.dial(), read("b")); status != 503 || time.Since(began) > 300*ms {
+	if status, _ := roundTrip(gateway.dial(), readRequest("b")); status != 503 || time.Since(began) > 300*ms {
 		t.Errorf("%d after %v, wanted 503 at once", status, time.Since(began))
 	}
 	close(hold)
 	for i, c := range waiting {
-		if status, _ := hear(c); status == 0 {
+		if status, _ := receive(c); status == 0 {
 			t.Errorf("request %d got no answer", i)
 		}
 	}
-	for len(b.seen) > 0 {
-		if s := <-b.seen; strings.Contains(s, " b ") {
-			t.Errorf("%s reached the server", s)
+	for len(endpoint.requests) > 0 {
+		if s := <-endpoint.requests; strings.Contains(s, " b ") {
+			t.Errorf("%s reached the endpoint", s)
 		}
 	}
 }
--- /dev/null
+++ b/internal/httpgateway/fakes_test.go
@@ -0,0 +1,212 @@
+package httpgateway
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"weirhaven/internal/http1"
+)
+
+// testEndpoint is a scripted endpoint: it records the requests that reach it and does with each what the test says.
+type testEndpoint struct {
+	listener net.Listener
+	tasks    sync.WaitGroup
+	requests chan string                  // method, target, id and body
+	respond  func(c net.Conn, n int) bool // the n-th request; false: the connection is done with
+	mu       sync.Mutex
+	count    int
+	conns    map[net.Conn]bool
+}
+
+// newEndpoint starts an endpoint that calls respond for each request with its number from 0; false ends the connection.
+func newEndpoint(t *testing.T, do func(c net.Conn, n int) bool) *testEndpoint {
+	endpoint := &testEndpoint{listener: listen(t), requests: make(chan string, 1000), respond: do, conns: map[net.Conn]bool{}}
+	endpoint.tasks.Add(1)
+	go func() {
+		defer endpoint.tasks.Done()
+		for {
+			c, err := endpoint.listener.Accept()
+			if err != nil {
+				return
+			}
+			endpoint.mu.Lock()
+			endpoint.conns[c] = true
+			endpoint.mu.Unlock()
+			endpoint.tasks.Add(1)
+			go endpoint.serve(c)
+		}
+	}()
+	t.Cleanup(func() {
+		endpoint.listener.Close()
+		endpoint.mu.Lock()
+		for c := range endpoint.conns {
+			c.Close()
+		}
+		endpoint.mu.Unlock()
+		endpoint.tasks.Wait()
+	})
+	return endpoint
+}
+
+func (e *testEndpoint) serve(c net.Conn) {
+	defer e.tasks.Done()
+	defer c.Close()
+	r := http1.NewReader(c)
+	for r.Await() == nil {
+		h, err := r.Request()
+		if err != nil {
+			return
+		}
+		body, err := r.Body(h, 1<<20)
+		if err != nil {
+			return
+		}
+		e.mu.Lock()
+		n := e.count
+		e.count++
+		e.mu.Unlock()
+		e.requests <- fmt.Sprintf("%s %s %s %q", h.Method, h.Target, h.Get("X-Txn"), body)
+		if !e.respond(c, n) {
+			return
+		}
+	}
+}
+
+// oneRequest starts an endpoint that responds to one request and hands its head to the test.
+func oneRequest(t *testing.T) (*testEndpoint, chan *http1.Head) {
+	b, heads := &testEndpoint{listener: listen(t)}, make(chan *http1.Head, 1)
+	t.Cleanup(func() { b.listener.Close(); b.tasks.Wait() })
+	b.tasks.Add(1)
+	go func() {
+		defer b.tasks.Done()
+		c, err := b.listener.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		if h, err := http1.NewReader(c).Request(); err == nil {
+			heads <- h
+			send(c, okResponse(""))
+		}
+	}()
+	return b, heads
+}
+
+func listen(t *testing.T) net.Listener {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// send writes text and reports whether that succeeded.
+func send(c net.Conn, s string) bool { _, err := io.WriteString(c, s); return err == nil }
+
+// okResponse is a response with status 200.
+func okResponse(body string) string {
+	return string(http1.AppendEnd([]byte("HTTP/1.1 200 OK\r\n"), []byte(body)))
+}
+
+// respondNumbered responds with "answer" and the number of the request.
+func respondNumbered(c net.Conn, n int) bool { return send(c, okResponse(fmt.Sprint("answer ", n))) }
+
+// reset ends a connection with a reset in place of an end in good order.
+func reset(c net.Conn) bool { c.(*net.TCPConn).SetLinger(0); return false }
+
+// testAgent sends lists on one stream after the other.
+type testAgent struct {
+	listener    net.Listener
+	lists       chan string
+	requests    chan string
+	silentStart chan bool // holds one: the next stream begins without an empty line
+	done        chan bool
+}
+
+func newAgent(t *testing.T) *testAgent {
+	a := &testAgent{listener: listen(t), lists: make(chan string, 10), requests: make(chan string, 100), silentStart: make(chan bool, 1), done: make(chan bool)}
+	go func() {
+		defer close(a.done)
+		for {
+			c, err := a.listener.Accept()
+			if err != nil {
+				return
+			}
+			a.serve(c)
+		}
+	}()
+	t.Cleanup(a.close)
+	return a
+}
+
+func (a *testAgent) serve(c net.Conn) {
+	defer c.Close()
+	r := http1.NewReader(c)
+	if r.Await() != nil {
+		return
+	}
+	h, err := r.Request()
+	if err != nil {
+		return
+	}
+	a.requests <- h.Target
+	send(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	select {
+	case <-a.silentStart:
+	default:
+		send(c, "1\r\n\n\r\n")
+	}
+	clientClosed := make(chan bool)
+	go func() {
+		defer close(clientClosed)
+		r.Await()
+	}()
+	for {
+		select {
+		case l, ok := <-a.lists:
+			if !ok {
+				c.Close()
+				<-clientClosed
+				return
+			}
+			send(c, fmt.Sprintf("%x\r\n%s\n\r\n", len(l)+1, l))
+		case <-clientClosed:
+			return
+		}
+	}
+}
+
+func (a *testAgent) close() {
+	a.listener.Close()
+	select {
+	case <-a.lists:
+	default:
+	}
+	defer func() { recover() }() // closed before
+	close(a.lists)
+	<-a.done
+}
+
+// sendList sends a list of entries as entryJSON makes them.
+func (a *testAgent) sendList(revision int, complete bool, entries ...string) {
+	a.lists <- fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(entries, ","))
+}
+
+// entryJSON is the endpoint's entry in a list.
+func (e *testEndpoint) entryJSON(name string, shard int, phase string) string {
+	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":%d,"phase":%q,"up_since_ms":0}`, name, e.listener.Addr(), shard, phase)
+}
+
+// wantNoRequest fails the test if a request reached the endpoint that was not taken from requests.
+func (e *testEndpoint) wantNoRequest(t *testing.T) {
+	t.Helper()
+	select {
+	case s := <-e.requests:
+		t.Errorf("%s reached an endpoint", s)
+	default:
+	}
+}
--- a/internal/httpgateway/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -7,7 +7,6 @@
 	"log/slog"
 	"net"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -23,228 +22,45 @@
 
 const ms = time.Millisecond
 
-// brick is a scripted brick: it notes what reaches it and does with each request what the test says.
-type brick struct {
-	l    net.Listener
-	wg   sync.WaitGroup
-	seen chan string                  // method, target, id and body
-	do   func(c net.Conn, n int) bool // the n-th request; false: the connection is done with
-	mu   sync.Mutex
-	n    int
-	open map[net.Conn]bool
-}
-
-func newBrick(t *testing.T, do func(c net.Conn, n int) bool) *brick {
-	b := &brick{l: listen(t), seen: make(chan string, 1000), do: do, open: map[net.Conn]bool{}}
-	b.wg.Add(1)
-	go func() {
-		defer b.wg.Done()
-		for {
-			c, err := b.l.Accept()
-			if err != nil {
-				return
-			}
-			b.mu.Lock()
-			b.open[c] = true
-			b.mu.Unlock()
-			b.wg.Add(1)
-			go b.serve(c)
-		}
-	}()
-	t.Cleanup(func() {
-		b.l.Close()
-		b.mu.Lock()
-		for c := range b.open {
-			c.Close()
-		}
-		b.mu.Unlock()
-		b.wg.Wait()
-	})
-	return b
-}
-
-func (b *brick) serve(c net.Conn) {
-	defer b.wg.Done()
-	defer c.Close()
-	r := http1.NewReader(c)
-	for r.Await() == nil {
-		h, err := r.Request()
-		if err != nil {
-			return
-		}
-		body, err := r.Body(h, 1<<20)
-		if err != nil {
-			return
-		}
-		b.mu.Lock()
-		n := b.n
-		b.n++
-		b.mu.Unlock()
-		b.seen <- fmt.Sprintf("%s %s %s %q", h.Method, h.Target, h.Get("X-Txn"), body)
-		if !b.do(c, n) {
-			return
-		}
-	}
-}
-
-// oneRequest is a brick that answers one request and hands its head to the test.
-func oneRequest(t *testing.T) (*brick, chan *http1.Head) {
-	b, heads := &brick{l: listen(t)}, make(chan *http1.Head, 1)
-	t.Cleanup(func() { b.l.Close(); b.wg.Wait() })
-	b.wg.Add(1)
-	go func() {
-		defer b.wg.Done()
-		c, err := b.l.Accept()
-		if err != nil {
-			return
-		}
-		defer c.Close()
-		if h, err := http1.NewReader(c).Request(); err == nil {
-			heads <- h
-			say(c, good(""))
-		}
-	}()
-	return b, heads
-}
-
-func listen(t *testing.T) net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l
-}
-
-func say(c net.Conn, s string) bool { _, err := io.WriteString(c, s); return err == nil }
-
-func good(body string) string {
-	return string(http1.AppendEnd([]byte("HTTP/1.1 200 OK\r\n"), []byte(body)))
-}
-
-func answers(c net.Conn, n int) bool { return say(c, good(fmt.Sprint("answer ", n))) }
-
-// reset ends a connection so that the other side gets an error, not an end.
-func reset(c net.Conn) bool { c.(*net.TCPConn).SetLinger(0); return false }
-
-// agent tells lists to one watch after the other.
-type agent struct {
-	l     net.Listener
-	lines chan string
-	asked chan string
-	hush  chan bool // holds one: the next watch hears no empty line at first
-	done  chan bool
-}
-
-func newAgent(t *testing.T) *agent {
-	a := &agent{l: listen(t), lines: make(chan string, 10), asked: make(chan string, 100), hush: make(chan bool, 1), done: make(chan bool)}
-	go func() {
-		defer close(a.done)
-		for {
-			c, err := a.l.Accept()
-			if err != nil {
-				return
-			}
-			a.serve(c)
-		}
-	}()
-	t.Cleanup(a.close)
-	return a
-}
-
-func (a *agent) serve(c net.Conn) {
-	defer c.Close()
-	r := http1.NewReader(c)
-	if r.Await() != nil {
-		return
-	}
-	h, err := r.Request()
-	if err != nil {
-		return
-	}
-	a.asked <- h.Target
-	say(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	select {
-	case <-a.hush:
-	default:
-		say(c, "1\r\n\n\r\n")
-	}
-	gone := make(chan bool)
-	go func() {
-		defer close(gone)
-		r.Await()
-	}()
-	for {
-		select {
-		case l, ok := <-a.lines:
-			if !ok {
-				c.Close()
-				<-gone
-				return
-			}
-			say(c, fmt.Sprintf("%x\r\n%s\n\r\n", len(l)+1, l))
-		case <-gone:
-			return
-		}
-	}
-}
-
-func (a *agent) close() {
-	a.l.Close()
-	select {
-	case <-a.lines:
-	default:
-	}
-	defer func() { recover() }() // closed before
-	close(a.lines)
-	<-a.done
-}
-
-func (a *agent) tell(revision int, whole bool, bricks ...string) {
-	a.lines <- fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, whole, strings.Join(bricks, ","))
-}
-
-func (b *brick) line(name string, cell int, phase string) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":%d,"phase":%q,"up_since_ms":0}`, name, b.l.Addr(), cell, phase)
-}
-
-// watched is the module, with its dispatches' outcomes told to the test.
-type watched struct {
+// recordingScheduler is the scheduler, with the outcomes of its attempts handed to the test.
+type recordingScheduler struct {
 	*policy.Scheduler
-	ended chan policy.Outcome
+	outcomes chan policy.Outcome
 }
 
-func (w *watched) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
-	w.ended <- result.Outcome
+func (w *recordingScheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+	w.outcomes <- result.Outcome
 	w.Scheduler.AttemptEnded(attempt, result)
 }
 
-// host is a host of the platform under test.
-type host struct {
-	t       *testing.T
-	address string
-	agent   *agent
-	ended   chan policy.Outcome
-	reloads chan *config.Config
-	config  *config.Config
-	toBrick func(ctx context.Context, address string) (net.Conn, error)     // to bricks
-	faults  bool                                                            // faults of the program are expected in the log
-	listen  func(ctx context.Context, address string) (net.Listener, error) // for clients
-	stop    context.CancelFunc
-	done    chan error
-	run     *Host
-}
-
-func newHost(t *testing.T, bricks ...*brick) *host {
+// testGateway is a gateway under test, with its agent.
+type testGateway struct {
+	t             *testing.T
+	address       string
+	agent         *testAgent
+	outcomes      chan policy.Outcome
+	reloads       chan *config.Config
+	config        *config.Config
+	dialEndpoint  func(ctx context.Context, address string) (net.Conn, error)     // nil: TCP
+	expectPanics  bool                                                            // in its log
+	listenClients func(ctx context.Context, address string) (net.Listener, error) // nil: TCP
+	stop          context.CancelFunc
+	done          chan error
+	gateway       *Host
+}
+
+// startGateway starts a gateway whose configuration holds the endpoints, b0 and on, each in a shard of its own.
+func startGateway(t *testing.T, endpoints ...*testEndpoint) *testGateway {
 	t.Parallel()
-	h := aHost(t, bricks...)
-	h.start()
-	return h
+	gateway := newGateway(t, endpoints...)
+	gateway.start()
+	return gateway
 }
 
-// aHost is one that has not started.
-func aHost(t *testing.T, bricks ...*brick) *host {
-	h := &host{t: t, agent: newAgent(t), ended: make(chan policy.Outcome, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
-	h.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: h.agent.l.Addr().String(), ConnectTimeout: 2 * time.Second, EndpointIdleTimeout: 20 * time.Second,
+// newGateway makes a gateway that has not started, so that a test may change its configuration.
+func newGateway(t *testing.T, endpoints ...*testEndpoint) *testGateway {
+	gateway := &testGateway{t: t, agent: newAgent(t), outcomes: make(chan policy.Outcome, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
+	gateway.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: gateway.agent.listener.Addr().String(), ConnectTimeout: 2 * time.Second, EndpointIdleTimeout: 20 * time.Second,
 		Limits: config.Limits{Cores: 2, MemoryMB: 64, Sockets: 64}, KnownEndpoints: config.List{Revision: 7, Complete: true},
 		Settings: policy.Settings{Seed: 1, Gateways: 1, CanCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, TimerResolution: 2 * ms, TypicalUnits: 1,
 			MaxRetryAfter: time.Second, DrainGrace: 250 * ms,
@@ -254,74 +70,80 @@
 					Idempotency: policy.NotIdempotent}},
 			Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1},
 				{Name: "capped", NominalRate: 1, Limit: 1, Burst: 1, InitialBurst: 1, Weight: 1}}}}
-	for i, b := range bricks {
-		h.config.KnownEndpoints.Entries = append(h.config.KnownEndpoints.Entries, engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: b.l.Addr().String(),
+	for i, endpoint := range endpoints {
+		gateway.config.KnownEndpoints.Entries = append(gateway.config.KnownEndpoints.Entries, engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: endpoint.listener.Addr().String(),
 			Shard: i, Serving: true})
 	}
-	return h
-}
-
-func (h *host) start() {
-	t := h.t
-	up := make(chan net.Addr, 1)
-	run := &Host{Config: h.config, Log: slog.New(slog.NewTextHandler(h.log(), &slog.HandlerOptions{Level: slog.LevelError})), OnListening: func(a net.Addr) { up <- a }, Dial: h.toBrick, Listen: h.listen,
-		NewScheduler: func(p policy.Runtime, s policy.Settings) engine.Scheduler { return &watched{policy.New(p, s), h.ended} }}
-	h.run = run
+	return gateway
+}
+
+// start runs the gateway until the test ends; then the gateway must end within its time and have violated no invariant.
+func (gateway *testGateway) start() {
+	t := gateway.t
+	listening := make(chan net.Addr, 1)
+	started := &Host{Config: gateway.config, Log: slog.New(slog.NewTextHandler(gateway.log(), &slog.HandlerOptions{Level: slog.LevelError})), OnListening: func(a net.Addr) { listening <- a }, Dial: gateway.dialEndpoint, Listen: gateway.listenClients,
+		NewScheduler: func(p policy.Runtime, s policy.Settings) engine.Scheduler {
+			return &recordingScheduler{policy.New(p, s), gateway.outcomes}
+		}}
+	gateway.gateway = started
 	ctx, stop := context.WithCancel(context.Background())
-	h.stop = stop
-	go func() { h.done <- run.Run(ctx, h.reloads) }()
-	h.address = (<-up).String()
+	gateway.stop = stop
+	go func() { gateway.done <- started.Run(ctx, gateway.reloads) }()
+	gateway.address = (<-listening).String()
 	t.Cleanup(func() {
 		stop()
 		select {
-		case err := <-h.done:
+		case err := <-gateway.done:
 			if err != nil {
 				t.Error(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Error("the host does not end")
+			t.Error("the gateway does not end")
 			return
 		}
-		if n := run.recorder.Violations(); n > 0 {
+		if n := started.recorder.Violations(); n > 0 {
 			t.Errorf("%d violations of invariants", n)
 		}
 	})
 }
 
-// log is where errors of the host go.
-func (h *host) log() io.Writer {
-	if h.faults {
+// log is where the gateway logs errors.
+func (gateway *testGateway) log() io.Writer {
+	if gateway.expectPanics {
 		return io.Discard
 	}
-	return h.t.Output()
+	return gateway.t.Output()
 }
 
-func (h *host) dial() net.Conn {
-	h.t.Helper()
-	c, err := net.Dial("tcp", h.address)
+// dial opens a client connection.
+func (gateway *testGateway) dial() net.Conn {
+	gateway.t.Helper()
+	c, err := net.Dial("tcp", gateway.address)
 	if err != nil {
-		h.t.Fatal(err)
+		gateway.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { c.Close() })
+	gateway.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(8 * time.Second))
 	return c
 }
 
-// read and write are requests as the usual clients send them.
-func read(id string, more ...string) string {
+// readRequest is a read as the usual clients send it, with more fields.
+func readRequest(id string, more ...string) string {
 	return "GET /read/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: x\r\nX-Lane: read\r\nTier: plain\r\nX-Remaining-Ms: 1000\r\n" +
 		"IO-Info: units=1,shard=0,hosts=1\r\nX-Txn: " + id + "\r\n" + strings.Join(more, "") + "\r\n"
 }
 
-func write(id, body string) string {
-	r := strings.NewReplacer("GET /read", "PUT /write", "Lane: read", "Lane: write").Replace(read(id))
+// writeRequest is a write as the usual clients send it.
+func writeRequest(id, body string) string {
+	r := strings.NewReplacer("GET /read", "PUT /write", "Lane: read", "Lane: write").Replace(readRequest(id))
 	return strings.TrimSuffix(r, "\r\n") + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// ask sends and returns the answer's status and body; 0: the connection ended without one.
-func ask(c net.Conn, text string) (int, string) { say(c, text); return hear(c) }
+// roundTrip sends a request and returns its response's status and body; 0: the connection ended without one.
+func roundTrip(c net.Conn, text string) (int, string) { send(c, text); return receive(c) }
 
-func hear(c net.Conn) (int, string) {
+// receive reads a response and returns its status and body; 0: the connection ended without one.
+func receive(c net.Conn) (int, string) {
 	r := http1.NewReader(c)
 	if r.Await() != nil {
 		return 0, ""
@@ -334,32 +156,25 @@
 	return h.Status, string(b)
 }
 
-func want(t *testing.T, c net.Conn, text string, status int, body string) {
+// wantResponse fails the test if a request does not get this status and body.
+func wantResponse(t *testing.T, c net.Conn, text string, status int, body string) {
 	t.Helper()
-	if s, b := ask(c, text); s != status || b != body {
-		t.Errorf("%.60q: %d %.40q, wanted %d %.40q", text, s, b, status, body)
+	if gotStatus, gotBody := roundTrip(c, text); gotStatus != status || gotBody != body {
+		t.Errorf("%.60q: %d %.40q, wanted %d %.40q", text, gotStatus, gotBody, status, body)
 	}
 }
 
-func (h *host) how(want ...policy.Outcome) {
-	h.t.Helper()
+// wantOutcomes fails the test if the next attempts do not end with these outcomes.
+func (gateway *testGateway) wantOutcomes(want ...policy.Outcome) {
+	gateway.t.Helper()
 	for _, w := range want {
 		select {
-		case got := <-h.ended:
+		case got := <-gateway.outcomes:
 			if got != w {
-				h.t.Errorf("a dispatch ended as %d, wanted %d", got, w)
+				gateway.t.Errorf("an attempt ended as %d, wanted %d", got, w)
 			}
 		case <-time.After(5 * time.Second):
-			h.t.Fatalf("no dispatch ended, wanted %d", w)
+			gateway.t.Fatalf("no attempt ended, wanted %d", w)
 		}
 	}
 }
-
-func (b *brick) nothing(t *testing.T) {
-	t.Helper()
-	select {
-	case s := <-b.seen:
-		t.Errorf("%s reached a brick", s)
-	default:
-	}
-}
--- a/internal/httpgateway/syscalls_test.go
+++ b/internal/httpgateway/syscalls_test.go
@@ -13,23 +13,23 @@
 	"weirhaven/policy"
 )
 
-// A connect that fails on this machine for a moment says nothing of the server: the request is served, and no attempt ended
-// as one that the server refused.
+// A dial fails on this machine, for want of ports, routes or memory. That says nothing about the endpoint: the dial is
+// repeated, the request is served, and no attempt counts as refused by the endpoint, which would be ejected for it.
 func TestConnectFailsHere(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED} {
 		t.Run(number.Error(), func(t *testing.T) {
 			t.Parallel()
 			var failures atomic.Int32
-			h := aHost(t, newBrick(t, answers))
-			h.toBrick = func(ctx context.Context, address string) (net.Conn, error) {
+			gateway := newGateway(t, newEndpoint(t, respondNumbered))
+			gateway.dialEndpoint = func(ctx context.Context, address string) (net.Conn, error) {
 				if failures.Add(1) <= 4 {
 					return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", number)}
 				}
 				return new(net.Dialer).DialContext(ctx, "tcp", address)
 			}
-			h.start()
-			want(t, h.dial(), read("a1"), 200, "answer 0")
-			h.how(policy.Served)
+			gateway.start()
+			wantResponse(t, gateway.dial(), readRequest("a1"), 200, "answer 0")
+			gateway.wantOutcomes(policy.Served)
 		})
 	}
 }
@@ -48,138 +48,140 @@
 	return l.Listener.Accept()
 }
 
-// An accept that fails for a moment costs no healthy connection, and accepting goes on; only where this process has no
-// descriptor left is one closed.
+// Accepts fail for a moment. Accepting goes on, and no healthy connection is closed for it; that helps only where this
+// process has no descriptor left.
 func TestAcceptFails(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO} {
 		t.Run(number.Error(), func(t *testing.T) {
 			t.Parallel()
 			l := &failingListener{number: number}
-			h := aHost(t, newBrick(t, answers))
-			h.listen = func(ctx context.Context, address string) (net.Listener, error) {
+			gateway := newGateway(t, newEndpoint(t, respondNumbered))
+			gateway.listenClients = func(ctx context.Context, address string) (net.Listener, error) {
 				var err error
 				l.Listener, err = new(net.ListenConfig).Listen(ctx, "tcp", address)
 				return l, err
 			}
-			h.start()
+			gateway.start()
 			var open []net.Conn
 			for i := range 4 {
-				c := h.dial()
-				want(t, c, read(fmt.Sprint("a", i)), 200, fmt.Sprint("answer ", i))
+				c := gateway.dial()
+				wantResponse(t, c, readRequest(fmt.Sprint("a", i)), 200, fmt.Sprint("answer ", i))
 				open = append(open, c)
 			}
 			l.failures.Store(20)
-			want(t, h.dial(), read("b1"), 200, "answer 4") // in the kernel's queue, or accepted before the first failure
-			want(t, h.dial(), read("b2"), 200, "answer 5")
+			wantResponse(t, gateway.dial(), readRequest("b1"), 200, "answer 4") // in the kernel's queue, or accepted before the first failure
+			wantResponse(t, gateway.dial(), readRequest("b2"), 200, "answer 5")
 			for i, c := range open {
-				want(t, c, read(fmt.Sprint("c", i)), 200, fmt.Sprint("answer ", 6+i))
+				wantResponse(t, c, readRequest(fmt.Sprint("c", i)), 200, fmt.Sprint("answer ", 6+i))
 			}
 		})
 	}
 }
 
-// A connection that breaks with ETIMEDOUT or EHOSTUNREACH after the request was written may have run it; one whose write fails
-// halfway never did.
+// A connection breaks with ETIMEDOUT or EHOSTUNREACH. After the whole request was written it may have run; where the write
+// failed halfway it did not.
 func TestConnectionBreaks(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		for _, half := range []bool{false, true} {
 			t.Run(fmt.Sprint(number.Error(), half), func(t *testing.T) {
 				t.Parallel()
-				h := aHost(t, newBrick(t, answers))
-				h.toBrick = func(ctx context.Context, address string) (net.Conn, error) {
+				gateway := newGateway(t, newEndpoint(t, respondNumbered))
+				gateway.dialEndpoint = func(ctx context.Context, address string) (net.Conn, error) {
 					nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
-					return &breaking{Conn: nc, number: number, half: half}, err
+					return &brokenConn{Conn: nc, number: number, half: half}, err
 				}
-				h.start()
+				gateway.start()
 				wanted := map[bool]struct {
 					status int
 					how    policy.Outcome
 				}{false: {504, policy.ConnectionReset}, true: {503, policy.ConnectFailed}}[half]
-				want(t, h.dial(), write("a1", "x"), wanted.status, "")
-				h.how(wanted.how)
+				wantResponse(t, gateway.dial(), writeRequest("a1", "x"), wanted.status, "")
+				gateway.wantOutcomes(wanted.how)
 			})
 		}
 	}
 }
 
-// breaking fails at the write, after half of the request, or at the read behind it.
-type breaking struct {
+// brokenConn fails at the write, after half of the message, or at the read behind it.
+type brokenConn struct {
 	net.Conn
 	number syscall.Errno
 	half   bool
 }
 
-func (b *breaking) Write(p []byte) (int, error) {
-	if b.half {
-		n, _ := b.Conn.Write(p[:len(p)/2])
-		return n, os.NewSyscallError("write", b.number)
+func (c *brokenConn) Write(p []byte) (int, error) {
+	if c.half {
+		n, _ := c.Conn.Write(p[:len(p)/2])
+		return n, os.NewSyscallError("write", c.number)
 	}
-	return b.Conn.Write(p)
+	return c.Conn.Write(p)
 }
 
-func (b *breaking) Read(p []byte) (int, error) {
+func (c *brokenConn) Read([]byte) (int, error) {
 	time.Sleep(10 * ms)
-	return 0, os.NewSyscallError("read", b.number)
+	return 0, os.NewSyscallError("read", c.number)
 }
 
-// panicking panics once, at a write.
-type panicking struct {
+// panickingConn panics once, at a write.
+type panickingConn struct {
 	net.Conn
-	left *atomic.Int32
+	writesLeft *atomic.Int32
 }
 
-func (p *panicking) Write(b []byte) (int, error) {
-	if p.left.Add(-1) == 0 {
+func (c *panickingConn) Write(p []byte) (int, error) {
+	if c.writesLeft.Add(-1) == 0 {
 		panic("on purpose")
 	}
-	return p.Conn.Write(b)
+	return c.Conn.Write(p)
 }
 
+// panickingListener accepts connections that panic.
 type panickingListener struct {
 	net.Listener
-	left *atomic.Int32
+	writesLeft *atomic.Int32
 }
 
 func (l *panickingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
-	return &panicking{nc, l.left}, err
+	return &panickingConn{nc, l.writesLeft}, err
 }
 
-// A fault of the program on one connection is answered there, once, and harms no other connection.
+// A fault of this program panics on one connection. Its client is answered, once, and no other connection is harmed: without
+// a recover all requests in progress would be lost.
 func TestPanicOnConnection(t *testing.T) {
-	for _, side := range []string{"client", "server", "connect"} {
+	for _, side := range []string{"client", "endpoint", "connect"} {
 		t.Run(side, func(t *testing.T) {
 			t.Parallel()
-			var dials, toServer, toClient atomic.Int32
-			h := aHost(t, newBrick(t, answers))
-			h.toBrick = func(ctx context.Context, address string) (net.Conn, error) {
+			var dials, toEndpoint, toClient atomic.Int32
+			gateway := newGateway(t, newEndpoint(t, respondNumbered))
+			gateway.dialEndpoint = func(ctx context.Context, address string) (net.Conn, error) {
 				if side == "connect" && dials.Add(1) == 1 {
 					panic("on purpose")
 				}
 				nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
-				return &panicking{nc, &toServer}, err
+				return &panickingConn{nc, &toEndpoint}, err
 			}
-			h.listen = func(ctx context.Context, address string) (net.Listener, error) {
+			gateway.listenClients = func(ctx context.Context, address string) (net.Listener, error) {
 				l, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 				return &panickingListener{l, &toClient}, err
 			}
 			switch side {
 			case "client":
 				toClient.Store(1)
-			case "server":
-				toServer.Store(1)
+			case "endpoint":
+				toEndpoint.Store(1)
 			}
-			h.faults = true
-			h.start()
-			wanted := map[string]int{"client": 500, "server": 504, "connect": 200}[side]
-			if status, _ := ask(h.dial(), write("a1", "x")); status != wanted {
+			gateway.expectPanics = true
+			gateway.start()
+			wanted := map[string]int{"client": 500, "endpoint": 504, "connect": 200}[side]
+			if status, _ := roundTrip(gateway.dial(), writeRequest("a1", "x")); status != wanted {
 				t.Errorf("%d, wanted %d", status, wanted)
 			}
-			if status, _ := ask(h.dial(), write("a2", "x")); status != 200 {
+			if status, _ := roundTrip(gateway.dial(), writeRequest("a2", "x")); status != 200 {
 				t.Errorf("%d after a fault on another connection, wanted 200", status)
 			}
-			if open := h.run.pool.Counts().Open; open > 1 {
-				t.Errorf("%d connections to servers count as open, wanted 1 at most", open)
+			if open := gateway.gateway.pool.Counts().Open; open > 1 {
+				t.Errorf("%d connections to endpoints count as open, wanted 1 at most", open)
 			}
 		})
 	}
