--- a/internal/fake/storagenode/http.go
+++ b/internal/fake/storagenode/http.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("an id that no client sent: %w", err)
 	}
-	left, _ := http1.Whole(h.Get("X-Remaining-Ms"))
+	left, _ := http1.ParseDigits(h.Get("X-Remaining-Ms"))
 	parts := strings.Split(h.Target, "/")
 	if len(parts) != 4 {
 		return nil, fmt.Errorf("target %q", h.Target)
@@ -93,7 +93,7 @@
 		reset(j.conn.nc)
 		return
 	}
-	text = http1.AppendEnd(text, []byte(AnswerTo(j.command)))
+	text = http1.AppendBody(text, []byte(AnswerTo(j.command)))
 	_, _ = j.conn.nc.Write(text)
 	if b.rng.Float64() < b.cond.Copies {
 		time.AfterFunc(time.Duration(b.rng.Int63n(int64(copyDelay))), func() { _, _ = j.conn.nc.Write(text) })
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -31,8 +31,8 @@
 	return ""
 }
 
-// Times is how often a field stands in the head. The name must be in canonical form.
-func (h *Head) Times(name string) int { return len(h.fields[name]) }
+// Count is how often a field stands in the head. The name must be in canonical form.
+func (h *Head) Count(name string) int { return len(h.fields[name]) }
 
 // hopByHop fields are for the next hop alone (RFC 9110, 7.6.1), as are those that Connection names; the framing of what is
 // passed on is its sender's own.
@@ -122,15 +122,15 @@
 	case len(length) == 0:
 		return UntilEnd, nil
 	}
-	n, ok := Whole(length[0])
+	n, ok := ParseDigits(length[0])
 	if !ok {
 		return 0, malformed(400, "length %q is no whole number", clip(length[0]))
 	}
 	return n, nil
 }
 
-// Whole reads a number of digits only, without a sign, of at most 18 digits; ok is false for all else.
-func Whole(text string) (n int64, ok bool) {
+// ParseDigits reads a number of digits only, without a sign, of at most 18 digits; ok is false for all else.
+func ParseDigits(text string) (n int64, ok bool) {
 	if text == "" || len(text) > 18 || strings.Trim(text, "0123456789") != "" {
 		return 0, false
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -24,7 +24,7 @@
 // readResponse reads one response, with a body of at most 16 bytes, and describes it or its error.
 func readResponse(in string) string {
 	r := NewReader(strings.NewReader(in))
-	h, err := r.Answer()
+	h, err := r.Response()
 	var body []byte
 	if err == nil {
 		body, err = r.Body(h, 16)
@@ -118,7 +118,7 @@
 func TestStream(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	r := NewReader(iotest.OneByteReader(strings.NewReader(head + "5\r\na\nbc\n\r\n1\r\n\n\r\n3\r\ncut\r\n9\r\nbroken")))
-	h, err := r.Answer()
+	h, err := r.Response()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	text := "HTTP/1.1 200 OK\r\n\r\nok"
 	broken := errors.New("reset")
 	r := NewReader(io.MultiReader(strings.NewReader(text), iotest.ErrReader(broken)))
-	h, err := r.Answer()
+	h, err := r.Response()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,11 +187,11 @@
 		if err != nil {
 			return
 		}
-		if len(body) > 1<<10 || h.Times("Content-Length") > 0 && h.Times("Transfer-Encoding") > 0 {
+		if len(body) > 1<<10 || h.Count("Content-Length") > 0 && h.Count("Transfer-Encoding") > 0 {
 			t.Fatalf("%q passed with %d bytes", in, len(body))
 		}
 		b := AppendField([]byte(h.Method+" "+h.Target+" HTTP/1.1\r\n"), "Host", h.Get("Host"))
-		again := NewReader(bytes.NewReader(AppendEnd(b, body)))
+		again := NewReader(bytes.NewReader(AppendBody(b, body)))
 		h2, err := again.Request()
 		if err != nil || h2.Target != h.Target || h2.Get("Host") != h.Get("Host") {
 			t.Fatalf("%q: %v", b, err)
@@ -207,7 +207,7 @@
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
-		if h, err := r.Answer(); err == nil {
+		if h, err := r.Response(); err == nil {
 			if h.Status < 200 || h.Status > 999 {
 				t.Fatalf("status %d", h.Status)
 			}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -38,8 +38,8 @@
 	if err := r.readFields(h); err != nil {
 		return nil, err
 	}
-	if h.Times("Host") != 1 {
-		return nil, malformed(400, "%d Host fields, wanted 1", h.Times("Host"))
+	if h.Count("Host") != 1 {
+		return nil, malformed(400, "%d Host fields, wanted 1", h.Count("Host"))
 	}
 	if h.Length == UntilEnd { // a request without a length has no body
 		h.Length = 0
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// Answer reads the head of a response; interim ones before it are skipped, a bounded number of them. An *Error says that it is
+// Response reads the head of a response; interim ones before it are skipped, a bounded number of them. An *Error says that it is
 // malformed; any other error is the connection's.
-func (r *Reader) Answer() (*Head, error) {
+func (r *Reader) Response() (*Head, error) {
 	for range maxInterim {
 		line, err := r.line()
 		if err != nil {
@@ -35,7 +35,7 @@
 func parseStatusLine(line string) (h *Head, version string, err error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	status, ok := Whole(code)
+	status, ok := ParseDigits(code)
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || len(code) != 3 || !ok || status < 100 {
 		return nil, "", malformed(502, "malformed status line")
 	}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -13,8 +13,8 @@
 	return append(head, "\r\n"...)
 }
 
-// AppendEnd ends a head with its body's length, and appends the body.
-func AppendEnd(head, body []byte) []byte {
+// AppendBody ends a head with its body's length, and appends the body.
+func AppendBody(head, body []byte) []byte {
 	head = strconv.AppendInt(append(head, "Content-Length: "...), int64(len(body)), 10)
 	return append(append(head, "\r\n\r\n"...), body...)
 }
--- a/internal/httpgateway/command.go
+++ b/internal/httpgateway/command.go
@@ -18,12 +18,12 @@
 
 // Command is the command line of the gateway.
 type Command struct {
-	Config string        `env:"EDGE_CONFIG" required:"" help:"The platform's configuration, JSON."`
-	State  time.Duration `default:"5s" help:"How often totals are logged; 0: never."`
-	Debug  bool          `env:"EDGE_DEBUG" help:"Log each request and each attempt, with its outcome and reason."`
+	Config        string        `env:"EDGE_CONFIG" required:"" help:"The platform's configuration, JSON."`
+	StateInterval time.Duration `name:"state" default:"5s" help:"How often totals are logged; 0: never."`
+	Debug         bool          `env:"EDGE_DEBUG" help:"Log each request and each attempt, with its outcome and reason."`
 
 	// Customize, for tests, changes the gateway before it runs.
-	Customize func(*Host) `kong:"-"`
+	Customize func(*Gateway) `kong:"-"`
 }
 
 // Execute runs the gateway until SIGTERM or SIGINT and then shuts it down gracefully. SIGHUP reloads the configuration. It
@@ -43,7 +43,7 @@
 	output := logging.Stderr()
 	defer output.Close()
 	log := slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: c.logLevel()}))
-	g := &Host{Config: cfg, Log: log, NewScheduler: newScheduler, StateInterval: c.State}
+	g := &Gateway{Config: cfg, Log: log, NewScheduler: newScheduler, StateInterval: c.StateInterval}
 	if c.Customize != nil {
 		c.Customize(g)
 	}
--- a/internal/httpgateway/config/config.go
+++ b/internal/httpgateway/config/config.go
@@ -120,7 +120,7 @@
 		return fmt.Errorf("seed: %s is no hexadecimal number", v.Get("seed"))
 	}
 	settings := v.Get("settings")
-	if c.Settings, err = Settings(settings, int64(seed)); err != nil {
+	if c.Settings, err = ParseSettings(settings, int64(seed)); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if err := checkSettings(c.Settings); err != nil {
--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -12,10 +12,10 @@
 var idempotencyOf = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey,
 	"once": policy.NotIdempotent}
 
-// Settings reads the settings object, the one that a simulated gateway gets in its first message and a real one finds in its
+// ParseSettings reads the settings object, the one that a simulated gateway gets in its first message and a real one finds in its
 // configuration. A key that isn't read here is skipped; a key that is missing leaves the setting at 0 or off. It returns an
 // error when v is no object or a class has unknown semantics; the values themselves aren't checked.
-func Settings(v *fastjson.Value, seed int64) (policy.Settings, error) {
+func ParseSettings(v *fastjson.Value, seed int64) (policy.Settings, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return policy.Settings{}, errors.New("not an object")
 	}
--- a/internal/httpgateway/discovery/stream.go
+++ b/internal/httpgateway/discovery/stream.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	reader := http1.NewReader(nc)
-	head, err := reader.Answer()
+	head, err := reader.Response()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/httpgateway/downstream/ioinfo.go
+++ b/internal/httpgateway/downstream/ioinfo.go
@@ -65,7 +65,7 @@
 }
 
 func (i *ioInfo) setGateways(value string) bool {
-	gateways, ok := http1.Whole(value)
+	gateways, ok := http1.ParseDigits(value)
 	if i.hasGateways || !ok || gateways < 1 || gateways > maxGateways {
 		return false
 	}
--- a/internal/httpgateway/downstream/request.go
+++ b/internal/httpgateway/downstream/request.go
@@ -36,7 +36,7 @@
 	if err := s.checkHead(head, target.class); err != nil {
 		return nil, err
 	}
-	timeoutMs, ok := http1.Whole(head.Get(fieldTimeout))
+	timeoutMs, ok := http1.ParseDigits(head.Get(fieldTimeout))
 	if !ok || timeoutMs > math.MaxInt32 {
 		return nil, badRequest(400, "the time left is no whole number")
 	}
@@ -85,7 +85,7 @@
 		return badRequest(400, "no id, or one that is none")
 	case method == "GET" && head.Length != 0:
 		return badRequest(400, "a read with a body")
-	case method == "PUT" && head.Times("Content-Length")+head.Times("Transfer-Encoding") == 0:
+	case method == "PUT" && head.Count("Content-Length")+head.Count("Transfer-Encoding") == 0:
 		return badRequest(411, "a write without a length")
 	case head.Length > maxBody:
 		return badRequest(413, "body too large")
--- a/internal/httpgateway/downstream/respond.go
+++ b/internal/httpgateway/downstream/respond.go
@@ -56,7 +56,7 @@
 	}
 	_ = c.nc.SetWriteDeadline(c.writeDeadline)
 	c.writeDeadline = time.Time{}
-	if _, err := c.nc.Write(http1.AppendEnd(message, body)); err != nil {
+	if _, err := c.nc.Write(http1.AppendBody(message, body)); err != nil {
 		c.clientGone, c.closeReason = true, metrics.WriteFailed
 		return false
 	}
--- a/internal/httpgateway/fakes_test.go
+++ b/internal/httpgateway/fakes_test.go
@@ -109,7 +109,7 @@
 
 // okResponse is a response with status 200.
 func okResponse(body string) string {
-	return string(http1.AppendEnd([]byte("HTTP/1.1 200 OK\r\n"), []byte(body)))
+	return string(http1.AppendBody([]byte("HTTP/1.1 200 OK\r\n"), []byte(body)))
 }
 
 // respondNumbered responds with "answer" and the number of the request.
--- a/internal/httpgateway/forwarding_test.go
+++ b/internal/httpgateway/forwarding_test.go
@@ -35,7 +35,7 @@
 	endpoint, heads := oneRequest(t)
 	gateway := startGateway(t, endpoint)
 	wantResponse(t, gateway.dial(), readRequest("a1", "Idempotency-Key: k7\r\n", "Connection: close\r\n"), 200, "")
-	if got := <-heads; got.Get("Idempotency-Key") != "k7" || got.Get("X-Txn") != "a1" || got.Times("Connection") > 0 {
+	if got := <-heads; got.Get("Idempotency-Key") != "k7" || got.Get("X-Txn") != "a1" || got.Count("Connection") > 0 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/httpgateway/outbound.go
+++ b/internal/httpgateway/outbound.go
@@ -10,7 +10,7 @@
 
 // outbound is what the engine's loop may call. On this platform that is endpoints and a log: the watch of the endpoint list
 // is always open, and gateways don't talk to each other, so the other calls do nothing.
-type outbound struct{ *Host }
+type outbound struct{ *Gateway }
 
 // Connect returns the way to one endpoint. It opens no connection.
 func (o outbound) Connect(endpoint, address string) engine.EndpointConn {
@@ -18,7 +18,7 @@
 }
 
 // Log writes a line of the scheduler.
-func (o outbound) Log(line string) { o.Host.Log.Info(line, "from", "scheduler") }
+func (o outbound) Log(line string) { o.Gateway.Log.Info(line, "from", "scheduler") }
 
 // RequestEndpointList does nothing: the watch is always open.
 func (o outbound) RequestEndpointList() {}
--- a/internal/httpgateway/outcomes_test.go
+++ b/internal/httpgateway/outcomes_test.go
@@ -181,7 +181,7 @@
 	p := upstream.New(upstream.Options{Loop: loop, MaxConnections: 4, ConnectTimeout: time.Second, IdleTimeout: time.Second, Log: slog.New(slog.DiscardHandler)})
 	core := engine.New(gateway.config.Settings, endpointstate.Rules{}, func(p policy.Runtime, s policy.Settings) engine.Scheduler {
 		return &recordingScheduler{policy.New(p, s), gateway.outcomes}
-	}, outbound{&Host{pool: p, Log: slog.New(slog.DiscardHandler)}}, nil, time.Second, loop.Now())
+	}, outbound{&Gateway{pool: p, Log: slog.New(slog.DiscardHandler)}}, nil, time.Second, loop.Now())
 	ctx, stop := context.WithCancel(context.Background())
 	go loop.Run(ctx, core)
 	answered := make(chan engine.Response, 1)
--- a/internal/httpgateway/pipeline_test.go
+++ b/internal/httpgateway/pipeline_test.go
@@ -44,7 +44,7 @@
 		if in.Await() != nil {
 			t.Fatal("the connection ended")
 		}
-		a, err := in.Answer()
+		a, err := in.Response()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +121,7 @@
 	close(hold)
 	in, got, refused := http1.NewReader(c), 0, 0
 	for ; in.Await() == nil; got++ {
-		a, err := in.Answer()
+		a, err := in.Response()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 		if in.Await() != nil {
 			break
 		}
-		a, err := in.Answer()
+		a, err := in.Response()
 		if err != nil {
 			break
 		}
--- a/internal/httpgateway/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -46,7 +46,7 @@
 	listenClients func(ctx context.Context, address string) (net.Listener, error) // nil: TCP
 	stop          context.CancelFunc
 	done          chan error
-	gateway       *Host
+	gateway       *Gateway
 }
 
 // startGateway starts a gateway whose configuration holds the endpoints, b0 and on, each in a shard of its own.
@@ -81,7 +81,7 @@
 func (gateway *testGateway) start() {
 	t := gateway.t
 	listening := make(chan net.Addr, 1)
-	started := &Host{Config: gateway.config, Log: slog.New(slog.NewTextHandler(gateway.log(), &slog.HandlerOptions{Level: slog.LevelError})), OnListening: func(a net.Addr) { listening <- a }, Dial: gateway.dialEndpoint, Listen: gateway.listenClients,
+	started := &Gateway{Config: gateway.config, Log: slog.New(slog.NewTextHandler(gateway.log(), &slog.HandlerOptions{Level: slog.LevelError})), OnListening: func(a net.Addr) { listening <- a }, Dial: gateway.dialEndpoint, Listen: gateway.listenClients,
 		NewScheduler: func(p policy.Runtime, s policy.Settings) engine.Scheduler {
 			return &recordingScheduler{policy.New(p, s), gateway.outcomes}
 		}}
@@ -148,7 +148,7 @@
 	if r.Await() != nil {
 		return 0, ""
 	}
-	h, err := r.Answer()
+	h, err := r.Response()
 	if err != nil {
 		return 0, ""
 	}
--- a/internal/httpgateway/samedecisions_test.go
+++ b/internal/httpgateway/samedecisions_test.go
@@ -194,7 +194,7 @@
 
 // viaEngine plays the script through the engine as the gateway drives it.
 func viaEngine(t *testing.T) []string {
-	settings, err := config.Settings(fastjson.MustParse(profileText), 7)
+	settings, err := config.ParseSettings(fastjson.MustParse(profileText), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpgateway/shutdown.go
+++ b/internal/httpgateway/shutdown.go
@@ -21,13 +21,13 @@
 )
 
 // shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the kill time.
-func (h *Host) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
-	longest := longestTimeout(h.Config.Settings)
+func (g *Gateway) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
+	longest := longestTimeout(g.Config.Settings)
 	killAfter := min(longest, maxKillDelay) + killGrace
-	h.Log.Info("graceful shutdown started", "kill_after", killAfter)
+	g.Log.Info("graceful shutdown started", "kill_after", killAfter)
 	bounded, cancel := context.WithTimeout(ctx, longest+killGrace+shutdownOverrun)
 	defer cancel()
-	server.Shutdown(bounded, listener, h.loop.Now()+killAfter-responseMargin, connectionDrainTime)
+	server.Shutdown(bounded, listener, g.loop.Now()+killAfter-responseMargin, connectionDrainTime)
 }
 
 // longestTimeout is the longest timeout of any request class.
--- a/internal/httpgateway/state.go
+++ b/internal/httpgateway/state.go
@@ -13,9 +13,9 @@
 	"weirhaven/internal/httpgateway/downstream"
 )
 
-func (h *Host) logServing(clients net.Addr, shares shares) {
-	c := h.Config
-	h.Log.Info("serving", "name", c.Name, "listen", clients.String(), "discovery", c.Discovery,
+func (g *Gateway) logServing(clients net.Addr, shares shares) {
+	c := g.Config
+	g.Log.Info("serving", "name", c.Name, "listen", clients.String(), "discovery", c.Discovery,
 		"endpoints", len(c.KnownEndpoints.Entries), "revision", c.KnownEndpoints.Revision,
 		"cores", c.Limits.Cores, "memory_mb", c.Limits.MemoryMB,
 		"endpoint_idle_timeout", c.EndpointIdleTimeout, "connect_timeout", c.ConnectTimeout,
@@ -23,16 +23,16 @@
 }
 
 // logStatePeriodically logs totals until ctx ends.
-func (h *Host) logStatePeriodically(ctx context.Context, server *downstream.Server) {
-	if h.StateInterval <= 0 {
+func (g *Gateway) logStatePeriodically(ctx context.Context, server *downstream.Server) {
+	if g.StateInterval <= 0 {
 		return
 	}
-	ticker := time.NewTicker(h.StateInterval)
+	ticker := time.NewTicker(g.StateInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			h.logState(server)
+			g.logState(server)
 		case <-ctx.Done():
 			return
 		}
@@ -41,8 +41,8 @@
 
 // logState logs the totals of the engine, of both sides and of the process; it logs nothing once the loop has ended. Its
 // message and the attributes heap and goroutines are read by package soak.
-func (h *Host) logState(server *downstream.Server) {
-	requests, loopDelay, ok := h.engineCounts()
+func (g *Gateway) logState(server *downstream.Server) {
+	requests, loopDelay, ok := g.engineCounts()
 	if !ok {
 		return
 	}
@@ -61,22 +61,22 @@
 		slog.Duration("loop_delay", loopDelay),
 	}
 	attrs = append(attrs, processState()...)
-	attrs = append(attrs, h.connectionState(server)...)
-	h.Log.LogAttrs(context.Background(), slog.LevelInfo, "state", attrs...)
+	attrs = append(attrs, g.connectionState(server)...)
+	g.Log.LogAttrs(context.Background(), slog.LevelInfo, "state", attrs...)
 }
 
 // engineCounts asks the loop for its totals and measures how long the question waited there; ok is false once the loop has
 // ended.
-func (h *Host) engineCounts() (counts engine.Counts, delay time.Duration, ok bool) {
+func (g *Gateway) engineCounts() (counts engine.Counts, delay time.Duration, ok bool) {
 	replies := make(chan engine.Counts, 1)
 	askedAt := time.Now()
-	if !h.loop.Post(func(core *engine.Core) { replies <- core.Counts() }) {
+	if !g.loop.Post(func(core *engine.Core) { replies <- core.Counts() }) {
 		return counts, 0, false
 	}
 	select {
 	case counts = <-replies:
 		return counts, time.Since(askedAt), true
-	case <-h.loop.Done():
+	case <-g.loop.Done():
 		return counts, 0, false
 	}
 }
@@ -94,15 +94,15 @@
 	}
 }
 
-func (h *Host) connectionState(server *downstream.Server) []slog.Attr {
-	upstream, clients := h.pool.Counts(), server.Counts()
+func (g *Gateway) connectionState(server *downstream.Server) []slog.Attr {
+	upstream, clients := g.pool.Counts(), server.Counts()
 	return []slog.Attr{
 		slog.Int("client_connections", clients.Open),
 		slog.Int64("accepted", clients.Accepted),
 		slog.Int64("evicted", clients.Evicted),
 		slog.Int64("bad_requests", clients.BadRequests),
 		slog.Int64("shed", clients.Shed),
-		slog.Int64("violations", h.recorder.Violations()),
+		slog.Int64("violations", g.recorder.Violations()),
 		slog.Int("upstream_connections", upstream.Open),
 		slog.Int64("opened", upstream.Opened),
 		slog.Int64("stale", upstream.Stale),
--- a/internal/httpgateway/upstream/attempt.go
+++ b/internal/httpgateway/upstream/attempt.go
@@ -32,7 +32,7 @@
 	message = append(message, a.header...)
 	message = http1.AppendField(message, "X-Remaining-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	if len(a.body) > 0 || message[0] == 'P' { // a PUT has a length also where its body is empty
-		return http1.AppendEnd(message, a.body)
+		return http1.AppendBody(message, a.body)
 	}
 	return append(message, "\r\n"...)
 }
--- a/internal/httpgateway/upstream/response.go
+++ b/internal/httpgateway/upstream/response.go
@@ -17,7 +17,7 @@
 	if err := c.reader.Await(); err != nil {
 		return nil, nil, err
 	}
-	head, err := c.reader.Answer()
+	head, err := c.reader.Response()
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/simulatorwire/gateway.go
+++ b/internal/simulatorwire/gateway.go
@@ -103,7 +103,7 @@
 	if fields.err != nil {
 		return fields.err
 	}
-	settings, err := config.Settings(event.Get("profile_data"), seed)
+	settings, err := config.ParseSettings(event.Get("profile_data"), seed)
 	if err != nil {
 		return fmt.Errorf("profile_data: %w", err)
 	}
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -247,7 +247,7 @@
 		l.ended(q, c, isTimeout(err))
 		return
 	}
-	h, err := c.reader.Answer()
+	h, err := c.reader.Response()
 	var body []byte
 	if err == nil {
 		body, err = c.reader.Body(h, 1<<20)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,7 +30,7 @@
 	if fault.decider != nil {
 		start = fault.decider
 	}
-	c := httpgateway.Command{Config: os.Getenv("EDGE_CONFIG"), State: time.Second, Debug: os.Getenv("EDGE_DEBUG") != "", Customize: func(h *httpgateway.Host) {
+	c := httpgateway.Command{Config: os.Getenv("EDGE_CONFIG"), StateInterval: time.Second, Debug: os.Getenv("EDGE_DEBUG") != "", Customize: func(h *httpgateway.Gateway) {
 		if fault.toServer != nil {
 			h.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 				nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
