--- a/internal/httpgateway/discovery/watch.go
+++ b/internal/httpgateway/discovery/watch.go
@@ -29,11 +29,11 @@
 	Log *slog.Logger
 }
 
-// A change of the list must be known 6 s after the agent fell silent, whatever happened meanwhile: an attempt on an endpoint
-// that drains would be lost. The agent sends something every 2 s, so silence of silenceTimeout means that the stream may be
-// dead though its connection is up. Then another stream is opened beside it, and one more after each retryInterval; the older
-// ones stay open, since one of them may deliver first. Each has at least maxStreams times retryInterval, so that a slow agent
-// is heard too. All of this counts from the last event received, so it does not depend on how a stream hangs.
+// A change of the list must be known 6 s after the agent fell silent, whatever happened meanwhile: nothing new may be sent
+// to an endpoint that drains. The agent sends something every 2 s, so silence of silenceTimeout means that the stream may be
+// dead though its connection is up. Then another stream is opened beside it, and one more after each retryInterval; the
+// older ones stay open, since one of them may deliver first. Each has at least maxStreams times retryInterval, so that a
+// slow agent is heard too. All of this counts from the last event received, so it does not depend on how a stream hangs.
 const (
 	silenceTimeout = 2500 * time.Millisecond
 	retryInterval  = 1500 * time.Millisecond
--- a/internal/httpgateway/discovery/watch_test.go
+++ b/internal/httpgateway/discovery/watch_test.go
@@ -135,7 +135,7 @@
 }
 
 // The agent's machine stalls: its open stream falls silent without an end, and the next one is accepted and gets nothing
-// either. Were the watch to wait for a connection's end, drains would not be known for minutes. A third stream delivers; its
+// either. Were the watch to wait for a connection's end, drains would not be known for as long as it hangs. A third stream delivers; its
 // list is handed on within 6 s of the first silence, and the older streams end only then.
 func TestSilentAgent(t *testing.T) {
 	a, lists, first := silentAgent(t)
--- a/internal/httpgateway/downstream/respond.go
+++ b/internal/httpgateway/downstream/respond.go
@@ -42,7 +42,7 @@
 	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout",
 	505: "HTTP Version Not Supported"}
 
-// respond writes one response, with fields beside the usual ones, and settles what was owed; it reports whether the
+// respond writes one response, with fields beside the usual ones, after which nothing is owed; it reports whether the
 // connection goes on.
 func (c *conn) respond(status int, fields string, body []byte) bool {
 	last := c.isLastResponse()
--- a/internal/httpgateway/downstream/server.go
+++ b/internal/httpgateway/downstream/server.go
@@ -73,7 +73,7 @@
 	connClosed   chan struct{} // holds one: a connection was closed
 	backlogSince time.Time     // owned by Serve: connections may wait in the accept queue since then; zero: none does
 
-	mu                 sync.Mutex // guards all below and the fields of connections that say so
+	mu                 sync.Mutex // guards all below, and the fields of connections marked so
 	conns              map[*conn]bool
 	byState            [connStates]list.List // of *conn without a request in progress, in their state for longest first
 	retiredLingering   list.List             // of *conn that were retired and linger, oldest first
--- a/internal/httpgateway/forwarding_test.go
+++ b/internal/httpgateway/forwarding_test.go
@@ -74,8 +74,7 @@
 }
 
 // Endpoints send responses far longer than the platform's page says. They pass whole, and the memory that is reserved for
-// them is released, also where the client disconnects as its response comes; else the gateway would stall after some
-// hundred.
+// them is released, also where the client disconnects as its response comes; else the gateway would stall.
 func TestLargeResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 40000)
 	endpoint := newEndpoint(t, func(c net.Conn, _ int) bool { return send(c, okResponse(body)) })
--- a/internal/httpgateway/shutdown.go
+++ b/internal/httpgateway/shutdown.go
@@ -17,10 +17,11 @@
 	killGrace           = 700 * time.Millisecond
 	responseMargin      = 250 * time.Millisecond // so long before the kill all requests have their responses
 	connectionDrainTime = 250 * time.Millisecond // before that, connections end with their next response
-	shutdownOverrun     = time.Second            // past the kill time; then connections are closed whatever they owe
+	shutdownOverrun     = time.Second            // past that time connections are closed whatever they owe
 )
 
-// shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the kill time.
+// shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the longest timeout and
+// killGrace.
 func (g *Gateway) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
 	longest := longestTimeout(g.Config.Settings)
 	killAfter := min(longest, maxKillDelay) + killGrace
--- a/internal/httpgateway/syscalls_test.go
+++ b/internal/httpgateway/syscalls_test.go
@@ -14,7 +14,7 @@
 )
 
 // A dial fails on this machine, for want of ports, routes or memory. That says nothing about the endpoint: the dial is
-// repeated, the request is served, and no attempt counts as refused by the endpoint, which would be ejected for it.
+// repeated, the request is served, and no attempt counts as refused by the endpoint, which could be ejected for it.
 func TestConnectFailsHere(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED} {
 		t.Run(number.Error(), func(t *testing.T) {
--- a/internal/httpgateway/upstream/idle/idle.go
+++ b/internal/httpgateway/upstream/idle/idle.go
@@ -1,6 +1,6 @@
 // Package idle learns how long a connection may be idle before an attempt that is sent on it is lost. Machines on the way to
-// an endpoint drop idle connections without a word, and sooner than they say; the next attempt then breaks, though the
-// endpoint is healthy.
+// an endpoint drop idle connections silently, and sooner than documented; the next attempt then breaks, though the endpoint is
+// healthy.
 //
 // It compares how often connections broke at a reuse, by how long they had been idle, with how often new ones broke at their
 // first use: what breaks at any age says nothing about being idle. It has no clock and no I/O.
@@ -15,7 +15,7 @@
 const (
 	firstBucket = time.Millisecond // the first bucket holds idle times below that; each next one reaches twice as far
 	bucketCount = 20
-	// reconnectCost is the share of broken reuses that is worth bearing: a new connection costs the endpoint a handshake, some
+	// reconnectCost is the share of broken reuses that is accepted: a new connection costs the endpoint a handshake, some
 	// twentieth of the work of an attempt that breaks.
 	reconnectCost = 0.05
 	// significance is the number of standard deviations beyond the base rate that still counts as chance.
--- a/internal/httpgateway/upstream/placement.go
+++ b/internal/httpgateway/upstream/placement.go
@@ -96,7 +96,7 @@
 		_ = c.nc.SetReadDeadline(longAgo) // wakes its goroutine
 	}
 	if len(e.waiting) > 0 && len(e.idle) > 0 {
-		time.AfterFunc(delay, func() {
+		time.AfterFunc(delay, func() { // one that fires after Close finds nothing waiting
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			e.assignIdle()
