--- a/internal/cli/states.go
+++ b/internal/cli/states.go
@@ -18,8 +18,8 @@
 }
 
 type state struct {
-	Msg, Host                      string
-	Heap, Goroutines, Held, Timers float64
+	Msg, Gateway                   string
+	Heap, Goroutines, Open, Timers float64
 }
 
 func (s *states) Write(b []byte) (int, error) {
@@ -31,7 +31,7 @@
 			if s.seen == nil {
 				s.seen = map[string][]state{}
 			}
-			s.seen[x.Host] = append(s.seen[x.Host], x)
+			s.seen[x.Gateway] = append(s.seen[x.Gateway], x)
 		}
 	}
 	if s.to == nil {
--- a/internal/endpointconn/conn.go
+++ b/internal/endpointconn/conn.go
@@ -62,7 +62,7 @@
 	c.inFlight = nil
 	e.mu.Unlock()
 	if err != nil && e.connector.ctx.Err() == nil {
-		e.connector.log.Debug("endpoint connection ended", "endpoint", e.name, "address", e.address, "in flight", len(inFlight), "err", err)
+		e.connector.log.Debug("endpoint connection ended", "endpoint", e.name, "address", e.address, "in_flight", len(inFlight), "err", err)
 	}
 	for id, p := range inFlight {
 		outcome := policy.ConnectFailed
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -15,7 +15,7 @@
 	"weirhaven/internal/pb"
 )
 
-const fast = `name: "h" listen: "127.0.0.1:0" hosts: 1 ordinal: 0
+const benchmarkConf = `name: "h" listen: "127.0.0.1:0" hosts: 1 ordinal: 0
 fleet { max_dispatches: 3 resolution: "5ms" usual_units: 1 most_units: 8 cancel: true }
 queue_type { name: "read" service_target: "400ms" command_timeout: "2s" importance: 1 }
 plan { name: "plain" nominal: 100 weight: 1 }
@@ -23,7 +23,7 @@
 bounds { commands_a_connection: 100000 loop_queue: 100000 brick_queue: 100000 }
 `
 
-func idleBricks(b *testing.B, n int) (more string, first string) {
+func startIdleEndpoints(b *testing.B, n int) (more string, first string) {
 	for i := range n {
 		x, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Address: "127.0.0.1:0", Cell: i, Speed: 1,
 			Kind: &pb.BrickKind{UnitWork: "0s", Queue: 1 << 20}, Writes: map[string]bool{}})
@@ -39,9 +39,9 @@
 	return more, first
 }
 
-// pump sends n commands over conns connections, each with so many in flight, or at a rate if one is given, and
-// returns the latencies.
-func pump(b *testing.B, address, role string, n, conns, flight, cells int, rate float64) *hdrhistogram.Histogram {
+// sendRequests sends n requests over conns connections, each with so many in flight, or at a rate (a second) if one is given, and returns
+// the latencies in microseconds.
+func sendRequests(b *testing.B, address, role string, n, conns, flight, cells int, rate float64) *hdrhistogram.Histogram {
 	b.Helper()
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3)
@@ -105,33 +105,33 @@
 	return all
 }
 
-// Commands a second through one host to bricks that do no work; client, host and bricks in one process. The same
-// client straight to one brick beside it.
+// Requests a second through one gateway to endpoints that do no work; client, gateway and endpoints in one process. Beside it the same
+// client connected to one endpoint.
 func BenchmarkThrough(b *testing.B) {
-	more, straight := idleBricks(b, 8)
-	address, _ := hostOf(b, fast+more)
-	taped, _ := hostOf(b, fast+more+fmt.Sprintf("capture { folder: %q on: true }\n", b.TempDir()))
+	more, straight := startIdleEndpoints(b, 8)
+	address, _ := startGatewayOf(b, benchmarkConf+more)
+	taped, _ := startGatewayOf(b, benchmarkConf+more+fmt.Sprintf("capture { folder: %q on: true }\n", b.TempDir()))
 	for _, c := range []struct{ name, address, role string }{{"host", address, "client"}, {"capturing", taped, "client"}, {"straight", straight, "host"}} {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			n := max(b.N, 64)
 			start := time.Now()
-			pump(b, c.address, c.role, n, 4, 128, 8, 0)
+			sendRequests(b, c.address, c.role, n, 4, 128, 8, 0)
 			b.ReportMetric(float64(n)/time.Since(start).Seconds(), "commands/s")
 		})
 	}
 }
 
-// What the host adds to the latency at a steady rate, as a difference and a ratio in one run. RATE: commands a second.
+// What the gateway adds to the latency at a steady rate, as a difference and a ratio in one run. RATE: requests a second.
 func BenchmarkAdded(b *testing.B) {
 	rate := 20000.0
 	fmt.Sscan(os.Getenv("RATE"), &rate)
-	more, straight := idleBricks(b, 8)
-	address, _ := hostOf(b, fast+more)
+	more, straight := startIdleEndpoints(b, 8)
+	address, _ := startGatewayOf(b, benchmarkConf+more)
 	for b.Loop() {
 		n := int(rate) * 2
-		through := pump(b, address, "client", n, 4, 4096, 8, rate)
-		direct := pump(b, straight, "host", n, 4, 4096, 8, rate)
+		through := sendRequests(b, address, "client", n, 4, 4096, 8, rate)
+		direct := sendRequests(b, straight, "host", n, 4, 4096, 8, rate)
 		for _, q := range []float64{50, 99} {
 			x, y := float64(through.ValueAtQuantile(q)), float64(direct.ValueAtQuantile(q))
 			b.ReportMetric(x-y, fmt.Sprintf("added-p%v-us", q))
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -10,56 +11,60 @@
 	"weirhaven/internal/pb"
 )
 
-// openCapture lets the loop tell what is over to a writer, if settings allow it.
-func (e *Edge) openCapture(core *engine.Core) error {
-	c := e.conf.Capture
-	if c == nil {
+// openCapture lets the loop's requests be recorded, if the settings say where. A folder that can't be written costs the capture,
+// not the service.
+func (g *Gateway) openCapture(core *engine.Core) error {
+	conf := g.conf.Capture
+	if conf == nil {
 		return nil
 	}
-	key, err := capture.ReadKey(c.Key)
+	key, err := capture.ReadKey(conf.Key)
 	if err != nil {
 		return fmt.Errorf("setting capture.key: %w", err)
 	}
-	e.taping, err = capture.Open(capture.Config{Folder: c.Folder, Most: int64(c.MostBytes), Queue: int(c.Queue), Key: key, Log: e.log,
-		Head: &pb.CaptureHead{Host: e.conf.Name, Ordinal: e.conf.Ordinal, Zone: e.conf.Zone, Life: time.Now().UnixNano(), Hosts: e.conf.Hosts,
-			Fleet: e.conf.Fleet, QueueType: e.conf.QueueType, Plan: e.conf.Plan}})
+	head := &pb.CaptureHead{Host: g.conf.Name, Ordinal: g.conf.Ordinal, Zone: g.conf.Zone, Life: time.Now().UnixNano(), Hosts: g.conf.Hosts,
+		Fleet: g.conf.Fleet, QueueType: g.conf.QueueType, Plan: g.conf.Plan}
+	writer, err := capture.Open(capture.Config{Folder: conf.Folder, Most: int64(conf.MostBytes), Queue: int(conf.Queue), Key: key,
+		Log: g.log, Head: head})
 	if err != nil {
-		e.log.Warn("the load can't be captured; serving without", "err", err)
-		e.taping = nil
+		g.log.Warn("capture unavailable; serving without it", "err", err)
 		return nil
 	}
-	core.Observe(e.taping)
-	if c.On {
-		e.taping.Start()
+	g.capture = writer
+	core.Observe(writer)
+	if conf.On {
+		writer.Start()
 	}
 	return nil
 }
 
-// tape is an operator's word on the capture.
-func (e *Edge) tape(action string) (string, error) {
-	w := e.taping
-	if w == nil {
-		return "", fmt.Errorf("this host has no capture: setting capture names no folder, or it can't be written")
+// controlCapture starts or stops the capture, as an operator orders, and returns its status. The texts are the protocol's.
+func (g *Gateway) controlCapture(action string) (status string, err error) {
+	if g.capture == nil {
+		return "", errors.New("this host has no capture: setting capture names no folder, or it can't be written")
 	}
 	switch action {
 	case "start":
-		w.Start()
+		g.capture.Start()
 	case "stop":
-		w.Stop()
+		g.capture.Stop()
 	case "", "info":
 	default:
 		return "", fmt.Errorf("action %q; allowed: start, stop, info", action)
 	}
-	s := w.State()
-	var b strings.Builder
+	return captureStatus(g.capture.State()), nil
+}
+
+func captureStatus(s capture.State) string {
 	on := "off"
 	if s.On {
 		on = "on since " + time.Unix(0, int64(s.Since)).UTC().Format(time.RFC3339)
 	}
-	fmt.Fprintf(&b, "capture %s\nfolder %s\nsegments %d, %d bytes of at most %d\nlines written %d, lost %d\n", on, s.Folder, s.Segments, s.Bytes, s.Bound,
-		s.Lines, s.Lost)
+	var text strings.Builder
+	fmt.Fprintf(&text, "capture %s\nfolder %s\nsegments %d, %d bytes of at most %d\nlines written %d, lost %d\n", on, s.Folder, s.Segments,
+		s.Bytes, s.Bound, s.Lines, s.Lost)
 	if s.LastError != "" {
-		fmt.Fprintf(&b, "last error: %s\n", s.LastError)
+		fmt.Fprintf(&text, "last error: %s\n", s.LastError)
 	}
-	return b.String(), nil
+	return text.String()
 }
--- a/internal/gateway/main.go
+++ b/internal/gateway/command.go
@@ -13,15 +13,16 @@
 	"weirhaven/policy"
 )
 
-// Command is a host's command line.
+// Command is the command line of a gateway.
 type Command struct {
 	Config string `required:"" type:"existingfile" help:"Settings, protobuf text format (proto/edge.proto)."`
-	Bound  bool   `help:"End when standard input ends, so that no host is left over by whoever started it."`
+	Bound  bool   `help:"End when standard input ends, so that no gateway outlives whoever started it."`
 	Level  string `help:"Least level logged: debug, info, warn, error. Over that of the settings."`
 	Form   string `help:"text or json. Over that of the settings."`
 }
 
-// Execute runs a host until SIGTERM or SIGINT. It prints READY with its addresses once it serves.
+// Execute runs a gateway until SIGTERM or SIGINT. It prints READY with the addresses for clients and for peers once it serves. start
+// makes the scheduler.
 func (c *Command) Execute(start func(policy.Runtime, policy.Settings) engine.Scheduler) error {
 	conf, err := settings.LoadEdge(c.Config)
 	if err != nil {
@@ -49,7 +50,7 @@
 	}})
 }
 
-// Logger makes a log of the level and form asked for.
+// Logger returns a log to w of the level (empty: info) and form (empty: text) that l names. Other texts are errors.
 func Logger(w io.Writer, l *pb.Log) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if l.GetLevel() != "" {
@@ -57,12 +58,12 @@
 			return nil, fmt.Errorf("log level %q; allowed: debug, info, warn, error", l.Level)
 		}
 	}
-	o := &slog.HandlerOptions{Level: level}
+	options := &slog.HandlerOptions{Level: level}
 	switch l.GetForm() {
 	case "", "text":
-		return slog.New(slog.NewTextHandler(w, o)), nil
+		return slog.New(slog.NewTextHandler(w, options)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(w, o)), nil
+		return slog.New(slog.NewJSONHandler(w, options)), nil
 	}
 	return nil, fmt.Errorf("log form %q; allowed: text, json", l.GetForm())
 }
--- /dev/null
+++ b/internal/gateway/controlplane.go
@@ -0,0 +1,124 @@
+package gateway
+
+import (
+	"time"
+
+	"weirhaven/internal/controlplane/client"
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/engine"
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
+	"weirhaven/internal/settings"
+)
+
+// controlPlane passes on what the control plane's snapshot says: endpoints go to the loop as reports, volumes to the volume table,
+// and the planned number of gateways to the membership. Requests never wait for it.
+type controlPlane struct {
+	gateway  *Gateway
+	plans    map[string]bool  // service plans that the scheduler knows
+	follower *client.Follower // nil: no control plane
+	early    []*pb.Item       // the saved snapshot, until the loop runs
+}
+
+// openControlPlane reads the saved snapshot. Service plans that only it names are added to the settings, since the scheduler
+// takes plans only at its start.
+func (g *Gateway) openControlPlane() error {
+	p := &controlPlane{gateway: g, plans: map[string]bool{}}
+	g.controlPlane = p
+	for _, plan := range g.conf.Plan {
+		p.plans[plan.Name] = true
+	}
+	if g.conf.Planner == nil {
+		return nil
+	}
+	var err error
+	p.follower, err = client.Open(client.Config{Planner: g.conf.Planner, Name: g.conf.Name, Address: g.listener.Addr().String(),
+		File: g.conf.Store + ".view", Log: g.log, Sink: p, Seed: time.Now().UnixNano()})
+	if err != nil {
+		return err
+	}
+	for _, item := range p.early {
+		if item.Kind == pb.Item_PLAN && !item.Gone && !p.plans[item.Name] {
+			p.plans[item.Name] = true
+			g.conf.Plan = append(g.conf.Plan, item.Plan)
+		}
+	}
+	return nil
+}
+
+// applyEarly applies the saved snapshot once the loop runs: as too old to be trusted, so that each endpoint is doubted until something
+// fresh reports it.
+func (p *controlPlane) applyEarly() {
+	items := p.early
+	p.early = nil
+	if len(items) > 0 {
+		p.apply(items, settings.Duration(p.gateway.conf.ListFresh, settings.DefaultListFresh)+time.Second)
+	}
+}
+
+// Changed takes changes of the snapshot, from the follower's goroutine; fresh is false for the saved one, during client.Open.
+func (p *controlPlane) Changed(items []*pb.Item, fresh bool) {
+	if !fresh {
+		p.early = items
+		return
+	}
+	p.apply(items, 0)
+}
+
+// apply passes changes on that were true that long ago.
+func (p *controlPlane) apply(items []*pb.Item, age time.Duration) {
+	for _, name := range p.gateway.volumes.apply(items, p.plans) {
+		p.gateway.log.Warn("volume on an unknown service plan; restart the gateway to take the plan over", "volume", name)
+	}
+	var endpoints []*pb.Item
+	gateways := 0
+	for _, item := range items {
+		switch item.Kind {
+		case pb.Item_BRICK:
+			endpoints = append(endpoints, item)
+		case pb.Item_HOSTS:
+			gateways = int(item.Hosts)
+		}
+	}
+	if len(endpoints) == 0 && gateways == 0 {
+		return
+	}
+	p.gateway.loop.Post(func(c *engine.Core) {
+		if group := c.Membership(); group != nil && gateways > 0 {
+			group.SetPlanned(gateways)
+		}
+		c.EndpointsFromPeer(snapshotReports(endpoints, c.Now()-age))
+	})
+}
+
+// snapshotReports are a snapshot's endpoints as reports, true at observedAt.
+func snapshotReports(items []*pb.Item, observedAt time.Duration) (all []endpointstate.Report) {
+	for _, item := range items {
+		e := item.GetBrick()
+		if e == nil || e.Address == "" {
+			continue
+		}
+		r := endpointstate.Report{Name: item.Name, Address: e.Address, Zone: e.Zone, Shard: int(e.Cell), Serving: e.Serving && !item.Gone,
+			Gone: item.Gone, Started: time.Duration(e.Started), ObservedAt: observedAt}
+		if snapshot.Drained(e) {
+			r.Serving, r.Gone = false, false
+			if e.Drained > 0 {
+				r.Started = time.Duration(max(e.Started, e.Drained)) // the drain is of the process that it speaks of
+			}
+		}
+		all = append(all, r)
+	}
+	return all
+}
+
+// reportDrains reports the drains that this gateway knows to the control plane.
+func (p *controlPlane) reportDrains(beliefs []endpointstate.Belief) {
+	if p.follower == nil {
+		return
+	}
+	for _, b := range beliefs {
+		if b.DrainedUpTo > 0 {
+			p.follower.Learn(b.Name, int64(b.DrainedUpTo))
+		}
+	}
+}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -32,38 +32,38 @@
 bounds { commands_a_connection: 4 body: 100000 idle: "1s" stall: "300ms" connect: "200ms" }
 `
 
-// scripted is a brick that does with each connection what the test says.
-type scripted struct {
-	t    testing.TB
-	l    net.Listener
-	name string
+// scriptedEndpoint is an endpoint that does with each connection what the test says.
+type scriptedEndpoint struct {
+	t        testing.TB
+	listener net.Listener
+	name     string
 }
 
-func newBrick(t testing.TB, name string) *scripted {
+func newEndpoint(t testing.TB, name string) *scriptedEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &scripted{t, l, name}
+	return &scriptedEndpoint{t, l, name}
 }
 
-type peer struct {
+type testConn struct {
 	net.Conn
-	r *lineproto.Reader
+	reader *lineproto.Reader
 }
 
-func (p *peer) read(t testing.TB) *lineproto.Message {
+func (p *testConn) read(t testing.TB) *lineproto.Message {
 	t.Helper()
 	p.SetReadDeadline(time.Now().Add(5 * time.Second))
-	m, err := p.r.Read()
+	m, err := p.reader.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-func (p *peer) say(verb string, id uint64, f func(*lineproto.Out)) {
+func (p *testConn) send(verb string, id uint64, f func(*lineproto.Out)) {
 	var o lineproto.Out
 	o.Start(verb, id)
 	if f != nil {
@@ -72,43 +72,43 @@
 	p.Write(o.End(nil).B)
 }
 
-func (p *peer) run(id uint64, queue string) {
-	p.say(lineproto.Run, id, func(o *lineproto.Out) {
+func (p *testConn) submit(id uint64, queue string) {
+	p.send(lineproto.Run, id, func(o *lineproto.Out) {
 		o.Text("Volume", "v").Text("Queue-Type", queue).Text("Object", fmt.Sprint("o", id)).Whole("Cell", 0)
 	})
 }
 
-func greeted(t testing.TB, c net.Conn, role, name string) *peer {
+func greeted(t testing.TB, c net.Conn, role, name string) *testConn {
 	t.Helper()
 	r := lineproto.NewReader(c, 1<<20)
 	if _, err := lineproto.Greet(c, r, role, name, 5*time.Second, nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &peer{c, r}
+	return &testConn{c, r}
 }
 
-// accept is the brick's next connection.
-func (b *scripted) accept() *peer {
+// accept returns the endpoint's next connection.
+func (b *scriptedEndpoint) accept() *testConn {
 	b.t.Helper()
-	c, err := b.l.Accept()
+	c, err := b.listener.Accept()
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	return greeted(b.t, c, "brick", b.name)
 }
 
-// host starts an edge and returns its address; stop waits until it has ended.
-func host(t testing.TB, more string, bricks ...*scripted) (address string, stop func()) {
+// startGateway starts a gateway and returns its address; stop waits until it has ended.
+func startGateway(t testing.TB, more string, bricks ...*scriptedEndpoint) (address string, stop func()) {
 	t.Helper()
 	text := conf + more
 	for i, b := range bricks {
-		text += fmt.Sprintf("brick { name: %q address: %q cell: %d }\n", b.name, b.l.Addr(), i)
+		text += fmt.Sprintf("brick { name: %q address: %q cell: %d }\n", b.name, b.listener.Addr(), i)
 	}
-	return hostOf(t, text)
+	return startGatewayOf(t, text)
 }
 
-func hostOf(t testing.TB, text string) (address string, stop func()) {
+func startGatewayOf(t testing.TB, text string) (address string, stop func()) {
 	t.Helper()
 	e, err := settings.ParseEdge("test", []byte(text))
 	if err != nil {
@@ -132,7 +132,7 @@
 	return <-ready, stop
 }
 
-func dial(t testing.TB, address string) *peer {
+func dial(t testing.TB, address string) *testConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return greeted(t, c, "client", "test")
 }
 
-func want(t *testing.T, m *lineproto.Message, verb string, id uint64) *lineproto.Message {
+func expect(t *testing.T, m *lineproto.Message, verb string, id uint64) *lineproto.Message {
 	t.Helper()
 	if m.Verb != verb || m.ID != id {
 		t.Fatalf("got %s %d %v, wanted %s %d", m.Verb, m.ID, m.Field, verb, id)
@@ -149,66 +149,68 @@
 	return m
 }
 
-// Two commands on one connection, answers out of order; the first's answer is lost.
-func TestAnswersOutOfOrderAndOneLost(t *testing.T) {
-	b := newBrick(t, "a")
-	address, _ := host(t, "", b)
+// A client has two requests in flight on one connection, and the responses come out of order; that to the first is lost. The first fails
+// at its timeout, since it may have run, and its late response reaches nobody.
+func TestResponsesOutOfOrderAndOneLost(t *testing.T) {
+	b := newEndpoint(t, "a")
+	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
-	c.run(1, "post")
-	c.run(2, "post")
+	c.submit(1, "post")
+	c.submit(2, "post")
 	at := b.accept()
 	first, second := at.read(t), at.read(t)
-	at.say(lineproto.Done, second.ID, nil)
-	want(t, c.read(t), lineproto.Done, 2)
-	want(t, c.read(t), lineproto.Abort, 1) // at its command timeout: it may have run, so it is no busy reply
+	at.send(lineproto.Done, second.ID, nil)
+	expect(t, c.read(t), lineproto.Done, 2)
+	expect(t, c.read(t), lineproto.Abort, 1) // at its command timeout: it may have run, so it is no busy reply
 	if at.read(t).Verb != lineproto.Cancel {
 		t.Error("no cancel for what was given up")
 	}
-	at.say(lineproto.Done, first.ID, nil) // late: nobody hears of it
-	c.run(3, "read")
-	at.say(lineproto.Done, at.read(t).ID, nil)
-	want(t, c.read(t), lineproto.Done, 3)
+	at.send(lineproto.Done, first.ID, nil) // late: nobody hears of it
+	c.submit(3, "read")
+	at.send(lineproto.Done, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.Done, 3)
 }
 
-// A reset between the last byte sent and the answer: the command may have run. A refused connection: it has not.
+// An endpoint resets the connection after the last byte of an attempt and before the response: the request may have run. When it then takes
+// no connection, the request has not.
 func TestResetAndRefused(t *testing.T) {
-	b := newBrick(t, "a")
-	address, _ := host(t, "", b)
+	b := newEndpoint(t, "a")
+	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
-	c.run(1, "post")
+	c.submit(1, "post")
 	at := b.accept()
 	at.read(t)
 	at.Conn.(*net.TCPConn).SetLinger(0)
 	at.Close()
-	if m := want(t, c.read(t), lineproto.Abort, 1); m.Get("May-Have-Run") != "yes" {
+	if m := expect(t, c.read(t), lineproto.Abort, 1); m.Get("May-Have-Run") != "yes" {
 		t.Error(m.Field)
 	}
-	b.l.Close()
-	c.run(2, "post")
-	want(t, c.read(t), lineproto.Busy, 2) // never ran: trying again is harmless
+	b.listener.Close()
+	c.submit(2, "post")
+	expect(t, c.read(t), lineproto.Busy, 2) // never ran: trying again is harmless
 }
 
-// A drain notice crosses a dispatch that is still in the kernel's buffer: the brick turns that away, and nothing follows it.
-func TestDrainWhileOneIsOnItsWay(t *testing.T) {
-	b := newBrick(t, "a")
-	address, _ := host(t, "", b)
+// An endpoint's drain notice crosses an attempt that is still in the kernel's buffer. The endpoint rejects that one, and nothing follows it.
+func TestDrainCrossesAnAttempt(t *testing.T) {
+	b := newEndpoint(t, "a")
+	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
-	c.run(1, "post")
+	c.submit(1, "post")
 	at := b.accept()
-	at.say(lineproto.Drain, 0, nil) // before it reads what was sent
-	at.say(lineproto.Busy, at.read(t).ID, nil)
-	want(t, c.read(t), lineproto.Busy, 1)
-	c.run(2, "post")
-	want(t, c.read(t), lineproto.Busy, 2)
+	at.send(lineproto.Drain, 0, nil) // before it reads what was sent
+	at.send(lineproto.Busy, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.Busy, 1)
+	c.submit(2, "post")
+	expect(t, c.read(t), lineproto.Busy, 2)
 	at.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if m, err := at.r.Read(); err == nil {
+	if m, err := at.reader.Read(); err == nil {
 		t.Errorf("a draining brick was sent %s", m.Verb)
 	}
 }
 
-// A drain told to one host only reaches the others from it, and bars the brick there too.
-func TestDrainFromAnotherHost(t *testing.T) {
-	b := newBrick(t, "a")
+// An endpoint sends its drain notice to one gateway only. The others learn it from that one, and bar the endpoint too.
+func TestDrainFromAnotherGateway(t *testing.T) {
+	b := newEndpoint(t, "a")
 	ports := make([]string, 2)
 	for i := range ports {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -220,19 +222,19 @@
 	}
 	var at [2]string
 	for i := range at {
-		at[i], _ = hostOf(t, strings.Replace(conf, `name: "h"`, fmt.Sprintf(`name: "h%d"`, i), 1)+
+		at[i], _ = startGatewayOf(t, strings.Replace(conf, `name: "h"`, fmt.Sprintf(`name: "h%d"`, i), 1)+
 			fmt.Sprintf("ordinal: %d peer_listen: %q peer { ordinal: %d address: %q } brick { name: \"a\" address: %q }\n", i, ports[i],
-				1-i, ports[1-i], b.l.Addr()))
+				1-i, ports[1-i], b.listener.Addr()))
 	}
 	c := dial(t, at[0])
-	c.run(1, "read")
+	c.submit(1, "read")
 	first := b.accept()
-	first.say(lineproto.Drain, 0, nil)
-	first.say(lineproto.Busy, first.read(t).ID, nil)
-	want(t, c.read(t), lineproto.Busy, 1)
+	first.send(lineproto.Drain, 0, nil)
+	first.send(lineproto.Busy, first.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.Busy, 1)
 	show := dial(t, at[1])
 	for id, end := uint64(1), time.Now().Add(20*time.Second); ; id++ {
-		show.say(lineproto.Fleet, id, nil)
+		show.send(lineproto.Fleet, id, nil)
 		if m := show.read(t); strings.Contains(string(m.Body), "barred") {
 			break
 		}
@@ -242,19 +244,20 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	for n, verb := range map[string]string{"h0": lineproto.Done, "nobody": lineproto.Bad} {
-		show.say(lineproto.Forget, 1<<41, func(o *lineproto.Out) { o.Text("Host", n) })
-		want(t, show.read(t), verb, 1<<41)
+		show.send(lineproto.Forget, 1<<41, func(o *lineproto.Out) { o.Text("Host", n) })
+		expect(t, show.read(t), verb, 1<<41)
 	}
-	show.run(1<<40, "read")
-	want(t, show.read(t), lineproto.Busy, 1<<40) // nothing was sent: no brick is left
+	show.submit(1<<40, "read")
+	expect(t, show.read(t), lineproto.Busy, 1<<40) // nothing was sent: no brick is left
 }
 
-// Starting without discovery: the list is on disk. Hosts can't share it; at a saved address may be another brick; a thousand
-// lines are taken back; a disk that takes nothing costs no service.
+// A gateway starts while the endpoint list service is down, from its store. It restores a thousand beliefs; at one of the saved addresses is
+// another endpoint now, which gets nothing. A second gateway can't start on the same store, and a store that can't be opened costs
+// no service.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "fleet.db")
-	b, other := newBrick(t, "b0"), newBrick(t, "stranger")
+	b, other := newEndpoint(t, "b0"), newEndpoint(t, "stranger")
 	s, _, err := store.Open(file, "h")
 	if err != nil {
 		t.Fatal(err)
@@ -265,9 +268,9 @@
 		l := endpointstate.Report{Name: fmt.Sprint("b", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%900), Shard: i, Serving: true, ObservedAt: now - time.Hour}
 		switch i {
 		case 0:
-			l.Address = b.l.Addr().String()
+			l.Address = b.listener.Addr().String()
 		case 1:
-			l.Address = other.l.Addr().String()
+			l.Address = other.listener.Addr().String()
 		}
 		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: l})
 	}
@@ -276,15 +279,15 @@
 	}
 	s.Close()
 	own := fmt.Sprintf("store: %q\n", file)
-	address, stop := host(t, own)
+	address, stop := startGateway(t, own)
 	at := b.accept() // in doubt, it is asked for its own word
 	c := dial(t, address)
-	c.run(1, "read")
-	at.say(lineproto.Done, at.read(t).ID, nil)
-	want(t, c.read(t), lineproto.Done, 1)
+	c.submit(1, "read")
+	at.send(lineproto.Done, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.Done, 1)
 	wrong := other.accept()
 	wrong.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if m, err := wrong.r.Read(); err == nil {
+	if m, err := wrong.reader.Read(); err == nil {
 		t.Errorf("another brick at a saved address was sent %s", m.Verb)
 	}
 	e, err := settings.ParseEdge("second", []byte(conf+own))
@@ -295,65 +298,65 @@
 		t.Errorf("a second host started on the same store: %v", err)
 	}
 	show := dial(t, address)
-	show.say(lineproto.Fleet, 1, nil)
+	show.send(lineproto.Fleet, 1, nil)
 	if m := show.read(t); !strings.Contains(string(m.Body), "b0 ") || !strings.Contains(string(m.Body), "doubted") {
 		t.Errorf("%s", m.Body)
 	}
 	for n, verb := range []string{lineproto.Done, lineproto.Bad} { // once known, once forgotten
-		show.say(lineproto.Forget, uint64(n+2), func(o *lineproto.Out) { o.Text("Brick", "b7") })
-		want(t, show.read(t), verb, uint64(n+2))
+		show.send(lineproto.Forget, uint64(n+2), func(o *lineproto.Out) { o.Text("Brick", "b7") })
+		expect(t, show.read(t), verb, uint64(n+2))
 	}
 	stop()
 	if all, _, _, err := store.Dump(file, "h"); err != nil || len(all) != 999 || all[0].Source != endpointstate.SelfReported {
 		t.Errorf("%v %d %+v", err, len(all), all[0])
 	}
-	address, _ = host(t, fmt.Sprintf("store: %q\n", filepath.Join(dir, "none", "fleet.db")), newBrick(t, "z"))
+	address, _ = startGateway(t, fmt.Sprintf("store: %q\n", filepath.Join(dir, "none", "fleet.db")), newEndpoint(t, "z"))
 	c = dial(t, address)
-	c.run(1, "read")
+	c.submit(1, "read")
 	c.read(t)
 }
 
-// At the address of a brick is another one now: nothing is sent there.
-func TestAnotherBrickAtTheAddress(t *testing.T) {
-	b := newBrick(t, "a")
+// An endpoint's address was taken over by another endpoint: nothing is sent there.
+func TestAnotherEndpointAtTheAddress(t *testing.T) {
+	b := newEndpoint(t, "a")
 	b.name = "z"
-	address, _ := host(t, fmt.Sprintf("brick { name: \"a\" address: %q }\n", b.l.Addr()))
+	address, _ := startGateway(t, fmt.Sprintf("brick { name: \"a\" address: %q }\n", b.listener.Addr()))
 	c := dial(t, address)
-	c.run(1, "post")
+	c.submit(1, "post")
 	at := b.accept()
 	at.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if m, err := at.r.Read(); err == nil {
+	if m, err := at.reader.Read(); err == nil {
 		t.Errorf("it was sent %s", m.Verb)
 	}
-	want(t, c.read(t), lineproto.Busy, 1)
+	expect(t, c.read(t), lineproto.Busy, 1)
 }
 
-// A brick restarts on its address; an answer with a number of the connection before is thrown away.
-func TestOldAnswersAfterARestart(t *testing.T) {
-	b := newBrick(t, "a")
-	address, _ := host(t, "", b)
+// An endpoint restarts on its address and sends a response with an id of the connection before: it is dropped.
+func TestLateResponsesAfterARestart(t *testing.T) {
+	b := newEndpoint(t, "a")
+	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
-	c.run(1, "read")
+	c.submit(1, "read")
 	at := b.accept()
 	old := at.read(t).ID
 	at.Close()
 	at = b.accept() // one broken connection says little: it is sent again
 	at.read(t)
 	at.Close()
-	want(t, c.read(t), lineproto.Busy, 1) // no credit is left there, so it is not sent once more
-	c.run(2, "post")
+	expect(t, c.read(t), lineproto.Busy, 1) // no credit is left there, so it is not sent once more
+	c.submit(2, "post")
 	at = b.accept()
 	id := at.read(t).ID
-	at.say(lineproto.Done, old, nil)
-	at.say(lineproto.Done, 1<<60, nil)
-	at.say(lineproto.Abort, id, nil)
-	want(t, c.read(t), lineproto.Abort, 2)
+	at.send(lineproto.Done, old, nil)
+	at.send(lineproto.Done, 1<<60, nil)
+	at.send(lineproto.Abort, id, nil)
+	expect(t, c.read(t), lineproto.Abort, 2)
 }
 
-// What clients do wrong ends their connection or is told to them; nobody else notices.
-func TestWrongClients(t *testing.T) {
-	b := newBrick(t, "a")
-	address, _ := host(t, "", b)
+// Clients send malformed messages. That ends their connection or is answered with BAD; no other client notices.
+func TestMalformedClients(t *testing.T) {
+	b := newEndpoint(t, "a")
+	address, _ := startGateway(t, "", b)
 	for name, in := range map[string]string{
 		"endless line":    "RUN " + strings.Repeat("7", 1<<17),
 		"header bomb":     "RUN 1\r\n" + strings.Repeat("A: b\r\n", 1<<13),
@@ -393,21 +396,22 @@
 		}
 	}
 	for id := uint64(1); id <= 5; id++ { // four may be in flight
-		good.run(id, "read")
+		good.submit(id, "read")
 	}
-	if m := want(t, good.read(t), lineproto.Bad, 5); !strings.Contains(m.Get("Reason"), "in flight") {
+	if m := expect(t, good.read(t), lineproto.Bad, 5); !strings.Contains(m.Get("Reason"), "in flight") {
 		t.Error(m.Field)
 	}
-	good.run(4, "read")
+	good.submit(4, "read")
 	if m := good.read(t); m.Verb != lineproto.Bad || !strings.Contains(m.Get("Reason"), "told apart") {
 		t.Error(m.Field)
 	}
 }
 
-// A client that reads nothing is cut off; what it held has lost its client, and others are served meanwhile.
+// A client sends requests and reads no response. It is disconnected, its requests have lost their client, and other clients are served
+// meanwhile.
 func TestClientThatReadsNothing(t *testing.T) {
-	b := newBrick(t, "a")
-	address, _ := host(t, "", b)
+	b := newEndpoint(t, "a")
+	address, _ := startGateway(t, "", b)
 	deaf, good := dial(t, address), dial(t, address)
 	deaf.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 	go func() {
@@ -424,7 +428,7 @@
 	go func() { // the brick sends back what it got
 		defer close(ended)
 		for {
-			m, err := at.r.Read()
+			m, err := at.reader.Read()
 			if err != nil {
 				return
 			}
@@ -439,8 +443,8 @@
 	go func() {
 		defer close(served)
 		for id := uint64(1); id <= 20; id++ {
-			good.run(id, "read")
-			if m, err := good.r.Read(); err != nil || m.ID != id {
+			good.submit(id, "read")
+			if m, err := good.reader.Read(); err != nil || m.ID != id {
 				t.Errorf("command %d of another client: %v %v", id, m, err)
 				return
 			}
@@ -461,19 +465,15 @@
 	}
 }
 
-func asNet(err error, n *net.Error) bool {
-	x, ok := err.(net.Error)
-	*n = x
-	return ok
-}
+func asNet(err error, n *net.Error) bool { return errors.As(err, n) }
 
-// Told to stop, a host takes nothing new, ends what it holds, and leaves no goroutine behind.
+// A gateway that shuts down accepts nothing new, completes what it holds, and leaves no goroutine behind.
 func TestStop(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	b := newBrick(t, "a")
-	address, stop := host(t, "", b)
+	b := newEndpoint(t, "a")
+	address, stop := startGateway(t, "", b)
 	c := dial(t, address)
-	c.run(1, "read")
+	c.submit(1, "read")
 	at := b.accept()
 	held := at.read(t)
 	done, ended := make(chan bool), make(chan bool)
@@ -481,11 +481,11 @@
 		defer close(ended)
 		at.SetReadDeadline(time.Time{})
 		for {
-			m, err := at.r.Read()
+			m, err := at.reader.Read()
 			if err != nil {
 				return
 			}
-			at.say(lineproto.Done, m.ID, nil)
+			at.send(lineproto.Done, m.ID, nil)
 		}
 	}()
 	go func() {
@@ -493,22 +493,22 @@
 		close(done)
 	}()
 	for id := uint64(2); ; id++ { // until it no longer takes any
-		c.run(id, "read")
+		c.submit(id, "read")
 		m := c.read(t)
 		if m.Verb == lineproto.Busy && m.ID == id {
 			break
 		}
 	}
-	at.say(lineproto.Done, held.ID, nil)
-	want(t, c.read(t), lineproto.Done, 1)
+	at.send(lineproto.Done, held.ID, nil)
+	expect(t, c.read(t), lineproto.Done, 1)
 	<-done
 	c.Close()
 	at.Close()
 	<-ended
-	b.l.Close()
+	b.listener.Close()
 }
 
-// What the loop can't take in is busy-replied at once.
+// The loop's queue is full: requests are rejected at once.
 func TestOverflow(t *testing.T) {
 	block, blocked := make(chan bool), make(chan bool)
 	e, err := settings.ParseEdge("test", []byte(strings.Replace(conf, "commands_a_connection: 4", "loop_queue: 2", 1)))
@@ -518,19 +518,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, done := make(chan string, 1), make(chan error, 1)
 	start := func(h policy.Runtime, s policy.Settings) engine.Scheduler {
-		return &stuck{policy.New(h, s), block, blocked}
+		return &blockingScheduler{policy.New(h, s), block, blocked}
 	}
 	go func() {
 		done <- Run(ctx, e, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Start: start, Ready: func(a, _ string) { ready <- a }})
 	}()
 	c := dial(t, <-ready)
-	c.run(1, "read")
+	c.submit(1, "read")
 	<-blocked
 	for id := uint64(2); id <= 9; id++ {
-		c.run(id, "read")
+		c.submit(id, "read")
 	}
 	for id := uint64(4); id <= 9; id++ { // two wait, the others are told at once
-		want(t, c.read(t), lineproto.Busy, id)
+		expect(t, c.read(t), lineproto.Busy, id)
 	}
 	close(block)
 	got := map[uint64]bool{}
@@ -546,13 +546,13 @@
 	}
 }
 
-// stuck is a module that stands still at its first command.
-type stuck struct {
+// blockingScheduler is a scheduler that blocks at its first request.
+type blockingScheduler struct {
 	*policy.Scheduler
 	block, blocked chan bool
 }
 
-func (s *stuck) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
+func (s *blockingScheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	if s.blocked != nil {
 		close(s.blocked)
 		s.blocked = nil
@@ -561,31 +561,31 @@
 	return s.Scheduler.RequestReceived(request, arrival)
 }
 
-// An operator turns the capture on while the host serves; what was answered until "stop" came back is on disk, and names no object.
+// An operator turns the capture on while the gateway serves. What got its response until "stop" came back is on disk, and names no object.
 func TestCapture(t *testing.T) {
-	b := newBrick(t, "b0")
+	b := newEndpoint(t, "b0")
 	dir := t.TempDir()
-	a, stop := host(t, fmt.Sprintf("capture { folder: %q }\n", dir), b)
+	a, stop := startGateway(t, fmt.Sprintf("capture { folder: %q }\n", dir), b)
 	c := dial(t, a)
 	tape := func(action, want string) {
 		t.Helper()
-		c.say(lineproto.Tape, 99, func(o *lineproto.Out) { o.Text("Action", action) })
+		c.send(lineproto.Tape, 99, func(o *lineproto.Out) { o.Text("Action", action) })
 		if m := c.read(t); !strings.Contains(string(m.Body)+m.Get("Reason"), want) {
 			t.Errorf("%s: %s %q %s, want %q", action, m.Verb, m.Body, m.Get("Reason"), want)
 		}
 	}
-	c.run(1, "read")
+	c.submit(1, "read")
 	at := b.accept()
-	at.say(lineproto.Done, at.read(t).ID, nil)
-	want(t, c.read(t), lineproto.Done, 1)
+	at.send(lineproto.Done, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.Done, 1)
 	tape("info", "capture off")
 	tape("start", "capture on since")
 	for i := range uint64(3) {
-		c.run(2+i, "read")
+		c.submit(2+i, "read")
 		id := at.read(t).ID
-		at.say(lineproto.Abort, id, nil)
-		at.say(lineproto.Done, at.read(t).ID, nil)
-		want(t, c.read(t), lineproto.Done, 2+i)
+		at.send(lineproto.Abort, id, nil)
+		at.send(lineproto.Done, at.read(t).ID, nil)
+		expect(t, c.read(t), lineproto.Done, 2+i)
 	}
 	tape("stop", "lines written")
 	tape("wind", "allowed: start, stop, info")
@@ -609,7 +609,7 @@
 		t.Error(n, marks, l.Heads)
 	}
 	stop()
-	a, _ = host(t, "", newBrick(t, "b0"))
+	a, _ = startGateway(t, "", newEndpoint(t, "b0"))
 	c = dial(t, a)
 	tape("start", "no capture")
 }
--- /dev/null
+++ b/internal/gateway/gossip.go
@@ -0,0 +1,102 @@
+package gateway
+
+import (
+	"net/netip"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/fleet/memberpb"
+	"weirhaven/internal/fleet/membership"
+	"weirhaven/internal/pb"
+)
+
+// Bounds of what another gateway may say. Datagrams can be forged, so whatever is past them is dropped.
+const (
+	maxNameLength = 64
+	maxOrdinal    = 1<<16 - 1
+	maxPlanned    = 1<<16 - 1
+)
+
+// encodeMembership returns the body of a GOSSIP message; nil: it can't be encoded.
+func encodeMembership(m membership.Message) []byte {
+	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: memberpb.Encode(m.From), About: m.Target, Total: int64(m.Total), Sums: m.Checksums}
+	for _, update := range m.Updates {
+		g.News = append(g.News, memberpb.Encode(update))
+	}
+	body, err := proto.Marshal(g)
+	if err != nil {
+		return nil
+	}
+	return body
+}
+
+// decodeMembership reads the body of a GOSSIP message; false: no gateway would send it. Updates that none would send are left
+// out.
+func decodeMembership(body []byte) (m membership.Message, ok bool) {
+	g := &pb.Gossip{}
+	if proto.Unmarshal(body, g) != nil || g.Kind < int32(membership.Ping) || g.Kind > int32(membership.Sync) {
+		return m, false
+	}
+	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, Target: g.About, Total: int(g.Total), Checksums: g.Sums}
+	if m.From = memberpb.Decode(g.From); !isPlausible(m.From) {
+		return m, false
+	}
+	for _, n := range g.News {
+		if update := memberpb.Decode(n); isPlausible(update) {
+			m.Updates = append(m.Updates, update)
+		}
+	}
+	return m, true
+}
+
+// isPlausible reports whether a gateway may be such a member.
+func isPlausible(m membership.Member) bool {
+	_, err := netip.ParseAddrPort(m.Address)
+	return err == nil && m.Name != "" && len(m.Name) <= maxNameLength && m.Ordinal >= 0 && m.Ordinal <= maxOrdinal &&
+		m.Planned >= 0 && m.Planned <= maxPlanned && m.State >= membership.Alive && m.State <= membership.Departed
+}
+
+// startUnknown stands on the wire for an endpoint whose start is not known.
+const startUnknown = -1
+
+// encodeReports returns the body of a LINES message; nil: it can't be encoded. Times go as ages, so that gateways need no common
+// clock and an old report stays old however often it is passed on.
+func encodeReports(reports []endpointstate.Report, now time.Duration) []byte {
+	m := &pb.Lines{}
+	for _, r := range reports {
+		line := &pb.Lines_Line{Name: r.Name, Address: r.Address, Zone: r.Zone, Cell: int64(r.Shard), Serving: r.Serving, Gone: r.Gone,
+			Up: startUnknown, Age: int64(now - r.ObservedAt)}
+		if r.Started != 0 {
+			line.Up = int64(now - r.Started)
+		}
+		m.Line = append(m.Line, line)
+	}
+	body, err := proto.Marshal(m)
+	if err != nil {
+		return nil
+	}
+	return body
+}
+
+// decodeReports puts another gateway's reports on this one's clock. What no gateway would send is left out.
+func decodeReports(body []byte, now time.Duration) (reports []endpointstate.Report) {
+	m := &pb.Lines{}
+	if proto.Unmarshal(body, m) != nil {
+		return nil
+	}
+	for _, line := range m.Line {
+		_, err := netip.ParseAddrPort(line.Address)
+		if err != nil || line.Name == "" || len(line.Name) > maxNameLength || line.Cell < 0 || line.Cell > maxShard || line.Age < 0 {
+			continue
+		}
+		r := endpointstate.Report{Name: line.Name, Address: line.Address, Zone: line.Zone, Shard: int(line.Cell),
+			Serving: line.Serving && !line.Gone, Gone: line.Gone, ObservedAt: max(now-time.Duration(line.Age), 1)} // 0 would be: unknown
+		if line.Up >= 0 {
+			r.Started = max(now-time.Duration(line.Up), 1)
+		}
+		reports = append(reports, r)
+	}
+	return reports
+}
--- a/internal/gateway/objects.go
+++ b/internal/gateway/objects.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -21,145 +22,189 @@
 	"weirhaven/internal/tlskeys"
 )
 
-// objects is this host's object API.
-type objects struct {
-	edge   *Edge
-	index  *index.Index
-	gate   *gate.Gate
-	server *http.Server
-	listen net.Listener
-	cells  atomic.Pointer[[]uint32] // of bricks that serve
+// What the settings of objects mean where they are absent.
+const (
+	defaultExtent    = 256 << 10 // bytes
+	defaultUnit      = 64 << 10  // bytes
+	defaultWindow    = 8         // extents in flight
+	defaultRequests  = 256       // at once
+	defaultUploadAge = 24 * time.Hour
+	defaultLooseAge  = time.Hour
+	defaultSkew      = 15 * time.Minute
+)
+
+const maxHeaderBytes = 64 << 10
+
+// Shards that serve are read from the loop each second; orphaned extents are swept each sweepTicks seconds.
+const (
+	objectTick = time.Second
+	sweepTicks = 10
+)
+
+// objectServer is the object API of a gateway.
+type objectServer struct {
+	gateway  *Gateway
+	index    *index.Index
+	gate     *gate.Gate
+	server   *http.Server
+	listener net.Listener
+	shards   atomic.Pointer[[]uint32] // with an endpoint that serves, ascending
 }
 
-// openObjects listens, if settings say so.
-func (e *Edge) openObjects(ctx context.Context) (*objects, error) {
-	c := e.conf.Objects
-	if c == nil {
+// openObjects listens for object requests; nil without an error: the settings name no object API.
+func (g *Gateway) openObjects(ctx context.Context) (*objectServer, error) {
+	conf := g.conf.Objects
+	if conf == nil {
 		return nil, nil
 	}
-	var access api.Keys
-	var err error
-	if c.Access != "" {
-		if access, err = api.ReadKeys(c.Access); err != nil {
-			return nil, err
-		}
-	} else if !tlskeys.Loopback(c.Listen) {
-		return nil, fmt.Errorf("objects.access: no access keys; without them objects are served on loopback only (objects.listen: %s)", c.Listen)
+	keys, err := readAccessKeys(conf)
+	if err != nil {
+		return nil, err
 	}
-	o := &objects{edge: e}
-	if o.index, err = index.Open(c.Index); err != nil {
+	o := &objectServer{gateway: g}
+	if o.index, err = index.Open(conf.Index); err != nil {
 		return nil, err
 	}
-	or := func(x, usual uint32) int64 {
-		if x == 0 {
-			x = usual
-		}
-		return int64(x)
+	if err := o.listen(ctx, conf, keys); err != nil {
+		return nil, errors.Join(err, o.index.Close())
 	}
-	extent := or(c.Extent, 256<<10)
-	if extent > int64(e.limits.Body) {
-		o.index.Close()
-		return nil, fmt.Errorf("objects.extent: %d bytes are more than bounds.body allows a message (%d)", extent, e.limits.Body)
+	o.setShards(nil)
+	return o, nil
+}
+
+// readAccessKeys reads the access keys. Without any, objects are served on loopback only.
+func readAccessKeys(conf *pb.ObjectApi) (api.Keys, error) {
+	if conf.Access != "" {
+		return api.ReadKeys(conf.Access)
+	}
+	if !tlskeys.Loopback(conf.Listen) {
+		return nil, fmt.Errorf("objects.access: no access keys; without them objects are served on loopback only (objects.listen: %s)", conf.Listen)
 	}
-	o.gate = gate.New(gate.Config{Commands: o, Index: o.index, ReadType: c.ReadType, WriteType: c.WriteType, Extent: extent, Unit: or(c.Unit, 64<<10),
-		Window: int(or(c.Window, 8)), UploadAge: settings.Duration(c.UploadAge, 24*time.Hour), LooseAge: settings.Duration(c.LooseAge, time.Hour), Log: e.log,
-		Now: e.loop.Now})
+	return nil, nil
+}
+
+// listen makes the gate and the HTTP server, and listens.
+func (o *objectServer) listen(ctx context.Context, conf *pb.ObjectApi, keys api.Keys) error {
+	g := o.gateway
+	extent := int64(cmp.Or(conf.Extent, defaultExtent))
+	if extent > int64(g.limits.Body) {
+		return fmt.Errorf("objects.extent: %d bytes are more than bounds.body allows a message (%d)", extent, g.limits.Body)
+	}
+	o.gate = gate.New(gate.Config{Commands: o, Index: o.index, ReadType: conf.ReadType, WriteType: conf.WriteType,
+		Extent: extent, Unit: int64(cmp.Or(conf.Unit, defaultUnit)), Window: int(cmp.Or(conf.Window, defaultWindow)),
+		UploadAge: settings.Duration(conf.UploadAge, defaultUploadAge), LooseAge: settings.Duration(conf.LooseAge, defaultLooseAge),
+		Log: g.log, Now: g.loop.Now})
 	var config net.ListenConfig
-	if o.listen, err = config.Listen(ctx, "tcp", c.Listen); err != nil {
-		o.index.Close()
-		return nil, fmt.Errorf("listen for objects: %w", err)
+	var err error
+	if o.listener, err = config.Listen(ctx, "tcp", conf.Listen); err != nil {
+		return fmt.Errorf("listen for objects: %w", err)
 	}
-	o.server = &http.Server{Handler: api.Handler(api.Config{Gate: o.gate, Keys: access, Skew: settings.Duration(c.Skew, 15*time.Minute), Requests: int(or(c.Requests, 256)), Stall: e.limits.Stall, Log: e.log}),
-		ReadHeaderTimeout: e.limits.Stall, IdleTimeout: e.limits.Idle, MaxHeaderBytes: 64 << 10, Protocols: &http.Protocols{}}
+	handler := api.Handler(api.Config{Gate: o.gate, Keys: keys, Skew: settings.Duration(conf.Skew, defaultSkew),
+		Requests: int(cmp.Or(conf.Requests, defaultRequests)), Stall: g.limits.Stall, Log: g.log})
+	o.server = &http.Server{Handler: handler, ReadHeaderTimeout: g.limits.Stall, IdleTimeout: g.limits.Idle,
+		MaxHeaderBytes: maxHeaderBytes, Protocols: &http.Protocols{}}
 	o.server.Protocols.SetHTTP1(true)
 	o.server.Protocols.SetUnencryptedHTTP2(true)
-	o.learn(nil)
-	return o, nil
+	return nil
 }
 
-// run serves until ctx ends.
-func (o *objects) run(ctx context.Context) {
-	o.edge.log.Info("serving objects", "address", o.listen.Addr().String())
+// run serves until ctx ends. If the server fails before that, the index stays open until then: requests in flight still use it.
+func (o *objectServer) run(ctx context.Context) {
+	o.gateway.log.Info("serving objects", "address", o.listener.Addr().String())
+	defer func() { _ = o.index.Close() }() // each change is durable by itself
 	served := make(chan error, 1)
-	go func() { served <- o.server.Serve(o.listen) }()
-	tick := time.NewTicker(time.Second)
+	go func() { served <- o.server.Serve(o.listener) }() // ends with the server's Close or Shutdown
+	tick := time.NewTicker(objectTick)
 	defer tick.Stop()
-	defer o.index.Close()
-	o.look()
-	for turn := 1; ; turn++ {
+	o.refreshShards()
+	for ticks := 1; ; ticks++ {
 		select {
 		case <-tick.C:
-			o.look()
-			if turn%10 == 0 {
-				if removed, left, err := o.gate.Sweep(ctx); err != nil {
-					o.edge.log.Warn("the sweep of loose extents failed", "err", err)
-				} else if removed > 0 {
-					o.edge.log.Info("loose extents were removed", "removed", removed, "left", left)
-				}
+			o.refreshShards()
+			if ticks%sweepTicks == 0 {
+				o.sweep(ctx)
 			}
 		case <-ctx.Done():
-			o.server.Close()
-			<-served
+			_ = o.server.Close() // the process is done with it
+			o.logServed(<-served)
 			return
 		case err := <-served:
-			if !errors.Is(err, http.ErrServerClosed) {
-				o.edge.log.Error("objects are served no more", "err", err)
-			}
-			<-ctx.Done() // what is under way still uses the index
-			o.server.Close()
+			o.logServed(err)
+			<-ctx.Done()
+			_ = o.server.Close()
 			return
 		}
 	}
 }
 
-// drain takes nothing new and lets what is under way end.
-func (o *objects) drain(longest time.Duration) {
-	if o == nil {
-		return
+// logServed logs why the server ended, unless it was closed.
+func (o *objectServer) logServed(err error) {
+	if !errors.Is(err, http.ErrServerClosed) {
+		o.gateway.log.Error("object server failed; objects are not served any more", "err", err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), longest)
-	defer stop()
-	o.server.Shutdown(ctx)
 }
 
-// look takes the cells of bricks that serve from what the loop believes.
-func (o *objects) look() {
-	all, _, _, ok := o.edge.beliefs()
-	if ok {
-		o.learn(all)
+// sweep removes extents that no object refers to.
+func (o *objectServer) sweep(ctx context.Context) {
+	removed, remaining, err := o.gate.Sweep(ctx)
+	if err != nil {
+		o.gateway.log.Warn("sweep of orphaned extents failed", "err", err)
+	} else if removed > 0 {
+		o.gateway.log.Info("orphaned extents removed", "removed", removed, "remaining", remaining)
 	}
 }
 
-func (o *objects) learn(all []endpointstate.Belief) {
-	cells := []uint32{}
-	for _, b := range all {
-		if b.Serving && !b.Gone && b.Trust != endpointstate.Barred && b.Shard >= 0 && !slices.Contains(cells, uint32(b.Shard)) {
-			cells = append(cells, uint32(b.Shard))
+// drain accepts no new requests and lets those in flight complete within the timeout.
+func (o *objectServer) drain(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	_ = o.server.Shutdown(ctx) // what is then left, Close ends
+}
+
+// refreshShards reads from the loop which shards serve.
+func (o *objectServer) refreshShards() {
+	if view, ok := o.gateway.fleetView(); ok {
+		o.setShards(view.beliefs)
+	}
+}
+
+func (o *objectServer) setShards(beliefs []endpointstate.Belief) {
+	shards := []uint32{}
+	for _, b := range beliefs {
+		if b.Serving && !b.Gone && b.Trust != endpointstate.Barred && b.Shard >= 0 && !slices.Contains(shards, uint32(b.Shard)) {
+			shards = append(shards, uint32(b.Shard))
 		}
 	}
-	slices.Sort(cells)
-	o.cells.Store(&cells)
+	slices.Sort(shards)
+	o.shards.Store(&shards)
 }
 
-// Take, Gone and Cells are the gate's way to the loop.
-func (o *objects) Take(t *engine.Request) bool {
-	return !o.edge.stopping.Load() && o.edge.loop.TryPost(func(c *engine.Core) { c.Submit(t) })
+// Take, Gone and Cells are the gate's way to the loop (gate.Commands).
+
+// Take submits a request; false: it is not accepted, and never reached the scheduler.
+func (o *objectServer) Take(request *engine.Request) bool {
+	return !o.gateway.shuttingDown.Load() && o.gateway.loop.TryPost(func(c *engine.Core) { c.Submit(request) })
 }
 
-func (o *objects) Gone(t *engine.Request) {
-	o.edge.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(t) })
+// Gone tells that the client of a request has disconnected.
+func (o *objectServer) Gone(request *engine.Request) {
+	o.gateway.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(request) })
 }
 
-// Cells are those that the planner names for the volume, of them the ones that serve; else all that serve.
-func (o *objects) Cells(volume string) ([]uint32, bool) {
-	if _, _, ok := o.edge.volumeTable.of(volume); !ok {
+// Cells returns the shards where a volume's new data may lie: of those that the control plane names for it the ones that serve,
+// else all that serve. false: no such volume.
+func (o *objectServer) Cells(volume string) ([]uint32, bool) {
+	if _, _, ok := o.gateway.volumes.lookup(volume); !ok {
 		return nil, false
 	}
-	all := *o.cells.Load()
-	if f := o.edge.planner.follower; f != nil {
-		if v := f.Get(snapshot.Key{Kind: pb.Item_VOLUME, Name: volume}).GetVolume(); len(v.GetCell()) > 0 {
-			return slices.DeleteFunc(slices.Clone(all), func(c uint32) bool { return !slices.Contains(v.Cell, c) }), true
-		}
+	serving := *o.shards.Load()
+	follower := o.gateway.controlPlane.follower
+	if follower == nil {
+		return serving, true
+	}
+	allowed := follower.Get(snapshot.Key{Kind: pb.Item_VOLUME, Name: volume}).GetVolume().GetCell()
+	if len(allowed) == 0 {
+		return serving, true
 	}
-	return all, true
+	return slices.DeleteFunc(slices.Clone(serving), func(shard uint32) bool { return !slices.Contains(allowed, shard) }), true
 }
--- a/internal/gateway/objects_test.go
+++ b/internal/gateway/objects_test.go
@@ -35,8 +35,8 @@
 volume { name: "yard" plan: "plain" hosts: 1 }
 `
 
-// standins are bricks that store what is written.
-func standins(t testing.TB, n int) (text string, all []*storagenode.Brick) {
+// startEndpoints starts endpoints that store what is written.
+func startEndpoints(t testing.TB, n int) (text string, all []*storagenode.Brick) {
 	t.Helper()
 	for i := range n {
 		b, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Zone: "n", Address: "127.0.0.1:0", Cell: i, Speed: 1, Seed: int64(i), TagWindow: 10 * time.Second,
@@ -51,7 +51,7 @@
 	return text, all
 }
 
-func objectHost(t testing.TB, text string) (url string, stop func()) {
+func startObjectGateway(t testing.TB, text string) (url string, stop func()) {
 	t.Helper()
 	e, err := settings.ParseEdge("test", []byte(text))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return s3.New(s3.Options{BaseEndpoint: aws.String(url), UsePathStyle: true, Region: "here", Credentials: credentials.NewStaticCredentialsProvider(key, secret, "")})
 }
 
-// put retries as the client does; a host that has just started may know no brick for a moment.
+// putObject retries as the client does; a gateway that has just started may know no endpoint for a moment.
 func putObject(t testing.TB, c *s3.Client, name string, body []byte) {
 	t.Helper()
 	var err error
@@ -98,16 +98,16 @@
 	t.Fatal(err)
 }
 
-// From a real client over HTTP through the host's choices to the bricks and back; the host is restarted in between.
+// A real client writes objects over HTTP through the gateway to endpoints and reads them back; the gateway is restarted in between.
 func TestObjectsEndToEnd(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "access"), []byte("# yard programs\nyardkey a-secret-of-some-length yard\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	bricks, _ := standins(t, 3)
+	bricks, _ := startEndpoints(t, 3)
 	text := objectConf + bricks + fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q access: %q read_type: \"get\" write_type: \"put\" extent: 65536 }\n",
 		filepath.Join(dir, "index.db"), filepath.Join(dir, "access"))
-	url, stop := objectHost(t, text)
+	url, stop := startObjectGateway(t, text)
 	c := s3Client(url, "yardkey", "a-secret-of-some-length")
 	body := make([]byte, 1<<20+12345)
 	rand.New(rand.NewSource(1)).Read(body)
@@ -135,7 +135,7 @@
 	}
 	check(c)
 	stop()
-	url, _ = objectHost(t, text)
+	url, _ = startObjectGateway(t, text)
 	time.Sleep(300 * time.Millisecond)
 	check(s3Client(url, "yardkey", "a-secret-of-some-length"))
 	for _, bad := range []string{"access: \"none\"", "read_type: \"put\"", "extent: 16000000", "listen: \"0.0.0.0:0\""} {
@@ -166,7 +166,7 @@
 	return int(n), nil
 }
 
-// sink is a brick that stores nothing and answers at once; memory that grows is then the host's own.
+// sink is an endpoint that stores nothing and responds at once; memory that grows is then the gateway's own.
 func sink(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -188,7 +188,7 @@
 	return fmt.Sprintf("brick { name: \"sink\" address: %q cell: 0 }\n", l.Addr())
 }
 
-// keeping is a brick that keeps what is written and does no work.
+// keeping is an endpoint that keeps what is written and does no work.
 func keeping(t testing.TB) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -231,11 +231,11 @@
 	return l.Addr().String()
 }
 
-// Objects through the host over HTTP, and the same bytes in the same extents straight to the brick on one connection, one request after
+// Objects through the gateway over HTTP, and the same bytes in the same extents to the endpoint itself on one connection, one request after
 // the other.
 func BenchmarkObjects(b *testing.B) {
 	address := keeping(b)
-	url, _ := objectHost(b, objectConf+fmt.Sprintf("brick { name: \"store\" address: %q cell: 0 }\nobjects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n",
+	url, _ := startObjectGateway(b, objectConf+fmt.Sprintf("brick { name: \"store\" address: %q cell: 0 }\nobjects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n",
 		address, filepath.Join(b.TempDir(), "i.db")))
 	time.Sleep(1200 * time.Millisecond)
 	nc, err := net.Dial("tcp", address)
@@ -312,7 +312,7 @@
 func BenchmarkSlowUploads(b *testing.B) {
 	n := 1000
 	fmt.Sscan(os.Getenv("UPLOADS"), &n)
-	url, _ := objectHost(b, objectConf+sink(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" requests: 5000 }\n",
+	url, _ := startObjectGateway(b, objectConf+sink(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" requests: 5000 }\n",
 		filepath.Join(b.TempDir(), "i.db")))
 	time.Sleep(1200 * time.Millisecond)
 	for b.Loop() {
@@ -338,11 +338,11 @@
 	}
 }
 
-// A part far larger than the host's memory for it passes: what it holds is a window of extents. PART: bytes.
+// A part far larger than the gateway's memory for it passes: what it holds is a window of extents. PART: bytes.
 func BenchmarkLargePart(b *testing.B) {
 	size := int64(256 << 20)
 	fmt.Sscan(os.Getenv("PART"), &size)
-	url, _ := objectHost(b, objectConf+sink(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n", filepath.Join(b.TempDir(), "i.db")))
+	url, _ := startObjectGateway(b, objectConf+sink(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n", filepath.Join(b.TempDir(), "i.db")))
 	time.Sleep(1200 * time.Millisecond)
 	for b.Loop() {
 		var most, before runtime.MemStats
--- /dev/null
+++ b/internal/gateway/operator.go
@@ -0,0 +1,80 @@
+package gateway
+
+import (
+	"fmt"
+	"os"
+	"strings"
+
+	"weirhaven/internal/engine"
+	"weirhaven/internal/lineproto"
+	"weirhaven/internal/settings"
+)
+
+// operate serves an operator's verbs on a client connection. They are accepted from this machine only.
+func (c *clientConn) operate(m *lineproto.Message) {
+	if !c.isLocal() {
+		c.sendBad(m.ID, os.ErrPermission)
+		return
+	}
+	switch m.Verb {
+	case lineproto.Fleet:
+		c.showFleet(m)
+	case lineproto.Tape:
+		status, err := c.gateway.controlCapture(m.Get("Action"))
+		c.sendResult(m.ID, []byte(status), err)
+	case lineproto.Forget:
+		c.forget(m)
+	}
+}
+
+// isLocal reports whether the client is on this machine. RemoteAddr spells ::1 as [::1].
+func (c *clientConn) isLocal() bool {
+	host, _, _ := strings.Cut(c.conn.RemoteAddr().String(), ":")
+	return strings.HasPrefix(host, "127.") || host == "["
+}
+
+// sendResult sends the result of an operator's verb, or why there is none.
+func (c *clientConn) sendResult(id uint64, body []byte, err error) {
+	if err != nil {
+		c.sendBad(id, err)
+		return
+	}
+	var m lineproto.Out
+	c.send(m.Start(lineproto.Done, id).End(body))
+}
+
+// showFleet sends what is believed of the fleet: a table, or the settings of a capacity plan (Form: txtpb).
+func (c *clientConn) showFleet(m *lineproto.Message) {
+	view, _ := c.gateway.fleetView()
+	if m.Get("Form") == "txtpb" {
+		text, err := settings.Text(c.gateway.describeFleet(view))
+		c.sendResult(m.ID, text, err)
+		return
+	}
+	table := Table(view.beliefs, view.members, view.generation, c.gateway.loop.Now())
+	c.sendResult(m.ID, []byte(table), nil)
+}
+
+// forget drops what is believed of an endpoint (Brick) or ends the part of a gateway (Host).
+func (c *clientConn) forget(m *lineproto.Message) {
+	endpoint, member := m.Get("Brick"), m.Get("Host")
+	known := make(chan bool, 1)
+	event := func(core *engine.Core) { known <- core.ForgetEndpoint(endpoint) }
+	if member != "" {
+		event = func(core *engine.Core) { known <- core.ForgetGateway(member) }
+	}
+	if !c.gateway.loop.Post(event) {
+		return
+	}
+	select {
+	case ok := <-known:
+		if !ok {
+			c.sendBad(m.ID, fmt.Errorf("nothing is known of %q", endpoint+member))
+			return
+		}
+		c.gateway.log.Warn("forgot an endpoint with its drain, or a gateway with its part, by an operator's order",
+			"endpoint", endpoint, "member", member)
+		c.sendResult(m.ID, nil, nil)
+	case <-c.gateway.loop.Done():
+	}
+}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -9,47 +9,56 @@
 	"sync"
 	"time"
 
-	"google.golang.org/protobuf/proto"
+	"go4.org/netipx"
 
 	"weirhaven/internal/engine"
 	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/fleet/membership"
 	"weirhaven/internal/lineproto"
-	"weirhaven/internal/pb"
 )
 
-// peers carries short messages between hosts: one datagram each, which may be lost.
+// Bounds of messages between gateways, in bytes. Membership and endpoint reports take at most half a datagram's body, so that no
+// datagram is fragmented beyond what the kernel takes.
+const (
+	maxNote     = 512
+	maxDatagram = 16 << 10
+	maxBody     = maxDatagram / 2
+)
+
+// peers carries messages between gateways, one datagram each, any of which may be lost.
 type peers struct {
-	edge *Edge
-	conn *net.UDPConn
-	mu   sync.Mutex
-	to   map[int]netip.AddrPort
-}
+	gateway  *Gateway
+	networks *netipx.IPSet // where peers may be; nil: anywhere
+	conn     *net.UDPConn  // nil: this gateway knows no others
 
-// A datagram holds one message: news of the module, or gossip of up to some dozen hosts.
-const maxNews, maxDatagram = 512, 16 << 10
+	mu        sync.Mutex
+	addresses map[int]netip.AddrPort // guarded by mu: of other gateways, by ordinal
+}
 
+// open listens for peers, if the settings say where.
 func (p *peers) open(ctx context.Context) error {
-	if p.edge.conf.PeerListen == "" {
+	conf := p.gateway.conf
+	if conf.PeerListen == "" {
 		return nil
 	}
 	var config net.ListenConfig
-	c, err := config.ListenPacket(ctx, "udp", p.edge.conf.PeerListen)
+	conn, err := config.ListenPacket(ctx, "udp", conf.PeerListen)
 	if err != nil {
-		return fmt.Errorf("listen for other hosts (peer_listen): %w", err)
+		return fmt.Errorf("listen for other gateways (peer_listen): %w", err)
 	}
-	p.conn, p.to = c.(*net.UDPConn), map[int]netip.AddrPort{}
-	for _, x := range p.edge.conf.Peer {
-		a, err := net.ResolveUDPAddr("udp", x.Address)
+	p.conn, p.addresses = conn.(*net.UDPConn), map[int]netip.AddrPort{}
+	for _, peer := range conf.Peer {
+		address, err := net.ResolveUDPAddr("udp", peer.Address)
 		if err != nil {
-			c.Close()
-			return fmt.Errorf("peer %d: %w", x.Ordinal, err)
+			_ = conn.Close() // nothing was sent
+			return fmt.Errorf("peer %d: %w", peer.Ordinal, err)
 		}
-		p.to[int(x.Ordinal)] = a.AddrPort()
+		p.addresses[int(peer.Ordinal)] = address.AddrPort()
 	}
 	return nil
 }
 
+// address is where peers reach this gateway; empty: they don't.
 func (p *peers) address() string {
 	if p.conn == nil {
 		return ""
@@ -57,165 +66,102 @@
 	return p.conn.LocalAddr().String()
 }
 
-// broadcast sends a short message of the scheduler to every other gateway that is known. What the kernel does not take is
-// lost, as any datagram may be.
-func (p *peers) broadcast(note []byte) {
-	if p.conn == nil || len(note) > maxNews {
-		return
-	}
-	var o lineproto.Out
-	o.Start(lineproto.News, 0).Whole("From", int64(p.edge.conf.Ordinal)).End(note)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, a := range p.to {
-		p.conn.WriteToUDPAddrPort(o.B, a)
-	}
+func (p *peers) isAllowed(address netip.AddrPort) bool {
+	return p.networks == nil || p.networks.Contains(address.Addr().Unmap())
 }
 
-// Members are where the module's news goes from now on.
-func (e *Edge) MembersChanged(all []membership.Member) {
-	p := e.peers
+// membersChanged sets where notes go from now on.
+func (p *peers) membersChanged(all []membership.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range all {
-		a, err := netip.ParseAddrPort(m.Address)
+		address, err := netip.ParseAddrPort(m.Address)
 		switch {
-		case m.Name == e.conf.Name:
+		case m.Name == p.gateway.conf.Name:
 		case m.State == membership.Departed || m.State == membership.Faulty || err != nil:
-			delete(p.to, m.Ordinal)
-		case e.peerNetworks == nil || e.peerNetworks.Contains(a.Addr().Unmap()):
-			p.to[m.Ordinal] = a
+			delete(p.addresses, m.Ordinal)
+		case p.isAllowed(address):
+			p.addresses[m.Ordinal] = address
 		}
 	}
 }
 
-// Gossip sends one message of the membership.
-func (e *Edge) SendMembership(address string, m membership.Message) {
-	a, err := netip.ParseAddrPort(address)
-	if e.peers.conn == nil || err != nil || e.peerNetworks != nil && !e.peerNetworks.Contains(a.Addr().Unmap()) {
+// broadcast sends a note of the scheduler to every other gateway that is known.
+func (p *peers) broadcast(note []byte) {
+	if p.conn == nil || len(note) > maxNote {
 		return
 	}
-	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: gossipHost(m.From), About: m.Target, Total: int64(m.Total), Sums: m.Checksums}
-	for _, n := range m.Updates {
-		g.News = append(g.News, gossipHost(n))
-	}
-	body, err := proto.Marshal(g)
-	if err != nil || len(body) > maxDatagram/2 {
-		return
+	var m lineproto.Out
+	m.Start(lineproto.News, 0).Whole("From", int64(p.gateway.conf.Ordinal)).End(note)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, address := range p.addresses {
+		p.send(address, &m)
 	}
-	var o lineproto.Out
-	e.peers.conn.WriteToUDPAddrPort(o.Start(lineproto.Gossip, 0).End(body).B, a)
 }
 
-// Share tells another host lines about bricks; times go as ages.
-func (e *Edge) SendEndpoints(address string, now time.Duration, lines []endpointstate.Report) {
-	a, err := netip.ParseAddrPort(address)
-	if e.peers.conn == nil || err != nil || len(lines) == 0 {
+func (p *peers) sendMembership(address string, m membership.Message) {
+	to, err := netip.ParseAddrPort(address)
+	if p.conn == nil || err != nil || !p.isAllowed(to) {
 		return
 	}
-	m := &pb.Lines{}
-	for _, l := range lines {
-		x := &pb.Lines_Line{Name: l.Name, Address: l.Address, Zone: l.Zone, Cell: int64(l.Shard), Serving: l.Serving, Gone: l.Gone, Up: -1,
-			Age: int64(now - l.ObservedAt)}
-		if l.Started != 0 {
-			x.Up = int64(now - l.Started)
-		}
-		m.Line = append(m.Line, x)
-	}
-	body, err := proto.Marshal(m)
-	if err != nil || len(body) > maxDatagram/2 {
-		return
-	}
-	var o lineproto.Out
-	e.peers.conn.WriteToUDPAddrPort(o.Start(lineproto.Lines, 0).End(body).B, a)
+	p.sendBody(to, lineproto.Gossip, encodeMembership(m))
 }
 
-// linesOf puts another host's lines on this host's clock. What no host would tell is left out.
-func linesOf(body []byte, now time.Duration) (lines []endpointstate.Report) {
-	m := &pb.Lines{}
-	if proto.Unmarshal(body, m) != nil {
-		return nil
-	}
-	for _, x := range m.Line {
-		_, err := netip.ParseAddrPort(x.Address)
-		if err != nil || x.Name == "" || len(x.Name) > 64 || x.Cell < 0 || x.Cell > 1<<30 || x.Age < 0 {
-			continue
-		}
-		l := endpointstate.Report{Name: x.Name, Address: x.Address, Zone: x.Zone, Shard: int(x.Cell), Serving: x.Serving && !x.Gone, Gone: x.Gone,
-			ObservedAt: max(now-time.Duration(x.Age), 1)}
-		if x.Up >= 0 {
-			l.Started = max(now-time.Duration(x.Up), 1)
-		}
-		lines = append(lines, l)
+func (p *peers) sendEndpoints(address string, now time.Duration, reports []endpointstate.Report) {
+	to, err := netip.ParseAddrPort(address)
+	if p.conn == nil || err != nil || len(reports) == 0 {
+		return
 	}
-	return lines
-}
-
-func gossipHost(m membership.Member) *pb.Gossip_Host {
-	return &pb.Gossip_Host{Name: m.Name, Ordinal: int64(m.Ordinal), Address: m.Address, Planned: int64(m.Planned),
-		Incarnation: m.Incarnation, State: int32(m.State)}
-}
-
-// memberOf is a host as told; ok is false for what no host would tell.
-func memberOf(h *pb.Gossip_Host) (membership.Member, bool) {
-	m := membership.Member{Name: h.GetName(), Ordinal: int(h.GetOrdinal()), Address: h.GetAddress(), Planned: int(h.GetPlanned()),
-		Incarnation: h.GetIncarnation(), State: membership.State(h.GetState())}
-	_, err := netip.ParseAddrPort(m.Address)
-	return m, err == nil && m.Name != "" && len(m.Name) <= 64 && m.Ordinal >= 0 && m.Ordinal < 1<<16 && m.Planned >= 0 &&
-		m.Planned < 1<<16 && m.State >= membership.Alive && m.State <= membership.Departed
+	p.sendBody(to, lineproto.Lines, encodeReports(reports, now))
 }
 
-func messageOf(body []byte) (m membership.Message, ok bool) {
-	g := &pb.Gossip{}
-	if proto.Unmarshal(body, g) != nil || g.Kind < 0 || g.Kind > int32(membership.Sync) {
-		return m, false
-	}
-	m = membership.Message{Kind: membership.Kind(g.Kind), Seq: g.Seq, Target: g.About, Total: int(g.Total), Checksums: g.Sums}
-	if m.From, ok = memberOf(g.From); !ok {
-		return m, false
-	}
-	for _, n := range g.News {
-		if x, ok := memberOf(n); ok {
-			m.Updates = append(m.Updates, x)
-		}
+// sendBody sends a message of that body; nil, or one that is too long, is dropped.
+func (p *peers) sendBody(to netip.AddrPort, verb string, body []byte) {
+	if body == nil || len(body) > maxBody {
+		return
 	}
-	return m, true
+	var m lineproto.Out
+	p.send(to, m.Start(verb, 0).End(body))
 }
 
+// send sends a datagram. What the kernel does not take is lost, as any datagram may be.
+func (p *peers) send(to netip.AddrPort, m *lineproto.Out) { _, _ = p.conn.WriteToUDPAddrPort(m.B, to) }
+
+// run receives until ctx ends. What can't be read is dropped.
 func (p *peers) run(ctx context.Context) {
 	if p.conn == nil {
 		return
 	}
-	defer p.conn.Close()
-	unhook := context.AfterFunc(ctx, func() { p.conn.Close() })
-	defer unhook()
-	buf := make([]byte, maxDatagram)
+	defer func() { _ = p.conn.Close() }()
+	stopWatching := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
+	defer stopWatching()
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, _, err := p.conn.ReadFromUDP(buf)
+		n, _, err := p.conn.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		m, err := lineproto.NewReader(bytes.NewReader(buf[:n]), maxDatagram).Read()
-		if err != nil {
-			continue
-		}
-		if m.Verb == lineproto.Gossip {
-			if g, ok := messageOf(m.Body); ok {
-				p.edge.loop.TryPost(func(c *engine.Core) { c.MembershipReceived(g) })
-			}
-			continue
+		m, err := lineproto.NewReader(bytes.NewReader(buffer[:n]), maxDatagram).Read()
+		if err == nil {
+			p.receive(m)
 		}
-		if m.Verb == lineproto.Lines {
-			p.edge.loop.TryPost(func(c *engine.Core) { c.EndpointsFromPeer(linesOf(m.Body, c.Now())) })
-			continue
-		}
-		if m.Verb != lineproto.News {
-			continue
+	}
+}
+
+// receive passes a message on to the loop, or drops it when the loop is busy.
+func (p *peers) receive(m *lineproto.Message) {
+	loop := p.gateway.loop
+	switch m.Verb {
+	case lineproto.Gossip:
+		if message, ok := decodeMembership(m.Body); ok {
+			loop.TryPost(func(c *engine.Core) { c.MembershipReceived(message) })
 		}
-		from, err := m.Whole("From", -1)
-		if err != nil || from < 0 {
-			continue
+	case lineproto.Lines:
+		loop.TryPost(func(c *engine.Core) { c.EndpointsFromPeer(decodeReports(m.Body, c.Now())) })
+	case lineproto.News:
+		if sender, err := m.Whole("From", -1); err == nil && sender >= 0 {
+			loop.TryPost(func(c *engine.Core) { c.GossipReceived(int(sender), m.Body) })
 		}
-		p.edge.loop.TryPost(func(c *engine.Core) { c.GossipReceived(int(from), m.Body) })
 	}
 }
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -167,9 +167,12 @@
 	return s
 }
 
+// DefaultListFresh is the setting list_fresh where it is absent.
+const DefaultListFresh = 5 * time.Minute
+
 // Beliefs are the rules by which a host believes lines about bricks.
 func Beliefs(e *pb.Edge) (endpointstate.Rules, error) {
-	r := endpointstate.Rules{Fresh: Duration(e.ListFresh, 5*time.Minute), Expire: Duration(e.ListDead, 90*24*time.Hour), StartTolerance: 500 * time.Millisecond,
+	r := endpointstate.Rules{Fresh: Duration(e.ListFresh, DefaultListFresh), Expire: Duration(e.ListDead, 90*24*time.Hour), StartTolerance: 500 * time.Millisecond,
 		GreetingValid: 5 * time.Second}
 	if len(e.Network) == 0 {
 		return r, nil
