--- /dev/null
+++ b/internal/lineproto/greeting.go
@@ -0,0 +1,35 @@
+package lineproto
+
+import (
+	"fmt"
+	"net"
+	"time"
+)
+
+// Greet sends this side's greeting, to which more may add fields, and returns the other side's, both within the timeout. Afterwards
+// the connection has no deadline.
+func Greet(c net.Conn, r *Reader, role, name string, timeout time.Duration, more func(*Out)) (*Message, error) {
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return nil, err
+	}
+	var hello Out
+	hello.Start(Hello, 0).Text("Version", Version).Text("Role", role).Text("Name", name)
+	if more != nil {
+		more(&hello)
+	}
+	if _, err := c.Write(hello.End(nil).B); err != nil {
+		return nil, fmt.Errorf("greet: %w", err)
+	}
+	idle := r.idle
+	r.idle = timeout
+	m, err := r.Read()
+	r.idle = idle
+	if err != nil {
+		return nil, fmt.Errorf("greet: %w", err)
+	}
+	if m.Verb != Hello || m.Get("Version") != Version {
+		return nil, fmt.Errorf("greet: %s %q, wanted %s %s; the other side is of another version or no part of this",
+			clip(m.Verb), clip(m.Get("Version")), Hello, Version)
+	}
+	return m, c.SetDeadline(time.Time{})
+}
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -21,12 +21,13 @@
 	}
 }
 
+// What is built is read again, and a value with line ends can't add a field of its own.
 func TestRoundTrip(t *testing.T) {
 	var o Out
 	o.Start(Run, 7).Text("Volume", "a\r\nEvil: b").Number("Units", 2.5).Micros("Timeout", 1500*time.Microsecond).End([]byte("x\r\n\r\ny"))
 	o.Start(Cancel, 7).End(nil)
 	ms, err := read(string(o.B), 100)
-	if err != io.EOF || len(ms) != 2 || ms[0].Verb != Run || ms[0].ID != 7 || string(ms[0].Body) != "x\r\n\r\ny" || ms[1].Verb != Cancel {
+	if !errors.Is(err, io.EOF) || len(ms) != 2 || ms[0].Verb != Run || ms[0].ID != 7 || string(ms[0].Body) != "x\r\n\r\ny" || ms[1].Verb != Cancel {
 		t.Fatalf("%v %+v", err, ms)
 	}
 	if v := ms[0].Get("Volume"); v != "a  Evil: b" || ms[0].Get("Evil") != "" {
@@ -37,6 +38,8 @@
 	}
 }
 
+// A peer sends messages without end or malformed ones: each ends with an error, before it has taken more memory than its bounds. An
+// unknown verb is none: it may be of a later version.
 func TestBounds(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
@@ -63,12 +66,12 @@
 			t.Errorf("%s: %v, wanted %q", name, err, c.says)
 		}
 	}
-	if ms, err := read("STRANGE 3\r\nX: y\r\n\r\nRUN 4\r\n\r\n", 0); err != io.EOF || len(ms) != 2 {
+	if ms, err := read("STRANGE 3\r\nX: y\r\n\r\nRUN 4\r\n\r\n", 0); !errors.Is(err, io.EOF) || len(ms) != 2 {
 		t.Errorf("an unknown verb must not end the connection: %v %v", err, ms)
 	}
 }
 
-// A peer that begins a message and does not end it is cut off after the stall time, a silent one after the idle time.
+// A peer begins a message and does not complete it, or is silent: the first times out after stall, the second after idle.
 func TestTimeouts(t *testing.T) {
 	for _, begun := range []string{"", "RUN 1\r\nA", "RUN 1\r\nLength: 5\r\n\r\nab"} {
 		a, b := net.Pipe()
@@ -82,7 +85,8 @@
 	}
 }
 
-// A sender keeps what waits bounded and tells what may have left: nothing, before it has a connection.
+// A connection breaks with messages queued. The sender keeps the queue bounded and knows which messages may have left: none, before it
+// has a connection.
 func TestSender(t *testing.T) {
 	s := NewSender(10, time.Second)
 	first, err1 := s.Send([]byte("12345"))
--- /dev/null
+++ b/internal/lineproto/message.go
@@ -0,0 +1,75 @@
+package lineproto
+
+import (
+	"fmt"
+	"net/textproto"
+	"strconv"
+	"time"
+)
+
+// Bounds of field values. A number past them would lose its meaning in later arithmetic.
+const (
+	maxNumber = 1e18
+	maxMicros = 1 << 50
+)
+
+// Message is one message as read. It owns its body.
+type Message struct {
+	Verb  string
+	ID    uint64               // 0: none
+	Field textproto.MIMEHeader // by canonical name
+	Body  []byte
+}
+
+// Get returns a field, empty when absent. The name has to be canonical (Like-This).
+func (m *Message) Get(name string) string {
+	if values := m.Field[name]; len(values) > 0 {
+		return values[0]
+	}
+	return ""
+}
+
+// Whole returns a field that holds a whole number, or the default when absent.
+func (m *Message) Whole(name string, defaultValue int64) (int64, error) {
+	text := m.Get(name)
+	if text == "" {
+		return defaultValue, nil
+	}
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %q is not a whole number", name, clip(text))
+	}
+	return n, nil
+}
+
+// Number returns a field that holds a finite number, or the default when absent.
+func (m *Message) Number(name string, defaultValue float64) (float64, error) {
+	text := m.Get(name)
+	if text == "" {
+		return defaultValue, nil
+	}
+	n, err := strconv.ParseFloat(text, 64)
+	isNaN := n != n
+	if err != nil || isNaN || n > maxNumber || n < -maxNumber {
+		return 0, fmt.Errorf("%s: %q is not a number", name, clip(text))
+	}
+	return n, nil
+}
+
+// Micros returns a field that holds a time in microseconds, or the default when absent.
+func (m *Message) Micros(name string, defaultValue time.Duration) (time.Duration, error) {
+	n, err := m.Whole(name, defaultValue.Microseconds())
+	if err == nil && (n > maxMicros || n < -maxMicros) {
+		err = fmt.Errorf("%s: %d us is too long", name, n)
+	}
+	return time.Duration(n) * time.Microsecond, err
+}
+
+// clip shortens what a peer sent for an error text.
+func clip(s string) string {
+	const most = 32
+	if len(s) > most {
+		return s[:most] + "..."
+	}
+	return s
+}
