--- /dev/null
+++ b/internal/settings/rules.go
@@ -0,0 +1,45 @@
+package settings
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+
+	"go4.org/netipx"
+
+	"weirhaven/internal/fleet/endpointstate"
+	"weirhaven/internal/pb"
+)
+
+// What the settings of endpoint reports mean where they are absent.
+const (
+	DefaultListFresh  = 5 * time.Minute     // list_fresh
+	defaultListExpire = 90 * 24 * time.Hour // list_dead
+)
+
+// Bounds of endpoint reports that no setting changes.
+const (
+	startTolerance = 500 * time.Millisecond
+	greetingValid  = 5 * time.Second
+)
+
+// Beliefs turns a gateway's settings into the rules by which it weighs reports of endpoints. An error names a network that can't
+// be read; checked settings give none.
+func Beliefs(conf *pb.Edge) (endpointstate.Rules, error) {
+	rules := endpointstate.Rules{Fresh: Duration(conf.ListFresh, DefaultListFresh), Expire: Duration(conf.ListDead, defaultListExpire),
+		StartTolerance: startTolerance, GreetingValid: greetingValid}
+	if len(conf.Network) == 0 {
+		return rules, nil
+	}
+	var networks netipx.IPSetBuilder
+	for i, network := range conf.Network {
+		prefix, err := netip.ParsePrefix(network)
+		if err != nil {
+			return rules, fmt.Errorf("network[%d]: %q is not a network such as 127.0.0.0/8", i, network)
+		}
+		networks.AddPrefix(prefix)
+	}
+	var err error
+	rules.Networks, err = networks.IPSet()
+	return rules, err
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,6 +24,7 @@
 volume { name: "v1" plan: "basic" hosts: 2 }
 `
 
+// An operator mistypes a setting: the error names the file, the line, the field, its value and what is allowed, for all faults at once.
 func TestFaultsNameFileLineFieldValueAndWhatIsAllowed(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
 		{"", "", ""},
@@ -58,7 +59,7 @@
 	}
 }
 
-// Every field of policy.Settings that settings speak of arrives.
+// Every setting of the scheduler arrives in the field of policy.Settings that it is mapped to.
 func TestPolicy(t *testing.T) {
 	text := strings.Replace(good, "max_dispatches: 3", `max_dispatches: 3 list_asked: true ask_within: "5s" second_copies: true
 		cancel: true probe: true peers: true max_pause: "1s" clients_mark_repeats: true answer_slack: "30ms" drain_grace: "250ms"
@@ -95,6 +96,7 @@
 	})
 }
 
+// A file that is not there is an error, and one that is there is read.
 func TestLoad(t *testing.T) {
 	if err := Load(filepath.Join(t.TempDir(), "none"), &pb.Edge{}); err == nil {
 		t.Error("a file that is not there was read")
