--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -21,6 +21,7 @@
 	Err  error
 }
 
+// Error says the line and the reason.
 func (e *LineError) Error() string { return fmt.Sprintf("list line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the reason.
@@ -33,12 +34,12 @@
 // that the field Clock reads, in microseconds, 0 where it is not known. One line that can't be read makes the whole list
 // worthless: a *LineError.
 func Parse(m *lineproto.Message) (g endpointstate.Generation, complete bool, entries []engine.EndpointEntry, err error) {
-	clock, clockErr := m.Whole("Clock", 0)
-	number, numberErr := m.Whole("Number", 0)
+	clock, clockErr := m.Whole(lineproto.FieldClock, 0)
+	number, numberErr := m.Whole(lineproto.FieldNumber, 0)
 	if err := errors.Join(clockErr, numberErr); err != nil {
 		return g, false, nil, err
 	}
-	g = endpointstate.Generation{Epoch: m.Get("Epoch"), Number: number}
+	g = endpointstate.Generation{Epoch: m.Get(lineproto.FieldEpoch), Number: number}
 	seen := map[string]bool{}
 	scanner := bufio.NewScanner(bytes.NewReader(m.Body))
 	for line := 1; scanner.Scan(); line++ {
@@ -52,12 +53,12 @@
 		seen[entry.Name] = true
 		entries = append(entries, entry)
 	}
-	return g, m.Get("Whole") == "yes", entries, scanner.Err()
+	return g, m.Get(lineproto.FieldComplete) == "yes", entries, scanner.Err()
 }
 
 // parseEntry reads one line; clock is in microseconds.
-func parseEntry(line string, clock int64) (entry engine.EndpointEntry, err error) {
-	fields := strings.Fields(line)
+func parseEntry(text string, clock int64) (entry engine.EndpointEntry, err error) {
+	fields := strings.Fields(text)
 	if len(fields) != lineFields {
 		return entry, fmt.Errorf("%d fields, wanted %d", len(fields), lineFields)
 	}
--- a/internal/discovery/serve.go
+++ b/internal/discovery/serve.go
@@ -29,7 +29,7 @@
 	stopWatching := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stopWatching()
 	reader := lineproto.NewConnReader(conn, max(limits.Body, minListBody), 0, limits.Stall)
-	if _, err := lineproto.Greet(conn, reader, "host", c.config.Name, limits.Stall, nil); err != nil {
+	if _, err := lineproto.Greet(conn, reader, lineproto.RoleGateway, c.config.Name, limits.Stall, nil); err != nil {
 		return false, fmt.Errorf("list service: %w", err)
 	}
 	if request != "" {
--- a/internal/endpointconn/conn.go
+++ b/internal/endpointconn/conn.go
@@ -12,9 +12,6 @@
 	"weirhaven/policy"
 )
 
-// role is this side's role in greetings, as it stands on the wire.
-const role = "host"
-
 // What may be queued to an endpoint, in bytes: one body of the allowed size, a head of headBytes for each queued message, and slack.
 const (
 	headBytes  = 64
@@ -52,7 +49,7 @@
 	err := c.serve()
 	c.cancel()
 	c.sender.Close()
-	<-c.sender.Done() // no byte leaves after this, so MayHaveLeft is final
+	<-c.sender.Done() // no byte leaves after this, so MayHaveBeenWritten is final
 	e := c.endpoint
 	e.mu.Lock()
 	if e.conn == c {
@@ -66,7 +63,7 @@
 	}
 	for id, p := range inFlight {
 		outcome := policy.ConnectFailed
-		if c.sender.MayHaveLeft(p.offset) {
+		if c.sender.MayHaveBeenWritten(p.offset) {
 			outcome = policy.ConnectionReset
 		}
 		e.report(id, outcome, p.healthCheck, nil)
@@ -101,20 +98,20 @@
 // exchangeGreetings checks that the endpoint expected is at the address, and passes its greeting on.
 func (c *conn) exchangeGreetings(netConn net.Conn, reader *lineproto.Reader) error {
 	e := c.endpoint
-	hello, err := lineproto.Greet(netConn, reader, role, e.connector.gateway, e.connector.limits.Connect, nil)
+	hello, err := lineproto.Greet(netConn, reader, lineproto.RoleGateway, e.connector.gateway, e.connector.limits.Connect, nil)
 	if err != nil {
 		return fmt.Errorf("endpoint %s at %s: %w", e.name, e.address, err)
 	}
-	if name := hello.Get("Name"); name != e.name {
+	if name := hello.Get(lineproto.FieldName); name != e.name {
 		e.connector.loop.Post(func(core *engine.Core) { core.WrongEndpoint(e.name, e.address) })
 		return fmt.Errorf("endpoint %s: at its address %s is %q now; the endpoint list is out of date", e.name, e.address, name)
 	}
-	age, err := hello.Micros("Age", 0)
+	age, err := hello.Micros(lineproto.FieldAge, 0)
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.name, err)
 	}
-	greeting := engine.Greeting{Endpoint: e.name, Address: e.address, HasStart: hello.Get("Age") != "", Age: age,
-		Draining: hello.Get("State") == "draining"}
+	greeting := engine.Greeting{Endpoint: e.name, Address: e.address, HasStart: hello.Get(lineproto.FieldAge) != "", Age: age,
+		Draining: hello.Get(lineproto.FieldState) == lineproto.StateDraining}
 	e.connector.loop.Post(func(core *engine.Core) { core.Greeted(greeting) })
 	e.mu.Lock()
 	c.greeted = true
@@ -174,7 +171,7 @@
 	p, known := c.complete(m.ID)
 	if !known {
 		if m.Verb == lineproto.Bad && m.ID == 0 {
-			return fmt.Errorf("endpoint %s can't understand this gateway: %s", e.name, m.Get("Reason"))
+			return fmt.Errorf("endpoint %s can't understand this gateway: %s", e.name, m.Get(lineproto.FieldReason))
 		}
 		p.healthCheck = m.Verb == lineproto.Probed // canceled or abandoned: the engine counts a late outcome
 	}
--- a/internal/endpointconn/endpoint.go
+++ b/internal/endpointconn/endpoint.go
@@ -25,14 +25,20 @@
 // Send sends an attempt of a request. The endpoint is told the time that is left for it.
 func (e *endpoint) Send(id uint64, request *engine.Request, attempt int, timeout, _ time.Duration) {
 	m := lineproto.Out{B: make([]byte, 0, requestHeadroom+len(request.Body))}
-	m.Start(lineproto.Run, id).Text("Volume", request.Volume).Text("Queue-Type", request.Class).Text("Object", request.Object).
-		Text("Tag", request.Tag).Text("Trace", request.Trace).Whole("Cell", int64(request.Shard)).Number("Units", request.Units).
-		Micros("Timeout", timeout)
+	m.Start(lineproto.Run, id).
+		Text(lineproto.FieldVolume, request.Volume).
+		Text(lineproto.FieldClass, request.Class).
+		Text(lineproto.FieldObject, request.Object).
+		Text(lineproto.FieldTag, request.Tag).
+		Text(lineproto.FieldTrace, request.Trace).
+		Whole(lineproto.FieldShard, int64(request.Shard)).
+		Number(lineproto.FieldUnits, request.Units).
+		Micros(lineproto.FieldTimeout, timeout)
 	if attempt > 0 {
-		m.Whole("Dispatch", int64(attempt))
+		m.Whole(lineproto.FieldAttempt, int64(attempt))
 	}
 	if request.Retry {
-		m.Whole("Repeat", 1)
+		m.Whole(lineproto.FieldRetry, 1)
 	}
 	e.send(id, m.End(request.Body).B, false)
 }
@@ -144,7 +150,7 @@
 // loadReport reads the load that an endpoint reports with a response. A figure that can't be read counts as none: the response is
 // worth more than its load report.
 func loadReport(response *lineproto.Message) (load policy.LoadReport) {
-	load.ServedElsewhere, _ = response.Number("Elsewhere", 0)
-	load.Utilization, _ = response.Number("Metered", 0)
+	load.ServedElsewhere, _ = response.Number(lineproto.FieldServedElsewhere, 0)
+	load.Utilization, _ = response.Number(lineproto.FieldUtilization, 0)
 	return load
 }
--- a/internal/fleet/endpointstate/belief.go
+++ b/internal/fleet/endpointstate/belief.go
@@ -18,6 +18,7 @@
 	SelfReported               // the endpoint itself, by its greeting or an answer
 )
 
+// String names the source in logs and in the reasons stored on disk.
 func (s Source) String() string { return [...]string{"settings", "saved", "peer", "list", "itself"}[s] }
 
 // Trust is how far a belief is relied on.
@@ -30,6 +31,7 @@
 	Barred               // drained or gone: not used
 )
 
+// String names the trust in logs.
 func (t Trust) String() string { return [...]string{"doubted", "trusted", "barred"}[t] }
 
 // Report is what a source says of one endpoint. Times are on the gateway's clock.
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -14,6 +14,7 @@
 	Departed       // it said goodbye, or an operator said that it is gone
 )
 
+// String names the state in logs.
 func (s State) String() string { return [...]string{"alive", "suspect", "faulty", "departed"}[s] }
 
 // Member is what is known of one gateway.
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -11,9 +11,6 @@
 	"weirhaven/internal/lineproto"
 )
 
-// role is this side's role in greetings, as it stands on the wire.
-const role = "host"
-
 // Bound of the responses that may be queued to one client, in bytes: some bodies of the allowed size, and slack. A client that
 // reads too slowly for it is disconnected.
 const (
@@ -41,7 +38,7 @@
 	defer func() { _ = c.conn.Close() }()
 	limits := c.gateway.limits
 	reader := lineproto.NewConnReader(c.conn, limits.Body, limits.Idle, limits.Stall)
-	hello, err := lineproto.Greet(c.conn, reader, role, c.gateway.conf.Name, limits.Stall, nil)
+	hello, err := lineproto.Greet(c.conn, reader, lineproto.RoleGateway, c.gateway.conf.Name, limits.Stall, nil)
 	c.sender.Start(c.conn)
 	if err == nil {
 		err = c.read(reader)
@@ -51,7 +48,7 @@
 	<-c.sender.Done()
 	orphaned := c.takeRequests()
 	if !endedNormally(err) {
-		c.gateway.log.Info("client connection ended", "client", hello.Get("Name"), "in_flight", len(orphaned), "err", err)
+		c.gateway.log.Info("client connection ended", "client", hello.Get(lineproto.FieldName), "in_flight", len(orphaned), "err", err)
 	}
 	for _, request := range orphaned {
 		c.disconnected(request)
@@ -133,7 +130,7 @@
 		return
 	}
 	var m lineproto.Out
-	c.send(m.Start(lineproto.Bad, id).Text("Reason", err.Error()).End(nil))
+	c.send(m.Start(lineproto.Bad, id).Text(lineproto.FieldReason, err.Error()).End(nil))
 }
 
 // send queues a message. An error is dropped: the connection is closed then, or its client reads nothing, and its next response
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -66,12 +66,12 @@
 func encodeReports(reports []endpointstate.Report, now time.Duration) []byte {
 	m := &pb.Lines{}
 	for _, r := range reports {
-		line := &pb.Lines_Line{Name: r.Name, Address: r.Address, Zone: r.Zone, Cell: int64(r.Shard), Serving: r.Serving, Gone: r.Gone,
+		encoded := &pb.Lines_Line{Name: r.Name, Address: r.Address, Zone: r.Zone, Cell: int64(r.Shard), Serving: r.Serving, Gone: r.Gone,
 			Up: startUnknown, Age: int64(now - r.ObservedAt)}
 		if r.Started != 0 {
-			line.Up = int64(now - r.Started)
+			encoded.Up = int64(now - r.Started)
 		}
-		m.Line = append(m.Line, line)
+		m.Line = append(m.Line, encoded)
 	}
 	body, err := proto.Marshal(m)
 	if err != nil {
@@ -86,15 +86,15 @@
 	if proto.Unmarshal(body, m) != nil {
 		return nil
 	}
-	for _, line := range m.Line {
-		_, err := netip.ParseAddrPort(line.Address)
-		if err != nil || line.Name == "" || len(line.Name) > maxNameLength || line.Cell < 0 || line.Cell > maxShard || line.Age < 0 {
+	for _, encoded := range m.Line {
+		_, err := netip.ParseAddrPort(encoded.Address)
+		if err != nil || encoded.Name == "" || len(encoded.Name) > maxNameLength || encoded.Cell < 0 || encoded.Cell > maxShard || encoded.Age < 0 {
 			continue
 		}
-		r := endpointstate.Report{Name: line.Name, Address: line.Address, Zone: line.Zone, Shard: int(line.Cell),
-			Serving: line.Serving && !line.Gone, Gone: line.Gone, ObservedAt: max(now-time.Duration(line.Age), 1)} // 0 would be: unknown
-		if line.Up >= 0 {
-			r.Started = max(now-time.Duration(line.Up), 1)
+		r := endpointstate.Report{Name: encoded.Name, Address: encoded.Address, Zone: encoded.Zone, Shard: int(encoded.Cell),
+			Serving: encoded.Serving && !encoded.Gone, Gone: encoded.Gone, ObservedAt: max(now-time.Duration(encoded.Age), 1)} // 0 would be: unknown
+		if encoded.Up >= 0 {
+			r.Started = max(now-time.Duration(encoded.Up), 1)
 		}
 		reports = append(reports, r)
 	}
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -20,7 +20,7 @@
 	case lineproto.Fleet:
 		c.showFleet(m)
 	case lineproto.Tape:
-		status, err := c.gateway.controlCapture(m.Get("Action"))
+		status, err := c.gateway.controlCapture(m.Get(lineproto.FieldAction))
 		c.sendResult(m.ID, []byte(status), err)
 	case lineproto.Forget:
 		c.forget(m)
@@ -46,7 +46,7 @@
 // showFleet sends what is believed of the fleet: a table, or the settings of a capacity plan (Form: txtpb).
 func (c *clientConn) showFleet(m *lineproto.Message) {
 	view, _ := c.gateway.fleetView()
-	if m.Get("Form") == "txtpb" {
+	if m.Get(lineproto.FieldForm) == "txtpb" {
 		text, err := settings.Text(c.gateway.describeFleet(view))
 		c.sendResult(m.ID, text, err)
 		return
@@ -57,7 +57,7 @@
 
 // forget drops what is believed of an endpoint (Brick) or ends the part of a gateway (Host).
 func (c *clientConn) forget(m *lineproto.Message) {
-	endpoint, member := m.Get("Brick"), m.Get("Host")
+	endpoint, member := m.Get(lineproto.FieldEndpoint), m.Get(lineproto.FieldGateway)
 	known := make(chan bool, 1)
 	event := func(core *engine.Core) { known <- core.ForgetEndpoint(endpoint) }
 	if member != "" {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -92,7 +92,7 @@
 		return
 	}
 	var m lineproto.Out
-	m.Start(lineproto.News, 0).Whole("From", int64(p.gateway.conf.Ordinal)).End(note)
+	m.Start(lineproto.News, 0).Whole(lineproto.FieldSender, int64(p.gateway.conf.Ordinal)).End(note)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range p.addresses {
@@ -160,7 +160,7 @@
 	case lineproto.Lines:
 		loop.TryPost(func(c *engine.Core) { c.EndpointsFromPeer(decodeReports(m.Body, c.Now())) })
 	case lineproto.News:
-		if sender, err := m.Whole("From", -1); err == nil && sender >= 0 {
+		if sender, err := m.Whole(lineproto.FieldSender, -1); err == nil && sender >= 0 {
 			loop.TryPost(func(c *engine.Core) { c.GossipReceived(int(sender), m.Body) })
 		}
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -73,15 +73,15 @@
 
 // parseRequest reads a RUN message. The names of its fields are the protocol's.
 func parseRequest(m *lineproto.Message) (*engine.Request, error) {
-	shard, shardErr := m.Whole("Cell", -1)
-	units, unitsErr := m.Number("Units", 1)
-	timeout, timeoutErr := m.Micros("Timeout", 0)
-	retry, retryErr := m.Whole("Repeat", 0)
+	shard, shardErr := m.Whole(lineproto.FieldShard, -1)
+	units, unitsErr := m.Number(lineproto.FieldUnits, 1)
+	timeout, timeoutErr := m.Micros(lineproto.FieldTimeout, 0)
+	retry, retryErr := m.Whole(lineproto.FieldRetry, 0)
 	if err := errors.Join(shardErr, unitsErr, timeoutErr, retryErr); err != nil {
 		return nil, err
 	}
-	request := &engine.Request{Volume: m.Get("Volume"), Class: m.Get("Queue-Type"), Object: m.Get("Object"), Tag: m.Get("Tag"),
-		Trace: m.Get("Trace"), Shard: int(shard), Units: units, Timeout: timeout, Retry: retry != 0, Body: m.Body}
+	request := &engine.Request{Volume: m.Get(lineproto.FieldVolume), Class: m.Get(lineproto.FieldClass), Object: m.Get(lineproto.FieldObject), Tag: m.Get(lineproto.FieldTag),
+		Trace: m.Get(lineproto.FieldTrace), Shard: int(shard), Units: units, Timeout: timeout, Retry: retry != 0, Body: m.Body}
 	if request.Volume == "" || request.Class == "" {
 		return nil, errors.New("RUN needs the fields Volume and Queue-Type")
 	}
@@ -101,14 +101,14 @@
 	m := lineproto.Out{B: make([]byte, 0, responseHeadroom+len(r.Body))}
 	m.Start(resultVerbs[r.Result], id)
 	if r.Result == engine.Rejected && r.RetryAfter > 0 {
-		m.Micros("Back", max(r.RetryAfter, time.Microsecond)) // 0 on the wire would be no advice
+		m.Micros(lineproto.FieldRetryAfter, max(r.RetryAfter, time.Microsecond)) // 0 on the wire would be no advice
 	}
 	if r.Result == engine.Failed {
 		mayHaveRun := "no"
 		if r.MayHaveRun {
 			mayHaveRun = "yes"
 		}
-		m.Text("May-Have-Run", mayHaveRun).Text("Reason", r.Reason)
+		m.Text(lineproto.FieldMayHaveRun, mayHaveRun).Text(lineproto.FieldReason, r.Reason)
 	}
 	if _, err := c.sender.Send(m.End(r.Body).B); err != nil {
 		c.sender.Close()
--- a/internal/lineproto/builder.go
+++ b/internal/lineproto/builder.go
@@ -57,7 +57,7 @@
 // End completes the message with its body, which may be nil.
 func (o *Out) End(body []byte) *Out {
 	if len(body) > 0 {
-		o.Whole("Length", int64(len(body)))
+		o.Whole(FieldLength, int64(len(body)))
 	}
 	o.B = append(append(o.B, "\r\n"...), body...)
 	return o
--- a/internal/lineproto/greeting.go
+++ b/internal/lineproto/greeting.go
@@ -13,7 +13,7 @@
 		return nil, err
 	}
 	var hello Out
-	hello.Start(Hello, 0).Text("Version", Version).Text("Role", role).Text("Name", name)
+	hello.Start(Hello, 0).Text(FieldVersion, Version).Text(FieldRole, role).Text(FieldName, name)
 	if more != nil {
 		more(&hello)
 	}
@@ -27,9 +27,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("greet: %w", err)
 	}
-	if m.Verb != Hello || m.Get("Version") != Version {
+	if m.Verb != Hello || m.Get(FieldVersion) != Version {
 		return nil, fmt.Errorf("greet: %s %q, wanted %s %s; the other side is of another version or no part of this",
-			clip(m.Verb), clip(m.Get("Version")), Hello, Version)
+			clip(m.Verb), clip(m.Get(FieldVersion)), Hello, Version)
 	}
 	return m, c.SetDeadline(time.Time{})
 }
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -92,13 +92,13 @@
 	first, err1 := s.Send([]byte("12345"))
 	second, err2 := s.Send([]byte("67890"))
 	_, err3 := s.Send([]byte("x"))
-	if err1 != nil || err2 != nil || !errors.Is(err3, ErrFull) || s.MayHaveLeft(first) {
+	if err1 != nil || err2 != nil || !errors.Is(err3, ErrFull) || s.MayHaveBeenWritten(first) {
 		t.Fatal(err1, err2, err3)
 	}
 	a, b := net.Pipe()
 	s.Start(a)
 	got := make([]byte, 10)
-	if _, err := io.ReadFull(b, got); err != nil || string(got) != "1234567890" || !s.MayHaveLeft(second) {
+	if _, err := io.ReadFull(b, got); err != nil || string(got) != "1234567890" || !s.MayHaveBeenWritten(second) {
 		t.Fatal(err, string(got))
 	}
 	b.Close()
@@ -110,7 +110,7 @@
 	s = NewSender(10, time.Second)
 	at, _ := s.Send([]byte("12345"))
 	s.Close()
-	if <-s.Done(); s.MayHaveLeft(at) {
+	if <-s.Done(); s.MayHaveBeenWritten(at) {
 		t.Error("closed before it had a connection, and yet something left")
 	}
 }
--- a/internal/lineproto/parse.go
+++ b/internal/lineproto/parse.go
@@ -11,24 +11,24 @@
 const maxVerb = 16
 
 // parseStartLine reads a verb in capitals and an optional id.
-func parseStartLine(line string) (*Message, error) {
-	if len(line) > maxLine {
+func parseStartLine(text string) (*Message, error) {
+	if len(text) > maxLine {
 		return nil, fmt.Errorf("%w: start line", ErrTooLong)
 	}
-	verb, id, _ := strings.Cut(line, " ")
+	verb, id, _ := strings.Cut(text, " ")
 	if verb == "" || len(verb) > maxVerb {
-		return nil, fmt.Errorf("start line %q: no verb", clip(line))
+		return nil, fmt.Errorf("start line %q: no verb", clip(text))
 	}
 	for _, r := range verb {
 		if r < 'A' || r > 'Z' {
-			return nil, fmt.Errorf("start line %q: a verb is written in capitals", clip(line))
+			return nil, fmt.Errorf("start line %q: a verb is written in capitals", clip(text))
 		}
 	}
 	m := &Message{Verb: verb}
 	if id != "" {
 		n, err := strconv.ParseUint(id, 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("start line %q: id is not a whole number", clip(line))
+			return nil, fmt.Errorf("start line %q: id is not a whole number", clip(text))
 		}
 		m.ID = n
 	}
--- a/internal/lineproto/reader.go
+++ b/internal/lineproto/reader.go
@@ -29,6 +29,7 @@
 	err       error // of the last Read
 }
 
+// Read reads what the allowance lets through, and fails with ErrTooLong past it.
 func (b *bounded) Read(p []byte) (int, error) {
 	if b.allowance <= 0 {
 		b.err = ErrTooLong
@@ -103,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := m.Whole("Length", 0)
+	n, err := m.Whole(FieldLength, 0)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lineproto/sender.go
+++ b/internal/lineproto/sender.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// MayHaveLeft reports whether a byte of the message that begins at offset can have reached the peer. The answer is final
+// MayHaveBeenWritten reports whether a byte of the message that begins at offset can have reached the peer. The answer is final
 // once Done is closed.
-func (s *Sender) MayHaveLeft(offset int64) bool {
+func (s *Sender) MayHaveBeenWritten(offset int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return offset < s.handed
@@ -90,7 +90,7 @@
 	s.closed = true
 	close(s.wake)
 	if s.conn != nil {
-		_ = s.conn.Close() // what was written or not is judged by MayHaveLeft
+		_ = s.conn.Close() // what was written or not is judged by MayHaveBeenWritten
 	} else {
 		close(s.done) // no goroutine does
 	}
@@ -145,7 +145,7 @@
 }
 
 // takeQueue takes all that is queued; nil: nothing, or the sender is closed. It counts the bytes as handed over before the first of
-// them can be written, so that MayHaveLeft never says no wrongly.
+// them can be written, so that MayHaveBeenWritten never says no wrongly.
 func (s *Sender) takeQueue() []byte {
 	s.mu.Lock()
 	if s.closed || len(s.queue) == 0 {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		nodes = nil // faults then have no lines
 	}
-	c := &checker{file: file, lines: map[string]int{}}
+	c := &checker{file: file, lineOf: map[string]int{}}
 	c.message(m.ProtoReflect(), "", nodes, 1)
 	return c, nil
 }
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -16,27 +16,27 @@
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 // value checks one value against its rule; children are the nodes below it.
-func (c *checker) value(v protoreflect.Value, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, children []*ast.Node, line int) {
-	c.lines[name] = line
+func (c *checker) value(v protoreflect.Value, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, children []*ast.Node, lineNumber int) {
+	c.lineOf[name] = lineNumber
 	switch fd.Kind() {
 	case protoreflect.MessageKind:
-		c.message(v.Message(), name+".", children, line)
+		c.message(v.Message(), name+".", children, lineNumber)
 	case protoreflect.StringKind:
-		c.text(v.String(), rule, name, line)
+		c.text(v.String(), rule, name, lineNumber)
 	case protoreflect.EnumKind:
 		if fd.Enum().Values().ByNumber(v.Enum()) == nil {
-			c.fault(line, name, strconv.Itoa(int(v.Enum())), "no value of %s", fd.Enum().Name())
+			c.fault(lineNumber, name, strconv.Itoa(int(v.Enum())), "no value of %s", fd.Enum().Name())
 		}
 	case protoreflect.DoubleKind, protoreflect.Uint32Kind, protoreflect.Int64Kind, protoreflect.Int32Kind:
-		c.number(v, rule, name, line)
+		c.number(v, rule, name, lineNumber)
 	}
 }
 
-func (c *checker) number(v protoreflect.Value, rule *pb.Allowed, name string, line int) {
+func (c *checker) number(v protoreflect.Value, rule *pb.Allowed, name string, lineNumber int) {
 	n, err := strconv.ParseFloat(fmt.Sprint(v.Interface()), 64)
 	inRange := n >= numberBound(rule.Min, n) && n <= numberBound(rule.Max, n) // false for NaN
 	if err != nil || !inRange {
-		c.fault(line, name, fmt.Sprint(v.Interface()), "out of range%s", bounds(rule))
+		c.fault(lineNumber, name, fmt.Sprint(v.Interface()), "out of range%s", bounds(rule))
 	}
 }
 
@@ -49,31 +49,31 @@
 	return bound
 }
 
-func (c *checker) text(s string, rule *pb.Allowed, name string, line int) {
+func (c *checker) text(s string, rule *pb.Allowed, name string, lineNumber int) {
 	switch {
 	case rule.Duration:
-		c.duration(s, rule, name, line)
+		c.duration(s, rule, name, lineNumber)
 	case rule.Address:
 		if !isAddress(s) {
-			c.fault(line, name, strconv.Quote(s), `not an address such as "127.0.0.1:8400"`)
+			c.fault(lineNumber, name, strconv.Quote(s), `not an address such as "127.0.0.1:8400"`)
 		}
 	case rule.Name:
 		if !namePattern.MatchString(s) {
-			c.fault(line, name, strconv.Quote(s), "not a name: 1 to 64 letters, digits, '.', '_' or '-'")
+			c.fault(lineNumber, name, strconv.Quote(s), "not a name: 1 to 64 letters, digits, '.', '_' or '-'")
 		}
 	case rule.Most > 0 && len(s) > int(rule.Most):
-		c.fault(line, name, strconv.Quote(s[:16])+"...", "longer than %d bytes", rule.Most)
+		c.fault(lineNumber, name, strconv.Quote(s[:16])+"...", "longer than %d bytes", rule.Most)
 	}
 }
 
-func (c *checker) duration(s string, rule *pb.Allowed, name string, line int) {
+func (c *checker) duration(s string, rule *pb.Allowed, name string, lineNumber int) {
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		c.fault(line, name, strconv.Quote(s), `not a duration such as "250ms"%s`, bounds(rule))
+		c.fault(lineNumber, name, strconv.Quote(s), `not a duration such as "250ms"%s`, bounds(rule))
 		return
 	}
 	if d < durationBound(rule.Min, d) || d > durationBound(rule.Max, d) {
-		c.fault(line, name, strconv.Quote(s), "out of range%s", bounds(rule))
+		c.fault(lineNumber, name, strconv.Quote(s), "out of range%s", bounds(rule))
 	}
 }
 
