--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -415,7 +415,7 @@
 	f := w.s.Fleet
 	e := &pb.Edge{Name: h.line.Name, Ordinal: uint32(h.no), Hosts: uint32(len(w.hosts)), Zone: h.line.Zone, Fleet: f.Rules, QueueType: f.QueueType,
 		Plan: f.Plan, Seed: w.rng.Int63()%(1<<40) + 1}
-	rules, err := settings.Beliefs(e)
+	rules, err := settings.EndpointRules(e)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -35,7 +35,7 @@
 func (c *captureStop) Run() error { return tape(c.Gateway, "stop") }
 
 func tape(gateway, action string) error {
-	b, err := ask(gateway, lineproto.Tape, "Action", action)
+	b, err := ask(gateway, lineproto.VerbControlCapture, "Action", action)
 	if err == nil {
 		fmt.Print(string(b))
 	}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -12,7 +12,7 @@
 
 // Run prints what settings hold, or the error that names file, line and field.
 func (c *configCheck) Run() error {
-	e, err := settings.LoadEdge(c.File)
+	e, err := settings.LoadGateway(c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -24,15 +24,15 @@
 	if _, err := lineproto.Greet(nc, r, "client", "weirctl", 2*time.Second, nil); err != nil {
 		return nil, err
 	}
-	var o lineproto.Out
-	if _, err := nc.Write(o.Start(verb, 1).Text(field, name).End(nil).B); err != nil {
+	var o lineproto.Builder
+	if _, err := nc.Write(o.Start(verb, 1).Text(field, name).End(nil).Buffer); err != nil {
 		return nil, err
 	}
 	m, err := r.Read()
 	if err != nil {
 		return nil, err
 	}
-	if m.Verb != lineproto.Done {
+	if m.Verb != lineproto.VerbServed {
 		return nil, fmt.Errorf("the gateway refused: %s", m.Get("Reason"))
 	}
 	return m.Body, nil
@@ -44,7 +44,7 @@
 
 // Run prints what a gateway believes of each endpoint.
 func (c *fleetShow) Run() error {
-	b, err := ask(c.Gateway, lineproto.Fleet, "Brick", "")
+	b, err := ask(c.Gateway, lineproto.VerbShowFleet, "Brick", "")
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -57,7 +57,7 @@
 
 // Run prints a gateway's fleet as the capacity planner reads it.
 func (c *fleetExport) Run() error {
-	b, err := ask(c.Gateway, lineproto.Fleet, "Form", "txtpb")
+	b, err := ask(c.Gateway, lineproto.VerbShowFleet, "Form", "txtpb")
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -76,7 +76,7 @@
 	if c.Peer {
 		field = "Host"
 	}
-	_, err := ask(c.Gateway, lineproto.Forget, field, c.Name)
+	_, err := ask(c.Gateway, lineproto.VerbForget, field, c.Name)
 	return err
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	rules, err := settings.Beliefs(&pb.Edge{}) // as a gateway with the default settings would weigh it now
+	rules, err := settings.EndpointRules(&pb.Edge{}) // as a gateway with the default settings would weigh it now
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/server/endpoints.go
+++ b/internal/controlplane/server/endpoints.go
@@ -29,7 +29,7 @@
 			DrainedUpTo: drainedUpTo,
 			Reason:      "as written",
 			Report: endpointstate.Report{Name: record.Name, Address: endpoint.Address, Zone: endpoint.Zone, Shard: int(endpoint.Cell),
-				Serving: endpoint.Serving, Gone: record.Gone, Started: time.Duration(endpoint.Started), ObservedAt: now()},
+				Serving: endpoint.Serving, Removed: record.Gone, Started: time.Duration(endpoint.Started), ObservedAt: now()},
 		})
 	}
 	c.endpoints.Restore(restored, endpointstate.Generation{}, now())
@@ -47,15 +47,15 @@
 	c.state.SetDesired(&pb.Item{Kind: pb.Item_BRICK, Name: name, Gone: gone, Brick: endpoint})
 }
 
-// List takes an endpoint list, or its changes, from the discovery service.
-func (c *Controller) List(generation endpointstate.Generation, whole bool, entries []engine.EndpointEntry) {
+// ListReceived takes an endpoint list, or its changes, from the discovery service.
+func (c *Controller) ListReceived(generation endpointstate.Generation, whole bool, entries []engine.EndpointEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	observedAt := now()
 	reports := make([]endpointstate.Report, len(entries))
 	for i, entry := range entries {
 		reports[i] = endpointstate.Report{Name: entry.Name, Address: entry.Address, Zone: entry.Zone, Shard: entry.Shard,
-			Serving: entry.Serving && !entry.Gone, Gone: entry.Gone, ObservedAt: observedAt}
+			Serving: entry.Serving && !entry.Gone, Removed: entry.Gone, ObservedAt: observedAt}
 		if entry.HasStart {
 			reports[i].Started = observedAt - max(entry.Age, 0)
 		}
@@ -69,8 +69,8 @@
 // ListFailed takes that the endpoint list could not be fetched: what was last received stands.
 func (c *Controller) ListFailed() {}
 
-// ListHolds takes that the endpoint list is unchanged.
-func (c *Controller) ListHolds() {
+// ListUnchanged takes that the endpoint list is unchanged.
+func (c *Controller) ListUnchanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endpoints.ListUnchanged(now())
@@ -101,8 +101,8 @@
 		if belief.Source == endpointstate.Saved {
 			continue
 		}
-		records = append(records, &pb.Item{Kind: pb.Item_BRICK, Name: belief.Name, Gone: belief.Gone,
-			Brick: &pb.PlanBrick{Address: belief.Address, Zone: belief.Zone, Cell: int64(belief.Shard), Serving: belief.Serving && !belief.Gone,
+		records = append(records, &pb.Item{Kind: pb.Item_BRICK, Name: belief.Name, Gone: belief.Removed,
+			Brick: &pb.PlanBrick{Address: belief.Address, Zone: belief.Zone, Cell: int64(belief.Shard), Serving: belief.Serving && !belief.Removed,
 				Started: int64(belief.Started), Drained: int64(belief.DrainedUpTo)}})
 	}
 	return records
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rules, err := settings.Beliefs(&pb.Edge{})
+	rules, err := settings.EndpointRules(&pb.Edge{})
 	if err != nil {
 		return nil, err
 	}
@@ -190,9 +190,9 @@
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: c.stallTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true}))...)
 	pb.RegisterPlanningServer(server, c)
-	list := discovery.New(discovery.Config{Address: c.conf.ListService, Name: c.conf.Name, Asked: c.conf.Fleet.ListAsked, Limits: settings.Bounds(nil),
+	list := discovery.New(discovery.Config{Address: c.conf.ListService, Name: c.conf.Name, Polled: c.conf.Fleet.ListAsked, Limits: settings.LimitsOf(nil),
 		Seed: time.Now().UnixNano(), Log: c.log, Sink: c})
-	list.Watch()
+	list.RequestList()
 	c.log.Info("serving", "address", listener.Addr().String(), "term", c.state.Term().Term, "generation", c.state.Generation(), "records", len(c.state.Records()))
 
 	inner, stop := context.WithCancel(ctx)
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -236,7 +236,7 @@
 }
 
 func list(p *Controller, number int64, whole bool, lines ...engine.EndpointEntry) {
-	p.List(fleetdecide.Generation{Epoch: "list", Number: number}, whole, lines)
+	p.ListReceived(fleetdecide.Generation{Epoch: "list", Number: number}, whole, lines)
 }
 
 func brick(i int, serving bool) engine.EndpointEntry {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -29,19 +29,19 @@
 
 // Sink receives the lists. Its methods are called from the goroutines of Run; no call may block for long.
 type Sink interface {
-	// List gives a complete list, or the changes since the one before (complete is false).
-	List(g endpointstate.Generation, complete bool, entries []engine.EndpointEntry)
+	// ListReceived gives a complete list, or the changes since the one before (complete is false).
+	ListReceived(g endpointstate.Generation, complete bool, entries []engine.EndpointEntry)
 	// ListFailed tells that a request got no list.
 	ListFailed()
-	// ListHolds tells, once a second, that the connection stands: the list received last is still the latest.
-	ListHolds()
+	// ListUnchanged tells, once a second, that the connection stands: the list received last is still the latest.
+	ListUnchanged()
 }
 
 // Config of a connection.
 type Config struct {
 	Address string // host:port of the service; empty: there is none, and every request fails
 	Name    string // of this side, for greetings
-	Asked   bool   // polled rather than pushed
+	Polled  bool   // polled rather than pushed
 	Limits  settings.Limits
 	Seed    int64 // of the backoff's jitter
 	Log     *slog.Logger
@@ -57,10 +57,10 @@
 // New returns a connection that is made once Run is called.
 func New(c Config) *Conn { return &Conn{config: c, requests: make(chan string, maxQueuedRequests)} }
 
-// Watch requests the list and its changes from now on. It does not block and may be called from any goroutine.
-func (c *Conn) Watch() {
+// RequestList requests the list and its changes from now on. It does not block and may be called from any goroutine.
+func (c *Conn) RequestList() {
 	select {
-	case c.requests <- lineproto.Watch:
+	case c.requests <- lineproto.VerbWatchEndpoints:
 	default:
 	}
 }
@@ -70,7 +70,7 @@
 	switch {
 	case c.config.Address == "":
 		c.runWithoutService(ctx)
-	case c.config.Asked:
+	case c.config.Polled:
 		c.runPolled(ctx)
 	default:
 		c.runPushed(ctx)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,9 +14,9 @@
 // the service's own clock, so a clock that is off does no harm.
 func TestParseList(t *testing.T) {
 	parse := func(clock, body string) (endpointstate.Generation, bool, []engine.EndpointEntry, error) {
-		var o lineproto.Out
-		m, err := lineproto.NewReader(strings.NewReader(string(o.Start(lineproto.List, 0).Text("Clock", clock).Text("Whole", "yes").
-			End([]byte(body)).B)), 1<<20).Read()
+		var o lineproto.Builder
+		m, err := lineproto.NewReader(strings.NewReader(string(o.Start(lineproto.VerbEndpointList, 0).Text("Clock", clock).Text("Whole", "yes").
+			End([]byte(body)).Buffer)), 1<<20).Read()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -34,8 +34,8 @@
 // that the field Clock reads, in microseconds, 0 where it is not known. One line that can't be read makes the whole list
 // worthless: a *LineError.
 func Parse(m *lineproto.Message) (g endpointstate.Generation, complete bool, entries []engine.EndpointEntry, err error) {
-	clock, clockErr := m.Whole(lineproto.FieldClock, 0)
-	number, numberErr := m.Whole(lineproto.FieldNumber, 0)
+	clock, clockErr := m.Int(lineproto.FieldClock, 0)
+	number, numberErr := m.Int(lineproto.FieldNumber, 0)
 	if err := errors.Join(clockErr, numberErr); err != nil {
 		return g, false, nil, err
 	}
--- a/internal/discovery/serve.go
+++ b/internal/discovery/serve.go
@@ -20,7 +20,7 @@
 // was received, and why the connection ended.
 func (c *Conn) serve(ctx context.Context, request string) (received bool, err error) {
 	limits := c.config.Limits
-	dialer := net.Dialer{Timeout: limits.Connect}
+	dialer := net.Dialer{Timeout: limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.config.Address)
 	if err != nil {
 		return false, fmt.Errorf("connect to the list service: %w", err)
@@ -28,8 +28,8 @@
 	defer func() { _ = conn.Close() }()
 	stopWatching := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stopWatching()
-	reader := lineproto.NewConnReader(conn, max(limits.Body, minListBody), 0, limits.Stall)
-	if _, err := lineproto.Greet(conn, reader, lineproto.RoleGateway, c.config.Name, limits.Stall, nil); err != nil {
+	reader := lineproto.NewConnReader(conn, max(limits.MaxBody, minListBody), 0, limits.StallTimeout)
+	if _, err := lineproto.Greet(conn, reader, lineproto.RoleGateway, c.config.Name, limits.StallTimeout, nil); err != nil {
 		return false, fmt.Errorf("list service: %w", err)
 	}
 	if request != "" {
@@ -72,9 +72,9 @@
 }
 
 func (c *Conn) send(conn net.Conn, verb string) error {
-	var message lineproto.Out
-	_ = conn.SetWriteDeadline(time.Now().Add(c.config.Limits.Stall)) // fails only on a closed connection, as the write does then
-	_, err := conn.Write(message.Start(verb, 0).End(nil).B)
+	var message lineproto.Builder
+	_ = conn.SetWriteDeadline(time.Now().Add(c.config.Limits.StallTimeout)) // fails only on a closed connection, as the write does then
+	_, err := conn.Write(message.Start(verb, 0).End(nil).Buffer)
 	return err
 }
 
@@ -85,7 +85,7 @@
 	for {
 		select {
 		case <-tick.C:
-			c.config.Sink.ListHolds()
+			c.config.Sink.ListUnchanged()
 		case <-ctx.Done():
 			return
 		}
@@ -100,15 +100,15 @@
 			return received, err
 		}
 		switch m.Verb {
-		case lineproto.List:
+		case lineproto.VerbEndpointList:
 			generation, complete, entries, err := Parse(m)
 			if err != nil {
 				c.config.Log.Warn("rejected an endpoint list; the one before stays in use", "err", err)
 				continue
 			}
 			received = true
-			c.config.Sink.List(generation, complete, entries)
-		case lineproto.Busy, lineproto.Abort, lineproto.Bad:
+			c.config.Sink.ListReceived(generation, complete, entries)
+		case lineproto.VerbRejected, lineproto.VerbFailed, lineproto.VerbMalformed:
 			c.config.Sink.ListFailed()
 		}
 	}
--- a/internal/endpointconn/conn.go
+++ b/internal/endpointconn/conn.go
@@ -41,7 +41,7 @@
 	ctx, cancel := context.WithCancel(e.connector.ctx)
 	limits := e.connector.limits
 	return &conn{endpoint: e, ctx: ctx, cancel: cancel, inFlight: map[uint64]pending{},
-		sender: lineproto.NewSender(limits.Body+headBytes*limits.BrickQueue+slackBytes, limits.Stall)}
+		sender: lineproto.NewSender(limits.MaxBody+headBytes*limits.EndpointQueue+slackBytes, limits.StallTimeout)}
 }
 
 // run serves the connection and then reports all that is still in flight.
@@ -80,7 +80,7 @@
 	stopWatching := context.AfterFunc(c.ctx, func() { _ = netConn.Close() })
 	defer stopWatching()
 	limits := c.endpoint.connector.limits
-	reader := lineproto.NewConnReader(netConn, limits.Body, limits.Idle, limits.Stall)
+	reader := lineproto.NewConnReader(netConn, limits.MaxBody, limits.IdleTimeout, limits.StallTimeout)
 	if err := c.exchangeGreetings(netConn, reader); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 
 func (c *conn) dial() (net.Conn, error) {
 	connector := c.endpoint.connector
-	ctx, cancel := context.WithTimeout(c.ctx, connector.limits.Connect)
+	ctx, cancel := context.WithTimeout(c.ctx, connector.limits.ConnectTimeout)
 	defer cancel()
 	return connector.dialer.DialContext(ctx, "tcp", c.endpoint.address)
 }
@@ -98,7 +98,7 @@
 // exchangeGreetings checks that the endpoint expected is at the address, and passes its greeting on.
 func (c *conn) exchangeGreetings(netConn net.Conn, reader *lineproto.Reader) error {
 	e := c.endpoint
-	hello, err := lineproto.Greet(netConn, reader, lineproto.RoleGateway, e.connector.gateway, e.connector.limits.Connect, nil)
+	hello, err := lineproto.Greet(netConn, reader, lineproto.RoleGateway, e.connector.gateway, e.connector.limits.ConnectTimeout, nil)
 	if err != nil {
 		return fmt.Errorf("endpoint %s at %s: %w", e.name, e.address, err)
 	}
@@ -106,7 +106,7 @@
 		e.connector.loop.Post(func(core *engine.Core) { core.WrongEndpoint(e.name, e.address) })
 		return fmt.Errorf("endpoint %s: at its address %s is %q now; the endpoint list is out of date", e.name, e.address, name)
 	}
-	age, err := hello.Micros(lineproto.FieldAge, 0)
+	age, err := hello.Duration(lineproto.FieldAge, 0)
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.name, err)
 	}
@@ -140,16 +140,16 @@
 func (c *conn) awaitsResponse() bool {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
-	return !c.awaitingSince.IsZero() && time.Since(c.awaitingSince) < c.endpoint.connector.limits.Idle
+	return !c.awaitingSince.IsZero() && time.Since(c.awaitingSince) < c.endpoint.connector.limits.IdleTimeout
 }
 
 // outcomes maps the verbs of final responses.
 var outcomes = map[string]policy.Outcome{
-	lineproto.Done:   policy.Served,
-	lineproto.Probed: policy.Served,
-	lineproto.Busy:   policy.Rejected,
-	lineproto.Abort:  policy.ErrorResponse,
-	lineproto.Bad:    policy.ErrorResponse,
+	lineproto.VerbServed:            policy.Served,
+	lineproto.VerbHealthCheckPassed: policy.Served,
+	lineproto.VerbRejected:          policy.Rejected,
+	lineproto.VerbFailed:            policy.ErrorResponse,
+	lineproto.VerbMalformed:         policy.ErrorResponse,
 }
 
 // receive takes one message of the endpoint. An error ends the connection. Verbs of later minor versions of the protocol are
@@ -157,10 +157,10 @@
 func (c *conn) receive(m *lineproto.Message) error {
 	e := c.endpoint
 	switch m.Verb {
-	case lineproto.Drain:
+	case lineproto.VerbDraining:
 		e.connector.loop.Post(func(core *engine.Core) { core.EndpointDraining(e.name) })
 		return nil
-	case lineproto.Begun:
+	case lineproto.VerbResponseStarted:
 		e.connector.loop.Post(func(core *engine.Core) { core.ResponseStarted(e.name, m.ID) })
 		return nil
 	}
@@ -170,10 +170,10 @@
 	}
 	p, known := c.complete(m.ID)
 	if !known {
-		if m.Verb == lineproto.Bad && m.ID == 0 {
+		if m.Verb == lineproto.VerbMalformed && m.ID == 0 {
 			return fmt.Errorf("endpoint %s can't understand this gateway: %s", e.name, m.Get(lineproto.FieldReason))
 		}
-		p.healthCheck = m.Verb == lineproto.Probed // canceled or abandoned: the engine counts a late outcome
+		p.healthCheck = m.Verb == lineproto.VerbHealthCheckPassed // canceled or abandoned: the engine counts a late outcome
 	}
 	e.report(m.ID, outcome, p.healthCheck, m)
 	return nil
--- a/internal/endpointconn/endpoint.go
+++ b/internal/endpointconn/endpoint.go
@@ -24,29 +24,29 @@
 
 // Send sends an attempt of a request. The endpoint is told the time that is left for it.
 func (e *endpoint) Send(id uint64, request *engine.Request, attempt int, timeout, _ time.Duration) {
-	m := lineproto.Out{B: make([]byte, 0, requestHeadroom+len(request.Body))}
-	m.Start(lineproto.Run, id).
+	m := lineproto.Builder{Buffer: make([]byte, 0, requestHeadroom+len(request.Body))}
+	m.Start(lineproto.VerbRequest, id).
 		Text(lineproto.FieldVolume, request.Volume).
 		Text(lineproto.FieldClass, request.Class).
 		Text(lineproto.FieldObject, request.Object).
 		Text(lineproto.FieldTag, request.Tag).
 		Text(lineproto.FieldTrace, request.Trace).
-		Whole(lineproto.FieldShard, int64(request.Shard)).
-		Number(lineproto.FieldUnits, request.Units).
-		Micros(lineproto.FieldTimeout, timeout)
+		Int(lineproto.FieldShard, int64(request.Shard)).
+		Float(lineproto.FieldUnits, request.Units).
+		Duration(lineproto.FieldTimeout, timeout)
 	if attempt > 0 {
-		m.Whole(lineproto.FieldAttempt, int64(attempt))
+		m.Int(lineproto.FieldAttempt, int64(attempt))
 	}
 	if request.Retry {
-		m.Whole(lineproto.FieldRetry, 1)
+		m.Int(lineproto.FieldRetry, 1)
 	}
-	e.send(id, m.End(request.Body).B, false)
+	e.send(id, m.End(request.Body).Buffer, false)
 }
 
 // CheckHealth sends a health check.
 func (e *endpoint) CheckHealth(id uint64) {
-	var m lineproto.Out
-	e.send(id, m.Start(lineproto.Probe, id).End(nil).B, true)
+	var m lineproto.Builder
+	e.send(id, m.Start(lineproto.VerbHealthCheck, id).End(nil).Buffer, true)
 }
 
 // send queues a message on the present connection. What can't be queued is reported from a goroutine, because the engine's loop,
@@ -62,7 +62,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := e.current()
-	if c == nil || len(c.inFlight) >= e.connector.limits.BrickQueue {
+	if c == nil || len(c.inFlight) >= e.connector.limits.EndpointQueue {
 		return false
 	}
 	offset, err := c.sender.Send(message)
@@ -96,8 +96,8 @@
 		return
 	}
 	delete(e.conn.inFlight, id)
-	var m lineproto.Out
-	_, _ = e.conn.sender.Send(m.Start(lineproto.Cancel, id).End(nil).B) // only spares the endpoint work
+	var m lineproto.Builder
+	_, _ = e.conn.sender.Send(m.Start(lineproto.VerbCancel, id).End(nil).Buffer) // only spares the endpoint work
 }
 
 // RequestGreeting makes a new connection, on which the endpoint greets, unless something is in flight on the present one or
@@ -150,7 +150,7 @@
 // loadReport reads the load that an endpoint reports with a response. A figure that can't be read counts as none: the response is
 // worth more than its load report.
 func loadReport(response *lineproto.Message) (load policy.LoadReport) {
-	load.ServedElsewhere, _ = response.Number(lineproto.FieldServedElsewhere, 0)
-	load.Utilization, _ = response.Number(lineproto.FieldUtilization, 0)
+	load.ServedElsewhere, _ = response.Float(lineproto.FieldServedElsewhere, 0)
+	load.Utilization, _ = response.Float(lineproto.FieldUtilization, 0)
 	return load
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -272,7 +272,7 @@
 			Zone:       entry.Zone,
 			Shard:      entry.Shard,
 			Serving:    entry.Serving && !entry.Gone,
-			Gone:       entry.Gone,
+			Removed:    entry.Gone,
 			ObservedAt: c.now,
 		}
 		if entry.HasStart {
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -282,13 +282,13 @@
 		l.again(t, host, 0, true)
 		return
 	}
-	var o lineproto.Out
-	o.B = make([]byte, 0, 256+len(l.body))
-	o.Start(lineproto.Run, t.number).Text("Volume", w.volume.Name).Text("Queue-Type", q.Name).Text("Object", w.object).
-		Whole("Cell", int64(w.cell)).Number("Units", w.units).Micros("Timeout", left).
+	var o lineproto.Builder
+	o.Buffer = make([]byte, 0, 256+len(l.body))
+	o.Start(lineproto.VerbRequest, t.number).Text("Volume", w.volume.Name).Text("Queue-Type", q.Name).Text("Object", w.object).
+		Int("Cell", int64(w.cell)).Float("Units", w.units).Duration("Timeout", left).
 		Text("Trace", strconv.FormatUint(t.number, 10)).Text("Tag", w.tag)
 	if w.repeats > 0 && l.c.Marks {
-		o.Whole("Repeat", 1)
+		o.Int("Repeat", 1)
 	}
 	var body []byte
 	if q.Writes {
@@ -297,7 +297,7 @@
 	k.out[t.number] = t
 	t.timer = time.AfterFunc(left, func() { l.late(k, t) })
 	l.c.Record.See(seen)
-	if _, err := k.sender.Send(o.End(body).B); err != nil {
+	if _, err := k.sender.Send(o.End(body).Buffer); err != nil {
 		_ = k.nc.Close()
 	}
 }
@@ -402,7 +402,7 @@
 func (l *Load) take(k *link, m *lineproto.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if m.Verb == lineproto.Begun {
+	if m.Verb == lineproto.VerbResponseStarted {
 		return
 	}
 	l.c.Record.See(&pb.Seen{What: pb.Seen_ANSWERED, Host: uint32(k.host), Command: m.ID, How: m.Verb,
@@ -414,10 +414,10 @@
 	delete(k.out, m.ID)
 	t.timer.Stop()
 	switch m.Verb {
-	case lineproto.Busy:
-		back, _ := m.Micros("Back", 0)
+	case lineproto.VerbRejected:
+		back, _ := m.Duration("Back", 0)
 		l.again(t, k.host, max(back, 0), false)
-	case lineproto.Abort:
+	case lineproto.VerbFailed:
 		l.again(t, k.host, -1, true)
 	default:
 		l.open--
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -182,8 +182,8 @@
 		}
 		body = fmt.Appendf(body, "%s %s %s %d %s %d\n", e.Name, e.Address, e.Zone, e.Cell, e.State, started)
 	}
-	var o lineproto.Out
-	o.Start(lineproto.List, 0).Text("Epoch", s.epoch).Whole("Number", s.number).Whole("Clock", clock.UnixMicro())
+	var o lineproto.Builder
+	o.Start(lineproto.VerbEndpointList, 0).Text("Epoch", s.epoch).Int("Number", s.number).Int("Clock", clock.UnixMicro())
 	if whole {
 		o.Text("Whole", "yes")
 	}
@@ -191,7 +191,7 @@
 	if s.c.HostOf != nil {
 		host, inc = s.c.HostOf(x.name)
 	}
-	if _, err := x.sender.Send(o.End(body).B); err != nil {
+	if _, err := x.sender.Send(o.End(body).Buffer); err != nil {
 		return
 	}
 	for _, e := range entries {
@@ -245,14 +245,14 @@
 		}
 		s.mu.Lock()
 		fails := s.c.Fails > 0 && s.rng.Float64() < s.c.Fails
-		var o lineproto.Out
+		var o lineproto.Builder
 		switch {
 		case fails:
-			_, _ = x.sender.Send(o.Start(lineproto.Abort, m.ID).End(nil).B)
-		case m.Verb == lineproto.Watch:
+			_, _ = x.sender.Send(o.Start(lineproto.VerbFailed, m.ID).End(nil).Buffer)
+		case m.Verb == lineproto.VerbWatchEndpoints:
 			x.watching = true
 			s.tell(x, true, s.entries)
-		case m.Verb == lineproto.All:
+		case m.Verb == lineproto.VerbGetEndpoints:
 			s.tell(x, true, s.entries)
 		}
 		s.mu.Unlock()
--- a/internal/fake/storagenode/http.go
+++ b/internal/fake/storagenode/http.go
@@ -82,13 +82,13 @@
 
 // answerHTTP writes the outcome of an attempt. Under mu.
 func (b *Brick) answerHTTP(j *job, verb string, other float64) {
-	head := map[string]string{lineproto.Done: "200 OK\r\n", lineproto.Busy: "503 Busy\r\nX-Turned-Away: 1\r\n", lineproto.Abort: "500 Failed\r\n"}[verb]
+	head := map[string]string{lineproto.VerbServed: "200 OK\r\n", lineproto.VerbRejected: "503 Busy\r\nX-Turned-Away: 1\r\n", lineproto.VerbFailed: "500 Failed\r\n"}[verb]
 	text := []byte("HTTP/1.1 " + head)
 	if other > 0 {
 		text = http1.AppendField(text, "Other-Hosts", strconv.FormatFloat(other, 'g', -1, 64))
 	}
 	_ = j.conn.nc.SetWriteDeadline(time.Now().Add(time.Second))
-	if verb == lineproto.Done && b.rng.Float64() < b.cond.Endless {
+	if verb == lineproto.VerbServed && b.rng.Float64() < b.cond.Endless {
 		_, _ = io.WriteString(j.conn.nc, string(text)+"\r\n"+AnswerTo(j.command)[:6])
 		reset(j.conn.nc)
 		return
--- a/internal/fake/storagenode/storagenode.go
+++ b/internal/fake/storagenode/storagenode.go
@@ -281,11 +281,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = true
-	var o lineproto.Out
-	o.Start(lineproto.Drain, 0).End(nil)
+	var o lineproto.Builder
+	o.Start(lineproto.VerbDraining, 0).End(nil)
 	for c := range b.conns {
 		if c.sender != nil {
-			_, _ = c.sender.Send(o.B)
+			_, _ = c.sender.Send(o.Buffer)
 			b.noteDrain(c)
 		}
 	}
@@ -340,12 +340,12 @@
 	b.mu.Lock()
 	draining := b.draining
 	b.mu.Unlock()
-	hello, err := lineproto.Greet(c.nc, r, "brick", b.c.Name, 2*time.Second, func(o *lineproto.Out) {
+	hello, err := lineproto.Greet(c.nc, r, "brick", b.c.Name, 2*time.Second, func(o *lineproto.Builder) {
 		age := time.Since(b.started)
 		if !b.c.Cold { // it came up long before the day began
 			age += 1000 * time.Hour
 		}
-		if o.Micros("Age", age); draining {
+		if o.Duration("Age", age); draining {
 			o.Text("State", "draining")
 		}
 	})
@@ -359,8 +359,8 @@
 	draining = b.draining
 	b.mu.Unlock()
 	if draining { // told by the greeting, or just behind it
-		var o lineproto.Out
-		_, _ = c.sender.Send(o.Start(lineproto.Drain, 0).End(nil).B)
+		var o lineproto.Builder
+		_, _ = c.sender.Send(o.Start(lineproto.VerbDraining, 0).End(nil).Buffer)
 		b.noteDrain(c)
 	} else if b.c.Cold && b.c.HostOf != nil { // its greeting told how long it has been up
 		host, inc := b.c.HostOf(c.host)
@@ -391,16 +391,16 @@
 
 func (b *Brick) take(c *conn, m *lineproto.Message) {
 	switch m.Verb {
-	case lineproto.Run:
-		units, _ := m.Number("Units", 1)
-		n, _ := m.Whole("Dispatch", 0)
-		left, _ := m.Micros("Timeout", time.Hour)
+	case lineproto.VerbRequest:
+		units, _ := m.Float("Units", 1)
+		n, _ := m.Int("Dispatch", 0)
+		left, _ := m.Duration("Timeout", time.Hour)
 		var command uint64
 		_, _ = fmt.Sscanf(m.Get("Trace"), "%d", &command) // 0 where the client sent no number
 		j := &job{conn: c, id: m.ID, command: command, n: uint32(n), volume: m.Get("Volume"), queue: m.Get("Queue-Type"),
 			object: m.Get("Object"), tag: m.Get("Tag"), units: units, until: time.Now().Add(left), body: m.Body}
 		b.arrive(j)
-	case lineproto.Probe:
+	case lineproto.VerbHealthCheck:
 		j := &job{conn: c, id: m.ID, probe: true, work: settings.Duration(b.c.Kind.ProbeWork, 0).Seconds()}
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -411,13 +411,13 @@
 		}
 		b.queue = append(b.queue, j)
 		b.rouse()
-	case lineproto.Cancel:
+	case lineproto.VerbCancel:
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.cancel(c, m.ID)
 	default:
-		var o lineproto.Out
-		_, _ = c.sender.Send(o.Start(lineproto.Bad, m.ID).Text("Reason", "unknown verb "+m.Verb).End(nil).B)
+		var o lineproto.Builder
+		_, _ = c.sender.Send(o.Start(lineproto.VerbMalformed, m.ID).Text("Reason", "unknown verb "+m.Verb).End(nil).Buffer)
 	}
 }
 
@@ -466,9 +466,9 @@
 	}
 	switch {
 	case b.cond.Errors > 0 && b.rng.Float64() < b.cond.Errors, k.Errors > 0 && b.rng.Float64() < k.Errors:
-		b.answer(j, lineproto.Abort, nil)
+		b.answer(j, lineproto.VerbFailed, nil)
 	case b.draining || len(b.queue) >= int(k.Queue):
-		b.answer(j, lineproto.Busy, nil)
+		b.answer(j, lineproto.VerbRejected, nil)
 	case j.work == 0:
 		b.finish(j)
 	default:
@@ -644,7 +644,7 @@
 			body = s.body
 		}
 	}
-	b.answer(j, lineproto.Done, body)
+	b.answer(j, lineproto.VerbServed, body)
 }
 
 // answer sends the outcome of a dispatch, unless it is to be lost. Under mu.
@@ -655,8 +655,8 @@
 		}
 		return
 	}
-	var o lineproto.Out
-	o.B = make([]byte, 0, 128+len(body))
+	var o lineproto.Builder
+	o.Buffer = make([]byte, 0, 128+len(body))
 	o.Start(verb, j.id)
 	var other float64
 	if b.c.Elsewhere {
@@ -664,17 +664,17 @@
 		served := b.done[j.volume] - b.own[host][j.volume]
 		if b.told[host] != nil {
 			if other = served - b.told[host][j.volume]; other > 0 {
-				o.Number("Elsewhere", other)
+				o.Float("Elsewhere", other)
 			}
 			b.told[host][j.volume] = served
 		}
 	}
 	if b.c.Meter != nil {
 		if x := b.c.Meter.told(j.volume); x > 0 {
-			o.Number("Metered", x)
+			o.Float("Metered", x)
 		}
 	}
-	o.Whole("Load-Queue", int64(len(b.queue)))
+	o.Int("Load-Queue", int64(len(b.queue)))
 	b.see(j, &pb.Seen{What: pb.Seen_REPLIED, Brick: b.c.Name, Command: j.command, Dispatch: j.n, How: verb,
 		Connection: j.conn.no, Volume: j.volume, Units: j.units})
 	delete(j.conn.ids, j.id)
@@ -682,12 +682,12 @@
 		b.answerHTTP(j, verb, other)
 		return
 	}
-	_, _ = j.conn.sender.Send(o.End(body).B)
+	_, _ = j.conn.sender.Send(o.End(body).Buffer)
 }
 
 func (b *Brick) probed(j *job) {
-	var o lineproto.Out
-	_, _ = j.conn.sender.Send(o.Start(lineproto.Probed, j.id).Whole("Load-Queue", int64(len(b.queue))).End(nil).B)
+	var o lineproto.Builder
+	_, _ = j.conn.sender.Send(o.Start(lineproto.VerbHealthCheckPassed, j.id).Int("Load-Queue", int64(len(b.queue))).End(nil).Buffer)
 }
 
 // Stored tells how often an object was written here and with what last.
--- a/internal/fleet/endpointstate/belief.go
+++ b/internal/fleet/endpointstate/belief.go
@@ -41,7 +41,7 @@
 	Zone    string
 	Shard   int
 	Serving bool          // false: draining or gone
-	Gone    bool          // taken away for good; never together with Serving
+	Removed bool          // taken away for good; never together with Serving
 	Started time.Duration // start of the endpoint's process; 0: not known, taken for long ago
 	// ObservedAt is when the report was true; 0: too old to be trusted.
 	ObservedAt time.Duration
--- a/internal/fleet/endpointstate/completelist.go
+++ b/internal/fleet/endpointstate/completelist.go
@@ -37,7 +37,7 @@
 				b.ObservedAt = 0
 			}
 		} else {
-			b.removedByList, b.Serving, b.Gone, b.DrainKnownAt, b.Reason = true, false, true, now, reasonNotInList
+			b.removedByList, b.Serving, b.Removed, b.DrainKnownAt, b.Reason = true, false, true, now, reasonNotInList
 		}
 		f.update(b, now)
 	}
--- a/internal/fleet/endpointstate/greeting.go
+++ b/internal/fleet/endpointstate/greeting.go
@@ -24,7 +24,7 @@
 		return // a connection to the address of before
 	}
 	r := b.Report
-	r.ObservedAt, r.Serving, r.Gone = now, !draining, false
+	r.ObservedAt, r.Serving, r.Removed = now, !draining, false
 	if started != 0 {
 		r.Started = started
 	}
--- a/internal/fleet/endpointstate/notify.go
+++ b/internal/fleet/endpointstate/notify.go
@@ -11,16 +11,16 @@
 
 // notification is what the sink was last notified of.
 type notification struct {
-	sent          bool // false: the sink doesn't know the endpoint
-	address, zone string
-	shard         int
-	serving, gone bool
-	startedAt     time.Duration
+	sent             bool // false: the sink doesn't know the endpoint
+	address, zone    string
+	shard            int
+	serving, removed bool
+	startedAt        time.Duration
 }
 
 // notify passes a belief on to the sink unless the sink knows just that.
 func (f *Fleet) notify(b *Belief, serving, gone bool, startedAt time.Duration) {
-	n := notification{sent: true, address: b.Address, zone: b.Zone, shard: b.Shard, serving: serving, gone: gone, startedAt: startedAt}
+	n := notification{sent: true, address: b.Address, zone: b.Zone, shard: b.Shard, serving: serving, removed: gone, startedAt: startedAt}
 	if n == b.notified {
 		return
 	}
--- a/internal/fleet/endpointstate/reports.go
+++ b/internal/fleet/endpointstate/reports.go
@@ -28,7 +28,7 @@
 		case b.removedByList: // not a drain; other gateways learn it from the list
 			continue
 		case b.Trust == Barred:
-			r.Serving, r.Gone, r.Started = false, b.Gone, b.DrainedUpTo
+			r.Serving, r.Removed, r.Started = false, b.Removed, b.DrainedUpTo
 		case b.Trust == Doubted || b.Source == Settings:
 			continue
 		}
@@ -52,7 +52,7 @@
 
 // learn takes the first report of an endpoint.
 func (f *Fleet) learn(r Report, source Source, now time.Duration) {
-	removalOfUnknown := !r.Serving && r.Gone && r.Address == ""
+	removalOfUnknown := !r.Serving && r.Removed && r.Address == ""
 	if removalOfUnknown || !f.addressAllowed(r, source) {
 		return
 	}
@@ -70,9 +70,9 @@
 	if f.drainOfEarlierStart(b, r) {
 		return
 	}
-	b.Gone = b.Gone || r.Gone
+	b.Removed = b.Removed || r.Removed
 	reason := reasonDraining
-	if r.Gone {
+	if r.Removed {
 		reason = reasonGone
 	}
 	f.drain(b, source, reason, r.Started, now)
--- a/internal/fleet/endpointstate/trust.go
+++ b/internal/fleet/endpointstate/trust.go
@@ -46,7 +46,7 @@
 	b.Trust = f.trust(b, now)
 	switch b.Trust {
 	case Barred: // the reason was set with the drain or the removal
-		f.notify(b, false, b.Gone, b.Started)
+		f.notify(b, false, b.Removed, b.Started)
 	case Trusted:
 		b.Reason = reasonToldBy + b.Source.String()
 		f.notify(b, true, false, b.Started)
--- a/internal/fleet/store/beliefs.go
+++ b/internal/fleet/store/beliefs.go
@@ -129,7 +129,7 @@
 // change of the rest.
 func differs(saved, current endpointstate.Belief) bool {
 	return saved.Address != current.Address || saved.Zone != current.Zone || saved.Shard != current.Shard ||
-		saved.Serving != current.Serving || saved.Gone != current.Gone ||
+		saved.Serving != current.Serving || saved.Removed != current.Removed ||
 		saved.Started != current.Started || saved.DrainedUpTo != current.DrainedUpTo ||
 		current.ObservedAt-saved.ObservedAt >= AgeGranularity || current.ObservedAt < saved.ObservedAt
 }
--- a/internal/fleet/store/encoding.go
+++ b/internal/fleet/store/encoding.go
@@ -42,7 +42,7 @@
 }
 
 func encodeBelief(b endpointstate.Belief) *pb.SavedBrick {
-	return &pb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Shard), Serving: b.Serving, Gone: b.Gone,
+	return &pb.SavedBrick{Name: b.Name, Address: b.Address, Zone: b.Zone, Cell: int64(b.Shard), Serving: b.Serving, Gone: b.Removed,
 		Started: int64(b.Started), At: int64(b.ObservedAt), From: int32(b.Source), Drained: int64(b.DrainedUpTo),
 		Since: int64(b.DrainKnownAt), Why: b.Reason}
 }
@@ -50,7 +50,7 @@
 func decodeBelief(saved *pb.SavedBrick) endpointstate.Belief {
 	return endpointstate.Belief{
 		Report: endpointstate.Report{Name: saved.Name, Address: saved.Address, Zone: saved.Zone, Shard: int(saved.Cell),
-			Serving: saved.Serving, Gone: saved.Gone, Started: time.Duration(saved.Started), ObservedAt: time.Duration(saved.At)},
+			Serving: saved.Serving, Removed: saved.Gone, Started: time.Duration(saved.Started), ObservedAt: time.Duration(saved.At)},
 		Source:      endpointstate.Source(saved.From),
 		DrainedUpTo: time.Duration(saved.Drained), DrainKnownAt: time.Duration(saved.Since), Reason: saved.Why}
 }
--- a/internal/fleet/store/stored_data_test.go
+++ b/internal/fleet/store/stored_data_test.go
@@ -20,7 +20,7 @@
 		{Source: endpointstate.SelfReported, DrainedUpTo: moment - time.Hour, DrainKnownAt: moment - 90*time.Second, Reason: "draining, told by itself",
 			Report: endpointstate.Report{Name: "brick-2", Address: "127.0.0.1:7102", Zone: "south", Shard: 4, Started: moment - time.Hour, ObservedAt: moment - time.Second}},
 		{Source: endpointstate.Peer, DrainedUpTo: -1, DrainKnownAt: moment - 2*time.Minute, Reason: "gone, told by peer",
-			Report: endpointstate.Report{Name: "brick-3", Address: "[::1]:7103", Shard: -1, Gone: true, ObservedAt: moment - 2*time.Minute}},
+			Report: endpointstate.Report{Name: "brick-3", Address: "[::1]:7103", Shard: -1, Removed: true, ObservedAt: moment - 2*time.Minute}},
 		{Source: endpointstate.Saved, Report: endpointstate.Report{Name: "brick-4", Address: "127.0.0.1:7104", Zone: "north", Serving: true, ObservedAt: 1}},
 		{Source: endpointstate.Settings, Report: endpointstate.Report{Name: "brick-5", Address: "127.0.0.1:7105", Shard: 1_000_000, Serving: true}},
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -72,13 +72,13 @@
 					}
 				}
 				slots <- true
-				var o lineproto.Out
-				o.B = make([]byte, 0, 128)
-				o.Start(lineproto.Run, uint64(i)).Text("Volume", "v").Text("Queue-Type", "read").Whole("Cell", int64((i+k)%cells)).End(nil)
+				var o lineproto.Builder
+				o.Buffer = make([]byte, 0, 128)
+				o.Start(lineproto.VerbRequest, uint64(i)).Text("Volume", "v").Text("Queue-Type", "read").Int("Cell", int64((i+k)%cells)).End(nil)
 				guard.Lock()
 				sent[i] = time.Now()
 				guard.Unlock()
-				s.Send(o.B)
+				s.Send(o.Buffer)
 			}
 		}()
 		go func() {
@@ -86,7 +86,7 @@
 			h := hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3)
 			for range mine {
 				m, err := r.Read()
-				if err != nil || m.Verb != lineproto.Done {
+				if err != nil || m.Verb != lineproto.VerbServed {
 					b.Errorf("%v %v", m, err)
 					break
 				}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -30,15 +30,15 @@
 
 func newClientConn(g *Gateway, conn net.Conn) *clientConn {
 	return &clientConn{gateway: g, conn: conn, requests: map[uint64]*engine.Request{},
-		sender: lineproto.NewSender(queuedBodies*g.limits.Body+slackBytes, g.limits.Stall)}
+		sender: lineproto.NewSender(queuedBodies*g.limits.MaxBody+slackBytes, g.limits.StallTimeout)}
 }
 
 // run reads until the connection ends, at the latest when shutDown closes it; the requests then in flight have lost their client.
 func (c *clientConn) run() {
 	defer func() { _ = c.conn.Close() }()
 	limits := c.gateway.limits
-	reader := lineproto.NewConnReader(c.conn, limits.Body, limits.Idle, limits.Stall)
-	hello, err := lineproto.Greet(c.conn, reader, lineproto.RoleGateway, c.gateway.conf.Name, limits.Stall, nil)
+	reader := lineproto.NewConnReader(c.conn, limits.MaxBody, limits.IdleTimeout, limits.StallTimeout)
+	hello, err := lineproto.Greet(c.conn, reader, lineproto.RoleGateway, c.gateway.conf.Name, limits.StallTimeout, nil)
 	c.sender.Start(c.conn)
 	if err == nil {
 		err = c.read(reader)
@@ -72,15 +72,15 @@
 			return err
 		}
 		switch m.Verb {
-		case lineproto.Run:
+		case lineproto.VerbRequest:
 			if err := c.submit(m); err != nil {
 				return err
 			}
-		case lineproto.Cancel:
+		case lineproto.VerbCancel:
 			if request := c.takeRequest(m.ID); request != nil {
 				c.disconnected(request)
 			}
-		case lineproto.Fleet, lineproto.Forget, lineproto.Tape:
+		case lineproto.VerbShowFleet, lineproto.VerbForget, lineproto.VerbControlCapture:
 			c.operate(m)
 		default:
 			c.sendBad(m.ID, fmt.Errorf("unknown verb %s", m.Verb))
@@ -129,10 +129,10 @@
 	if err == nil || id == 0 && endedNormally(err) {
 		return
 	}
-	var m lineproto.Out
-	c.send(m.Start(lineproto.Bad, id).Text(lineproto.FieldReason, err.Error()).End(nil))
+	var m lineproto.Builder
+	c.send(m.Start(lineproto.VerbMalformed, id).Text(lineproto.FieldReason, err.Error()).End(nil))
 }
 
 // send queues a message. An error is dropped: the connection is closed then, or its client reads nothing, and its next response
 // disconnects it.
-func (c *clientConn) send(m *lineproto.Out) { _, _ = c.sender.Send(m.B) }
+func (c *clientConn) send(m *lineproto.Builder) { _, _ = c.sender.Send(m.Buffer) }
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -24,7 +24,7 @@
 // Execute runs a gateway until SIGTERM or SIGINT. It prints READY with the addresses for clients and for peers once it serves. start
 // makes the scheduler.
 func (c *Command) Execute(start func(policy.Runtime, policy.Settings) engine.Scheduler) error {
-	conf, err := settings.LoadEdge(c.Config)
+	conf, err := settings.LoadGateway(c.Config)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -52,7 +52,7 @@
 	items := p.early
 	p.early = nil
 	if len(items) > 0 {
-		p.apply(items, settings.Duration(p.gateway.conf.ListFresh, settings.DefaultListFresh)+time.Second)
+		p.apply(items, settings.Duration(p.gateway.conf.ListFresh, settings.DefaultReportFresh)+time.Second)
 	}
 }
 
@@ -99,9 +99,9 @@
 			continue
 		}
 		r := endpointstate.Report{Name: item.Name, Address: e.Address, Zone: e.Zone, Shard: int(e.Cell), Serving: e.Serving && !item.Gone,
-			Gone: item.Gone, Started: time.Duration(e.Started), ObservedAt: observedAt}
+			Removed: item.Gone, Started: time.Duration(e.Started), ObservedAt: observedAt}
 		if snapshot.Drained(e) {
-			r.Serving, r.Gone = false, false
+			r.Serving, r.Removed = false, false
 			if e.Drained > 0 {
 				r.Started = time.Duration(max(e.Started, e.Drained)) // the drain is of the process that it speaks of
 			}
--- a/internal/gateway/controlplane_test.go
+++ b/internal/gateway/controlplane_test.go
@@ -98,17 +98,17 @@
 	p.sendSnapshot(t, 1, item(one, 0, true), volume)
 	c := dial(t, a)
 	run := func(c *testConn, id uint64, volume string) {
-		c.send(lineproto.Run, id, func(o *lineproto.Out) {
-			o.Text("Volume", volume).Text("Queue-Type", "read").Text("Object", fmt.Sprint("o", id)).Whole("Cell", 0)
+		c.send(lineproto.VerbRequest, id, func(o *lineproto.Builder) {
+			o.Text("Volume", volume).Text("Queue-Type", "read").Text("Object", fmt.Sprint("o", id)).Int("Cell", 0)
 		})
 	}
 	answer := func(b *testConn) {
-		b.send(lineproto.Done, b.read(t).ID, nil)
+		b.send(lineproto.VerbServed, b.read(t).ID, nil)
 	}
 	run(c, 1, "new")
 	atOne := one.accept()
 	answer(atOne)
-	expect(t, c.read(t), lineproto.Done, 1)
+	expect(t, c.read(t), lineproto.VerbServed, 1)
 	// The control plane drains one and lets two serve: nothing new goes to one.
 	drained := item(one, 0, false)
 	drained.Brick.Drained = time.Now().UnixNano()
@@ -116,18 +116,18 @@
 	run(c, 2, "new")
 	atTwo := two.accept()
 	answer(atTwo)
-	expect(t, c.read(t), lineproto.Done, 2)
+	expect(t, c.read(t), lineproto.VerbServed, 2)
 	p.sendSnapshot(t, 3, item(one, 0, true), item(two, 0, true), volume) // as if the list had won
 	for id := uint64(3); id < 12; id++ {
 		run(c, id, "new")
 		answer(atTwo)
-		expect(t, c.read(t), lineproto.Done, id)
+		expect(t, c.read(t), lineproto.VerbServed, id)
 	}
 	// The control plane goes away; requests don't notice.
 	stopPlanner()
 	run(c, 20, "new")
 	answer(atTwo)
-	expect(t, c.read(t), lineproto.Done, 20)
+	expect(t, c.read(t), lineproto.VerbServed, 20)
 	stop()
 	// Nor does a gateway that starts without it: it has the snapshot, old as it is, and lets the endpoints greet.
 	a, _ = startGateway(t, more)
@@ -147,15 +147,15 @@
 		done := make(chan bool, 1)
 		go func() {
 			at.SetReadDeadline(time.Now().Add(3 * time.Second))
-			if m, err := at.reader.Read(); err == nil && m.Verb == lineproto.Run {
-				at.send(lineproto.Done, m.ID, nil)
+			if m, err := at.reader.Read(); err == nil && m.Verb == lineproto.VerbRequest {
+				at.send(lineproto.VerbServed, m.ID, nil)
 				done <- true
 				return
 			}
 			done <- false
 		}()
 		m := c.read(t)
-		if m.Verb == lineproto.Done {
+		if m.Verb == lineproto.VerbServed {
 			break
 		}
 		t.Fatalf("%s after a restart without the control plane", m.Verb)
--- a/internal/gateway/fleetview.go
+++ b/internal/gateway/fleetview.go
@@ -73,7 +73,7 @@
 	fleet := &pb.CapacityFleet{Rules: conf.Fleet, QueueType: conf.QueueType, Plan: conf.Plan, Bounds: conf.Bounds,
 		Kind: []*pb.ServerKind{{Name: kind, Cores: 1}}}
 	for _, b := range view.beliefs {
-		if !b.Gone {
+		if !b.Removed {
 			fleet.Brick = append(fleet.Brick, &pb.Server{Name: b.Name, Kind: kind, Zone: b.Zone, Cell: uint32(max(b.Shard, 0))})
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 }
 
 func newGateway(conf *pb.Edge, log *slog.Logger) *Gateway {
-	g := &Gateway{conf: conf, limits: settings.Bounds(conf.Bounds), log: log.With("gateway", conf.Name),
+	g := &Gateway{conf: conf, limits: settings.LimitsOf(conf.Bounds), log: log.With("gateway", conf.Name),
 		connections: map[*clientConn]bool{}}
 	g.peers = &peers{gateway: g}
 	g.persister = &persister{gateway: g}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -63,18 +63,18 @@
 	return m
 }
 
-func (p *testConn) send(verb string, id uint64, f func(*lineproto.Out)) {
-	var o lineproto.Out
+func (p *testConn) send(verb string, id uint64, f func(*lineproto.Builder)) {
+	var o lineproto.Builder
 	o.Start(verb, id)
 	if f != nil {
 		f(&o)
 	}
-	p.Write(o.End(nil).B)
+	p.Write(o.End(nil).Buffer)
 }
 
 func (p *testConn) submit(id uint64, queue string) {
-	p.send(lineproto.Run, id, func(o *lineproto.Out) {
-		o.Text("Volume", "v").Text("Queue-Type", queue).Text("Object", fmt.Sprint("o", id)).Whole("Cell", 0)
+	p.send(lineproto.VerbRequest, id, func(o *lineproto.Builder) {
+		o.Text("Volume", "v").Text("Queue-Type", queue).Text("Object", fmt.Sprint("o", id)).Int("Cell", 0)
 	})
 }
 
@@ -110,7 +110,7 @@
 
 func startGatewayOf(t testing.TB, text string) (address string, stop func()) {
 	t.Helper()
-	e, err := settings.ParseEdge("test", []byte(text))
+	e, err := settings.ParseGateway("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 func expect(t *testing.T, m *lineproto.Message, verb string, id uint64) *lineproto.Message {
 	t.Helper()
 	if m.Verb != verb || m.ID != id {
-		t.Fatalf("got %s %d %v, wanted %s %d", m.Verb, m.ID, m.Field, verb, id)
+		t.Fatalf("got %s %d %v, wanted %s %d", m.Verb, m.ID, m.Fields, verb, id)
 	}
 	return m
 }
@@ -159,16 +159,16 @@
 	c.submit(2, "post")
 	at := b.accept()
 	first, second := at.read(t), at.read(t)
-	at.send(lineproto.Done, second.ID, nil)
-	expect(t, c.read(t), lineproto.Done, 2)
-	expect(t, c.read(t), lineproto.Abort, 1) // at its command timeout: it may have run, so it is no busy reply
-	if at.read(t).Verb != lineproto.Cancel {
+	at.send(lineproto.VerbServed, second.ID, nil)
+	expect(t, c.read(t), lineproto.VerbServed, 2)
+	expect(t, c.read(t), lineproto.VerbFailed, 1) // at its command timeout: it may have run, so it is no busy reply
+	if at.read(t).Verb != lineproto.VerbCancel {
 		t.Error("no cancel for what was given up")
 	}
-	at.send(lineproto.Done, first.ID, nil) // late: nobody hears of it
+	at.send(lineproto.VerbServed, first.ID, nil) // late: nobody hears of it
 	c.submit(3, "read")
-	at.send(lineproto.Done, at.read(t).ID, nil)
-	expect(t, c.read(t), lineproto.Done, 3)
+	at.send(lineproto.VerbServed, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.VerbServed, 3)
 }
 
 // An endpoint resets the connection after the last byte of an attempt and before the response: the request may have run. When it then takes
@@ -182,12 +182,12 @@
 	at.read(t)
 	at.Conn.(*net.TCPConn).SetLinger(0)
 	at.Close()
-	if m := expect(t, c.read(t), lineproto.Abort, 1); m.Get("May-Have-Run") != "yes" {
-		t.Error(m.Field)
+	if m := expect(t, c.read(t), lineproto.VerbFailed, 1); m.Get("May-Have-Run") != "yes" {
+		t.Error(m.Fields)
 	}
 	b.listener.Close()
 	c.submit(2, "post")
-	expect(t, c.read(t), lineproto.Busy, 2) // never ran: trying again is harmless
+	expect(t, c.read(t), lineproto.VerbRejected, 2) // never ran: trying again is harmless
 }
 
 // An endpoint's drain notice crosses an attempt that is still in the kernel's buffer. The endpoint rejects that one, and nothing follows it.
@@ -197,11 +197,11 @@
 	c := dial(t, address)
 	c.submit(1, "post")
 	at := b.accept()
-	at.send(lineproto.Drain, 0, nil) // before it reads what was sent
-	at.send(lineproto.Busy, at.read(t).ID, nil)
-	expect(t, c.read(t), lineproto.Busy, 1)
+	at.send(lineproto.VerbDraining, 0, nil) // before it reads what was sent
+	at.send(lineproto.VerbRejected, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.VerbRejected, 1)
 	c.submit(2, "post")
-	expect(t, c.read(t), lineproto.Busy, 2)
+	expect(t, c.read(t), lineproto.VerbRejected, 2)
 	at.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if m, err := at.reader.Read(); err == nil {
 		t.Errorf("a draining brick was sent %s", m.Verb)
@@ -229,12 +229,12 @@
 	c := dial(t, at[0])
 	c.submit(1, "read")
 	first := b.accept()
-	first.send(lineproto.Drain, 0, nil)
-	first.send(lineproto.Busy, first.read(t).ID, nil)
-	expect(t, c.read(t), lineproto.Busy, 1)
+	first.send(lineproto.VerbDraining, 0, nil)
+	first.send(lineproto.VerbRejected, first.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.VerbRejected, 1)
 	show := dial(t, at[1])
 	for id, end := uint64(1), time.Now().Add(20*time.Second); ; id++ {
-		show.send(lineproto.Fleet, id, nil)
+		show.send(lineproto.VerbShowFleet, id, nil)
 		if m := show.read(t); strings.Contains(string(m.Body), "barred") {
 			break
 		}
@@ -243,12 +243,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for n, verb := range map[string]string{"h0": lineproto.Done, "nobody": lineproto.Bad} {
-		show.send(lineproto.Forget, 1<<41, func(o *lineproto.Out) { o.Text("Host", n) })
+	for n, verb := range map[string]string{"h0": lineproto.VerbServed, "nobody": lineproto.VerbMalformed} {
+		show.send(lineproto.VerbForget, 1<<41, func(o *lineproto.Builder) { o.Text("Host", n) })
 		expect(t, show.read(t), verb, 1<<41)
 	}
 	show.submit(1<<40, "read")
-	expect(t, show.read(t), lineproto.Busy, 1<<40) // nothing was sent: no brick is left
+	expect(t, show.read(t), lineproto.VerbRejected, 1<<40) // nothing was sent: no brick is left
 }
 
 // A gateway starts while the endpoint list service is down, from its store. It restores a thousand beliefs; at one of the saved addresses is
@@ -283,14 +283,14 @@
 	at := b.accept() // in doubt, it is asked for its own word
 	c := dial(t, address)
 	c.submit(1, "read")
-	at.send(lineproto.Done, at.read(t).ID, nil)
-	expect(t, c.read(t), lineproto.Done, 1)
+	at.send(lineproto.VerbServed, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.VerbServed, 1)
 	wrong := other.accept()
 	wrong.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if m, err := wrong.reader.Read(); err == nil {
 		t.Errorf("another brick at a saved address was sent %s", m.Verb)
 	}
-	e, err := settings.ParseEdge("second", []byte(conf+own))
+	e, err := settings.ParseGateway("second", []byte(conf+own))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -298,12 +298,12 @@
 		t.Errorf("a second host started on the same store: %v", err)
 	}
 	show := dial(t, address)
-	show.send(lineproto.Fleet, 1, nil)
+	show.send(lineproto.VerbShowFleet, 1, nil)
 	if m := show.read(t); !strings.Contains(string(m.Body), "b0 ") || !strings.Contains(string(m.Body), "doubted") {
 		t.Errorf("%s", m.Body)
 	}
-	for n, verb := range []string{lineproto.Done, lineproto.Bad} { // once known, once forgotten
-		show.send(lineproto.Forget, uint64(n+2), func(o *lineproto.Out) { o.Text("Brick", "b7") })
+	for n, verb := range []string{lineproto.VerbServed, lineproto.VerbMalformed} { // once known, once forgotten
+		show.send(lineproto.VerbForget, uint64(n+2), func(o *lineproto.Builder) { o.Text("Brick", "b7") })
 		expect(t, show.read(t), verb, uint64(n+2))
 	}
 	stop()
@@ -328,7 +328,7 @@
 	if m, err := at.reader.Read(); err == nil {
 		t.Errorf("it was sent %s", m.Verb)
 	}
-	expect(t, c.read(t), lineproto.Busy, 1)
+	expect(t, c.read(t), lineproto.VerbRejected, 1)
 }
 
 // An endpoint restarts on its address and sends a response with an id of the connection before: it is dropped.
@@ -343,14 +343,14 @@
 	at = b.accept() // one broken connection says little: it is sent again
 	at.read(t)
 	at.Close()
-	expect(t, c.read(t), lineproto.Busy, 1) // no credit is left there, so it is not sent once more
+	expect(t, c.read(t), lineproto.VerbRejected, 1) // no credit is left there, so it is not sent once more
 	c.submit(2, "post")
 	at = b.accept()
 	id := at.read(t).ID
-	at.send(lineproto.Done, old, nil)
-	at.send(lineproto.Done, 1<<60, nil)
-	at.send(lineproto.Abort, id, nil)
-	expect(t, c.read(t), lineproto.Abort, 2)
+	at.send(lineproto.VerbServed, old, nil)
+	at.send(lineproto.VerbServed, 1<<60, nil)
+	at.send(lineproto.VerbFailed, id, nil)
+	expect(t, c.read(t), lineproto.VerbFailed, 2)
 }
 
 // Clients send malformed messages. That ends their connection or is answered with BAD; no other client notices.
@@ -392,18 +392,18 @@
 	} {
 		good.Write([]byte(in))
 		if m := good.read(t); m.ID != 5 || !strings.Contains(m.Get("Reason"), says) {
-			t.Errorf("%q: %s %v", in, m.Verb, m.Field)
+			t.Errorf("%q: %s %v", in, m.Verb, m.Fields)
 		}
 	}
 	for id := uint64(1); id <= 5; id++ { // four may be in flight
 		good.submit(id, "read")
 	}
-	if m := expect(t, good.read(t), lineproto.Bad, 5); !strings.Contains(m.Get("Reason"), "in flight") {
-		t.Error(m.Field)
+	if m := expect(t, good.read(t), lineproto.VerbMalformed, 5); !strings.Contains(m.Get("Reason"), "in flight") {
+		t.Error(m.Fields)
 	}
 	good.submit(4, "read")
-	if m := good.read(t); m.Verb != lineproto.Bad || !strings.Contains(m.Get("Reason"), "told apart") {
-		t.Error(m.Field)
+	if m := good.read(t); m.Verb != lineproto.VerbMalformed || !strings.Contains(m.Get("Reason"), "told apart") {
+		t.Error(m.Fields)
 	}
 }
 
@@ -416,9 +416,9 @@
 	deaf.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 	go func() {
 		for id := uint64(1); ; id++ {
-			var o lineproto.Out
-			o.Start(lineproto.Run, id).Text("Volume", "v").Text("Queue-Type", "read").Whole("Cell", 0)
-			if _, err := deaf.Write(o.End(make([]byte, 90000)).B); err != nil {
+			var o lineproto.Builder
+			o.Start(lineproto.VerbRequest, id).Text("Volume", "v").Text("Queue-Type", "read").Int("Cell", 0)
+			if _, err := deaf.Write(o.End(make([]byte, 90000)).Buffer); err != nil {
 				return
 			}
 		}
@@ -432,9 +432,9 @@
 			if err != nil {
 				return
 			}
-			if m.Verb == lineproto.Run {
-				var o lineproto.Out
-				if _, err := at.Write(o.Start(lineproto.Done, m.ID).End(m.Body).B); err != nil {
+			if m.Verb == lineproto.VerbRequest {
+				var o lineproto.Builder
+				if _, err := at.Write(o.Start(lineproto.VerbServed, m.ID).End(m.Body).Buffer); err != nil {
 					return
 				}
 			}
@@ -485,7 +485,7 @@
 			if err != nil {
 				return
 			}
-			at.send(lineproto.Done, m.ID, nil)
+			at.send(lineproto.VerbServed, m.ID, nil)
 		}
 	}()
 	go func() {
@@ -495,12 +495,12 @@
 	for id := uint64(2); ; id++ { // until it no longer takes any
 		c.submit(id, "read")
 		m := c.read(t)
-		if m.Verb == lineproto.Busy && m.ID == id {
+		if m.Verb == lineproto.VerbRejected && m.ID == id {
 			break
 		}
 	}
-	at.send(lineproto.Done, held.ID, nil)
-	expect(t, c.read(t), lineproto.Done, 1)
+	at.send(lineproto.VerbServed, held.ID, nil)
+	expect(t, c.read(t), lineproto.VerbServed, 1)
 	<-done
 	c.Close()
 	at.Close()
@@ -511,7 +511,7 @@
 // The loop's queue is full: requests are rejected at once.
 func TestOverflow(t *testing.T) {
 	block, blocked := make(chan bool), make(chan bool)
-	e, err := settings.ParseEdge("test", []byte(strings.Replace(conf, "commands_a_connection: 4", "loop_queue: 2", 1)))
+	e, err := settings.ParseGateway("test", []byte(strings.Replace(conf, "commands_a_connection: 4", "loop_queue: 2", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -530,7 +530,7 @@
 		c.submit(id, "read")
 	}
 	for id := uint64(4); id <= 9; id++ { // two wait, the others are told at once
-		expect(t, c.read(t), lineproto.Busy, id)
+		expect(t, c.read(t), lineproto.VerbRejected, id)
 	}
 	close(block)
 	got := map[uint64]bool{}
@@ -569,23 +569,23 @@
 	c := dial(t, a)
 	tape := func(action, want string) {
 		t.Helper()
-		c.send(lineproto.Tape, 99, func(o *lineproto.Out) { o.Text("Action", action) })
+		c.send(lineproto.VerbControlCapture, 99, func(o *lineproto.Builder) { o.Text("Action", action) })
 		if m := c.read(t); !strings.Contains(string(m.Body)+m.Get("Reason"), want) {
 			t.Errorf("%s: %s %q %s, want %q", action, m.Verb, m.Body, m.Get("Reason"), want)
 		}
 	}
 	c.submit(1, "read")
 	at := b.accept()
-	at.send(lineproto.Done, at.read(t).ID, nil)
-	expect(t, c.read(t), lineproto.Done, 1)
+	at.send(lineproto.VerbServed, at.read(t).ID, nil)
+	expect(t, c.read(t), lineproto.VerbServed, 1)
 	tape("info", "capture off")
 	tape("start", "capture on since")
 	for i := range uint64(3) {
 		c.submit(2+i, "read")
 		id := at.read(t).ID
-		at.send(lineproto.Abort, id, nil)
-		at.send(lineproto.Done, at.read(t).ID, nil)
-		expect(t, c.read(t), lineproto.Done, 2+i)
+		at.send(lineproto.VerbFailed, id, nil)
+		at.send(lineproto.VerbServed, at.read(t).ID, nil)
+		expect(t, c.read(t), lineproto.VerbServed, 2+i)
 	}
 	tape("stop", "lines written")
 	tape("wind", "allowed: start, stop, info")
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -66,7 +66,7 @@
 func encodeReports(reports []endpointstate.Report, now time.Duration) []byte {
 	m := &pb.Lines{}
 	for _, r := range reports {
-		encoded := &pb.Lines_Line{Name: r.Name, Address: r.Address, Zone: r.Zone, Cell: int64(r.Shard), Serving: r.Serving, Gone: r.Gone,
+		encoded := &pb.Lines_Line{Name: r.Name, Address: r.Address, Zone: r.Zone, Cell: int64(r.Shard), Serving: r.Serving, Gone: r.Removed,
 			Up: startUnknown, Age: int64(now - r.ObservedAt)}
 		if r.Started != 0 {
 			encoded.Up = int64(now - r.Started)
@@ -92,7 +92,7 @@
 			continue
 		}
 		r := endpointstate.Report{Name: encoded.Name, Address: encoded.Address, Zone: encoded.Zone, Shard: int(encoded.Cell),
-			Serving: encoded.Serving && !encoded.Gone, Gone: encoded.Gone, ObservedAt: max(now-time.Duration(encoded.Age), 1)} // 0 would be: unknown
+			Serving: encoded.Serving && !encoded.Gone, Removed: encoded.Gone, ObservedAt: max(now-time.Duration(encoded.Age), 1)} // 0 would be: unknown
 		if encoded.Up >= 0 {
 			r.Started = max(now-time.Duration(encoded.Up), 1)
 		}
--- a/internal/gateway/objects.go
+++ b/internal/gateway/objects.go
@@ -87,8 +87,8 @@
 func (o *objectServer) listen(ctx context.Context, conf *pb.ObjectApi, keys api.Keys) error {
 	g := o.gateway
 	extent := int64(cmp.Or(conf.Extent, defaultExtent))
-	if extent > int64(g.limits.Body) {
-		return fmt.Errorf("objects.extent: %d bytes are more than bounds.body allows a message (%d)", extent, g.limits.Body)
+	if extent > int64(g.limits.MaxBody) {
+		return fmt.Errorf("objects.extent: %d bytes are more than bounds.body allows a message (%d)", extent, g.limits.MaxBody)
 	}
 	o.gate = gate.New(gate.Config{Commands: o, Index: o.index, ReadType: conf.ReadType, WriteType: conf.WriteType,
 		Extent: extent, Unit: int64(cmp.Or(conf.Unit, defaultUnit)), Window: int(cmp.Or(conf.Window, defaultWindow)),
@@ -100,8 +100,8 @@
 		return fmt.Errorf("listen for objects: %w", err)
 	}
 	handler := api.Handler(api.Config{Gate: o.gate, Keys: keys, Skew: settings.Duration(conf.Skew, defaultSkew),
-		Requests: int(cmp.Or(conf.Requests, defaultRequests)), Stall: g.limits.Stall, Log: g.log})
-	o.server = &http.Server{Handler: handler, ReadHeaderTimeout: g.limits.Stall, IdleTimeout: g.limits.Idle,
+		Requests: int(cmp.Or(conf.Requests, defaultRequests)), Stall: g.limits.StallTimeout, Log: g.log})
+	o.server = &http.Server{Handler: handler, ReadHeaderTimeout: g.limits.StallTimeout, IdleTimeout: g.limits.IdleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, Protocols: &http.Protocols{}}
 	o.server.Protocols.SetHTTP1(true)
 	o.server.Protocols.SetUnencryptedHTTP2(true)
@@ -171,7 +171,7 @@
 func (o *objectServer) setShards(beliefs []endpointstate.Belief) {
 	shards := []uint32{}
 	for _, b := range beliefs {
-		if b.Serving && !b.Gone && b.Trust != endpointstate.Barred && b.Shard >= 0 && !slices.Contains(shards, uint32(b.Shard)) {
+		if b.Serving && !b.Removed && b.Trust != endpointstate.Barred && b.Shard >= 0 && !slices.Contains(shards, uint32(b.Shard)) {
 			shards = append(shards, uint32(b.Shard))
 		}
 	}
--- a/internal/gateway/objects_test.go
+++ b/internal/gateway/objects_test.go
@@ -53,7 +53,7 @@
 
 func startObjectGateway(t testing.TB, text string) (url string, stop func()) {
 	t.Helper()
-	e, err := settings.ParseEdge("test", []byte(text))
+	e, err := settings.ParseGateway("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 	time.Sleep(300 * time.Millisecond)
 	check(s3Client(url, "yardkey", "a-secret-of-some-length"))
 	for _, bad := range []string{"access: \"none\"", "read_type: \"put\"", "extent: 16000000", "listen: \"0.0.0.0:0\""} {
-		e, err := settings.ParseEdge("test", []byte(objectConf+"objects { index: \"x\" "+map[bool]string{true: "", false: `listen: "127.0.0.1:0" `}[bad[0] == 'l']+
+		e, err := settings.ParseGateway("test", []byte(objectConf+"objects { index: \"x\" "+map[bool]string{true: "", false: `listen: "127.0.0.1:0" `}[bad[0] == 'l']+
 			map[bool]string{true: "", false: `read_type: "get" `}[bad[0] == 'r']+`write_type: "put" `+bad+" }"))
 		if err == nil {
 			e.Objects.Index = filepath.Join(dir, "other.db")
@@ -220,8 +220,8 @@
 					} else if x, ok := data.Load(m.Get("Object")); ok {
 						body = x.([]byte)
 					}
-					var o lineproto.Out
-					if _, err := nc.Write(o.Start(lineproto.Done, m.ID).End(body).B); err != nil {
+					var o lineproto.Builder
+					if _, err := nc.Write(o.Start(lineproto.VerbServed, m.ID).End(body).Buffer); err != nil {
 						return
 					}
 				}
@@ -254,8 +254,8 @@
 			if !put {
 				piece, q = nil, "get"
 			}
-			var o lineproto.Out
-			if _, err := nc.Write(o.Start(lineproto.Run, uint64(at+1)).Text("Volume", "yard").Text("Queue-Type", q).Text("Object", fmt.Sprint(name, at)).End(piece).B); err != nil {
+			var o lineproto.Builder
+			if _, err := nc.Write(o.Start(lineproto.VerbRequest, uint64(at+1)).Text("Volume", "yard").Text("Queue-Type", q).Text("Object", fmt.Sprint(name, at)).End(piece).Buffer); err != nil {
 				b.Fatal(err)
 			}
 			if _, err := r.Read(); err != nil {
@@ -396,8 +396,8 @@
 		if err != nil {
 			return
 		}
-		var o lineproto.Out
-		if _, err := nc.Write(o.Start(lineproto.Done, m.ID).End(nil).B); err != nil {
+		var o lineproto.Builder
+		if _, err := nc.Write(o.Start(lineproto.VerbServed, m.ID).End(nil).Buffer); err != nil {
 			return
 		}
 	}
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -17,12 +17,12 @@
 		return
 	}
 	switch m.Verb {
-	case lineproto.Fleet:
+	case lineproto.VerbShowFleet:
 		c.showFleet(m)
-	case lineproto.Tape:
+	case lineproto.VerbControlCapture:
 		status, err := c.gateway.controlCapture(m.Get(lineproto.FieldAction))
 		c.sendResult(m.ID, []byte(status), err)
-	case lineproto.Forget:
+	case lineproto.VerbForget:
 		c.forget(m)
 	}
 }
@@ -39,8 +39,8 @@
 		c.sendBad(id, err)
 		return
 	}
-	var m lineproto.Out
-	c.send(m.Start(lineproto.Done, id).End(body))
+	var m lineproto.Builder
+	c.send(m.Start(lineproto.VerbServed, id).End(body))
 }
 
 // showFleet sends what is believed of the fleet: a table, or the settings of a capacity plan (Form: txtpb).
--- a/internal/gateway/outbound.go
+++ b/internal/gateway/outbound.go
@@ -17,7 +17,7 @@
 }
 
 // RequestEndpointList requests the endpoint list and its changes.
-func (o outbound) RequestEndpointList() { o.gateway.discovery.Watch() }
+func (o outbound) RequestEndpointList() { o.gateway.discovery.RequestList() }
 
 // SendNote sends a note of the scheduler to every other gateway.
 func (o outbound) SendNote(note []byte) { o.gateway.peers.broadcast(note) }
@@ -41,13 +41,13 @@
 // listSink passes what the endpoint list service sends on to the loop.
 type listSink struct{ loop *engine.Loop }
 
-// List passes a list on; it waits while the loop is busy.
-func (s listSink) List(g endpointstate.Generation, complete bool, entries []engine.EndpointEntry) {
+// ListReceived passes a list on; it waits while the loop is busy.
+func (s listSink) ListReceived(g endpointstate.Generation, complete bool, entries []engine.EndpointEntry) {
 	s.loop.Post(func(c *engine.Core) { c.EndpointList(g, complete, entries) })
 }
 
 // ListFailed passes on that a request got no list.
 func (s listSink) ListFailed() { s.loop.Post(func(c *engine.Core) { c.EndpointListFailed() }) }
 
-// ListHolds may be dropped when the loop is busy: it comes again each second.
-func (s listSink) ListHolds() { s.loop.TryPost(func(c *engine.Core) { c.EndpointListUnchanged() }) }
+// ListUnchanged may be dropped when the loop is busy: it comes again each second.
+func (s listSink) ListUnchanged() { s.loop.TryPost(func(c *engine.Core) { c.EndpointListUnchanged() }) }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -91,8 +91,8 @@
 	if p.conn == nil || len(note) > maxNote {
 		return
 	}
-	var m lineproto.Out
-	m.Start(lineproto.News, 0).Whole(lineproto.FieldSender, int64(p.gateway.conf.Ordinal)).End(note)
+	var m lineproto.Builder
+	m.Start(lineproto.VerbNote, 0).Int(lineproto.FieldSender, int64(p.gateway.conf.Ordinal)).End(note)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range p.addresses {
@@ -105,7 +105,7 @@
 	if p.conn == nil || err != nil || !p.isAllowed(to) {
 		return
 	}
-	p.sendBody(to, lineproto.Gossip, encodeMembership(m))
+	p.sendBody(to, lineproto.VerbMembership, encodeMembership(m))
 }
 
 func (p *peers) sendEndpoints(address string, now time.Duration, reports []endpointstate.Report) {
@@ -113,7 +113,7 @@
 	if p.conn == nil || err != nil || len(reports) == 0 {
 		return
 	}
-	p.sendBody(to, lineproto.Lines, encodeReports(reports, now))
+	p.sendBody(to, lineproto.VerbEndpointReports, encodeReports(reports, now))
 }
 
 // sendBody sends a message of that body; nil, or one that is too long, is dropped.
@@ -121,12 +121,14 @@
 	if body == nil || len(body) > maxBody {
 		return
 	}
-	var m lineproto.Out
+	var m lineproto.Builder
 	p.send(to, m.Start(verb, 0).End(body))
 }
 
 // send sends a datagram. What the kernel does not take is lost, as any datagram may be.
-func (p *peers) send(to netip.AddrPort, m *lineproto.Out) { _, _ = p.conn.WriteToUDPAddrPort(m.B, to) }
+func (p *peers) send(to netip.AddrPort, m *lineproto.Builder) {
+	_, _ = p.conn.WriteToUDPAddrPort(m.Buffer, to)
+}
 
 // run receives until ctx ends. What can't be read is dropped.
 func (p *peers) run(ctx context.Context) {
@@ -153,14 +155,14 @@
 func (p *peers) receive(m *lineproto.Message) {
 	loop := p.gateway.loop
 	switch m.Verb {
-	case lineproto.Gossip:
+	case lineproto.VerbMembership:
 		if message, ok := decodeMembership(m.Body); ok {
 			loop.TryPost(func(c *engine.Core) { c.MembershipReceived(message) })
 		}
-	case lineproto.Lines:
+	case lineproto.VerbEndpointReports:
 		loop.TryPost(func(c *engine.Core) { c.EndpointsFromPeer(decodeReports(m.Body, c.Now())) })
-	case lineproto.News:
-		if sender, err := m.Whole(lineproto.FieldSender, -1); err == nil && sender >= 0 {
+	case lineproto.VerbNote:
+		if sender, err := m.Int(lineproto.FieldSender, -1); err == nil && sender >= 0 {
 			loop.TryPost(func(c *engine.Core) { c.GossipReceived(int(sender), m.Body) })
 		}
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -14,9 +14,9 @@
 
 // resultVerbs are the verbs of final responses. Nothing is sent to a client that has disconnected.
 var resultVerbs = map[engine.Result]string{
-	engine.Served:   lineproto.Done,
-	engine.Rejected: lineproto.Busy,
-	engine.Failed:   lineproto.Abort,
+	engine.Served:   lineproto.VerbServed,
+	engine.Rejected: lineproto.VerbRejected,
+	engine.Failed:   lineproto.VerbFailed,
 }
 
 // submit passes a request on to the loop. An error ends the connection: its ids can't be told apart any more.
@@ -33,14 +33,14 @@
 	case duplicateID:
 		return fmt.Errorf("RUN %d while %d is in flight; its answers could not be told apart", m.ID, m.ID)
 	case tooMany:
-		c.sendBad(m.ID, fmt.Errorf("more than %d commands in flight on one connection", c.gateway.limits.Commands))
+		c.sendBad(m.ID, fmt.Errorf("more than %d commands in flight on one connection", c.gateway.limits.RequestsPerConnection))
 		return nil
 	}
 	id := m.ID
 	request.Respond = func(r engine.Response) { c.respond(id, request, r) }
 	request.ResponseStarted = func() {
-		var started lineproto.Out
-		c.send(started.Start(lineproto.Begun, id).End(nil))
+		var started lineproto.Builder
+		c.send(started.Start(lineproto.VerbResponseStarted, id).End(nil))
 	}
 	// What the scheduler never sees is rejected at once; a retry of it is harmless.
 	if c.gateway.shuttingDown.Load() || !c.gateway.loop.TryPost(func(core *engine.Core) { core.Submit(request) }) {
@@ -64,7 +64,7 @@
 	if _, ok := c.requests[id]; ok {
 		return duplicateID
 	}
-	if len(c.requests) >= c.gateway.limits.Commands {
+	if len(c.requests) >= c.gateway.limits.RequestsPerConnection {
 		return tooMany
 	}
 	c.requests[id] = request
@@ -73,10 +73,10 @@
 
 // parseRequest reads a RUN message. The names of its fields are the protocol's.
 func parseRequest(m *lineproto.Message) (*engine.Request, error) {
-	shard, shardErr := m.Whole(lineproto.FieldShard, -1)
-	units, unitsErr := m.Number(lineproto.FieldUnits, 1)
-	timeout, timeoutErr := m.Micros(lineproto.FieldTimeout, 0)
-	retry, retryErr := m.Whole(lineproto.FieldRetry, 0)
+	shard, shardErr := m.Int(lineproto.FieldShard, -1)
+	units, unitsErr := m.Float(lineproto.FieldUnits, 1)
+	timeout, timeoutErr := m.Duration(lineproto.FieldTimeout, 0)
+	retry, retryErr := m.Int(lineproto.FieldRetry, 0)
 	if err := errors.Join(shardErr, unitsErr, timeoutErr, retryErr); err != nil {
 		return nil, err
 	}
@@ -98,10 +98,10 @@
 	if !c.complete(id, request) {
 		return
 	}
-	m := lineproto.Out{B: make([]byte, 0, responseHeadroom+len(r.Body))}
+	m := lineproto.Builder{Buffer: make([]byte, 0, responseHeadroom+len(r.Body))}
 	m.Start(resultVerbs[r.Result], id)
 	if r.Result == engine.Rejected && r.RetryAfter > 0 {
-		m.Micros(lineproto.FieldRetryAfter, max(r.RetryAfter, time.Microsecond)) // 0 on the wire would be no advice
+		m.Duration(lineproto.FieldRetryAfter, max(r.RetryAfter, time.Microsecond)) // 0 on the wire would be no advice
 	}
 	if r.Result == engine.Failed {
 		mayHaveRun := "no"
@@ -110,7 +110,7 @@
 		}
 		m.Text(lineproto.FieldMayHaveRun, mayHaveRun).Text(lineproto.FieldReason, r.Reason)
 	}
-	if _, err := c.sender.Send(m.End(r.Body).B); err != nil {
+	if _, err := c.sender.Send(m.End(r.Body).Buffer); err != nil {
 		c.sender.Close()
 	}
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -70,9 +70,9 @@
 	conf := g.conf
 	g.loop = engine.NewLoop(g.limits.LoopQueue)
 	g.endpoints = endpointconn.New(conf.Name, g.loop, g.limits, g.log)
-	g.discovery = discovery.New(discovery.Config{Address: conf.ListService, Name: conf.Name, Asked: conf.Fleet.ListAsked, Limits: g.limits,
+	g.discovery = discovery.New(discovery.Config{Address: conf.ListService, Name: conf.Name, Polled: conf.Fleet.ListAsked, Limits: g.limits,
 		Seed: time.Now().UnixNano() + int64(conf.Ordinal), Log: g.log, Sink: listSink{g.loop}})
-	rules, err := settings.Beliefs(conf)
+	rules, err := settings.EndpointRules(conf)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	if err := g.openControlPlane(); err != nil { // before the settings go to the scheduler: it adds service plans
 		return nil, err
 	}
-	core := engine.New(settings.Policy(conf, time.Now().UnixNano()), rules, start, outbound{g}, g.volumes.lookup, g.limits.Probe, g.loop.Now())
+	core := engine.New(settings.Policy(conf, time.Now().UnixNano()), rules, start, outbound{g}, g.volumes.lookup, g.limits.HealthCheckTimeout, g.loop.Now())
 	if err := g.openCapture(core); err != nil {
 		return nil, err
 	}
--- a/internal/lineproto/builder.go
+++ b/internal/lineproto/builder.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// Out builds messages in one buffer, to be written in one go. The zero value is an empty buffer. The names of fields have to be
+// Builder builds messages in one buffer, to be written in one go. The zero value is an empty buffer. The names of fields have to be
 // canonical (Like-This).
-type Out struct{ B []byte }
+type Builder struct{ Buffer []byte }
 
 // Start begins a message; id 0 is left out.
-func (o *Out) Start(verb string, id uint64) *Out {
-	o.B = append(o.B, verb...)
+func (b *Builder) Start(verb string, id uint64) *Builder {
+	b.Buffer = append(b.Buffer, verb...)
 	if id != 0 {
-		o.B = strconv.AppendUint(append(o.B, ' '), id, 10)
+		b.Buffer = strconv.AppendUint(append(b.Buffer, ' '), id, 10)
 	}
-	o.B = append(o.B, "\r\n"...)
-	return o
+	b.Buffer = append(b.Buffer, "\r\n"...)
+	return b
 }
 
 // Text adds a field. An empty value adds none, and control characters in it become spaces, so that no value can end the
 // field.
-func (o *Out) Text(name, value string) *Out {
+func (b *Builder) Text(name, value string) *Builder {
 	if value == "" {
-		return o
+		return b
 	}
-	o.B = append(append(o.B, name...), ": "...)
+	b.Buffer = append(append(b.Buffer, name...), ": "...)
 	for i := range len(value) {
 		if c := value[i]; isControl(rune(c)) {
-			o.B = append(o.B, ' ')
+			b.Buffer = append(b.Buffer, ' ')
 		} else {
-			o.B = append(o.B, c)
+			b.Buffer = append(b.Buffer, c)
 		}
 	}
-	o.B = append(o.B, "\r\n"...)
-	return o
+	b.Buffer = append(b.Buffer, "\r\n"...)
+	return b
 }
 
-// Whole adds a field that holds a whole number.
-func (o *Out) Whole(name string, n int64) *Out {
-	o.B = append(append(o.B, name...), ": "...)
-	o.B = append(strconv.AppendInt(o.B, n, 10), "\r\n"...)
-	return o
+// Int adds a field that holds a whole number.
+func (b *Builder) Int(name string, n int64) *Builder {
+	b.Buffer = append(append(b.Buffer, name...), ": "...)
+	b.Buffer = append(strconv.AppendInt(b.Buffer, n, 10), "\r\n"...)
+	return b
 }
 
-// Number adds a field that holds a number.
-func (o *Out) Number(name string, n float64) *Out {
-	o.B = append(append(o.B, name...), ": "...)
-	o.B = append(strconv.AppendFloat(o.B, n, 'g', -1, 64), "\r\n"...)
-	return o
+// Float adds a field that holds a number.
+func (b *Builder) Float(name string, n float64) *Builder {
+	b.Buffer = append(append(b.Buffer, name...), ": "...)
+	b.Buffer = append(strconv.AppendFloat(b.Buffer, n, 'g', -1, 64), "\r\n"...)
+	return b
 }
 
-// Micros adds a field that holds a time in microseconds.
-func (o *Out) Micros(name string, d time.Duration) *Out { return o.Whole(name, d.Microseconds()) }
+// Duration adds a field that holds a time in microseconds.
+func (b *Builder) Duration(name string, d time.Duration) *Builder {
+	return b.Int(name, d.Microseconds())
+}
 
 // End completes the message with its body, which may be nil.
-func (o *Out) End(body []byte) *Out {
+func (b *Builder) End(body []byte) *Builder {
 	if len(body) > 0 {
-		o.Whole(FieldLength, int64(len(body)))
+		b.Int(FieldLength, int64(len(body)))
 	}
-	o.B = append(append(o.B, "\r\n"...), body...)
-	return o
+	b.Buffer = append(append(b.Buffer, "\r\n"...), body...)
+	return b
 }
--- a/internal/lineproto/greeting.go
+++ b/internal/lineproto/greeting.go
@@ -8,16 +8,16 @@
 
 // Greet sends this side's greeting, to which more may add fields, and returns the other side's, both within the timeout. Afterwards
 // the connection has no deadline.
-func Greet(c net.Conn, r *Reader, role, name string, timeout time.Duration, more func(*Out)) (*Message, error) {
+func Greet(c net.Conn, r *Reader, role, name string, timeout time.Duration, more func(*Builder)) (*Message, error) {
 	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
-	var hello Out
-	hello.Start(Hello, 0).Text(FieldVersion, Version).Text(FieldRole, role).Text(FieldName, name)
+	var hello Builder
+	hello.Start(VerbHello, 0).Text(FieldVersion, Version).Text(FieldRole, role).Text(FieldName, name)
 	if more != nil {
 		more(&hello)
 	}
-	if _, err := c.Write(hello.End(nil).B); err != nil {
+	if _, err := c.Write(hello.End(nil).Buffer); err != nil {
 		return nil, fmt.Errorf("greet: %w", err)
 	}
 	idle := r.idle
@@ -27,9 +27,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("greet: %w", err)
 	}
-	if m.Verb != Hello || m.Get(FieldVersion) != Version {
+	if m.Verb != VerbHello || m.Get(FieldVersion) != Version {
 		return nil, fmt.Errorf("greet: %s %q, wanted %s %s; the other side is of another version or no part of this",
-			clip(m.Verb), clip(m.Get(FieldVersion)), Hello, Version)
+			clip(m.Verb), clip(m.Get(FieldVersion)), VerbHello, Version)
 	}
 	return m, c.SetDeadline(time.Time{})
 }
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -23,17 +23,17 @@
 
 // What is built is read again, and a value with line ends can't add a field of its own.
 func TestRoundTrip(t *testing.T) {
-	var o Out
-	o.Start(Run, 7).Text("Volume", "a\r\nEvil: b").Number("Units", 2.5).Micros("Timeout", 1500*time.Microsecond).End([]byte("x\r\n\r\ny"))
-	o.Start(Cancel, 7).End(nil)
-	ms, err := read(string(o.B), 100)
-	if !errors.Is(err, io.EOF) || len(ms) != 2 || ms[0].Verb != Run || ms[0].ID != 7 || string(ms[0].Body) != "x\r\n\r\ny" || ms[1].Verb != Cancel {
+	var o Builder
+	o.Start(VerbRequest, 7).Text("Volume", "a\r\nEvil: b").Float("Units", 2.5).Duration("Timeout", 1500*time.Microsecond).End([]byte("x\r\n\r\ny"))
+	o.Start(VerbCancel, 7).End(nil)
+	ms, err := read(string(o.Buffer), 100)
+	if !errors.Is(err, io.EOF) || len(ms) != 2 || ms[0].Verb != VerbRequest || ms[0].ID != 7 || string(ms[0].Body) != "x\r\n\r\ny" || ms[1].Verb != VerbCancel {
 		t.Fatalf("%v %+v", err, ms)
 	}
 	if v := ms[0].Get("Volume"); v != "a  Evil: b" || ms[0].Get("Evil") != "" {
 		t.Errorf("a line end got through: %q", v)
 	}
-	if d, err := ms[0].Micros("Timeout", 0); err != nil || d != 1500*time.Microsecond {
+	if d, err := ms[0].Duration("Timeout", 0); err != nil || d != 1500*time.Microsecond {
 		t.Errorf("%v %v", d, err)
 	}
 }
@@ -127,27 +127,27 @@
 			if err != nil {
 				return
 			}
-			var o Out // what was read can be written and read again
+			var o Builder // what was read can be written and read again
 			o.Start(m.Verb, m.ID)
-			for k, vs := range m.Field {
+			for k, vs := range m.Fields {
 				if k != "Length" {
 					o.Text(k, vs[0])
 				}
 			}
-			again, err := NewReader(bytes.NewReader(o.End(m.Body).B), 64).Read()
+			again, err := NewReader(bytes.NewReader(o.End(m.Body).Buffer), 64).Read()
 			if err != nil || again.Verb != m.Verb || again.ID != m.ID || !bytes.Equal(again.Body, m.Body) {
-				t.Fatalf("%q became %q: %v", in, o.B, err)
+				t.Fatalf("%q became %q: %v", in, o.Buffer, err)
 			}
 		}
 	})
 }
 
 func BenchmarkRead(b *testing.B) {
-	var o Out
-	o.Start(Run, 123456).Text("Volume", "standard-17").Text("Queue-Type", "read").Text("Object", "standard-17/9").Text("Trace", "123456").
-		Whole("Cell", 3).Number("Units", 2).Micros("Timeout", time.Second).End(nil)
+	var o Builder
+	o.Start(VerbRequest, 123456).Text("Volume", "standard-17").Text("Queue-Type", "read").Text("Object", "standard-17/9").Text("Trace", "123456").
+		Int("Cell", 3).Float("Units", 2).Duration("Timeout", time.Second).End(nil)
 	b.ReportAllocs()
-	r := NewReader(&endless{o.B, 0}, 100)
+	r := NewReader(&endless{o.Buffer, 0}, 100)
 	for b.Loop() {
 		if _, err := r.Read(); err != nil {
 			b.Fatal(err)
--- a/internal/lineproto/message.go
+++ b/internal/lineproto/message.go
@@ -15,22 +15,22 @@
 
 // Message is one message as read. It owns its body.
 type Message struct {
-	Verb  string
-	ID    uint64               // 0: none
-	Field textproto.MIMEHeader // by canonical name
-	Body  []byte
+	Verb   string
+	ID     uint64               // 0: none
+	Fields textproto.MIMEHeader // by canonical name
+	Body   []byte
 }
 
 // Get returns a field, empty when absent. The name has to be canonical (Like-This).
 func (m *Message) Get(name string) string {
-	if values := m.Field[name]; len(values) > 0 {
+	if values := m.Fields[name]; len(values) > 0 {
 		return values[0]
 	}
 	return ""
 }
 
-// Whole returns a field that holds a whole number, or the default when absent.
-func (m *Message) Whole(name string, defaultValue int64) (int64, error) {
+// Int returns a field that holds a whole number, or the default when absent.
+func (m *Message) Int(name string, defaultValue int64) (int64, error) {
 	text := m.Get(name)
 	if text == "" {
 		return defaultValue, nil
@@ -42,8 +42,8 @@
 	return n, nil
 }
 
-// Number returns a field that holds a finite number, or the default when absent.
-func (m *Message) Number(name string, defaultValue float64) (float64, error) {
+// Float returns a field that holds a finite number, or the default when absent.
+func (m *Message) Float(name string, defaultValue float64) (float64, error) {
 	text := m.Get(name)
 	if text == "" {
 		return defaultValue, nil
@@ -56,9 +56,9 @@
 	return n, nil
 }
 
-// Micros returns a field that holds a time in microseconds, or the default when absent.
-func (m *Message) Micros(name string, defaultValue time.Duration) (time.Duration, error) {
-	n, err := m.Whole(name, defaultValue.Microseconds())
+// Duration returns a field that holds a time in microseconds, or the default when absent.
+func (m *Message) Duration(name string, defaultValue time.Duration) (time.Duration, error) {
+	n, err := m.Int(name, defaultValue.Microseconds())
 	if err == nil && (n > maxMicros || n < -maxMicros) {
 		err = fmt.Errorf("%s: %d us is too long", name, n)
 	}
--- a/internal/lineproto/reader.go
+++ b/internal/lineproto/reader.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := m.Whole(FieldLength, 0)
+	n, err := m.Int(FieldLength, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -136,13 +136,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if m.Field, err = r.text.ReadMIMEHeader(); err != nil {
+	if m.Fields, err = r.text.ReadMIMEHeader(); err != nil {
 		if r.bound.err != nil { // textproto reports the line that this cut off as a malformed one
 			err = r.bound.err
 		}
 		return nil, cutOff(err)
 	}
-	return m, checkFields(m.Field)
+	return m, checkFields(m.Fields)
 }
 
 func (r *Reader) readBody(n int) ([]byte, error) {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -29,7 +29,7 @@
 }
 
 func (c *checker) fault(lineNumber int, field, value, format string, args ...any) {
-	c.faults = append(c.faults, Fault{File: c.file, Line: lineNumber, Field: field, Value: value, Want: fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Fault{File: c.file, Line: lineNumber, Field: field, Value: value, Allowed: fmt.Sprintf(format, args...)})
 }
 
 // message checks the fields of m, which nodes spell; lineNumber is that of m itself.
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -11,17 +11,17 @@
 	"weirhaven/internal/pb"
 )
 
-// LoadEdge reads and checks a gateway's settings. Errors: as of Load.
-func LoadEdge(file string) (*pb.Edge, error) {
+// LoadGateway reads and checks a gateway's settings. Errors: as of Load.
+func LoadGateway(file string) (*pb.Edge, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
 	}
-	return ParseEdge(file, text)
+	return ParseGateway(file, text)
 }
 
-// ParseEdge is LoadEdge on a text; file names it in errors.
-func ParseEdge(file string, text []byte) (*pb.Edge, error) {
+// ParseGateway is LoadGateway on a text; file names it in errors.
+func ParseGateway(file string, text []byte) (*pb.Edge, error) {
 	conf := &pb.Edge{}
 	c, err := parse(file, text, conf)
 	if err != nil {
@@ -104,7 +104,7 @@
 	if objective > timeout {
 		c.across(prefix+"service_target", class.ServiceTarget, "longer than the command timeout %s", class.CommandTimeout)
 	}
-	if idle := Bounds(conf.Bounds).Idle; idle <= timeout { // else a connection would end under a request that waits
+	if idle := LimitsOf(conf.Bounds).IdleTimeout; idle <= timeout { // else a connection would end under a request that waits
 		c.across("bounds.idle", idle.String(), "allowed: longer than the command timeout %s of %s", class.CommandTimeout, class.Name)
 	}
 	if timeout <= minTimeoutTicks*Duration(conf.Fleet.Resolution, 0) {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -52,13 +52,13 @@
 
 // syntaxFault takes the place out of prototext's error.
 func syntaxFault(file string, err error) Fault {
-	f := Fault{File: file, Want: strings.TrimPrefix(err.Error(), "proto:")}
-	if place := syntaxPlace.FindStringSubmatchIndex(f.Want); place != nil {
-		f.Line, _ = strconv.Atoi(f.Want[place[2]:place[3]]) // digits, as matched
-		f.Want = f.Want[:place[0]] + f.Want[place[1]:]
+	f := Fault{File: file, Allowed: strings.TrimPrefix(err.Error(), "proto:")}
+	if place := syntaxPlace.FindStringSubmatchIndex(f.Allowed); place != nil {
+		f.Line, _ = strconv.Atoi(f.Allowed[place[2]:place[3]]) // digits, as matched
+		f.Allowed = f.Allowed[:place[0]] + f.Allowed[place[1]:]
 	}
 	// The library puts either kind of space behind "proto:", so that nobody compares its texts.
-	f.Want = strings.Join(strings.FieldsFunc(f.Want, unicode.IsSpace), " ")
+	f.Allowed = strings.Join(strings.FieldsFunc(f.Allowed, unicode.IsSpace), " ")
 	return f
 }
 
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -13,8 +13,8 @@
 
 // What the settings of endpoint reports mean where they are absent.
 const (
-	DefaultListFresh  = 5 * time.Minute     // list_fresh
-	defaultListExpire = 90 * 24 * time.Hour // list_dead
+	DefaultReportFresh = 5 * time.Minute     // list_fresh
+	defaultListExpire  = 90 * 24 * time.Hour // list_dead
 )
 
 // Bounds of endpoint reports that no setting changes.
@@ -23,10 +23,10 @@
 	greetingValid  = 5 * time.Second
 )
 
-// Beliefs turns a gateway's settings into the rules by which it weighs reports of endpoints. An error names a network that can't
+// EndpointRules turns a gateway's settings into the rules by which it weighs reports of endpoints. An error names a network that can't
 // be read; checked settings give none.
-func Beliefs(conf *pb.Edge) (endpointstate.Rules, error) {
-	rules := endpointstate.Rules{Fresh: Duration(conf.ListFresh, DefaultListFresh), Expire: Duration(conf.ListDead, defaultListExpire),
+func EndpointRules(conf *pb.Edge) (endpointstate.Rules, error) {
+	rules := endpointstate.Rules{Fresh: Duration(conf.ListFresh, DefaultReportFresh), Expire: Duration(conf.ListDead, defaultListExpire),
 		StartTolerance: startTolerance, GreetingValid: greetingValid}
 	if len(conf.Network) == 0 {
 		return rules, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,12 +49,12 @@
 		{"hosts: 2\nfleet", "hosts: 2 log { level: \"loud\" }\nfleet", `log.level: "loud": allowed: debug, info, warn, error`},
 		{"hosts: 2\nfleet", "hosts: 2 }\nfleet", "e.txtpb:3:"},
 	} {
-		_, err := ParseEdge("e.txtpb", []byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := ParseGateway("e.txtpb", []byte(strings.Replace(good, c.old, c.new, 1)))
 		if c.says == "" && err != nil || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says)) {
 			t.Errorf("%s -> %s: %v\nwanted %q", c.old, c.new, err, c.says)
 		}
 	}
-	if _, err := ParseEdge("e.txtpb", nil); err == nil || strings.Count(err.Error(), "\n") < 4 {
+	if _, err := ParseGateway("e.txtpb", nil); err == nil || strings.Count(err.Error(), "\n") < 4 {
 		t.Errorf("an empty file lacks more than one field: %v", err)
 	}
 }
@@ -65,7 +65,7 @@
 		cancel: true probe: true peers: true max_pause: "1s" clients_mark_repeats: true answer_slack: "30ms" drain_grace: "250ms"
 		cold_from: 0.2 cold_for: "4s" cold_units: 40 fall_multiple: 2 fall_after: "1s" budget { free: 3 share: 0.25 span: "3s" }
 		key_rest: "200ms" meter: "500ms" tells_elsewhere: true`, 1) + `peer_listen: "127.0.0.1:0" zone: "north" ordinal: 1`
-	e, err := ParseEdge("e", []byte(text))
+	e, err := ParseGateway("e", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,11 +85,11 @@
 	f.Add("fleet {} plan { name: 'x' } plan [{}, {}]")
 	f.Add("queue_type: [ { name: \"a\" } ] # end")
 	f.Fuzz(func(t *testing.T, text string) {
-		if e, err := ParseEdge("fuzz", []byte(text)); err == nil {
+		if e, err := ParseGateway("fuzz", []byte(text)); err == nil {
 			Policy(e, 1)
 			if again, err := Text(e); err != nil {
 				t.Fatal(err)
-			} else if _, err := ParseEdge("again", again); err != nil {
+			} else if _, err := ParseGateway("again", again); err != nil {
 				t.Fatalf("%s\ncan't be read again: %v", again, err)
 			}
 		}
@@ -103,7 +103,7 @@
 	}
 	file := filepath.Join(t.TempDir(), "e.txtpb")
 	os.WriteFile(file, []byte(good), 0o600)
-	if e, err := LoadEdge(file); err != nil || e.Name != "host-0" {
+	if e, err := LoadGateway(file); err != nil || e.Name != "host-0" {
 		t.Error(err)
 	}
 }
--- a/internal/settings/stored_data_test.go
+++ b/internal/settings/stored_data_test.go
@@ -65,7 +65,7 @@
 // later version must read the same from both: each field, and what the module, the beliefs and the bounds are made of.
 func TestStoredEdgeSettingsAreRead(t *testing.T) {
 	for _, name := range []string{"edge.txtpb", "edge-written.txtpb"} {
-		e, err := LoadEdge(filepath.Join("testdata", "stored", name))
+		e, err := LoadGateway(filepath.Join("testdata", "stored", name))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -76,11 +76,11 @@
 		if got := Policy(e, 7); !reflect.DeepEqual(got, storedPolicy()) {
 			t.Errorf("%s: %+v\nwanted %+v", name, got, storedPolicy())
 		}
-		if got, want := Bounds(e.Bounds), (Limits{Commands: 100, Connections: 200, LoopQueue: 300, BrickQueue: 400, Body: 500000, Idle: 31 * time.Second,
-			Stall: 6 * time.Second, Connect: 260 * time.Millisecond, Probe: 270 * time.Millisecond}); got != want {
+		if got, want := LimitsOf(e.Bounds), (Limits{RequestsPerConnection: 100, Connections: 200, LoopQueue: 300, EndpointQueue: 400, MaxBody: 500000, IdleTimeout: 31 * time.Second,
+			StallTimeout: 6 * time.Second, ConnectTimeout: 260 * time.Millisecond, HealthCheckTimeout: 270 * time.Millisecond}); got != want {
 			t.Errorf("%s: %+v\nwanted %+v", name, got, want)
 		}
-		r, err := Beliefs(e)
+		r, err := EndpointRules(e)
 		if err != nil || r.Fresh != 6*time.Minute || r.Expire != 2000*time.Hour || !r.Networks.Contains(netip.MustParseAddr("127.0.0.9")) ||
 			!r.Networks.Contains(netip.MustParseAddr("::1")) || r.Networks.Contains(netip.MustParseAddr("10.0.0.1")) {
 			t.Errorf("%s: %v %+v", name, err, r)
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -274,9 +274,9 @@
 
 // answered notes a whole answer. A body that is not the server's answer to this very request is a lost request.
 func (l *load) answered(q request, h *http1.Head, body []byte) {
-	how := map[int]string{200: lineproto.Done, 429: lineproto.Busy, 503: lineproto.Busy}[h.Status]
+	how := map[int]string{200: lineproto.VerbServed, 429: lineproto.VerbRejected, 503: lineproto.VerbRejected}[h.Status]
 	if how == "" {
-		how = lineproto.Abort
+		how = lineproto.VerbFailed
 	}
 	l.r.rec.See(&pb.Seen{What: pb.Seen_ANSWERED, Host: uint32(q.process), Command: q.number, How: how})
 	if h.Status == 200 && string(body) != storagenode.AnswerTo(q.number) {
