--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -116,7 +116,7 @@
 
 // ForgetEndpoint drops what is known of an endpoint, as an operator asks; it reports whether something was.
 func (c *Core) ForgetEndpoint(name string) bool {
-	known := c.fleet.Forget(name, c.now)
+	known := c.fleet.Forget(name)
 	c.applyEndpointChanges()
 	return known
 }
@@ -250,8 +250,7 @@
 
 // requestGreetings asks each endpoint in doubt for a greeting, at a time of its own.
 func (c *Core) requestGreetings() {
-	for _, doubtful := range c.fleet.Doubtful() {
-		name := doubtful[0]
+	for _, name := range c.fleet.Doubtful() {
 		jitter := time.Duration(c.rng.Int63n(int64(greetingJitter)))
 		c.schedule(jitter, timer{fire: func() {
 			if known := c.endpoints[name]; known != nil && known.conn != nil && !known.removed {
--- a/internal/fleet/endpointstate/endpointstate_test.go
+++ b/internal/fleet/endpointstate/endpointstate_test.go
@@ -109,7 +109,7 @@
 	if !m.serving["b1"] {
 		t.Error("the drain of an earlier process bars a later one")
 	}
-	if f.ListReceived(Generation{"e", 5}, false, []Report{report("b1", false, 235*s)}, 250*s); m.serving["b1"] || !f.Forget("b1", 251*s) || f.Forget("b1", 251*s) {
+	if f.ListReceived(Generation{"e", 5}, false, []Report{report("b1", false, 235*s)}, 250*s); m.serving["b1"] || !f.Forget("b1") || f.Forget("b1") {
 		t.Error("forget")
 	}
 	if f.ListReceived(Generation{"e", 6}, false, []Report{report("b1", true, 235*s)}, 252*s); !m.serving["b1"] {
--- a/internal/fleet/endpointstate/fleet.go
+++ b/internal/fleet/endpointstate/fleet.go
@@ -64,7 +64,7 @@
 }
 
 // Forget drops all that is held of an endpoint, its drain too: an operator's order. It returns whether anything was held.
-func (f *Fleet) Forget(name string, _ time.Duration) bool {
+func (f *Fleet) Forget(name string) bool {
 	b := f.endpoints[name]
 	if b == nil {
 		return false
--- a/internal/fleet/endpointstate/trust.go
+++ b/internal/fleet/endpointstate/trust.go
@@ -30,14 +30,14 @@
 	return b.Source != Settings && b.ObservedAt != 0 && now-b.ObservedAt > f.rules.Expire && now-b.DrainKnownAt > f.rules.Expire
 }
 
-// Doubtful returns the name and address of each doubted endpoint, sorted by name: those whose greeting would settle the doubt.
-func (f *Fleet) Doubtful() (all [][2]string) {
+// Doubtful returns the names of the doubted endpoints, sorted: those whose greeting would end the doubt.
+func (f *Fleet) Doubtful() (names []string) {
 	for _, b := range f.sorted() {
 		if b.Trust == Doubted {
-			all = append(all, [2]string{b.Name, b.Address})
+			names = append(names, b.Name)
 		}
 	}
-	return all
+	return names
 }
 
 // update sets a belief's trust, notifies the sink of what has changed and logs a change of trust.
