--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -21,22 +21,25 @@
 	}
 }
 
+// What is built is read again, and a value with line ends can't add a field of its own.
 func TestRoundTrip(t *testing.T) {
-	var o Out
-	o.Start(Run, 7).Text("Volume", "a\r\nEvil: b").Number("Units", 2.5).Micros("Timeout", 1500*time.Microsecond).End([]byte("x\r\n\r\ny"))
-	o.Start(Cancel, 7).End(nil)
-	ms, err := read(string(o.B), 100)
-	if err != io.EOF || len(ms) != 2 || ms[0].Verb != Run || ms[0].ID != 7 || string(ms[0].Body) != "x\r\n\r\ny" || ms[1].Verb != Cancel {
+	var o Builder
+	o.Start(VerbRequest, 7).Text("Volume", "a\r\nEvil: b").Float("Units", 2.5).Duration("Timeout", 1500*time.Microsecond).End([]byte("x\r\n\r\ny"))
+	o.Start(VerbCancel, 7).End(nil)
+	ms, err := read(string(o.Buffer), 100)
+	if !errors.Is(err, io.EOF) || len(ms) != 2 || ms[0].Verb != VerbRequest || ms[0].ID != 7 || string(ms[0].Body) != "x\r\n\r\ny" || ms[1].Verb != VerbCancel {
 		t.Fatalf("%v %+v", err, ms)
 	}
 	if v := ms[0].Get("Volume"); v != "a  Evil: b" || ms[0].Get("Evil") != "" {
 		t.Errorf("a line end got through: %q", v)
 	}
-	if d, err := ms[0].Micros("Timeout", 0); err != nil || d != 1500*time.Microsecond {
+	if d, err := ms[0].Duration("Timeout", 0); err != nil || d != 1500*time.Microsecond {
 		t.Errorf("%v %v", d, err)
 	}
 }
 
+// A peer sends messages without end or malformed ones: each ends with an error, before it has taken more memory than its bounds. An
+// unknown verb is none: it may be of a later version.
 func TestBounds(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
@@ -63,12 +66,12 @@
 			t.Errorf("%s: %v, wanted %q", name, err, c.says)
 		}
 	}
-	if ms, err := read("STRANGE 3\r\nX: y\r\n\r\nRUN 4\r\n\r\n", 0); err != io.EOF || len(ms) != 2 {
+	if ms, err := read("STRANGE 3\r\nX: y\r\n\r\nRUN 4\r\n\r\n", 0); !errors.Is(err, io.EOF) || len(ms) != 2 {
 		t.Errorf("an unknown verb must not end the connection: %v %v", err, ms)
 	}
 }
 
-// A peer that begins a message and does not end it is cut off after the stall time, a silent one after the idle time.
+// A peer begins a message and does not complete it, or is silent: the first times out after stall, the second after idle.
 func TestTimeouts(t *testing.T) {
 	for _, begun := range []string{"", "RUN 1\r\nA", "RUN 1\r\nLength: 5\r\n\r\nab"} {
 		a, b := net.Pipe()
@@ -82,19 +85,20 @@
 	}
 }
 
-// A sender keeps what waits bounded and tells what may have left: nothing, before it has a connection.
+// A connection breaks with messages queued. The sender keeps the queue bounded and knows which messages may have left: none, before it
+// has a connection.
 func TestSender(t *testing.T) {
 	s := NewSender(10, time.Second)
 	first, err1 := s.Send([]byte("12345"))
 	second, err2 := s.Send([]byte("67890"))
 	_, err3 := s.Send([]byte("x"))
-	if err1 != nil || err2 != nil || !errors.Is(err3, ErrFull) || s.MayHaveLeft(first) {
+	if err1 != nil || err2 != nil || !errors.Is(err3, ErrFull) || s.MayHaveBeenWritten(first) {
 		t.Fatal(err1, err2, err3)
 	}
 	a, b := net.Pipe()
 	s.Start(a)
 	got := make([]byte, 10)
-	if _, err := io.ReadFull(b, got); err != nil || string(got) != "1234567890" || !s.MayHaveLeft(second) {
+	if _, err := io.ReadFull(b, got); err != nil || string(got) != "1234567890" || !s.MayHaveBeenWritten(second) {
 		t.Fatal(err, string(got))
 	}
 	b.Close()
@@ -106,7 +110,7 @@
 	s = NewSender(10, time.Second)
 	at, _ := s.Send([]byte("12345"))
 	s.Close()
-	if <-s.Done(); s.MayHaveLeft(at) {
+	if <-s.Done(); s.MayHaveBeenWritten(at) {
 		t.Error("closed before it had a connection, and yet something left")
 	}
 }
@@ -123,27 +127,27 @@
 			if err != nil {
 				return
 			}
-			var o Out // what was read can be written and read again
+			var o Builder // what was read can be written and read again
 			o.Start(m.Verb, m.ID)
-			for k, vs := range m.Field {
+			for k, vs := range m.Fields {
 				if k != "Length" {
 					o.Text(k, vs[0])
 				}
 			}
-			again, err := NewReader(bytes.NewReader(o.End(m.Body).B), 64).Read()
+			again, err := NewReader(bytes.NewReader(o.End(m.Body).Buffer), 64).Read()
 			if err != nil || again.Verb != m.Verb || again.ID != m.ID || !bytes.Equal(again.Body, m.Body) {
-				t.Fatalf("%q became %q: %v", in, o.B, err)
+				t.Fatalf("%q became %q: %v", in, o.Buffer, err)
 			}
 		}
 	})
 }
 
 func BenchmarkRead(b *testing.B) {
-	var o Out
-	o.Start(Run, 123456).Text("Volume", "standard-17").Text("Queue-Type", "read").Text("Object", "standard-17/9").Text("Trace", "123456").
-		Whole("Cell", 3).Number("Units", 2).Micros("Timeout", time.Second).End(nil)
+	var o Builder
+	o.Start(VerbRequest, 123456).Text("Volume", "standard-17").Text("Queue-Type", "read").Text("Object", "standard-17/9").Text("Trace", "123456").
+		Int("Cell", 3).Float("Units", 2).Duration("Timeout", time.Second).End(nil)
 	b.ReportAllocs()
-	r := NewReader(&endless{o.B, 0}, 100)
+	r := NewReader(&endless{o.Buffer, 0}, 100)
 	for b.Loop() {
 		if _, err := r.Read(); err != nil {
 			b.Fatal(err)
