--- a/internal/tlskeys/stored_data_test.go
+++ b/internal/tlskeys/stored_data_test.go
@@ -34,8 +34,8 @@
 	return f
 }
 
-// greet lets one side call the other; it returns the names that each was shown, or what either found wrong.
-func greet(t *testing.T, server, client *Files, wanted string) (shownServer, shownClient string, err error) {
+// handshake lets one side call the other; it returns the names that each was shown, or the errors of both.
+func handshake(t *testing.T, server, client *Files, serverName string) (shownServer, shownClient string, err error) {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server.Server())
 	if err != nil {
@@ -49,7 +49,7 @@
 		accepted <- err
 	}()
 	go func() {
-		name, err := call(listener.Addr().String(), client.Client(wanted))
+		name, err := call(listener.Addr().String(), client.Client(serverName))
 		shownClient = name
 		called <- err
 	}()
@@ -57,27 +57,28 @@
 	return shownServer, shownClient, err
 }
 
-// accept shakes hands with who calls, and tells its name.
+// accept completes the handshake with a caller and returns its name.
 func accept(listener net.Listener) (name string, err error) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
-	return shake(conn.(*tls.Conn))
+	return peerName(conn.(*tls.Conn))
 }
 
-// call shakes hands with who listens, and tells its name.
+// call completes the handshake with the server and returns its name.
 func call(address string, settings *tls.Config) (name string, err error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
-	return shake(tls.Client(conn, settings))
+	return peerName(tls.Client(conn, settings))
 }
 
-func shake(conn *tls.Conn) (name string, err error) {
+// peerName is the name in the certificate that the other side shows.
+func peerName(conn *tls.Conn) (name string, err error) {
 	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		return "", err
 	}
@@ -87,26 +88,26 @@
 	return conn.ConnectionState().PeerCertificates[0].Subject.CommonName, nil
 }
 
-// Version a32f63c made a signing key and the keys of a planner and an edge. Every later version must load them, let the two speak to each
-// other, each seeing the other's name, and still refuse whom the settings do not let in.
+// Version a32f63c made a signer and the keys of a controller and a gateway. Every later version must load them, let the two connect, each
+// seeing the other's name, and still refuse whom the settings do not allow: else an upgrade cuts gateways off, or lets strangers in.
 func TestStoredKeysAreRead(t *testing.T) {
 	dir := storedFolder(t)
-	planner, edge := load(t, dir, "weirplan", "edge-*"), load(t, dir, "edge-a")
-	edgeName, plannerName, err := greet(t, planner, edge, "weirplan")
-	if err != nil || edgeName != "edge-a" || plannerName != "weirplan" {
-		t.Errorf("%v: the planner saw %q, the edge %q", err, edgeName, plannerName)
+	controller, gateway := load(t, dir, "weirplan", "edge-*"), load(t, dir, "edge-a")
+	gatewayName, controllerName, err := handshake(t, controller, gateway, "weirplan")
+	if err != nil || gatewayName != "edge-a" || controllerName != "weirplan" {
+		t.Errorf("%v: the controller saw %q, the gateway %q", err, gatewayName, controllerName)
 	}
-	if _, _, err := greet(t, planner, edge, "another"); err == nil || !strings.Contains(err.Error(), `wanted "another"`) {
+	if _, _, err := handshake(t, controller, gateway, "another"); !errors.Is(err, ErrWrongName) || !strings.Contains(err.Error(), `wanted "another"`) {
 		t.Errorf("a wrong server name: %v", err)
 	}
-	if _, _, err := greet(t, load(t, dir, "weirplan", "host-*"), edge, "weirplan"); err == nil || !strings.Contains(err.Error(), "not among those let in") {
-		t.Errorf("a name that is not let in: %v", err)
+	if _, _, err := handshake(t, load(t, dir, "weirplan", "host-*"), gateway, "weirplan"); !errors.Is(err, ErrNotAllowed) {
+		t.Errorf("a name that is not allowed: %v", err)
 	}
 }
 
-// The signing key that version a32f63c made is gone on with: what a later version makes in that folder is signed by it, the keys that were
-// there stay as they are, and both trust each other.
-func TestStoredSignerIsGoneOnWith(t *testing.T) {
+// A later version makes keys in the folder of version a32f63c. They are signed by the signer that is there, the keys that are there stay
+// as they are, and both trust each other.
+func TestStoredSignerIsUsed(t *testing.T) {
 	dir := storedFolder(t)
 	if err := Make(dir, []string{"edge-b"}, time.Hour); err != nil {
 		t.Fatal(err)
@@ -118,8 +119,8 @@
 			t.Errorf("%s was changed: %v", name, err)
 		}
 	}
-	edgeName, plannerName, err := greet(t, load(t, dir, "weirplan", "edge-*"), load(t, dir, "edge-b"), "weirplan")
-	if err != nil || edgeName != "edge-b" || plannerName != "weirplan" {
-		t.Errorf("%v: the planner saw %q, the edge %q", err, edgeName, plannerName)
+	gatewayName, controllerName, err := handshake(t, load(t, dir, "weirplan", "edge-*"), load(t, dir, "edge-b"), "weirplan")
+	if err != nil || gatewayName != "edge-b" || controllerName != "weirplan" {
+		t.Errorf("%v: the controller saw %q, the gateway %q", err, gatewayName, controllerName)
 	}
 }
