--- a/internal/controlplane/server/bench_test.go
+++ b/internal/controlplane/server/bench_test.go
@@ -23,16 +23,17 @@
 	"weirhaven/internal/pb"
 )
 
-// light is an edge's control part without a disk: what it takes is what a planner's side costs.
-type light struct {
-	v    *snapshot.Snapshot
-	at   atomic.Uint64
-	when func(generation uint64)
+// diskless is a gateway's side without a disk: what is measured is the controller's side.
+type diskless struct {
+	snapshot   *snapshot.Snapshot
+	generation atomic.Uint64           // held
+	applied    func(generation uint64) // called after each transfer
 }
 
-func (l *light) run(ctx context.Context, name, address string, ready *sync.WaitGroup) {
+// run keeps a stream to the controller until ctx ends.
+func (d *diskless) run(ctx context.Context, name, address string) {
 	for ctx.Err() == nil {
-		l.stream(ctx, name, address)
+		d.follow(ctx, name, address)
 		select {
 		case <-time.After(50 * time.Millisecond):
 		case <-ctx.Done():
@@ -40,171 +41,172 @@
 	}
 }
 
-func (l *light) stream(ctx context.Context, name, address string) {
-	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(protocol.MaxMessageBytes)))
+// follow serves one stream until it fails.
+func (d *diskless) follow(ctx context.Context, name, address string) {
+	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(protocol.MaxMessageBytes)))
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	s, err := pb.NewPlanningClient(conn).Follow(ctx)
+	stream, err := pb.NewPlanningClient(conn).Follow(ctx)
 	if err != nil {
 		return
 	}
-	s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: &pb.EdgeHello{Version: protocol.Version, Name: name, Tenure: l.v.Term(), Generation: l.v.Generation(), Digest: l.v.Digest()}}})
-	beat := uint64(0)
+	hello := &pb.EdgeHello{Version: protocol.Version, Name: name, Tenure: d.snapshot.Term(), Generation: d.snapshot.Generation(), Digest: d.snapshot.Digest()}
+	stream.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: hello}})
+	heartbeat := uint64(0)
 	for {
-		m, err := s.Recv()
+		message, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		if _, err := l.v.ObserveTerm(m.Tenure); err != nil {
+		if _, err := d.snapshot.ObserveTerm(message.Tenure); err != nil {
 			return
 		}
-		switch x := m.What.(type) {
+		switch content := message.What.(type) {
 		case *pb.PlannerSays_Report:
-			items := l.v.Records()
-			for pieces := range slices.Chunk(items, 512) {
-				s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Item: pieces}}})
+			for records := range slices.Chunk(d.snapshot.Records(), protocol.RecordsPerMessage) {
+				stream.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Item: records}}})
 			}
-			s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Last: true}}})
+			stream.Send(&pb.EdgeSays{What: &pb.EdgeSays_Report{Report: &pb.EdgeReport{Last: true}}})
 			continue
 		case *pb.PlannerSays_Alive:
-			beat = x.Alive.Beat
+			heartbeat = content.Alive.Beat
 		case *pb.PlannerSays_Part:
-			t, err := l.v.ApplyChunk(m.Tenure, x.Part)
-			if err != nil || t.NeedsFull {
+			applied, err := d.snapshot.ApplyChunk(message.Tenure, content.Part)
+			if err != nil || applied.NeedsFull {
 				return
 			}
-			if t.Complete {
-				l.at.Store(l.v.Generation())
-				l.when(l.v.Generation())
+			if applied.Complete {
+				d.generation.Store(d.snapshot.Generation())
+				d.applied(d.snapshot.Generation())
 			}
 		default:
 			continue
 		}
-		s.Send(&pb.EdgeSays{What: &pb.EdgeSays_Ack{Ack: &pb.EdgeAck{Tenure: l.v.Term(), Generation: l.v.Generation(), Beat: beat}}})
+		ack := &pb.EdgeAck{Tenure: d.snapshot.Term(), Generation: d.snapshot.Generation(), Beat: heartbeat}
+		stream.Send(&pb.EdgeSays{What: &pb.EdgeSays_Ack{Ack: ack}})
 	}
 }
 
-func cpu() time.Duration {
-	var r syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
+// cpuTime is the CPU time that this process has used.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// A change's way to all edges, and all edges back in step after the planner's restart, as edges grow; 1,000 bricks. Planner and edges run
-// in this process, so CPU and memory are of both sides.
-func BenchmarkEdges(b *testing.B) {
+// A change's way to all gateways, and all gateways back in step after the controller's restart, as gateways grow; 1,000 endpoints.
+// Controller and gateways run in this process, so CPU and memory are of both sides.
+func BenchmarkGateways(b *testing.B) {
 	for _, n := range []int{10, 50, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				edges(b, n)
+				benchmarkGateways(b, n)
 			}
 		})
 	}
 }
 
-func edges(b *testing.B, n int) {
+func benchmarkGateways(b *testing.B, n int) {
 	var before runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	c := conf(b, "a", "127.0.0.1:0", n, "")
-	c.Lease = "2s"
-	p, address, stop := start(b, c, Options{})
-	c.Listen = address
-	c.Store = filepath.Join(filepath.Dir(c.Store), "a.db")
-	lines := make([]engine.EndpointEntry, 1000)
-	for i := range lines {
-		lines[i] = brick(i, true)
+	conf := testConf(b, "a", "127.0.0.1:0", n, "")
+	conf.Lease = "2s"
+	c, address, stop := start(b, conf, Options{})
+	conf.Listen = address
+	conf.Store = filepath.Join(filepath.Dir(conf.Store), "a.db")
+	entries := make([]engine.EndpointEntry, 1000)
+	for i := range entries {
+		entries[i] = endpoint(i, true)
 	}
-	list(p, 1, true, lines...)
+	changeList(c, 1, true, entries...)
 	ctx, cancel := context.WithCancel(context.Background())
-	var wg sync.WaitGroup
-	all := make([]*light, n)
-	times := make([]atomic.Int64, n)
-	var want atomic.Uint64
-	for i := range all {
-		l := &light{v: snapshot.New(nil, 0, nil, protocol.MaxRecords)}
-		l.when = func(g uint64) {
-			if g >= want.Load() {
-				times[i].CompareAndSwap(0, time.Now().UnixNano())
+	var running sync.WaitGroup
+	gateways := make([]*diskless, n)
+	appliedAt := make([]atomic.Int64, n) // of the awaited generation; 0: not yet
+	var awaited atomic.Uint64
+	for i := range gateways {
+		g := &diskless{snapshot: snapshot.New(nil, 0, nil, protocol.MaxRecords)}
+		g.applied = func(generation uint64) {
+			if generation >= awaited.Load() {
+				appliedAt[i].CompareAndSwap(0, time.Now().UnixNano())
 			}
 		}
-		all[i] = l
-		wg.Add(1)
-		go func() { defer wg.Done(); l.run(ctx, fmt.Sprintf("e%03d", i), address, nil) }()
+		gateways[i] = g
+		running.Go(func() { g.run(ctx, fmt.Sprintf("e%03d", i), address) })
 	}
-	defer wg.Wait()
+	defer running.Wait()
 	defer cancel()
-	reached := func(g uint64) bool {
-		for _, l := range all {
-			if l.at.Load() < g {
+	reached := func(generation uint64) bool {
+		for _, g := range gateways {
+			if g.generation.Load() < generation {
 				return false
 			}
 		}
 		return true
 	}
 	begin := time.Now()
-	until(b, "all in step", func() bool { return reached(1) })
+	waitFor(b, "all in step", func() bool { return reached(1) })
 	b.ReportMetric(time.Since(begin).Seconds(), "first-s")
 	time.Sleep(300 * time.Millisecond)
 	var after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	b.ReportMetric(float64(after.HeapInuse-before.HeapInuse)/float64(n)/1024, "KiB/edge")
+	b.ReportMetric(float64(after.HeapInuse-before.HeapInuse)/float64(n)/1024, "KiB/gateway")
+
 	const changes = 20
-	var half, most, last time.Duration
-	used := cpu()
+	var median, percentile99, slowest time.Duration
+	cpuBefore := cpuTime()
 	for k := range changes {
-		p.mu.Lock()
-		g := p.state.Generation() + 1
-		p.mu.Unlock()
-		want.Store(g)
-		for i := range times {
-			times[i].Store(0)
+		c.mu.Lock()
+		generation := c.state.Generation() + 1
+		c.mu.Unlock()
+		awaited.Store(generation)
+		for i := range appliedAt {
+			appliedAt[i].Store(0)
 		}
-		at := time.Now()
-		list(p, int64(2+k), false, brick(1500+k, true))
-		until(b, "the change", func() bool { return reached(g) })
-		var took []time.Duration
-		for i := range times {
-			took = append(took, time.Duration(times[i].Load()-at.UnixNano()))
+		changedAt := time.Now()
+		changeList(c, int64(2+k), false, endpoint(1500+k, true))
+		waitFor(b, "the change", func() bool { return reached(generation) })
+		var delays []time.Duration
+		for i := range appliedAt {
+			delays = append(delays, time.Duration(appliedAt[i].Load()-changedAt.UnixNano()))
 		}
-		slices.Sort(took)
-		half, most, last = half+took[n/2]/changes, most+took[n*99/100]/changes, last+took[n-1]/changes
+		slices.Sort(delays)
+		median, percentile99, slowest = median+delays[n/2]/changes, percentile99+delays[n*99/100]/changes, slowest+delays[n-1]/changes
 	}
-	b.ReportMetric(float64((cpu()-used).Microseconds())/changes/1000, "cpu-ms/change")
-	p.mu.Lock()
-	one, _ := p.state.SnapshotFor("e000", statemachine.Position{Term: p.state.Term(), Generation: p.state.Generation() - 1})
-	whole, _ := p.state.SnapshotFor("e000", statemachine.Position{Term: p.state.Term(), NeedsFull: true})
-	p.mu.Unlock()
-	b.ReportMetric(float64(proto.Size(one)), "bytes/change")
-	b.ReportMetric(float64(proto.Size(whole)), "bytes/whole")
-	b.ReportMetric(float64(half.Microseconds())/1000, "p50-ms")
-	b.ReportMetric(float64(most.Microseconds())/1000, "p99-ms")
-	b.ReportMetric(float64(last.Microseconds())/1000, "all-ms")
+	b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/changes/1000, "cpu-ms/change")
+	c.mu.Lock()
+	change, _ := c.state.SnapshotFor("e000", statemachine.Position{Term: c.state.Term(), Generation: c.state.Generation() - 1})
+	full, _ := c.state.SnapshotFor("e000", statemachine.Position{Term: c.state.Term(), NeedsFull: true})
+	c.mu.Unlock()
+	b.ReportMetric(float64(proto.Size(change)), "bytes/change")
+	b.ReportMetric(float64(proto.Size(full)), "bytes/full")
+	b.ReportMetric(float64(median.Microseconds())/1000, "p50-ms")
+	b.ReportMetric(float64(percentile99.Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(slowest.Microseconds())/1000, "all-ms")
+
 	stop()
-	p, _, stop = start(b, c, Options{})
+	c, _, stop = start(b, conf, Options{})
 	begin = time.Now()
-	lists := make([]engine.EndpointEntry, 1000)
-	for i := range lists {
-		lists[i] = brick(i, true)
-	}
 	for k := range changes {
-		lists = append(lists, brick(1500+k, true))
+		entries = append(entries, endpoint(1500+k, true))
 	}
-	lists = append(lists, brick(2000, true))
-	list(p, 1, true, lists...)
-	until(b, "in step after the restart", func() bool {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.state.Phase().String() != "holding the lease" || p.state.Record(snapshot.Key{Kind: pb.Item_BRICK, Name: "b2000"}) == nil {
+	entries = append(entries, endpoint(2000, true))
+	changeList(c, 1, true, entries...)
+	waitFor(b, "in step after the restart", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.state.Phase() != statemachine.HoldingLease || byKey(c.state.Records())[snapshot.Key{Kind: pb.Item_BRICK, Name: "b2000"}] == nil {
 			return false
 		}
-		return reached(p.state.Generation())
+		return reached(c.state.Generation())
 	})
 	b.ReportMetric(time.Since(begin).Seconds(), "restart-s")
 	cancel()
-	wg.Wait()
+	running.Wait()
 	stop()
 }
--- a/internal/controlplane/server/endpoints.go
+++ b/internal/controlplane/server/endpoints.go
@@ -39,12 +39,12 @@
 type endpointSink Controller
 
 // EndpointChanged makes the new state of an endpoint desired.
-func (c *endpointSink) EndpointChanged(name, address, zone string, shard int, serving, gone bool, _ time.Duration) {
-	endpoint := &pb.PlanBrick{Address: address, Zone: zone, Cell: int64(shard), Serving: serving && !gone}
+func (c *endpointSink) EndpointChanged(name, address, zone string, shard int, serving, removed bool, _ time.Duration) {
+	endpoint := &pb.PlanBrick{Address: address, Zone: zone, Cell: int64(shard), Serving: serving && !removed}
 	if belief, ok := c.endpoints.Belief(name); ok {
 		endpoint.Started, endpoint.Drained = int64(belief.Started), int64(belief.DrainedUpTo)
 	}
-	c.state.SetDesired(&pb.Item{Kind: pb.Item_BRICK, Name: name, Gone: gone, Brick: endpoint})
+	c.state.SetDesired(&pb.Item{Kind: pb.Item_BRICK, Name: name, Gone: removed, Brick: endpoint})
 }
 
 // List takes an endpoint list, or its changes, from the discovery service.
--- /dev/null
+++ b/internal/controlplane/server/faults_test.go
@@ -0,0 +1,190 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"weirhaven/internal/controlplane/snapshot"
+	"weirhaven/internal/controlplane/statemachine"
+	"weirhaven/internal/pb"
+)
+
+// The controller is killed between writing a change and sending it, again and again, and comes back from its disk. The gateway never goes
+// back, and ends at what was written.
+func TestKilledBetweenWritingAndSending(t *testing.T) {
+	address := freeAddress(t)
+	conf := testConf(t, "a", address, 1, "")
+	for i := range 6 {
+		conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: fmt.Sprint("w", i), Plan: "basic", Hosts: 1})
+	}
+	g := startGateway(t, "e", filepath.Join(t.TempDir(), "e"), address)
+	for life := range 4 {
+		conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: fmt.Sprint("x", life), Plan: "basic", Hosts: 1})
+		process, _ := startProcess(t, conf, 1)
+		process.Wait() // it dies of its own write
+		g.checkNotBack()
+		if g.holds(pb.Item_VOLUME, fmt.Sprint("x", life)) != nil {
+			t.Error("it was sent before it was killed: the test does not test")
+		}
+	}
+	startProcess(t, conf, 0)
+	waitFor(t, "all that was written", func() bool {
+		g.checkNotBack()
+		return g.holds(pb.Item_VOLUME, "x3") != nil && g.holds(pb.Item_VOLUME, "w0") != nil && g.holds(pb.Item_VOLUME, "x0") != nil
+	})
+	if g.highestGeneration < 4 {
+		t.Errorf("generation %d", g.highestGeneration)
+	}
+}
+
+// The controller comes back with an older copy of its disk, as from a backup, and then with none. It learns from the gateways what it
+// forgot, above all drains and placements, and goes on above their generation.
+func TestOlderDiskAndNone(t *testing.T) {
+	conf := testConf(t, "a", "127.0.0.1:0", 2, "")
+	c, address, stop := start(t, conf, Options{})
+	conf.Listen = address
+	dir := t.TempDir()
+	gateways := []*testGateway{startGateway(t, "e0", filepath.Join(dir, "0"), address), startGateway(t, "e1", filepath.Join(dir, "1"), address)}
+	changeList(c, 1, true, endpoint(0, true), endpoint(1, true))
+	waitFor(t, "the first snapshot", func() bool {
+		return gateways[0].holds(pb.Item_BRICK, "b1") != nil && gateways[1].holds(pb.Item_BRICK, "b1") != nil
+	})
+	olderDisk := filepath.Join(dir, "old.db")
+	copyStore(t, c, olderDisk)
+	changeList(c, 2, false, endpoint(0, false))
+	shard, err := gateways[0].follower.Place(context.Background(), "v", "object", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	drained := func() bool {
+		for _, g := range gateways {
+			g.checkNotBack()
+			if record := g.holds(pb.Item_BRICK, "b0"); record == nil || record.Brick.Serving {
+				return false
+			}
+		}
+		return true
+	}
+	waitFor(t, "the drain", drained)
+	for _, disk := range []string{olderDisk, ""} {
+		stop()
+		os.Remove(conf.Store)
+		if disk != "" {
+			if err := os.Rename(disk, conf.Store); err != nil {
+				t.Fatal(err)
+			}
+		}
+		c, _, stop = start(t, conf, Options{})
+		changeList(c, 9, true, endpoint(0, true), endpoint(1, true)) // the list knows nothing of the drain
+		waitFor(t, "the lease", func() bool {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return c.state.Phase() == statemachine.HoldingLease
+		})
+		waitFor(t, "a snapshot that both hold", func() bool {
+			_, _, a, _ := gateways[0].follower.State()
+			_, _, b, _ := gateways[1].follower.State()
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return a == b && a == c.state.Generation()
+		})
+		if !drained() {
+			t.Errorf("disk %q: the drain is forgotten", disk)
+		}
+		if again, err := gateways[1].follower.Place(context.Background(), "v", "object", ""); err != nil || again != shard {
+			t.Errorf("disk %q: object in shard %d, was %d: %v", disk, again, shard, err)
+		}
+	}
+}
+
+// copyStore copies the controller's file. Its mutex keeps the file from being written.
+func copyStore(t *testing.T, c *Controller, file string) {
+	t.Helper()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	content, err := os.ReadFile(c.conf.Store)
+	if err == nil {
+		err = os.WriteFile(file, content, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A controller stalls for longer than every timeout, as in a paused virtual machine; another takes over; the first goes on and sends what
+// it had decided. The gateway follows the second throughout.
+func TestStalledControllerIsNotHeeded(t *testing.T) {
+	a, b := testConf(t, "a", freeAddress(t), 1, ""), testConf(t, "b", freeAddress(t), 1, "")
+	a.Volume = append(a.Volume, &pb.PlannedVolume{Name: "of-a", Plan: "basic", Hosts: 1})
+	b.Volume = append(b.Volume, &pb.PlannedVolume{Name: "of-b", Plan: "basic", Hosts: 1})
+	g := startGateway(t, "e", filepath.Join(t.TempDir(), "e"), a.Listen, b.Listen)
+	first, _ := startProcess(t, a, 0)
+	waitFor(t, "the snapshot of a", func() bool { return g.holds(pb.Item_VOLUME, "of-a") != nil })
+	first.Process.Signal(syscall.SIGSTOP)
+	startProcess(t, b, 0)
+	waitFor(t, "the snapshot of b", func() bool { g.checkNotBack(); return g.holds(pb.Item_VOLUME, "of-b") != nil })
+	address, term, generation, _ := g.follower.State()
+	first.Process.Signal(syscall.SIGCONT)
+	for deadline := time.Now().Add(1500 * time.Millisecond); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		g.checkNotBack()
+	}
+	addressNow, termNow, generationNow, _ := g.follower.State()
+	if addressNow != address || snapshot.CompareTerms(termNow, term) != 0 || generationNow != generation || address != b.Listen {
+		t.Errorf("followed %s %v at %d, now %s %v at %d", address, term, generation, addressNow, termNow, generationNow)
+	}
+}
+
+// fullDisk fails writes while it is full.
+type fullDisk struct {
+	statemachine.Persister
+	mu     sync.Mutex
+	isFull bool
+}
+
+func (d *fullDisk) set(isFull bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.isFull = isFull
+}
+
+func (d *fullDisk) Persist(term *pb.Tenure, generation uint64, changed []*pb.Item) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.isFull {
+		return syscall.ENOSPC
+	}
+	return d.Persister.Persist(term, generation, changed)
+}
+
+// The controller's disk is full. No change and no placement is given out, since a restart would forget it; gateways keep what they have.
+// Once there is space it goes on.
+func TestControllersDiskFull(t *testing.T) {
+	disk := &fullDisk{}
+	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 1, ""), Options{WrapPersister: func(p statemachine.Persister) statemachine.Persister {
+		disk.Persister = p
+		return disk
+	}})
+	g := startGateway(t, "e", filepath.Join(t.TempDir(), "e"), address)
+	changeList(c, 1, true, endpoint(0, true))
+	waitFor(t, "the first snapshot", func() bool { return g.holds(pb.Item_BRICK, "b0") != nil })
+	disk.set(true)
+	changeList(c, 2, false, endpoint(1, true))
+	if _, err := g.follower.Place(context.Background(), "v", "object", ""); err == nil || !strings.Contains(err.Error(), "no space left") {
+		t.Error(err)
+	}
+	if g.holds(pb.Item_BRICK, "b1") != nil {
+		t.Error("given out though not written")
+	}
+	disk.set(false)
+	waitFor(t, "the change", func() bool { return g.holds(pb.Item_BRICK, "b1") != nil })
+	if _, err := g.follower.Place(context.Background(), "v", "object", ""); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -53,12 +53,11 @@
 	pb.UnimplementedPlanningServer
 	conf         *pb.PlannerConf
 	log          *slog.Logger
-	store        *store.Store
 	lease        time.Duration
 	stallTimeout time.Duration
 	streamsDone  sync.WaitGroup // goroutines of streams: they end once their handler has returned
 
-	mu          sync.Mutex // guards all below, and the store
+	mu          sync.Mutex // guards all below; held, the store is not written
 	state       *statemachine.State
 	endpoints   *endpointstate.Fleet
 	streams     map[string]*gatewayStream // by gateway
@@ -124,18 +123,16 @@
 }
 
 // newController starts a life of the controller from what the store holds, and takes over what the settings name.
-func newController(conf *pb.PlannerConf, options Options, opened *store.Store, saved store.Saved, log *slog.Logger) (*Controller, error) {
+func newController(conf *pb.PlannerConf, options Options, persister statemachine.Persister, saved store.Saved, log *slog.Logger) (*Controller, error) {
 	c := &Controller{
 		conf:         conf,
 		log:          log,
-		store:        opened,
 		lease:        settings.Duration(conf.Lease, defaultLease),
 		stallTimeout: options.StallTimeout,
 		streams:      map[string]*gatewayStream{},
 		reports:      map[string][]*pb.Item{},
 		reportCount:  map[string]int{},
 	}
-	persister := statemachine.Persister(opened)
 	if options.WrapPersister != nil {
 		persister = options.WrapPersister(persister)
 	}
@@ -159,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.endpoints = endpointstate.New(rules, (*endpointSink)(c), func(line string) { log.Info(line) })
+	c.endpoints = endpointstate.New(rules, (*endpointSink)(c), func(message string) { log.Info(message) })
 	c.restoreEndpoints(saved.Records)
 	c.setDesiredSettings()
 	return c, nil
--- a/internal/controlplane/statemachine/difference.go
+++ b/internal/controlplane/statemachine/difference.go
@@ -8,8 +8,8 @@
 	"weirhaven/internal/pb"
 )
 
-// Difference lists for operators, a line each and sorted, how the records that a gateway holds differ from the controller's.
-func Difference(own, held []*pb.Item, gatewayName string) (lines []string) {
+// Difference says for operators, a sentence a record and sorted, how the records that a gateway holds differ from the controller's.
+func Difference(own, held []*pb.Item, gatewayName string) (differences []string) {
 	ownByKey, heldByKey := map[snapshot.Key]*pb.Item{}, map[snapshot.Key]*pb.Item{}
 	keys := map[snapshot.Key]bool{}
 	for _, record := range own {
@@ -24,11 +24,11 @@
 	}
 	for key := range keys {
 		if difference := recordDifference(ownByKey[key], heldByKey[key]); difference != "" {
-			lines = append(lines, fmt.Sprintf("%s %s: %s", key.Kind, key.Name, difference))
+			differences = append(differences, fmt.Sprintf("%s %s: %s", key.Kind, key.Name, difference))
 		}
 	}
-	slices.Sort(lines)
-	return lines
+	slices.Sort(differences)
+	return differences
 }
 
 // recordDifference describes how one record differs; empty: it doesn't. One of the two may be nil: not there, the same as a
--- a/internal/controlplane/statemachine/statemachine.go
+++ b/internal/controlplane/statemachine/statemachine.go
@@ -102,6 +102,3 @@
 
 // Records are all persisted records in order, tombstones included. Not to be modified.
 func (s *State) Records() []*pb.Item { return snapshot.Sorted(s.records) }
-
-// Record is the persisted record of a key; nil: none. Not to be modified.
-func (s *State) Record(key snapshot.Key) *pb.Item { return s.records[key] }
--- a/internal/controlplane/statemachine/write_test.go
+++ b/internal/controlplane/statemachine/write_test.go
@@ -76,12 +76,12 @@
 	c.write(t, 1)
 	c.SetDesired(endpointRecord(true, 10, 0)) // the list knows nothing of the drain
 	c.write(t, 0)
-	if b := c.Record(endpointKey).Brick; b.Serving || b.Drained != 10 {
+	if b := c.records[endpointKey].Brick; b.Serving || b.Drained != 10 {
 		t.Errorf("drained, and the list says serving: %v", b)
 	}
 	c.SetDesired(endpointRecord(true, 20, 0))
 	c.write(t, 1)
-	if b := c.Record(endpointKey).Brick; !b.Serving || b.Drained != 10 {
+	if b := c.records[endpointKey].Brick; !b.Serving || b.Drained != 10 {
 		t.Errorf("started after the drain: %v", b)
 	}
 	c.SetDesired(volumeRecord("v", false))
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -70,11 +70,6 @@
 	})
 }
 
-// Copy writes the present state to another file, while this one is in use.
-func (s *Store) Copy(file string) error {
-	return s.db.View(func(tx *bbolt.Tx) error { return tx.CopyFile(file, 0o600) })
-}
-
 // Close closes the file. Nothing is lost without it.
 func (s *Store) Close() error { return s.db.Close() }
 
