--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -148,7 +148,7 @@
 		config.MaxSnapshotsInFlight = defaultMaxSnapshotsInFlight
 	}
 	var err error
-	c.state, err = statemachine.New(conf.Name, randv2.Uint64(), saved.Term, saved.Generation, saved.Records, config, persister, log, now())
+	c.state, err = statemachine.New(conf.Name, randv2.Uint64(), statemachine.Persisted(saved), config, persister, log, now())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/statemachine/admission.go
+++ b/internal/controlplane/statemachine/admission.go
@@ -5,7 +5,7 @@
 const (
 	// minSnapshotRetry is the shortest time after which a waiting gateway is looked at again.
 	minSnapshotRetry = 5 * time.Millisecond
-	// snapshotTimeSmoothing is the weight of the past in the smoothed time of a snapshot: one new sample counts one in so many.
+	// snapshotTimeSmoothing: a new sample moves the smoothed time of a snapshot by one part in so many of the difference.
 	snapshotTimeSmoothing = 8
 )
 
--- a/internal/controlplane/statemachine/admission_test.go
+++ b/internal/controlplane/statemachine/admission_test.go
@@ -15,7 +15,7 @@
 	const gateways, maxInFlight, sendTime = 100, 4, 10 * time.Millisecond
 	config := testConfig
 	config.MinGateways, config.MaxSnapshotsInFlight = gateways, maxInFlight
-	s, err := New("a", 1, nil, 0, nil, config, newDisk(), discardLog, 0)
+	s, err := New("a", 1, Persisted{}, config, newDisk(), discardLog, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/statemachine/statemachine.go
+++ b/internal/controlplane/statemachine/statemachine.go
@@ -61,30 +61,36 @@
 	placementsPerShard map[uint32]int // by shard
 }
 
-// New starts a life of the controller called name from what was persisted; persisted nil, 0 and nil mean that nothing was. It takes
-// and persists a new term before it returns; an error means that the term could not be persisted. life is drawn at random at each
-// start: it tells apart two starts without a disk, and two controllers given one name.
-func New(name string, life uint64, persisted *pb.Tenure, generation uint64, records []*pb.Item, config Config, persister Persister, log *slog.Logger,
-	now time.Duration) (*State, error) {
+// Persisted is what the disk holds at a start. The zero value: nothing was persisted, or the disk is new.
+type Persisted struct {
+	Term       *pb.Tenure
+	Generation uint64
+	Records    []*pb.Item
+}
+
+// New starts a life of the controller called name. It takes and persists a new term before it returns; an error means that the term
+// could not be persisted. life is drawn at random at each start: it tells apart two starts without a disk, and two controllers given
+// one name.
+func New(name string, life uint64, persisted Persisted, config Config, persister Persister, log *slog.Logger, now time.Duration) (*State, error) {
 	s := &State{
 		config:             config,
 		persister:          persister,
 		log:                log,
 		startedAt:          now,
-		generation:         generation,
+		generation:         persisted.Generation,
 		records:            map[snapshot.Key]*pb.Item{},
 		desired:            map[snapshot.Key]*pb.Item{},
 		uncertain:          map[snapshot.Key]bool{},
-		changesKnownSince:  generation,
+		changesKnownSince:  persisted.Generation,
 		gateways:           map[string]*gateway{},
 		heartbeatSentAt:    map[uint64]time.Duration{},
 		meanSnapshotTime:   initialSnapshotTime,
 		placementsPerShard: map[uint32]int{},
 	}
-	for _, record := range records {
+	for _, record := range persisted.Records {
 		s.put(record)
 	}
-	s.term = &pb.Tenure{Term: persisted.GetTerm() + 1, Planner: fmt.Sprintf("%s#%016x", name, life)}
+	s.term = &pb.Tenure{Term: persisted.Term.GetTerm() + 1, Planner: fmt.Sprintf("%s#%016x", name, life)}
 	if err := persister.Persist(s.term, s.generation, nil); err != nil {
 		return nil, fmt.Errorf("persist term %d: %w", s.term.Term, err)
 	}
--- a/internal/controlplane/statemachine/world_test.go
+++ b/internal/controlplane/statemachine/world_test.go
@@ -116,11 +116,11 @@
 
 func (w *world) start(config Config, name string, d *disk, clockRate float64) *controller {
 	p := &controller{disk: d, clockRate: clockRate, up: true, connections: map[int]*connection{}}
-	var records []*pb.Item
+	persisted := Persisted{Term: d.term, Generation: d.generation}
 	for _, record := range d.records {
-		records = append(records, record)
+		persisted.Records = append(persisted.Records, record)
 	}
-	s, err := New(name, w.life(), d.term, d.generation, records, config, d, discardLog, w.clock(p))
+	s, err := New(name, w.life(), persisted, config, d, discardLog, w.clock(p))
 	if err != nil {
 		w.t.Fatalf("%v", err)
 	}
--- a/internal/controlplane/statemachine/write_test.go
+++ b/internal/controlplane/statemachine/write_test.go
@@ -21,7 +21,7 @@
 	config := testConfig
 	config.MinGateways = 1
 	d := newDisk()
-	s, err := New("a", 1, nil, 0, nil, config, d, discardLog, 0)
+	s, err := New("a", 1, Persisted{}, config, d, discardLog, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
