--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -35,13 +35,13 @@
 
 // Config is a Follower's.
 type Config struct {
-	Planner *pb.Planner // addresses and keys of the controllers
-	Name    string      // of the gateway
-	Address string      // where clients reach the gateway
-	File    string      // that keeps the snapshot
-	Log     *slog.Logger
-	Sink    Sink
-	Seed    int64 // of the spread of reconnects
+	Controllers   *pb.Planner // addresses and keys of the controllers
+	Gateway       string      // of the gateway
+	ClientAddress string      // where clients reach the gateway
+	SnapshotFile  string      // that keeps the snapshot
+	Log           *slog.Logger
+	Sink          Sink
+	Seed          int64 // of the spread of reconnects
 	// SilenceTimeout is how long a controller may send nothing before its stream is ended; 0: 10 s.
 	SilenceTimeout time.Duration
 	// MinBackoff and MaxBackoff bound the mean wait between attempts to reach a controller. MinBackoff 0: 200 ms and 5 s.
@@ -72,11 +72,11 @@
 	if config.SilenceTimeout == 0 {
 		config.SilenceTimeout = defaultSilenceTimeout
 	}
-	security, err := clientCredentials(config.Planner, config.Log)
+	security, err := clientCredentials(config.Controllers, config.Log)
 	if err != nil {
 		return nil, err
 	}
-	opened, saved, setAside, err := store.Open(config.File)
+	opened, saved, setAside, err := store.Open(config.SnapshotFile)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 // Run follows the controllers until ctx ends, and closes the file. It may be called once.
 func (f *Follower) Run(ctx context.Context) {
 	var connections sync.WaitGroup
-	for _, address := range f.config.Planner.Address {
+	for _, address := range f.config.Controllers.Address {
 		connections.Go(func() { f.stayConnected(ctx, address) })
 	}
 	connections.Wait()
--- a/internal/controlplane/client/drain.go
+++ b/internal/controlplane/client/drain.go
@@ -6,10 +6,10 @@
 	"weirhaven/internal/pb"
 )
 
-// Learn takes a drain of an endpoint that the gateway learned by itself: drained is the start, in ns since 1970, of the latest life
+// LearnDrain takes a drain of an endpoint that the gateway learned by itself: drained is the start, in ns since 1970, of the latest life
 // drained. The controller receives it at once, or with the report that it asks for when it is connected again. After Run has ended it
 // does nothing.
-func (f *Follower) Learn(endpoint string, drained int64) {
+func (f *Follower) LearnDrain(endpoint string, drained int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.store == nil || !f.snapshot.LearnDrain(endpoint, drained) {
--- a/internal/controlplane/client/placement.go
+++ b/internal/controlplane/client/placement.go
@@ -26,7 +26,7 @@
 	if followed == nil {
 		return 0, ErrNoController
 	}
-	request := &pb.PlaceAsk{Edge: f.config.Name, Volume: volume, Name: name, ButZone: avoidZone}
+	request := &pb.PlaceAsk{Edge: f.config.Gateway, Volume: volume, Name: name, ButZone: avoidZone}
 	given, err := pb.NewPlanningClient(followed.conn).Place(ctx, request)
 	if err != nil {
 		return 0, err
@@ -35,7 +35,7 @@
 		return 0, fmt.Errorf("placement by %q of term %d: %w, term %d is", given.Tenure.GetPlanner(), given.Tenure.GetTerm(), snapshot.ErrNotFollowed, term.GetTerm())
 	}
 	placement := &pb.Item{Kind: pb.Item_PLACE, Name: volume + "/" + name, Generation: given.Generation, Term: given.Tenure.GetTerm(),
-		Place: &pb.PlanPlace{Volume: volume, Cell: given.Cell, Edge: f.config.Name}}
+		Place: &pb.PlanPlace{Volume: volume, Cell: given.Cell, Edge: f.config.Gateway}}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.store == nil {
--- a/internal/controlplane/client/stored_data_test.go
+++ b/internal/controlplane/client/stored_data_test.go
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(file, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Open(Config{Planner: &pb.Planner{Address: []string{"127.0.0.1:1"}, Plain: true}, Name: "edge-a", File: file,
+	f, err := Open(Config{Controllers: &pb.Planner{Address: []string{"127.0.0.1:1"}, Plain: true}, Gateway: "edge-a", SnapshotFile: file,
 		Log: slog.New(slog.DiscardHandler), Sink: sink, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/client/stream.go
+++ b/internal/controlplane/client/stream.go
@@ -98,8 +98,8 @@
 	defer f.mu.Unlock()
 	return &pb.EdgeHello{
 		Version:    protocol.Version,
-		Name:       f.config.Name,
-		Address:    f.config.Address,
+		Name:       f.config.Gateway,
+		Address:    f.config.ClientAddress,
 		Tenure:     f.snapshot.Term(),
 		Generation: f.snapshot.Generation(),
 		Digest:     f.snapshot.Digest(),
--- a/internal/controlplane/server/harness_test.go
+++ b/internal/controlplane/server/harness_test.go
@@ -192,7 +192,7 @@
 func startGatewayWith(t testing.TB, name, file string, controllers *pb.Planner) *testGateway {
 	t.Helper()
 	g := newTestGateway(t)
-	follower, err := client.Open(client.Config{Planner: controllers, Name: name, Address: "127.0.0.1:1", File: file, Log: discardLog, Sink: g, Seed: 1,
+	follower, err := client.Open(client.Config{Controllers: controllers, Gateway: name, ClientAddress: "127.0.0.1:1", SnapshotFile: file, Log: discardLog, Sink: g, Seed: 1,
 		MinBackoff: 10 * time.Millisecond, MaxBackoff: 100 * time.Millisecond, SilenceTimeout: 700 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/server/keys_test.go
+++ b/internal/controlplane/server/keys_test.go
@@ -73,7 +73,7 @@
 func checkRefused(t *testing.T, name string, controllers *pb.Planner, reason string) {
 	t.Helper()
 	log := &lockedBuilder{}
-	follower, err := client.Open(client.Config{Planner: controllers, Name: name, Address: "x", File: filepath.Join(t.TempDir(), "e"), Sink: newTestGateway(t),
+	follower, err := client.Open(client.Config{Controllers: controllers, Gateway: name, ClientAddress: "x", SnapshotFile: filepath.Join(t.TempDir(), "e"), Sink: newTestGateway(t),
 		Seed: 1, MinBackoff: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond, Log: slog.New(slog.NewTextHandler(log, nil))})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -38,7 +38,7 @@
 		record := gateways[1].holds(pb.Item_BRICK, "b0")
 		return !record.Brick.Serving && snapshot.Drained(record.Brick) && gateways[1].holds(pb.Item_BRICK, "b2") != nil
 	})
-	gateways[2].follower.Learn("b2", time.Now().UnixNano())
+	gateways[2].follower.LearnDrain("b2", time.Now().UnixNano())
 	changeList(c, 3, false, endpoint(2, true))
 	for _, g := range gateways {
 		waitFor(t, "the drain that a gateway learned", func() bool {
--- a/internal/gateway/planner.go
+++ b/internal/gateway/planner.go
@@ -86,7 +86,7 @@
 		return p, nil
 	}
 	var err error
-	p.follower, err = client.Open(client.Config{Planner: e.conf.Planner, Name: e.conf.Name, Address: address, File: e.conf.Store + ".view", Log: e.log, Sink: p,
+	p.follower, err = client.Open(client.Config{Controllers: e.conf.Planner, Gateway: e.conf.Name, ClientAddress: address, SnapshotFile: e.conf.Store + ".view", Log: e.log, Sink: p,
 		Seed: time.Now().UnixNano()})
 	if err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 	}
 	for _, b := range all {
 		if b.DrainedUpTo > 0 {
-			p.follower.Learn(b.Name, int64(b.DrainedUpTo))
+			p.follower.LearnDrain(b.Name, int64(b.DrainedUpTo))
 		}
 	}
 }
