--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -32,8 +32,9 @@
 		return nil
 	}
 	var err error
-	p.follower, err = client.Open(client.Config{Planner: g.conf.Planner, Name: g.conf.Name, Address: g.listener.Addr().String(),
-		File: g.conf.Store + ".view", Log: g.log, Sink: p, Seed: time.Now().UnixNano()})
+	p.follower, err = client.Open(client.Config{Controllers: g.conf.Planner, Gateway: g.conf.Name,
+		ClientAddress: g.listener.Addr().String(),
+		SnapshotFile:  g.conf.Store + ".view", Log: g.log, Sink: p, Seed: time.Now().UnixNano()})
 	if err != nil {
 		return err
 	}
@@ -118,7 +119,7 @@
 	}
 	for _, b := range beliefs {
 		if b.DrainedUpTo > 0 {
-			p.follower.Learn(b.Name, int64(b.DrainedUpTo))
+			p.follower.LearnDrain(b.Name, int64(b.DrainedUpTo))
 		}
 	}
 }
