--- a/internal/fleet/endpointstate/belief.go
+++ b/internal/fleet/endpointstate/belief.go
@@ -18,6 +18,7 @@
 	SelfReported               // the endpoint itself, by its greeting or an answer
 )
 
+// String names the source in logs and in the reasons stored on disk.
 func (s Source) String() string { return [...]string{"settings", "saved", "peer", "list", "itself"}[s] }
 
 // Trust is how far a belief is relied on.
@@ -30,6 +31,7 @@
 	Barred               // drained or gone: not used
 )
 
+// String names the trust in logs.
 func (t Trust) String() string { return [...]string{"doubted", "trusted", "barred"}[t] }
 
 // Report is what a source says of one endpoint. Times are on the gateway's clock.
@@ -39,7 +41,7 @@
 	Zone    string
 	Shard   int
 	Serving bool          // false: draining or gone
-	Gone    bool          // taken away for good; never together with Serving
+	Removed bool          // taken away for good; never together with Serving
 	Started time.Duration // start of the endpoint's process; 0: not known, taken for long ago
 	// ObservedAt is when the report was true; 0: too old to be trusted.
 	ObservedAt time.Duration
--- a/internal/httpgateway/shutdown.go
+++ b/internal/httpgateway/shutdown.go
@@ -17,17 +17,18 @@
 	killGrace           = 700 * time.Millisecond
 	responseMargin      = 250 * time.Millisecond // so long before the kill all requests have their responses
 	connectionDrainTime = 250 * time.Millisecond // before that, connections end with their next response
-	shutdownOverrun     = time.Second            // past the kill time; then connections are closed whatever they owe
+	shutdownOverrun     = time.Second            // past that time connections are closed whatever they owe
 )
 
-// shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the kill time.
-func (h *Host) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
-	longest := longestTimeout(h.Config.Settings)
+// shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the longest timeout and
+// killGrace.
+func (g *Gateway) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
+	longest := longestTimeout(g.Config.Settings)
 	killAfter := min(longest, maxKillDelay) + killGrace
-	h.Log.Info("graceful shutdown started", "kill_after", killAfter)
+	g.Log.Info("graceful shutdown started", "kill_after", killAfter)
 	bounded, cancel := context.WithTimeout(ctx, longest+killGrace+shutdownOverrun)
 	defer cancel()
-	server.Shutdown(bounded, listener, h.loop.Now()+killAfter-responseMargin, connectionDrainTime)
+	server.Shutdown(bounded, listener, g.loop.Now()+killAfter-responseMargin, connectionDrainTime)
 }
 
 // longestTimeout is the longest timeout of any request class.
