--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -71,48 +71,48 @@
 	}{
 		{"answered once in time", 0, "", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(20, 1, 0, "a", "DONE"), answer(21, 1, "DONE")}},
 		{"answered twice", 1, "2 final answers", lines{asked(0, 1, 0), answer(21, 1, "DONE"), answer(22, 1, "BUSY")}},
-		{"late", 1, "after its command timeout", lines{asked(0, 1, 0), answer(516, 1, "ABORT")}},
+		{"late", 1, "after its timeout", lines{asked(0, 1, 0), answer(516, 1, "ABORT")}},
 		{"never answered", 1, "no final answer", lines{asked(0, 1, 0)}},
-		{"host killed with it", 0, "", lines{asked(0, 1, 0), down(50, "killed"), unanswered(51, 1, "host")}},
-		{"host ends the connection", 1, "ended the connection", lines{asked(0, 1, 0), unanswered(51, 1, "host")}},
+		{"gateway killed with it", 0, "", lines{asked(0, 1, 0), down(50, "killed"), unanswered(51, 1, "host")}},
+		{"gateway ends the connection", 1, "ended the connection", lines{asked(0, 1, 0), unanswered(51, 1, "host")}},
 		{"client ends the connection", 0, "", lines{asked(0, 1, 0), unanswered(51, 1, "client")}},
-		{"stopping host drops what it took", 1, "ended the connection", lines{asked(0, 1, 0), down(50, "stopping"), unanswered(90, 1, "host")}},
-		{"asked after the host was told to stop", 0, "", lines{down(50, "stopping"), asked(60, 1, 0), unanswered(90, 1, "host")}},
+		{"stopping gateway drops what it received", 1, "ended the connection", lines{asked(0, 1, 0), down(50, "stopping"), unanswered(90, 1, "host")}},
+		{"sent after the gateway was asked to stop", 0, "", lines{down(50, "stopping"), asked(60, 1, 0), unanswered(90, 1, "host")}},
 		{"sent after its end", 1, "after its end", lines{asked(0, 1, 0), answer(20, 1, "BUSY"), reached(30, 1, 0, "a")}},
 		{"held back", 1, "held back", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(20, 1, 0, "a", "DONE"), answer(90, 1, "DONE")}},
 		{"answer lost in a reset", 0, "", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(20, 1, 0, "a", "DONE"),
 			{At: 22 * ms, What: pb.Seen_CUT, Brick: "a"}, answer(490, 1, "BUSY")}},
 
-		{"non-retryable again after full", 0, "", lines{asked(0, 1, 1), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
+		{"not idempotent, again after full", 0, "", lines{asked(0, 1, 1), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
 			reached(5, 1, 1, "a"), replied(9, 1, 1, "a", "DONE"), answer(10, 1, "DONE")}},
-		{"non-retryable again after an error", 2, "may have run", lines{asked(0, 1, 1), reached(1, 1, 0, "a"),
+		{"not idempotent, again after an error", 2, "may have run", lines{asked(0, 1, 1), reached(1, 1, 0, "a"),
 			replied(2, 1, 0, "a", "ABORT"), reached(5, 1, 1, "a"), answer(10, 1, "ABORT")}},
-		{"non-retryable busy-replied after a time-out", 2, "busy-replied", lines{asked(0, 1, 1), reached(1, 1, 0, "a"), answer(400, 1, "BUSY")}},
-		{"two out at once", 2, "out at once", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), reached(20, 1, 1, "b"), answer(40, 1, "BUSY")}},
+		{"not idempotent, rejected after a timeout", 2, "was rejected", lines{asked(0, 1, 1), reached(1, 1, 0, "a"), answer(400, 1, "BUSY")}},
+		{"two in flight at once", 2, "in flight at once", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), reached(20, 1, 1, "b"), answer(40, 1, "BUSY")}},
 		{"again after a cancel", 0, "", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), off(19, 1, 0, "a"), reached(20, 1, 1, "b"), answer(40, 1, "BUSY")}},
-		{"tagged again in its cell", 0, "", lines{asked(0, 1, 2), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "ABORT"),
+		{"with an idempotency key, again in its cell", 0, "", lines{asked(0, 1, 2), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "ABORT"),
 			reached(5, 1, 1, "a"), answer(10, 1, "ABORT")}},
-		{"tagged again in another cell", 2, "tag is not known", lines{asked(0, 1, 2), reached(1, 1, 0, "a"),
+		{"with an idempotency key, again in another cell", 2, "idempotency key is not known", lines{asked(0, 1, 2), reached(1, 1, 0, "a"),
 			replied(2, 1, 0, "a", "ABORT"), reached(5, 1, 1, "b"), answer(10, 1, "ABORT")}},
-		{"tagged again past its window", 2, "tag is not known", lines{asked(0, 1, 2), reached(1, 1, 0, "a"),
+		{"with an idempotency key, again past its window", 2, "idempotency key is not known", lines{asked(0, 1, 2), reached(1, 1, 0, "a"),
 			replied(2, 1, 0, "a", "ABORT"), reached(310, 1, 1, "a"), answer(320, 1, "ABORT")}},
 
-		{"to a draining brick within the grace", 0, "", lines{listed(0, "a", "draining", 9000), asked(50, 1, 0), reached(99, 1, 0, "a"), answer(110, 1, "BUSY")}},
-		{"to a draining brick after it", 3, "after host 0 was told", lines{listed(0, "a", "draining", 9000), asked(50, 1, 0), reached(120, 1, 0, "a"), answer(130, 1, "BUSY")}},
-		{"listed again from its old start", 3, "after host 0 was told", lines{listed(0, "a", "gone", 9000), listed(1, "a", "serving", 9001),
+		{"to a draining endpoint within the grace", 0, "", lines{listed(0, "a", "draining", 9000), asked(50, 1, 0), reached(99, 1, 0, "a"), answer(110, 1, "BUSY")}},
+		{"to a draining endpoint after it", 3, "after gateway 0 was notified", lines{listed(0, "a", "draining", 9000), asked(50, 1, 0), reached(120, 1, 0, "a"), answer(130, 1, "BUSY")}},
+		{"listed again with its old start", 3, "after gateway 0 was notified", lines{listed(0, "a", "gone", 9000), listed(1, "a", "serving", 9001),
 			asked(50, 1, 0), reached(120, 1, 0, "a"), answer(130, 1, "BUSY")}},
-		{"come back anew", 0, "", lines{listed(0, "a", "gone", 9000), listed(90, "a", "serving", 10), asked(100, 1, 0),
+		{"back with a later start", 0, "", lines{listed(0, "a", "gone", 9000), listed(90, "a", "serving", 10), asked(100, 1, 0),
 			reached(120, 1, 0, "a"), answer(130, 1, "BUSY")}},
 
-		{"cold brick sent little", 0, "", append(lines{up(0, "a"), listed(1, "a", "serving", 1)}, many(2, func(i int) lines {
+		{"warming endpoint sent little", 0, "", append(lines{up(0, "a"), listed(1, "a", "serving", 1)}, many(2, func(i int) lines {
 			at, id := one(i)
 			return lines{asked(10+at, id, 0), reached(11+at, id, 0, "a"), answer(20+at, id, "BUSY")}
 		})...)},
-		{"cold brick sent too much", 4, "was sent", append(lines{up(0, "a"), listed(1, "a", "serving", 1)}, many(4, func(i int) lines {
+		{"warming endpoint sent too much", 4, "was sent", append(lines{up(0, "a"), listed(1, "a", "serving", 1)}, many(4, func(i int) lines {
 			at, id := one(i)
 			return lines{asked(10+at, id, 0), reached(11+at, id, 0, "a"), answer(20+at, id, "BUSY")}
 		})...)},
-		{"cold brick that nobody was told of", 0, "", append(lines{up(0, "a")}, many(4, func(i int) lines {
+		{"warming endpoint that nobody was notified of", 0, "", append(lines{up(0, "a")}, many(4, func(i int) lines {
 			at, id := one(i)
 			return lines{asked(10+at, id, 0), reached(11+at, id, 0, "a"), answer(20+at, id, "BUSY")}
 		})...)},
@@ -126,12 +126,12 @@
 		{"key that rested", 0, "", lines{asked(0, 1, 3), asked(1, 2, 3), reached(2, 1, 0, "a"), off(100, 1, 0, "a"), answer(100, 1, "BUSY"),
 			reached(310, 2, 0, "a"), replied(320, 2, 0, "a", "DONE"), answer(321, 2, "DONE")}},
 
-		{"further dispatches within the budget", 0, "", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
+		{"retries within the budget", 0, "", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
 			reached(5, 1, 1, "a"), replied(9, 1, 1, "a", "DONE"), answer(10, 1, "DONE")}},
-		{"further dispatches past it", 6, "further dispatches within", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
+		{"retries past it", 6, "retries within", lines{asked(0, 1, 0), reached(1, 1, 0, "a"), replied(2, 1, 0, "a", "BUSY"),
 			reached(5, 1, 1, "a"), replied(6, 1, 1, "a", "BUSY"), reached(8, 1, 2, "a"), replied(9, 1, 2, "a", "DONE"), answer(10, 1, "DONE")}},
 
-		{"limit's store used up to its slack", 0, "", many(3, func(i int) lines {
+		{"limit's bucket used up to its slack", 0, "", many(3, func(i int) lines {
 			at, id := one(i)
 			return lines{capped(asked(at, id, 0)), reached(at, id, 0, "b"), answer(20+at, id, "BUSY")}
 		})},
@@ -142,12 +142,12 @@
 	} {
 		v := Judge(header(), c.seen)
 		for rule := 1; rule < len(Rules); rule++ {
-			if (v.Breaches[rule] > 0) != (rule == c.broken) {
-				t.Errorf("%s: rule %d broken %d times, wanted rule %d alone: %+v", c.name, rule, v.Breaches[rule], c.broken, v.First[rule])
+			if (v.Violations[rule] > 0) != (rule == c.broken) {
+				t.Errorf("%s: rule %d broken %d times, wanted rule %d alone: %+v", c.name, rule, v.Violations[rule], c.broken, v.First[rule])
 			}
 		}
-		if b := v.First[c.broken]; c.broken > 0 && b != nil && (!strings.Contains(b.What, c.says) || len(b.Trace) == 0) {
-			t.Errorf("%s: %q with %d lines, wanted %q", c.name, b.What, len(b.Trace), c.says)
+		if b := v.First[c.broken]; c.broken > 0 && b != nil && (!strings.Contains(b.Description, c.says) || len(b.Trace) == 0) {
+			t.Errorf("%s: %q with %d lines, wanted %q", c.name, b.Description, len(b.Trace), c.says)
 		}
 	}
 }
@@ -157,8 +157,8 @@
 	again.First = 1
 	v := Judge(header(), lines{asked(0, 1, 0), answer(10, 1, "BUSY"), again, reached(31, 2, 0, "a"),
 		replied(120, 2, 0, "a", "DONE"), answer(121, 2, "DONE")})
-	w := v.Whole()
-	if w.Wants != 1 || w.InTime != 0 || w.Part() != 0.5 { // 91 ms after the repeat, 121 ms after the first try
-		t.Errorf("got %+v, part %v", w, w.Part())
+	w := v.Total()
+	if w.Requests != 1 || w.InTime != 0 || w.Share() != 0.5 { // 91 ms after the repeat, 121 ms after the first try
+		t.Errorf("got %+v, part %v", w, w.Share())
 	}
 }
--- /dev/null
+++ b/internal/audit/draining.go
@@ -0,0 +1,40 @@
+package audit
+
+import (
+	"time"
+
+	"weirhaven/internal/settings"
+)
+
+// Rule 3: nothing reaches an endpoint later than the drain grace after the gateway was notified that it drains or is removed, until
+// it is notified of a later start.
+
+func (a *auditor) judgeDraining() {
+	grace := settings.Duration(a.header.Fleet.DrainGrace, 0)
+	for _, r := range a.requests {
+		for _, t := range r.attempts {
+			now := at(t.reached)
+			drained := a.drainedBy(r.gateway, t.reached.Brick, now)
+			if drained != nil && now > drained.at+grace+a.blur {
+				a.violation(ruleDraining, now, r.trace, "request %d reached %s %v after gateway %d was notified that it drains or is removed",
+					r.sent.Command, t.reached.Brick, now-drained.at, r.gateway.number)
+			}
+		}
+	}
+}
+
+// drainedBy is the notification by which an endpoint drains for a gateway at a moment; nil: it doesn't.
+func (a *auditor) drainedBy(g gateway, endpoint string, now time.Duration) (drained *listing) {
+	listings := a.listings[g][endpoint]
+	for i := range listings {
+		l := &listings[i]
+		switch {
+		case l.at > now:
+		case l.serving && (drained == nil || !l.startKnown || l.startedAt > drained.startedAt+a.blur):
+			drained = nil
+		case !l.serving && drained == nil:
+			drained = l
+		}
+	}
+	return drained
+}
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -226,9 +226,9 @@
 	}
 	if c.Seeds > 1 {
 		for _, a := range arms {
-			w := a.Verdict.Whole()
-			fmt.Printf("seed %d  %-10s service %.3f  late %d  rules broken %v  kept %v %v\n", seed, a.Name, w.Part(), a.Verdict.Sums.Late,
-				a.Verdict.Breaches[1:], a.Kept, a.Exits)
+			w := a.Verdict.Total()
+			fmt.Printf("seed %d  %-10s service %.3f  late %d  rules broken %v  kept %v %v\n", seed, a.Name, w.Share(), a.Verdict.Totals.Late,
+				a.Verdict.Violations[1:], a.Kept, a.Exits)
 		}
 		if !arms[0].Kept {
 			breaches(os.Stdout, arms[0].Verdict)
@@ -254,7 +254,7 @@
 			fmt.Printf("%s: objects: %v\n", a.Name, o)
 		}
 		if a.Name == armWithoutControllerFaults {
-			fmt.Printf("service: %.3f of that without faults of the controller\n", arms[0].Verdict.Whole().Part()/a.Verdict.Whole().Part())
+			fmt.Printf("service: %.3f of that without faults of the controller\n", arms[0].Verdict.Total().Share()/a.Verdict.Total().Share())
 		}
 	}
 	breaches(os.Stdout, arms[0].Verdict)
--- a/internal/cli/scenarioages.go
+++ b/internal/cli/scenarioages.go
@@ -16,6 +16,9 @@
 	"weirhaven/internal/scenario"
 )
 
+// startupSpan is how much of a day counts as its start.
+const startupSpan = 10 * time.Second
+
 // byAge plays one seed with discovery up, then without it from saved lists of each age.
 func (c *scenarioRun) byAge(ctx context.Context, d *pb.Drill, logs io.Writer) error {
 	if d.List == nil {
@@ -38,16 +41,16 @@
 		if err != nil {
 			return err
 		}
-		first, part, press := audit.Opening(r.Header, r.Seen, 10*time.Second)
+		startup := audit.JudgeStartup(r.Header, r.Seen, startupSpan)
 		rules := "kept"
 		if !r.Verdict.Kept() || len(r.Exits) > 0 {
-			rules, broken = fmt.Sprint("BROKEN ", r.Verdict.Breaches[1:], r.Exits), broken+1
+			rules, broken = fmt.Sprint("BROKEN ", r.Verdict.Violations[1:], r.Exits), broken+1
 		}
 		if i < 0 {
-			up = part
+			up = startup.Share
 		}
-		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%d\t%.2f of what is allowed\t%s\t\n", name, first.Round(time.Millisecond), part, part/max(up, 1e-9),
-			r.Verdict.Breaches[3], press, rules)
+		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%d\t%.2f of what is allowed\t%s\t\n", name, startup.FirstServed.Round(time.Millisecond), startup.Share,
+			startup.Share/max(up, 1e-9), r.Verdict.Violations[3], startup.Pressure, rules)
 	}
 	_ = w.Flush()
 	if broken > 0 {
--- a/internal/cli/verdict.go
+++ b/internal/cli/verdict.go
@@ -55,24 +55,24 @@
 		fmt.Fprint(w, n, "\t")
 	}
 	fmt.Fprintln(w)
-	count := func(name string, f func(s audit.Sums) int) {
-		row(name, func(v *audit.Verdict) string { return fmt.Sprint(f(v.Sums)) })
+	count := func(name string, f func(s audit.Totals) int) {
+		row(name, func(v *audit.Verdict) string { return fmt.Sprint(f(v.Totals)) })
 	}
-	count("requests received", func(s audit.Sums) int { return s.Taken })
-	count("served", func(s audit.Sums) int { return s.Completed })
-	count("rejected", func(s audit.Sums) int { return s.BusyReplied })
-	count("failed", func(s audit.Sums) int { return s.Aborted })
-	count("late", func(s audit.Sums) int { return s.Late })
-	count("client or gateway gone", func(s audit.Sums) int { return s.Unanswered })
-	count("not sent: no gateway", func(s audit.Sums) int { return s.Unreached })
-	count("attempts", func(s audit.Sums) int { return s.Dispatches })
-	count("retries", func(s audit.Sums) int { return s.Further })
-	row("service", func(v *audit.Verdict) string { return fmt.Sprintf("%.3f", v.Whole().Part()) })
+	count("requests received", func(s audit.Totals) int { return s.Received })
+	count("served", func(s audit.Totals) int { return s.Served })
+	count("rejected", func(s audit.Totals) int { return s.Rejected })
+	count("failed", func(s audit.Totals) int { return s.Failed })
+	count("late", func(s audit.Totals) int { return s.Late })
+	count("client or gateway gone", func(s audit.Totals) int { return s.Unanswered })
+	count("not sent: no gateway", func(s audit.Totals) int { return s.NotReceived })
+	count("attempts", func(s audit.Totals) int { return s.Attempts })
+	count("retries", func(s audit.Totals) int { return s.Retries })
+	row("service", func(v *audit.Verdict) string { return fmt.Sprintf("%.3f", v.Total().Share()) })
 	for _, s := range vs[0].Service {
-		row("  "+s.Plan+" "+s.QueueType, func(v *audit.Verdict) string {
+		row("  "+s.Plan+" "+s.Class, func(v *audit.Verdict) string {
 			for _, x := range v.Service {
-				if x.Plan == s.Plan && x.QueueType == s.QueueType {
-					return fmt.Sprintf("%.3f", x.Part())
+				if x.Plan == s.Plan && x.Class == s.Class {
+					return fmt.Sprintf("%.3f", x.Share())
 				}
 			}
 			return "-"
@@ -80,10 +80,10 @@
 	}
 	for n := 1; n < len(audit.Rules); n++ {
 		row(fmt.Sprintf("rule %d, %s", n, audit.Rules[n]), func(v *audit.Verdict) string {
-			if v.Breaches[n] == 0 {
+			if v.Violations[n] == 0 {
 				return "kept"
 			}
-			return fmt.Sprintf("BROKEN %d times", v.Breaches[n])
+			return fmt.Sprintf("BROKEN %d times", v.Violations[n])
 		})
 	}
 	_ = w.Flush()
@@ -94,7 +94,7 @@
 		if b == nil {
 			continue
 		}
-		fmt.Fprintf(out, "\nrule %d first broken at %v: %s\n", b.Rule, b.At.Round(time.Microsecond), b.What)
+		fmt.Fprintf(out, "\nrule %d first broken at %v: %s\n", b.Rule, b.At.Round(time.Microsecond), b.Description)
 		for _, l := range b.Trace {
 			fmt.Fprintln(out, " ", l)
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -140,7 +140,7 @@
 	t.Helper()
 	for _, b := range r.Verdict.First {
 		if b != nil {
-			t.Errorf("rule %d (%s) broken %d times; first: %s\n%s", b.Rule, audit.Rules[b.Rule], r.Verdict.Breaches[b.Rule], b.What,
+			t.Errorf("rule %d (%s) broken %d times; first: %s\n%s", b.Rule, audit.Rules[b.Rule], r.Verdict.Violations[b.Rule], b.Description,
 				strings.Join(b.Trace, "\n"))
 		}
 	}
@@ -161,7 +161,7 @@
 		trouble { kind: FAST_ERRORS at: "2s" length: "1s" size: 0.5 part: 0.4 }
 		trouble { kind: HOST_ROLL at: "2200ms" length: "1500ms" part: 0.34 back: "100ms" }`), options(1, 0))
 	complain(t, r)
-	if s := r.Verdict.Sums; s.Completed < 300 || s.BusyReplied == 0 || s.Further == 0 {
+	if s := r.Verdict.Totals; s.Served < 300 || s.Rejected == 0 || s.Retries == 0 {
 		t.Errorf("the day did not happen: %+v", s)
 	}
 }
@@ -188,7 +188,7 @@
 			d.Length, d.List.SavedAge, d.Trouble = "2500ms", age, d.Trouble[:0]
 			r := play(t, d, options(3, 0))
 			complain(t, r)
-			if s := r.Verdict.Sums; s.Completed < 300 {
+			if s := r.Verdict.Totals; s.Served < 300 {
 				t.Errorf("hardly any service: %+v", s)
 			}
 		})
@@ -214,7 +214,7 @@
 	d.Length, d.Trouble = "8s", extra.Trouble
 	r := play(t, d, Options{Seed: 2, Host: []string{os.Args[0], "edge"}, Planner: []string{os.Args[0], "planner"}})
 	complain(t, r)
-	if s := r.Verdict.Whole().Part(); s < 0.85 || r.Planner.Kills < 5 || r.Planner.Old != 2 || r.Planner.Stalls != 1 {
+	if s := r.Verdict.Total().Share(); s < 0.85 || r.Planner.Kills < 5 || r.Planner.Old != 2 || r.Planner.Stalls != 1 {
 		t.Errorf("service %.3f, %+v", s, r.Planner)
 	}
 }
@@ -261,8 +261,8 @@
 		trouble { kind: LIST_FLAPS at: "300ms" length: "2500ms" }
 		trouble { kind: PREEMPT at: "1s" length: "500ms" on: 0 back: "200ms" }`), options(4, 0))
 	complain(t, r)
-	if w := r.Verdict.Whole(); w.Part() < 0.6 {
-		t.Errorf("the service fell to %.3f", w.Part())
+	if w := r.Verdict.Total(); w.Share() < 0.6 {
+		t.Errorf("the service fell to %.3f", w.Share())
 	}
 }
 
@@ -290,8 +290,8 @@
 				d.Load.Mix, d.Load.Objects, d.Load.NewObjects = []float64{0.3, 0, 0, 0.7}, 2, 0
 			}
 			r := play(t, d, options(int64(rule), rule))
-			if r.Verdict.Breaches[rule] == 0 {
-				t.Errorf("not caught; %+v, breaches %v", r.Verdict.Sums, r.Verdict.Breaches)
+			if r.Verdict.Violations[rule] == 0 {
+				t.Errorf("not caught; %+v, breaches %v", r.Verdict.Totals, r.Verdict.Violations)
 			}
 		})
 	}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -27,7 +27,7 @@
 	verdict := audit.Judge(rules, seen)
 	for rule, breach := range verdict.First {
 		if breach != nil {
-			detail := fmt.Sprintf("%s, %d times; first: %s", audit.Rules[rule], verdict.Breaches[rule], breach.What)
+			detail := fmt.Sprintf("%s, %d times; first: %s", audit.Rules[rule], verdict.Violations[rule], breach.Description)
 			for _, line := range breach.Trace {
 				detail += "\n    " + line
 			}
@@ -38,7 +38,7 @@
 	for _, p := range r.processes {
 		r.violations = append(r.violations, p.counters()...)
 	}
-	return &Report{Seed: r.options.Seed, Processes: len(r.processes), Requests: verdict.Sums.Asked, Completed: verdict.Sums.Completed, Troubles: r.troubles.played,
+	return &Report{Seed: r.options.Seed, Processes: len(r.processes), Requests: verdict.Totals.Sent, Completed: verdict.Totals.Served, Troubles: r.troubles.played,
 		Overlapping: r.troubles.overlapping, Violations: r.violations}
 }
 
