--- a/internal/engine/attempts_test.go
+++ b/internal/engine/attempts_test.go
@@ -36,7 +36,7 @@
 	//     0 ms  x.0 goes to a, 1s left
 	//     0 ms  x failed, may have run true
 	//   100 ms  y.0 goes to a, 1s left
-	//   100 ms  log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+	//   100 ms  log: endpoint a: first failure: connect-failed after 0s, 0 in flight
 	//  1062 ms  y rejected, may have run false
 }
 
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -36,14 +36,14 @@
 	list(gone, noStart)
 	// Output:
 	// 20000 ms  log: endpoint a: slow start, started 2s ago, warm within 10s
-	// 20300 ms  log: endpoint a: draining or removed, 0 in flight
+	// 20300 ms  log: endpoint a: draining, 0 in flight
 	// 20300 ms  log: barred a: draining, told by itself
 	// 20412 ms  x rejected, may have run false
 	// 20600 ms  log: endpoint a: slow start, started 0s ago, warm within 10s
 	// 20600 ms  log: trusted a: told by list
 	// 20600 ms  y.0 goes to a, 1s left
 	// 20600 ms  y served, may have run false
-	// 20600 ms  log: endpoint a: draining or removed, 0 in flight
+	// 20600 ms  log: endpoint a: removed, 0 in flight
 	// 20600 ms  log: barred a: gone, told by list
 	// 20600 ms  close the connection to a
 }
--- a/internal/simulatorwire/simulatorwire_test.go
+++ b/internal/simulatorwire/simulatorwire_test.go
@@ -47,11 +47,11 @@
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":1000000,"cookie":"1"},{"kind":"remind","after_us":12500,"cookie":"2"}]}]}
 	// {"parts":[{"host_id":1,"do":[{"kind":"debug","line":"endpoint b: slow start, started 500µs ago, warm within 10s"}]}]}
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":196000,"cookie":"3"},{"kind":"remind","after_us":996000,"cookie":"4"},{"kind":"relay","rid":11,"brick":"a","give_up_after_us":0}]}]}
-	// {"parts":[{"host_id":1,"do":[{"kind":"debug","line":"endpoint a: rejects, resets or can't be reached, after 1ms, 0 in flight"}]}]}
+	// {"parts":[{"host_id":1,"do":[{"kind":"debug","line":"endpoint a: first failure: rejected after 1ms, 0 in flight"}]}]}
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":196000,"cookie":"5"},{"kind":"remind","after_us":996000,"cookie":"6"},{"kind":"relay","rid":12,"brick":"b","give_up_after_us":0}]}]}
 	// {"parts":[]}
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":12500,"cookie":"7"}]}]}
-	// {"parts":[{"host_id":1,"do":[{"kind":"debug","line":"endpoint a: draining or removed, 0 in flight"}]}]}
+	// {"parts":[{"host_id":1,"do":[{"kind":"debug","line":"endpoint a: draining, 0 in flight"}]}]}
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":1000000,"cookie":"1"},{"kind":"remind","after_us":12500,"cookie":"2"}]}]}
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,8 +8,8 @@
 // Load shedding: a request that can't be answered in time is given up early, while its client still has time to ask again. It is
 // rejected, with Retry-After, where that promises nothing untrue, and fails otherwise.
 
-// scheduleGiveUp sets the two timers of a request. What was not sent when its latency objective passes, or by half of its time, is
-// given up then: it frees the connection that a waiting request holds, and the client has time to ask again. The deadline's timer
+// scheduleGiveUp sets the two timers of a request. One without an attempt when its latency objective passes, or by half of its time,
+// is given up then: it frees the connection that a waiting request holds, and the client has time to ask again. The deadline's timer
 // is set at once, so that it can't be missed.
 func (s *Scheduler) scheduleGiveUp(r *Request, now time.Duration) {
 	objective := max(r.latencyObjectiveAt-now, s.congestionThreshold)
@@ -27,7 +27,7 @@
 
 // giveUp ends a request without the answer that it asked for.
 func (s *Scheduler) giveUp(r *Request) {
-	s.rememberAbandoned(r)
+	s.rememberGivenUp(r)
 	canReject := r.canReject()
 	s.finish(r)
 	if canReject {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -17,7 +17,7 @@
 	ended           bool
 	mayHaveRun      bool // at the endpoint, or may yet
 	served          bool
-	presumedLost    bool // its answer: a quick health check, or a later attempt that was answered, showed it
+	presumedLost    bool // its answer, as a later attempt that was answered, or a quick health check, showed
 	canceledAsLost  bool
 }
 
@@ -43,8 +43,32 @@
 	NotSent
 )
 
-// mayHaveRun tells whether the request may have had its effect, or may yet.
-func (o Outcome) mayHaveRun() bool {
+// String names an outcome in logs and metrics.
+func (o Outcome) String() string {
+	switch o {
+	case Served:
+		return "served"
+	case ErrorResponse:
+		return "error-response"
+	case Rejected:
+		return "rejected"
+	case TimedOut:
+		return "timed-out"
+	case ConnectFailed:
+		return "connect-failed"
+	case ConnectionReset:
+		return "connection-reset"
+	case Canceled:
+		return "canceled"
+	case NotSent:
+		return "not-sent"
+	default:
+		return "unknown"
+	}
+}
+
+// MayHaveRun tells whether the request may have had its effect, or may yet.
+func (o Outcome) MayHaveRun() bool {
 	switch o {
 	case Served, ErrorResponse, TimedOut, ConnectionReset, Canceled:
 		return true
@@ -64,7 +88,7 @@
 // LoadReport is what an answer says of a volume's use through all gateways; zero values: nothing reported.
 type LoadReport struct {
 	ServedElsewhere float64 // units served for other gateways since the endpoint's last report to this one
-	Utilization     float64 // 1 + percent of the plan's nominal rate
+	Utilization     float64 // 1 + percent of the plan's nominal rate, so that 0 means not reported
 }
 
 // AttemptEnded takes an attempt's outcome: it is accounted, fed into latency, pace and outlier detection, and the request goes on.
@@ -86,7 +110,7 @@
 func (s *Scheduler) account(attempt *Attempt, outcome Outcome, now time.Duration) {
 	r, e := attempt.Request, attempt.Endpoint
 	attempt.ended = true
-	attempt.mayHaveRun = outcome.mayHaveRun()
+	attempt.mayHaveRun = outcome.MayHaveRun()
 	attempt.served = outcome == Served
 	e.attempts = without(e.attempts, attempt)
 	e.inFlight--
@@ -97,7 +121,7 @@
 // observe feeds an outcome into what is known of the endpoint. Only work done feeds latency: failures that come fast would widen
 // the limit of an endpoint that breaks down.
 func (s *Scheduler) observe(attempt *Attempt, result AttemptResult, now time.Duration) {
-	if attempt.presumedLost && !s.gossips { // the later attempt that showed the loss has fed them already
+	if attempt.presumedLost && !s.sharedHealthChecks { // the later attempt that showed the loss has fed them already
 		if attempt.served {
 			attempt.Request.Volume.served += attempt.Request.units
 		}
@@ -130,7 +154,7 @@
 	s.updatePace(attempt, duration-r.ownWork(), now)
 	e.smoothLatency(duration)
 	r.Volume.served += r.units
-	if !s.gossips && duration <= quickAnswer*s.congestionThreshold {
+	if !s.sharedHealthChecks && duration <= quickAnswer*s.congestionThreshold {
 		s.presumeLost(e, attempt.sentAt, now)
 	}
 	r.class.costPerUnit += costGain * (duration.Seconds()/r.units - r.class.costPerUnit)
@@ -145,7 +169,7 @@
 		e.consecutiveFailures++
 		s.checkHealth(e, now)
 	}
-	if !s.gossips {
+	if !s.sharedHealthChecks {
 		s.updatePace(attempt, 2*duration, now)
 	}
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -1,9 +1,7 @@
 package policy
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 )
 
@@ -77,15 +75,16 @@
 	e.limitReached = e.inFlight >= e.limit
 }
 
-// sampleInFlight takes the age of attempts in flight for long as latency samples, and looks after those that are overdue.
+// sampleInFlight takes the age of attempts in flight for long as latency samples. Overdue ones lead to a health check where
+// gateways share them, and open the send interval elsewhere.
 func (s *Scheduler) sampleInFlight(e *Endpoint, now time.Duration) {
 	for _, attempt := range e.attempts {
 		age := now - attempt.sentAt
-		if age <= s.congestionThreshold || attempt.presumedLost && !s.gossips {
+		if age <= s.congestionThreshold || attempt.presumedLost && !s.sharedHealthChecks {
 			continue
 		}
 		e.addLatencySample(age)
-		if !s.gossips {
+		if !s.sharedHealthChecks {
 			s.updatePace(attempt, age, now)
 		} else if s.overdue(attempt, now) {
 			s.checkHealth(e, now)
@@ -94,7 +93,8 @@
 }
 
 // splitLimit sets this gateway's share of an endpoint's limit by the paper's divvy: each volume's claim lies between its
-// reservation and its demand, by weight; the share is what this gateway's demand gets of all.
+// reservation and its demand, by weight; the share is what this gateway's demand gets of all. It is an equal part at least: a
+// gateway whose demand has just begun has measured none yet. The shares' sum may be above 1 meanwhile.
 func (s *Scheduler) splitLimit(e *Endpoint) {
 	queues := s.shardOf(e.shard).queues
 	claims := make([]claim, len(queues))
@@ -117,52 +117,3 @@
 func limitOf(fleetLimit, share float64) int {
 	return int(math.Min(math.Max(math.Round(fleetLimit*share), 1), maxLimit))
 }
-
-// serveQueue offers a queue's requests to the endpoints with a free place, the one that is expected to answer soonest first.
-func (s *Scheduler) serveQueue(queue *volumeQueue) {
-	free := slices.Clone(s.endpointsOf(queue.shard))
-	for len(queue.waiting) > 0 {
-		free = slices.DeleteFunc(free, func(e *Endpoint) bool { return s.freePlaces(e) <= 0 })
-		if len(free) == 0 {
-			return
-		}
-		soonest := slices.MinFunc(free, func(a, b *Endpoint) int { return cmp.Compare(a.expectedLatency(), b.expectedLatency()) })
-		if !s.sendNext(soonest) { // held back by pace or slow start: another one may do
-			free = without(free, soonest)
-		}
-	}
-}
-
-// fillEndpoint sends requests to an endpoint while it has free places and takes them.
-func (s *Scheduler) fillEndpoint(e *Endpoint) {
-	for s.freePlaces(e) > 0 {
-		if !s.sendNext(e) {
-			return
-		}
-	}
-}
-
-// expectedLatency is when one more request would be answered, from now.
-func (e *Endpoint) expectedLatency() time.Duration {
-	return e.smoothedLatency * time.Duration(e.inFlight+1)
-}
-
-// freePlaces is how many more attempts an endpoint may have in flight from this gateway.
-func (s *Scheduler) freePlaces(e *Endpoint) int {
-	now := s.runtime.Now()
-	if !e.accepting || now < e.ejectedUntil {
-		return 0
-	}
-	free := e.limit - e.inFlight
-	allOverdue := true
-	for _, attempt := range e.attempts {
-		if attempt.presumedLost && !s.gossips {
-			free++
-		}
-		allOverdue = allOverdue && s.overdue(attempt, now)
-	}
-	if s.settings.CanCancel && !s.gossips && allOverdue {
-		return max(free, 1) // without health checks one more request shows whether what is in flight was lost
-	}
-	return free
-}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -18,11 +18,12 @@
 // # A request's way
 //
 //  1. request.go: it is queued by volume and shard. Two timers bound how long it may stay without an answer (admission.go).
-//  2. concurrency.go: an endpoint with a free place, the one that is expected to answer soonest first, takes the next request.
+//  2. selection.go: an endpoint with a free place, the one that is expected to answer soonest first, takes the next request.
+//     concurrency.go sets how many places it has; ejection.go and a drain (endpoints.go) take them all.
 //  3. fairqueue.go: the next request is the most urgent one; among equals reservations that are due go first, then the lowest
 //     weight tag. ratelimit.go, slowstart.go and pacing.go hold back what would exceed a volume's limit, a warming endpoint's
 //     budget or an endpoint's pace; idempotency.go, ordering.go and retry.go hold back attempts that could have a wrong effect.
-//  4. attempt.go: the outcome feeds latency, pace and outlier detection; then the request is answered, retried or ended.
+//  4. attempt.go: the outcome feeds latency, pace and outlier detection (outlier.go); then the request is answered, retried or ended.
 //  5. admission.go: what can't be answered in time is shed: rejected with Retry-After where that promises nothing untrue, else failed.
 //
 // The ordinary path follows "Demand Based Hierarchical QoS Using Storage Resource Pools": demand by Little's law (demand.go), the
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,8 +6,8 @@
 )
 
 // The endpoint list: which endpoints there are, which accept attempts and when they started. Draining has no exception: nothing
-// begins at an endpoint that is listed as draining or removed. A removed endpoint is forgotten once nothing is in flight there,
-// since replacements have new names and a long run would keep them all.
+// is sent to an endpoint that is listed as draining or removed. A removed endpoint is forgotten at the first list after nothing
+// is in flight there, since replacements have new names and a long run would keep them all.
 
 // Endpoint is one storage endpoint. Name is set by the gateway; the rest belongs to the scheduler.
 type Endpoint struct {
@@ -34,7 +34,7 @@
 // EndpointUpdate is one entry of the endpoint list.
 type EndpointUpdate struct {
 	Zone      string
-	Shard     int           // of the data that the endpoint holds
+	Shard     int           // of the data that the endpoint holds; taken when it is new, a change is ignored until it is removed
 	Serving   bool          // false: draining or removed
 	Removed   bool          // no longer part of the fleet
 	StartedAt time.Duration // on the runtime's clock; 0: not known, long ago
@@ -58,11 +58,19 @@
 	}
 	s.takeStart(e, update.StartedAt)
 	if e.accepting && !update.Serving {
-		s.log("endpoint %s: draining or removed, %d in flight", e.Name, e.inFlight)
+		s.logStopped(e, update.Removed)
 	}
 	e.zone, e.listed, e.accepting = update.Zone, !update.Removed, update.Serving
 }
 
+func (s *Scheduler) logStopped(e *Endpoint, removed bool) {
+	state := "draining"
+	if removed {
+		state = "removed"
+	}
+	s.log("endpoint %s: %s, %d in flight", e.Name, state, e.inFlight)
+}
+
 // EndEndpointList closes a list: what it removed stops, and free places are filled.
 func (s *Scheduler) EndEndpointList() {
 	for _, e := range slices.Clone(s.endpoints) {
@@ -106,8 +114,8 @@
 	at.endpoints = without(at.endpoints, e)
 }
 
-// takeStart notes when an endpoint started. A later start begins a new life: what was held against the old one is dropped. An
-// earlier one puts right a start that was taken for a fresh one until more was known.
+// takeStart notes when an endpoint started. A later start begins a new life: failures, ejection and send interval of the old one are
+// dropped; its limit and latency stay, as the best guess there is. An earlier one puts right a start that was taken for a fresh one until more was known.
 func (s *Scheduler) takeStart(e *Endpoint, startedAt time.Duration) {
 	switch {
 	case startedAt > e.startedAt:
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -43,47 +43,6 @@
 	return c.tag < other.tag
 }
 
-// sendNext sends the next request to an endpoint with a free place; it tells whether there was one.
-func (s *Scheduler) sendNext(e *Endpoint) bool {
-	now := s.runtime.Now()
-	next, ok := s.nextFor(e, now)
-	if !ok {
-		return false
-	}
-	r := next.request
-	r.charge()
-	r.advanceTags(e, next.due, now)
-	if len(r.attempts) > 0 {
-		s.retryBudget.retrySent(now)
-	}
-	s.dequeue(r)
-	s.send(r, e, now)
-	return true
-}
-
-// send begins an attempt.
-func (s *Scheduler) send(r *Request, e *Endpoint, now time.Duration) {
-	attempt := &Attempt{
-		Request:         r,
-		Endpoint:        e,
-		Number:          len(r.attempts),
-		StartBy:         r.startBy(),
-		sentAt:          now,
-		minSendInterval: s.openingInterval(e),
-		mayHaveRun:      true,
-	}
-	r.attempts = append(r.attempts, attempt)
-	r.inFlight++
-	e.inFlight++
-	e.attempts = append(e.attempts, attempt)
-	if s.slowStart.warming(e, now) {
-		e.slowStartAttempts = append(e.slowStartAttempts, attempt)
-	}
-	s.runtime.Send(attempt)
-	e.noteSent(now)
-	e.limitReached = e.limitReached || e.inFlight >= e.limit
-}
-
 // advanceTags moves the tags by which a request was chosen. A reservation that was not used for over a demand period is not made
 // up for, and a weight tag never lies behind the endpoint's virtual time.
 func (r *Request) advanceTags(e *Endpoint, due bool, now time.Duration) {
@@ -133,8 +92,8 @@
 	return c, true
 }
 
-// firstOf is the request of a queue that goes first to an endpoint: the most urgent one, of these the one worth most for its cost,
-// of these the one that came last. Requests that an allowance, idempotency, order or the retry budget hold back are passed over.
+// firstOf is the request of a queue that goes first to an endpoint: the most urgent one, of these the one whose units are worth most
+// for the time that they take, of these the one that came last, which has the most time left. Requests that an allowance, idempotency, order or the retry budget hold back are passed over.
 func (s *Scheduler) firstOf(queue *volumeQueue, e *Endpoint, now time.Duration, allowance float64) (best *Request, bestUrgency urgency) {
 	bestValue, volumeAllowance := 0.0, queue.volume.allowance(now)
 	for _, r := range queue.waiting {
@@ -150,7 +109,7 @@
 	return best, bestUrgency
 }
 
-// rank is what an answer of this endpoint would be worth for its cost, and how urgent the request is.
+// rank is what a unit of the request is worth for the time that units of its class take, and how urgent the request is.
 func (s *Scheduler) rank(r *Request, e *Endpoint, now time.Duration) (value float64, u urgency) {
 	value = r.class.PriorityWeight / r.class.costPerUnit
 	switch {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -25,7 +25,7 @@
 		}
 		switch kind {
 		case gossipRecovered:
-			s.recover(e, now)
+			s.endEjection(e, now)
 		case gossipEjected:
 			s.eject(e, now)
 			e.checkedByThisGateway = e.checkedByThisGateway && sender > s.settings.Ordinal
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -10,7 +10,7 @@
 
 // checkHealth sends a health check, unless one is in flight.
 func (s *Scheduler) checkHealth(e *Endpoint, now time.Duration) {
-	if s.gossips && !e.checkInFlight && e.accepting {
+	if s.sharedHealthChecks && !e.checkInFlight && e.accepting {
 		e.checkInFlight = true
 		e.checkSentAt = now
 		s.runtime.CheckHealth(e)
@@ -28,10 +28,10 @@
 		e.consecutiveFailures = 0
 		if e.checkedByThisGateway {
 			s.sendGossip(gossipRecovered, e)
-			s.recover(e, now)
+			s.endEjection(e, now)
 		}
 		s.presumeLost(e, e.checkSentAt, now)
 	case e.checkedByThisGateway, late && now >= e.ejectedUntil:
-		s.ejectForAll(e, now)
+		s.ejectForAll(e, lateHealthCheck, now)
 	}
 }
--- a/policy/lostanswer.go
+++ b/policy/lostanswer.go
@@ -7,8 +7,8 @@
 
 // Lost answers: a connection that fell silent leaves an attempt in flight until its deadline. When an endpoint answers a later
 // request or a health check quickly, an attempt that is overdue there is presumed lost: it holds no place any more, and it is
-// canceled so that its request can be retried. Where no health check showed it, only once half of its request's time has passed,
-// since an endpoint that is slow for that request alone would do it twice.
+// canceled so that its request can be retried. Without a health check it is canceled only after half of its request's time: the
+// endpoint may be slow for this request alone, and a retry would double its work.
 
 const (
 	// overdueThresholds and overdueWork: an attempt is overdue after so many congestion thresholds and so many times its own work.
@@ -33,7 +33,7 @@
 		if attempt.canceledAsLost || r.over || r.streaming || !s.overdue(attempt, quickSentAt) {
 			continue
 		}
-		attempt.presumedLost = attempt.presumedLost || !s.gossips
+		attempt.presumedLost = attempt.presumedLost || !s.sharedHealthChecks
 		if s.cancelLost(attempt, now) {
 			attempt.presumedLost, attempt.canceledAsLost = true, true
 			s.runtime.Cancel(attempt)
@@ -45,6 +45,6 @@
 func (s *Scheduler) cancelLost(attempt *Attempt, now time.Duration) bool {
 	r := attempt.Request
 	halfTimePassed := now-r.receivedAt >= r.deadline-now
-	return (s.gossips || halfTimePassed) && len(r.attempts) < s.settings.MaxAttempts &&
+	return (s.sharedHealthChecks || halfTimePassed) && len(r.attempts) < s.settings.MaxAttempts &&
 		s.attemptAllowed(r, attempt.Endpoint, now) && s.retryBudget.allows(now)
 }
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -14,18 +14,19 @@
 	// minPaceFactor and maxPaceFactor bound how far one outcome moves the interval.
 	minPaceFactor = 0.125
 	maxPaceFactor = 3
-	// maxInterval is the longest interval, in congestion thresholds for each gateway.
-	maxInterval = 16
-	// intervalParts: an interval below one of so many parts of the congestion threshold is none.
-	intervalParts = 4
-	// dueParts: a due reservation waits for one of so many parts of the interval.
-	dueParts = 4
-	// meanIntervalGain is one over the part that a new interval has in the mean.
-	meanIntervalGain = 4
-	// longestInterval is the most that one interval counts in the mean, in demand periods.
-	longestInterval = 4
-	// slowest is an outcome's duration that moves the interval as far as any can.
-	slowest = never / 4
+	// maxIntervalThresholds is the longest interval, in congestion thresholds for each gateway. One over it is the longest that an
+	// interval opens from, by this gateway's own rate, in the same unit.
+	maxIntervalThresholds = 16
+	// minIntervalDivisor divides the congestion threshold into the shortest interval; a shorter one is none.
+	minIntervalDivisor = 4
+	// dueIntervalDivisor divides the interval into what a due reservation waits for.
+	dueIntervalDivisor = 4
+	// meanIntervalDivisor is one over the part that a new sample has in the mean interval.
+	meanIntervalDivisor = 4
+	// meanSampleCap is the most that one sample counts in the mean interval, in demand periods.
+	meanSampleCap = 4
+	// unboundedDuration stands for an attempt that took for ever: it opens the interval as far as one outcome can.
+	unboundedDuration = never / 4
 )
 
 // pace is what is known of the rate at which an endpoint takes attempts from this gateway.
@@ -41,9 +42,9 @@
 func (s *Scheduler) updatePace(attempt *Attempt, took, now time.Duration) {
 	e := attempt.Endpoint
 	factor := math.Min(math.Max(took.Seconds()/s.congestionThreshold.Seconds(), minPaceFactor), maxPaceFactor)
-	longest := maxInterval * s.congestionThreshold * time.Duration(s.gateways)
+	longest := maxIntervalThresholds * s.congestionThreshold * time.Duration(s.gateways)
 	interval := min(time.Duration(factor*float64(attempt.minSendInterval)), longest)
-	if interval <= s.congestionThreshold/intervalParts {
+	if interval <= s.congestionThreshold/minIntervalDivisor {
 		interval = 0
 	}
 	opens := factor > 1 && interval > e.minSendInterval
@@ -55,8 +56,8 @@
 
 // openingInterval is the interval that an outcome starts from: the one in force, or one from this gateway's own rate.
 func (s *Scheduler) openingInterval(e *Endpoint) time.Duration {
-	fromOwnRate := min(e.meanSendInterval, s.congestionThreshold*time.Duration(s.gateways)/maxInterval)
-	return max(e.minSendInterval, fromOwnRate, s.congestionThreshold/intervalParts)
+	fromOwnRate := min(e.meanSendInterval, s.congestionThreshold*time.Duration(s.gateways)/maxIntervalThresholds)
+	return max(e.minSendInterval, fromOwnRate, s.congestionThreshold/minIntervalDivisor)
 }
 
 // paceAllows tells whether a candidate may go, so long after the last attempt.
@@ -67,11 +68,11 @@
 	if sinceSent >= e.minSendInterval {
 		return true
 	}
-	return c.due && sinceSent >= e.minSendInterval/dueParts && e.consecutiveFailures == 0
+	return c.due && sinceSent >= e.minSendInterval/dueIntervalDivisor && e.consecutiveFailures == 0
 }
 
 // noteSent takes an attempt that was sent into the mean interval.
 func (p *pace) noteSent(now time.Duration) {
-	p.meanSendInterval += (min(now-p.lastSentAt, longestInterval*demandPeriod) - p.meanSendInterval) / meanIntervalGain
+	p.meanSendInterval += (min(now-p.lastSentAt, meanSampleCap*demandPeriod) - p.meanSendInterval) / meanIntervalDivisor
 	p.lastSentAt = now
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -89,7 +89,7 @@
 // ClientDisconnected ends a request whose client has gone; no answer is owed.
 func (s *Scheduler) ClientDisconnected(r *Request) {
 	if !r.over {
-		s.rememberAbandoned(r)
+		s.rememberGivenUp(r)
 		s.finish(r)
 	}
 }
@@ -137,30 +137,30 @@
 	units  float64
 }
 
-// rememberAbandoned keeps when a request that gets no good answer was first received, for the client's own retry.
-func (s *Scheduler) rememberAbandoned(r *Request) {
-	s.abandoned[r.fingerprint] = append(s.abandoned[r.fingerprint], r.firstReceivedAt)
+// rememberGivenUp keeps when a request that gets no good answer was first received, for the client's own retry.
+func (s *Scheduler) rememberGivenUp(r *Request) {
+	s.givenUp[r.fingerprint] = append(s.givenUp[r.fingerprint], r.firstReceivedAt)
 }
 
-// firstReceived is when the client first asked. Its retry of what this gateway abandoned counts from there, so that it does not
+// firstReceived is when the client first asked. Its retry of what this gateway gave up counts from there, so that it does not
 // go before what can still be in time: this guards against retry storms. Where clients don't mark retries, an equal new request
 // may be taken for one.
 func (s *Scheduler) firstReceived(r *Request, markedRetry bool) time.Duration {
 	r.fingerprint = retryFingerprint{r.Volume, r.class, r.object, r.units}
-	earlier := s.abandoned[r.fingerprint]
+	earlier := s.givenUp[r.fingerprint]
 	if len(earlier) == 0 || s.settings.ClientsMarkRetries && !markedRetry {
 		return r.receivedAt
 	}
-	s.abandoned[r.fingerprint] = earlier[1:]
+	s.givenUp[r.fingerprint] = earlier[1:]
 	return earlier[0]
 }
 
-// forgetAbandoned drops what no client can still retry.
-func (s *Scheduler) forgetAbandoned(now time.Duration) {
-	for fingerprint, received := range s.abandoned {
+// forgetGivenUp drops what no client can still retry.
+func (s *Scheduler) forgetGivenUp(now time.Duration) {
+	for fingerprint, received := range s.givenUp {
 		keep := fingerprint.class.Timeout + s.settings.MaxRetryAfter + demandPeriod
 		if len(received) == 0 || now-received[len(received)-1] > keep {
-			delete(s.abandoned, fingerprint)
+			delete(s.givenUp, fingerprint)
 		}
 	}
 }
--- a/policy/runtime.go
+++ b/policy/runtime.go
@@ -20,7 +20,7 @@
 	After(wait time.Duration, f func())
 	// RequestEndpointList polls the endpoint list, or opens the watch on it.
 	RequestEndpointList()
-	// CheckHealth sends an active health check; one HealthChecked follows.
+	// CheckHealth sends an active health check. One HealthChecked follows, or none if the gateway forgets the endpoint before.
 	CheckHealth(endpoint *Endpoint)
 	// SendGossip sends a short message to every other gateway; it may be lost.
 	SendGossip(message []byte)
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -32,7 +32,7 @@
 	congestionThreshold time.Duration // latency beyond which an endpoint is congested: the paper's Lc
 	shortestObjective   time.Duration // the shortest latency objective of all classes
 	timerMargin         time.Duration // how much sooner a deadline's timer is set
-	gossips             bool          // gateways check health and tell each other of outliers
+	sharedHealthChecks  bool          // health checks and gossip are allowed: one gateway checks an outlier for all
 	slowStart           slowStartBudget
 	retryBudget         retryBudget
 
@@ -42,7 +42,7 @@
 	endpoints    []*Endpoint
 	shards       map[int]*shard
 	orderingKeys map[string]*orderingKey
-	abandoned    map[retryFingerprint][]time.Duration // when requests without a good answer were first received
+	givenUp      map[retryFingerprint][]time.Duration // when requests that were given up were first received
 	listFailures int                                  // in a row
 }
 
@@ -63,19 +63,19 @@
 func New(runtime Runtime, settings Settings) *Scheduler {
 	settings.TypicalUnits = math.Max(settings.TypicalUnits, 1)
 	s := &Scheduler{
-		runtime:      runtime,
-		settings:     settings,
-		rng:          rand.New(rand.NewSource(settings.Seed)),
-		startedAt:    runtime.Now(),
-		timerMargin:  2 * settings.TimerResolution,
-		gossips:      settings.HealthChecks && settings.Gossip,
-		slowStart:    newSlowStartBudget(settings),
-		retryBudget:  newRetryBudget(settings),
-		classes:      map[string]*class{},
-		plans:        map[string]*ServicePlan{},
-		shards:       map[int]*shard{},
-		orderingKeys: map[string]*orderingKey{},
-		abandoned:    map[retryFingerprint][]time.Duration{},
+		runtime:            runtime,
+		settings:           settings,
+		rng:                rand.New(rand.NewSource(settings.Seed)),
+		startedAt:          runtime.Now(),
+		timerMargin:        2 * settings.TimerResolution,
+		sharedHealthChecks: settings.HealthChecks && settings.Gossip,
+		slowStart:          newSlowStartBudget(settings),
+		retryBudget:        newRetryBudget(settings),
+		classes:            map[string]*class{},
+		plans:              map[string]*ServicePlan{},
+		shards:             map[int]*shard{},
+		orderingKeys:       map[string]*orderingKey{},
+		givenUp:            map[retryFingerprint][]time.Duration{},
 	}
 	s.addClasses()
 	s.addPlans()
@@ -122,13 +122,14 @@
 	s.slowStart.split(slowStartShares)
 }
 
-// runDemandPeriod is the paper's period: demand, then the split of limits.
+// runDemandPeriod runs once in a demand period, the paper's: demand.go measures, then concurrency.go splits the limits anew. What
+// nobody can ask for any more is forgotten then, too.
 func (s *Scheduler) runDemandPeriod() {
 	now := s.runtime.Now()
 	for _, v := range s.volumes {
 		s.measureDemand(v, now)
 	}
-	s.forgetAbandoned(now)
+	s.forgetGivenUp(now)
 	s.forgetOrder(now)
 	for _, e := range s.endpoints {
 		s.splitLimit(e)
@@ -137,7 +138,8 @@
 	s.runtime.After(demandPeriod, s.runDemandPeriod)
 }
 
-// sweep moves concurrency limits, sheds what can't be answered in time any more and wakes queues that waited for a rate.
+// sweep runs sweepsPerThreshold times in a congestion threshold: concurrency.go moves limits, admission.go sheds what can't be
+// answered in time any more, and queues that waited for a pace, a rate limit or slow start are served.
 func (s *Scheduler) sweep() {
 	now := s.runtime.Now()
 	for _, e := range s.endpoints {
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -45,7 +45,7 @@
 	h.endOldest(ErrorResponse, false)
 	// Output:
 	//     0ms send 1.0 to a
-	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+	//     0ms log: endpoint a: first failure: connect-failed after 0s, 0 in flight
 	//    37ms send 2.0 to a
 	//   110ms send 1.1 to a
 	//   130ms fail 1
@@ -60,7 +60,7 @@
 	h.receive("read", "plain", "x", 0, 2)
 	h.advance(2000 * millisecond)
 	// Output:
-	//     0ms log: endpoint a: draining or removed, 0 in flight
+	//     0ms log: endpoint a: draining, 0 in flight
 	//   112ms reject 1, retry after 100ms
 }
 
@@ -184,7 +184,7 @@
 	// Output:
 	//     0ms send 1.0 to a
 	//     0ms send 1.1 to a
-	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
+	//     0ms log: endpoint a: first failure: connection-reset after 0s, 0 in flight
 }
 
 // Requests with one ordering key run one at a time, and the key rests after an outcome after which the request may still run.
@@ -266,8 +266,8 @@
 	fmt.Println(a.minSendInterval, a.consecutiveFailures)
 	// Output:
 	//     0ms send 1.0 to a
-	//     0ms log: endpoint a: rejects, resets or can't be reached, after 0s, 0 in flight
-	//     0ms log: endpoint a: ejected, overloaded or its health check late, 0 in flight
+	//     0ms log: endpoint a: first failure: rejected after 0s, 0 in flight
+	//     0ms log: endpoint a: ejected, it rejected an attempt, 0 in flight
 	//     0ms gossip "sa"
 	//   112ms reject 1, retry after 181ms
 	//   200ms check health of a
@@ -296,7 +296,7 @@
 	h.endOldest(NotSent, true)
 	h.endOldest(Served, true)
 	// Output:
-	//     0ms log: endpoint a: draining or removed, 0 in flight
+	//     0ms log: endpoint a: draining, 0 in flight
 	//   112ms reject 1, retry after 100ms
 	//   200ms send 2.0 to a
 	//   200ms send 3.0 to a
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings are handed over once, when a scheduler is made. Zero values switch a feature off unless the field says otherwise.
+// Settings are handed over once, when a scheduler is made. A zero value switches a feature off where the field says nothing else.
 type Settings struct {
 	Seed     int64 // of the random source for jitter
 	Ordinal  int   // number of this gateway; of two that check one endpoint the lower goes on
@@ -12,18 +12,19 @@
 
 	// PollEndpointList: the list comes only when asked for, else it is pushed.
 	PollEndpointList bool
-	// MaxListAge is the longest time between two polls of the list after failures.
+	// MaxListAge is how old the list may become while polls fail: the next poll follows within half of it. It must be above 0.
 	MaxListAge time.Duration
-	// DrainGrace is how long after a drain an attempt may still begin. Read by the gateway, not here.
+	// DrainGrace is how long after a drain an attempt that was sent before may still begin. The gateway bounds the wait for a
+	// connection by it; it is not read here.
 	DrainGrace time.Duration
 
 	// Hedging allows a second attempt while one is in flight. Read by the engine as a bound; the scheduler never hedges.
 	Hedging bool
 	// CanCancel: an attempt in flight may be canceled.
 	CanCancel bool
-	// MaxAttempts of one request, the first included.
+	// MaxAttempts of one request, the first included and those that were not sent, too; at least 1.
 	MaxAttempts int
-	// TimerResolution is how late timers may fire; what must happen before a deadline is set twice that earlier.
+	// TimerResolution is how late timers may fire; what must happen before a deadline is set twice that earlier. 0: never late.
 	TimerResolution time.Duration
 
 	// HealthChecks: active health checks may be sent. Together with Gossip one gateway checks an outlier for all.
@@ -44,6 +45,7 @@
 	SlowStartUnits float64
 	// OverloadFactor is how many times its capacity an endpoint bears over OverloadWindow before it breaks down.
 	OverloadFactor float64
+	// OverloadWindow is the time over which overload counts.
 	OverloadWindow time.Duration
 
 	// RetryBudget: retries within RetryBudgetWindow are at most RetryBudgetFree + RetryBudgetRatio x requests received.
