--- a/internal/httpgateway/fakes_test.go
+++ b/internal/httpgateway/fakes_test.go
@@ -125,8 +125,10 @@
 	requests    chan string
 	silentStart chan bool // holds one: the next stream begins without an empty line
 	done        chan bool
+	closeOnce   sync.Once
 }
 
+// newAgent starts an agent that the end of the test closes.
 func newAgent(t *testing.T) *testAgent {
 	a := &testAgent{listener: listen(t), lists: make(chan string, 10), requests: make(chan string, 100), silentStart: make(chan bool, 1), done: make(chan bool)}
 	go func() {
@@ -180,15 +182,17 @@
 	}
 }
 
+// close ends the listener and the open stream; a second call does nothing.
 func (a *testAgent) close() {
-	a.listener.Close()
-	select {
-	case <-a.lists:
-	default:
-	}
-	defer func() { recover() }() // closed before
-	close(a.lists)
-	<-a.done
+	a.closeOnce.Do(func() {
+		a.listener.Close()
+		select {
+		case <-a.lists:
+		default:
+		}
+		close(a.lists)
+		<-a.done
+	})
 }
 
 // sendList sends a list of entries as entryJSON makes them.
