--- a/internal/object/api/api.go
+++ b/internal/object/api/api.go
@@ -155,7 +155,7 @@
 		return c.put()
 	case http.MethodDelete:
 		if id != "" {
-			if err := c.c.Gate.Index().Abort(c.volume, c.name, id, c.now()); err != nil {
+			if err := c.c.Gate.Index().AbortUpload(c.volume, c.name, id, c.now()); err != nil {
 				return err
 			}
 			c.w.WriteHeader(http.StatusNoContent)
@@ -268,7 +268,7 @@
 
 // drop gives up what was written and is not held.
 func (c *call) drop(w gate.Written) {
-	if err := c.c.Gate.Index().Doom(c.volume, w.Extents, c.now()); err != nil {
+	if err := c.c.Gate.Index().Abandon(c.volume, w.Extents, c.now()); err != nil {
 		c.c.Log.Warn("extents that were given up stay loose until they are old", "err", err)
 	}
 }
@@ -530,7 +530,7 @@
 		IsTruncated           bool
 		Contents              []entry
 		CommonPrefixes        []common
-	}{Space: space, Name: c.volume, Prefix: spell(prefix), Delimiter: spell(delimiter), EncodingType: c.q.Get("encoding-type"), MaxKeys: most, IsTruncated: l.Next != ""}
+	}{Space: space, Name: c.volume, Prefix: spell(prefix), Delimiter: spell(delimiter), EncodingType: c.q.Get("encoding-type"), MaxKeys: most, IsTruncated: l.NextAfter != ""}
 	for _, o := range l.Objects {
 		out.Contents = append(out.Contents, entry{spell(o.Name), stamp(o.Modified), quoted(o.Etag), o.Size, "STANDARD"})
 	}
@@ -540,18 +540,18 @@
 	if v2 {
 		n := len(l.Objects) + len(l.Prefixes)
 		out.KeyCount, out.ContinuationToken, out.StartAfter = &n, token, spell(c.q.Get("start-after"))
-		if l.Next != "" {
-			out.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(l.Next))
+		if l.NextAfter != "" {
+			out.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(l.NextAfter))
 		}
 	} else {
-		out.Marker, out.NextMarker = spell(after), spell(l.Next)
+		out.Marker, out.NextMarker = spell(after), spell(l.NextAfter)
 	}
 	return c.answer(out)
 }
 
 func (c *call) begin() error {
 	u := &pb.UploadRecord{Volume: c.volume, Name: c.name, Id: gate.NewUpload(), Begun: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta()}
-	if err := c.c.Gate.Index().Begin(u); err != nil {
+	if err := c.c.Gate.Index().CreateUpload(u); err != nil {
 		return err
 	}
 	return c.answer(struct {
@@ -567,7 +567,7 @@
 	if err != nil || n < 1 || n > decide.MostParts {
 		return decide.BadArgument.With("partNumber=%.20q; allowed: 1 to %d.", c.q.Get("partNumber"), decide.MostParts)
 	}
-	if _, err := c.c.Gate.Index().Upload(c.volume, c.name, id); err != nil {
+	if _, err := c.c.Gate.Index().GetUpload(c.volume, c.name, id); err != nil {
 		return err
 	}
 	w, err := c.store()
@@ -595,11 +595,11 @@
 	if err := xml.NewDecoder(io.LimitReader(c.r.Body, 4<<20)).Decode(&in); err != nil {
 		return decide.Malformed.With("(%v)", err)
 	}
-	var named []decide.Named
+	var named []decide.CompletedPart
 	for _, p := range in.Part {
-		named = append(named, decide.Named{Number: p.PartNumber, ETag: strings.Trim(p.ETag, `"`)})
+		named = append(named, decide.CompletedPart{Number: p.PartNumber, ETag: strings.Trim(p.ETag, `"`)})
 	}
-	o, err := c.c.Gate.Index().Complete(c.volume, c.name, id, named, c.c.LeastPart, c.check, c.now())
+	o, err := c.c.Gate.Index().CompleteUpload(c.volume, c.name, id, named, c.c.LeastPart, c.check, c.now())
 	if err != nil {
 		return err
 	}
@@ -616,7 +616,7 @@
 		return f
 	}
 	after, _ := strconv.Atoi(c.q.Get("part-number-marker"))
-	all, err := c.c.Gate.Index().Parts(c.volume, c.name, id)
+	all, err := c.c.Gate.Index().ListParts(c.volume, c.name, id)
 	if err != nil {
 		return err
 	}
@@ -651,7 +651,7 @@
 }
 
 func (c *call) listUploads() error {
-	all, err := c.c.Gate.Index().Uploads(c.volume)
+	all, err := c.c.Gate.Index().ListUploads(c.volume)
 	if err != nil {
 		return err
 	}
--- a/internal/object/decide/decide_test.go
+++ b/internal/object/decide/decide_test.go
@@ -149,9 +149,9 @@
 		return &pb.PartRecord{Number: n, Etag: hex.EncodeToString(d[:]), Size: size, Extent: []*pb.ExtentRecord{{Id: fmt.Sprint("x", n), Size: size}}}
 	}
 	parts := []*pb.PartRecord{part(1, 10), part(2, 10), part(5, 3), part(9, 1)}
-	name := func(ns ...uint32) (all []Named) {
+	name := func(ns ...uint32) (all []CompletedPart) {
 		for _, n := range ns {
-			all = append(all, Named{n, part(n, 0).Etag})
+			all = append(all, CompletedPart{n, part(n, 0).Etag})
 		}
 		return all
 	}
@@ -159,12 +159,12 @@
 	if f != nil || len(extents) != 3 || len(rest) != 1 || rest[0].Id != "x9" || size != 23 || !strings.HasSuffix(etag, "-3") {
 		t.Error(extents, rest, size, etag, f)
 	}
-	for code, n := range map[string][]Named{"InvalidPartOrder": name(2, 1), "InvalidPart": name(1, 3), "EntityTooSmall": name(1, 5, 9), "MalformedXML": nil} {
+	for code, n := range map[string][]CompletedPart{"InvalidPartOrder": name(2, 1), "InvalidPart": name(1, 3), "EntityTooSmall": name(1, 5, 9), "MalformedXML": nil} {
 		if _, _, _, _, f := Complete(n, parts, 10); f == nil || f.Code != code {
 			t.Errorf("%v: %v, want %s", n, f, code)
 		}
 	}
-	if _, _, _, _, f := Complete([]Named{{1, "other"}}, parts, 10); f == nil || f.Code != "InvalidPart" {
+	if _, _, _, _, f := Complete([]CompletedPart{{1, "other"}}, parts, 10); f == nil || f.Code != "InvalidPart" {
 		t.Error(f)
 	}
 }
--- a/internal/object/decide/layout.go
+++ b/internal/object/decide/layout.go
@@ -115,15 +115,15 @@
 	MostNameSize = 1024
 )
 
-// Named is a part as a client names it at the end of an upload.
-type Named struct {
+// CompletedPart is a part as the client names it when it completes an upload.
+type CompletedPart struct {
 	Number uint32
 	ETag   string
 }
 
 // Complete is what an upload comes to: its extents in order, its size, its entity tag (the digest of the parts' digests, and their
 // number); rest are the extents of parts not named, which nothing holds any more.
-func Complete(named []Named, parts []*pb.PartRecord, least int64) (extents, rest []*pb.ExtentRecord, size int64, etag string, f *Fault) {
+func Complete(named []CompletedPart, parts []*pb.PartRecord, least int64) (extents, rest []*pb.ExtentRecord, size int64, etag string, f *Fault) {
 	by := map[uint32]*pb.PartRecord{}
 	for _, p := range parts {
 		by[p.Number] = p
--- a/internal/object/gate/gate.go
+++ b/internal/object/gate/gate.go
@@ -245,7 +245,7 @@
 		first = decide.Incomplete.With("The client went away.")
 	}
 	if first != nil {
-		if err := g.c.Index.Doom(volume, all, g.c.Now()); err != nil {
+		if err := g.c.Index.Abandon(volume, all, g.c.Now()); err != nil {
 			g.c.Log.Warn("extents that were given up stay loose until they are old", "err", err)
 		}
 		w.Done()
@@ -263,7 +263,7 @@
 		}
 	}
 	if len(lost) > 0 {
-		if err := g.c.Index.Doom(volume, lost, g.c.Now()); err != nil {
+		if err := g.c.Index.Abandon(volume, lost, g.c.Now()); err != nil {
 			g.c.Log.Warn("extents that were given up stay loose until they are old", "err", err)
 		}
 	}
@@ -290,7 +290,7 @@
 	g.mu.Lock()
 	g.writing[id] = true
 	g.mu.Unlock()
-	if err := g.c.Index.Intend(volume, tried, g.c.Now()); err != nil {
+	if err := g.c.Index.RecordIntent(volume, tried, g.c.Now()); err != nil {
 		g.c.Log.Warn("an extent can't be written down, so it is not written", "err", err)
 		return nil, tried, decide.Unavailable.With("The index takes no writes.")
 	}
@@ -379,22 +379,22 @@
 // extents went, and how many are loose still.
 func (g *Gate) Sweep(ctx context.Context) (removed, left int, err error) {
 	now := g.c.Now()
-	old, err := g.c.Index.Aged(g.c.UploadAge, now)
+	old, err := g.c.Index.IdleUploads(g.c.UploadAge, now)
 	if err != nil {
 		return 0, 0, err
 	}
 	for _, u := range old {
 		g.c.Log.Info("an upload was given up: nothing was added for long", "volume", u.Volume, "name", u.Name, "upload", u.Id)
-		if err := g.c.Index.Abort(u.Volume, u.Name, u.Id, now); err != nil {
+		if err := g.c.Index.AbortUpload(u.Volume, u.Name, u.Id, now); err != nil {
 			return 0, 0, err
 		}
 	}
 	const batch = 256
-	loose, all, err := g.c.Index.Sweepable(g.c.LooseAge, now, g.oldest(g.c.Now()+1), batch)
+	loose, all, err := g.c.Index.RemovableExtents(g.c.LooseAge, now, g.oldest(g.c.Now()+1), batch)
 	if err != nil {
 		return 0, all, err
 	}
-	if loose, err = g.c.Index.Claim(g.leftOver(loose)); err != nil {
+	if loose, err = g.c.Index.ClaimForRemoval(g.leftOver(loose)); err != nil {
 		return 0, all, err
 	}
 	var gone []string
@@ -408,7 +408,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		err = g.c.Index.Removed(gone)
+		err = g.c.Index.Forget(gone)
 	}
 	return len(gone), all - len(gone), err
 }
--- a/internal/object/index/stored_data_test.go
+++ b/internal/object/index/stored_data_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// storedLoose are extents that nothing holds: one on its way, one given up before it was held, one of an object that was replaced.
-func storedLoose() []*pb.LooseRecord {
+// storedUnreferenced are the unreferenced extents: one intended, one abandoned before it was referenced, one of an object that was replaced.
+func storedUnreferenced() []*pb.LooseRecord {
 	return []*pb.LooseRecord{
 		{Extent: &pb.ExtentRecord{Id: "loose-1", Cell: 5, Size: 9, Sum: 31}, Volume: "volume-1", Since: int64(storedMoment - 30*time.Minute)},
 		{Extent: &pb.ExtentRecord{Id: "loose-2", Cell: 6, Size: 10, Sum: 32}, Volume: "volume-2", Since: int64(storedMoment - 20*time.Minute), Doomed: true},
@@ -77,11 +77,11 @@
 	if err := os.WriteFile(file, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return open(t, file)
+	return openIndex(t, file)
 }
 
-// same checks messages one by one, in their order.
-func same[M proto.Message](t *testing.T, what string, got, want []M) {
+// checkEqual checks messages one by one, in their order.
+func checkEqual[M proto.Message](t *testing.T, what string, got, want []M) {
 	t.Helper()
 	if len(got) != len(want) {
 		t.Errorf("%s: %d, wanted %d: %v", what, len(got), len(want), got)
@@ -97,59 +97,59 @@
 // Version a32f63c wrote the names of objects and where their bytes lie. Every later version must find each object under its name with
 // the very same extents, and list them in the same order.
 func TestStoredObjectsAreRead(t *testing.T) {
-	x := openStored(t)
+	idx := openStored(t)
 	for _, want := range append(storedObjects(), storedOther()) {
-		if got, err := x.Get(want.Volume, want.Name); err != nil || !proto.Equal(got, want) {
+		if got, err := idx.Get(want.Volume, want.Name); err != nil || !proto.Equal(got, want) {
 			t.Errorf("%v: %v\nwanted %v", err, got, want)
 		}
 	}
-	if got, err := x.Get("volume-1", "drawings/bridge"); got != nil || err != nil {
+	if got, err := idx.Get("volume-1", "drawings/bridge"); got != nil || err != nil {
 		t.Errorf("an object that was never there: %v %v", got, err)
 	}
-	all, err := x.List("volume-1", "", "", "", 1000)
-	if err != nil || all.Next != "" || len(all.Prefixes) > 0 {
+	all, err := idx.List("volume-1", "", "", "", 1000)
+	if err != nil || all.NextAfter != "" || len(all.Prefixes) > 0 {
 		t.Errorf("%v %+v", err, all)
 	}
-	same(t, "object", all.Objects, storedObjects())
-	folders, err := x.List("volume-1", "", "/", "", 1000)
+	checkEqual(t, "object", all.Objects, storedObjects())
+	folders, err := idx.List("volume-1", "", "/", "", 1000)
 	if err != nil || len(folders.Objects) > 0 || len(folders.Prefixes) != 2 || folders.Prefixes[0] != "drawings/" || folders.Prefixes[1] != "records/" {
 		t.Errorf("%v %+v", err, folders)
 	}
-	other, err := x.List("volume-2", "", "", "", 1000)
+	other, err := idx.List("volume-2", "", "", "", 1000)
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "object of volume-2", other.Objects, []*pb.ObjectRecord{storedOther()})
+	checkEqual(t, "object of volume-2", other.Objects, []*pb.ObjectRecord{storedOther()})
 }
 
 // Version a32f63c wrote uploads that were open and the parts that had come. Every later version must know them.
 func TestStoredUploadsAreRead(t *testing.T) {
-	x := openStored(t)
-	uploads, err := x.Uploads("")
+	idx := openStored(t)
+	uploads, err := idx.ListUploads("")
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "upload", uploads, storedUploads())
-	u, err := x.Upload("volume-1", "records/large", storedUpload)
+	checkEqual(t, "upload", uploads, storedUploads())
+	u, err := idx.GetUpload("volume-1", "records/large", storedUpload)
 	if err != nil || !proto.Equal(u, storedUploads()[0]) {
 		t.Errorf("%v %v", err, u)
 	}
-	parts, err := x.Parts("volume-1", "records/large", storedUpload)
+	parts, err := idx.ListParts("volume-1", "records/large", storedUpload)
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "part", parts, storedParts())
-	aged, err := x.Aged(2*time.Hour, storedMoment) // of the first, the newest part came 90 minutes before
+	checkEqual(t, "part", parts, storedParts())
+	aged, err := idx.IdleUploads(2*time.Hour, storedMoment) // of the first, the newest part came 90 minutes before
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "upload of an age", aged, storedUploads()[1:])
+	checkEqual(t, "upload of an age", aged, storedUploads()[1:])
 }
 
-// Version a32f63c wrote down extents that nothing holds. Every later version must sweep just these, each at its time.
-func TestStoredLooseExtentsAreRead(t *testing.T) {
-	x := openStored(t)
-	want := storedLoose()
+// Version a32f63c recorded unreferenced extents. Every later version must sweep just these, each at its time.
+func TestStoredUnreferencedExtentsAreRead(t *testing.T) {
+	idx := openStored(t)
+	want := storedUnreferenced()
 	for _, c := range []struct {
 		age, reader time.Duration
 		want        []*pb.LooseRecord
@@ -159,45 +159,45 @@
 		{time.Hour, storedMoment + 1, want[1:]},
 		{time.Hour, 0, nil},
 	} {
-		remove, all, err := x.Sweepable(c.age, storedMoment, c.reader, 1000)
+		remove, all, err := idx.RemovableExtents(c.age, storedMoment, c.reader, 1000)
 		if err != nil || all != len(want) {
-			t.Errorf("%v, %d loose, wanted %d", err, all, len(want))
+			t.Errorf("%v, %d unreferenced, wanted %d", err, all, len(want))
 		}
-		same(t, "extent to sweep", remove, c.want)
+		checkEqual(t, "extent to sweep", remove, c.want)
 	}
 }
 
-// An upload that was open when version a32f63c stopped takes a part again: the new one stands in the place of the one before, whose bytes
-// are given up.
-func TestStoredUploadTakesAPartAgain(t *testing.T) {
-	x := openStored(t)
+// An upload was open when version a32f63c stopped. A part of it that is uploaded once more replaces the one before, whose extents are
+// abandoned.
+func TestStoredUploadReplacesAPart(t *testing.T) {
+	idx := openStored(t)
 	parts, now := storedParts(), storedMoment+time.Second
-	again := &pb.PartRecord{Number: 10, Etag: storedTag, Size: 4, Modified: int64(now), Extent: []*pb.ExtentRecord{{Id: "extent-h", Cell: 1, Size: 4, Sum: 24}}}
-	if err := x.Intend("volume-1", again.Extent, now); err != nil {
+	replacement := &pb.PartRecord{Number: 10, Etag: storedTag, Size: 4, Modified: int64(now), Extent: []*pb.ExtentRecord{{Id: "extent-h", Cell: 1, Size: 4, Sum: 24}}}
+	if err := idx.RecordIntent("volume-1", replacement.Extent, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := x.PutPart("volume-1", "records/large", storedUpload, again, now); err != nil {
+	if err := idx.PutPart("volume-1", "records/large", storedUpload, replacement, now); err != nil {
 		t.Fatal(err)
 	}
-	got, err := x.Parts("volume-1", "records/large", storedUpload)
+	got, err := idx.ListParts("volume-1", "records/large", storedUpload)
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "part", got, []*pb.PartRecord{parts[0], again})
-	given := &pb.LooseRecord{Extent: parts[1].Extent[0], Volume: "volume-1", Since: int64(now), Doomed: true}
-	remove, _, err := x.Sweepable(time.Hour, now, now+1, 1000)
+	checkEqual(t, "part", got, []*pb.PartRecord{parts[0], replacement})
+	abandoned := &pb.LooseRecord{Extent: parts[1].Extent[0], Volume: "volume-1", Since: int64(now), Doomed: true}
+	remove, _, err := idx.RemovableExtents(time.Hour, now, now+1, 1000)
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "extent to sweep", remove, append([]*pb.LooseRecord{given}, storedLoose()[1:]...))
+	checkEqual(t, "extent to sweep", remove, append([]*pb.LooseRecord{abandoned}, storedUnreferenced()[1:]...))
 }
 
-// The file that version a32f63c wrote is gone on with: an upload begun there becomes an object, an extent that was on its way can be held,
-// one that was given up can't, and every extent is held or loose as it should be.
-func TestStoredDataIsGoneOnWith(t *testing.T) {
-	x := openStored(t)
-	parts, loose, now := storedParts(), storedLoose(), storedMoment+time.Second
-	o, err := x.Complete("volume-1", "records/large", storedUpload, []decide.Named{{Number: 1, ETag: storedPart1}, {Number: 10, ETag: storedPart2}},
+// A later version continues on the file that version a32f63c wrote: an upload created there is completed, an intended extent can be
+// referenced, an abandoned one can't, and every extent is referenced or unreferenced as it should be.
+func TestStoredDataIsContinued(t *testing.T) {
+	idx := openStored(t)
+	parts, unreferenced, now := storedParts(), storedUnreferenced(), storedMoment+time.Second
+	o, err := idx.CompleteUpload("volume-1", "records/large", storedUpload, []decide.CompletedPart{{Number: 1, ETag: storedPart1}, {Number: 10, ETag: storedPart2}},
 		5<<20, nil, now)
 	if err != nil {
 		t.Fatal(err)
@@ -205,23 +205,23 @@
 	if o.Size != 5<<20+3 || o.ContentType != "application/zip" || o.Meta["year"] != "2026" || o.Modified != int64(now) {
 		t.Errorf("%v", o)
 	}
-	same(t, "extent", o.Extent, append(parts[0].Extent, parts[1].Extent...))
-	fresh := &pb.ObjectRecord{Volume: "volume-1", Name: "fresh", Etag: storedTag, Size: 9, Extent: []*pb.ExtentRecord{loose[0].Extent}}
-	if err := x.Commit(fresh, nil, now); err != nil {
-		t.Errorf("an extent on its way: %v", err)
+	checkEqual(t, "extent", o.Extent, append(parts[0].Extent, parts[1].Extent...))
+	fresh := &pb.ObjectRecord{Volume: "volume-1", Name: "fresh", Etag: storedTag, Size: 9, Extent: []*pb.ExtentRecord{unreferenced[0].Extent}}
+	if err := idx.Commit(fresh, nil, now); err != nil {
+		t.Errorf("an intended extent: %v", err)
 	}
-	late := &pb.ObjectRecord{Volume: "volume-1", Name: "late", Etag: storedTag, Size: 11, Extent: []*pb.ExtentRecord{loose[2].Extent}}
-	if err := x.Commit(late, nil, now); !errors.Is(err, ErrExtentsGone) {
-		t.Errorf("an extent that was given up: %v", err)
+	late := &pb.ObjectRecord{Volume: "volume-1", Name: "late", Etag: storedTag, Size: 11, Extent: []*pb.ExtentRecord{unreferenced[2].Extent}}
+	if err := idx.Commit(late, nil, now); !errors.Is(err, ErrExtentsRemoved) {
+		t.Errorf("an abandoned extent: %v", err)
 	}
-	if existed, err := x.Delete("volume-2", "drawings/bridge.dwg", nil, now); !existed || err != nil {
+	if existed, err := idx.Delete("volume-2", "drawings/bridge.dwg", nil, now); !existed || err != nil {
 		t.Errorf("deleting an object: %v, it was there: %v", err, existed)
 	}
 	removed := &pb.LooseRecord{Extent: storedOther().Extent[0], Volume: "volume-2", Since: int64(now), Doomed: true}
-	remove, _, err := x.Sweepable(time.Hour, now, now+1, 1000)
+	remove, _, err := idx.RemovableExtents(time.Hour, now, now+1, 1000)
 	if err != nil {
 		t.Error(err)
 	}
-	same(t, "extent to sweep", remove, []*pb.LooseRecord{removed, loose[1], loose[2]})
-	consistent(t, x, "volume-1") // of volume-2 nothing is left that holds extents
+	checkEqual(t, "extent to sweep", remove, []*pb.LooseRecord{removed, unreferenced[1], unreferenced[2]})
+	checkConsistent(t, idx, "volume-1") // volume-2 has nothing any more that names extents
 }
--- /dev/null
+++ b/internal/object/index/uploads.go
@@ -0,0 +1,187 @@
+package index
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"google.golang.org/protobuf/proto"
+
+	"weirhaven/internal/object/decide"
+	"weirhaven/internal/pb"
+)
+
+// CreateUpload records a new multipart upload. Its id must be unique.
+func (x *Index) CreateUpload(upload *pb.UploadRecord) error {
+	return x.db.Batch(func(tx *bbolt.Tx) error { return putMessage(tx.Bucket(uploadsBucket), []byte(upload.Id), upload) })
+}
+
+// GetUpload returns an open upload, or decide.NoSuchUpload.
+func (x *Index) GetUpload(volume, name, id string) (upload *pb.UploadRecord, err error) {
+	err = x.db.View(func(tx *bbolt.Tx) error {
+		upload, err = findUpload(tx, volume, name, id)
+		return err
+	})
+	return upload, err
+}
+
+// findUpload returns an open upload, or decide.NoSuchUpload if there is none of the id for this volume and name.
+func findUpload(tx *bbolt.Tx, volume, name, id string) (*pb.UploadRecord, error) {
+	upload := &pb.UploadRecord{}
+	found, err := readMessage(tx.Bucket(uploadsBucket), []byte(id), upload)
+	if err == nil && (!found || upload.Volume != volume || upload.Name != name) {
+		fault := decide.NoSuchUpload
+		err = &fault
+	}
+	return upload, err
+}
+
+// PutPart records a part of an open upload. A part of the same number is replaced, and its extents are abandoned. The error is
+// decide.NoSuchUpload, or ErrExtentsRemoved if extents of the part were abandoned meanwhile.
+func (x *Index) PutPart(volume, name, id string, part *pb.PartRecord, now time.Duration) error {
+	return x.db.Batch(func(tx *bbolt.Tx) error {
+		if _, err := findUpload(tx, volume, name, id); err != nil {
+			return err
+		}
+		old, key := &pb.PartRecord{}, partKey(id, part.Number)
+		found, err := readMessage(tx.Bucket(partsBucket), key, old)
+		if err != nil {
+			return err
+		}
+		if found {
+			if err := abandon(tx, volume, old.Extent, now); err != nil {
+				return err
+			}
+		}
+		return errors.Join(addReferences(tx, part.Extent), putMessage(tx.Bucket(partsBucket), key, part))
+	})
+}
+
+// partKey sorts the parts of an upload by number.
+func partKey(id string, number uint32) []byte { return fmt.Appendf(nil, "%s/%05d", id, number) }
+
+// ListParts returns the parts of an open upload by number, or decide.NoSuchUpload.
+func (x *Index) ListParts(volume, name, id string) (parts []*pb.PartRecord, err error) {
+	err = x.db.View(func(tx *bbolt.Tx) error {
+		if _, err := findUpload(tx, volume, name, id); err != nil {
+			return err
+		}
+		parts, err = readParts(tx, id)
+		return err
+	})
+	return parts, err
+}
+
+func readParts(tx *bbolt.Tx, id string) (parts []*pb.PartRecord, err error) {
+	cursor, prefix := tx.Bucket(partsBucket).Cursor(), []byte(id+"/")
+	for key, value := cursor.Seek(prefix); key != nil && bytes.HasPrefix(key, prefix); key, value = cursor.Next() {
+		part := &pb.PartRecord{}
+		if err := proto.Unmarshal(value, part); err != nil {
+			return nil, fmt.Errorf("the part %q can't be read: %w", key, err)
+		}
+		parts = append(parts, part)
+	}
+	return parts, nil
+}
+
+// CompleteUpload makes an object of an open upload and ends the upload, in one transaction. The extents of the parts that the client
+// named become the object's; those of the other parts are abandoned. Each named part but the last must have at least minPart bytes.
+// The error is a *decide.Fault if the parts don't make an object, else as for Commit; the upload stays open then.
+func (x *Index) CompleteUpload(volume, name, id string, named []decide.CompletedPart, minPart int64, precondition Precondition, now time.Duration) (object *pb.ObjectRecord, err error) {
+	err = x.db.Update(func(tx *bbolt.Tx) error {
+		upload, err := findUpload(tx, volume, name, id)
+		if err != nil {
+			return err
+		}
+		parts, err := readParts(tx, id)
+		if err != nil {
+			return err
+		}
+		extents, unused, size, etag, fault := decide.Complete(named, parts, minPart)
+		if fault != nil {
+			return fault
+		}
+		object = &pb.ObjectRecord{Volume: volume, Name: name, Etag: etag, Size: size, Modified: int64(now),
+			ContentType: upload.ContentType, Meta: upload.Meta, Extent: extents}
+		if err := errors.Join(abandon(tx, volume, unused, now), commit(tx, object, precondition, now)); err != nil {
+			return err
+		}
+		return deleteUpload(tx, id, parts)
+	})
+	return object, err
+}
+
+// AbortUpload ends an open upload and abandons the extents of its parts. It returns decide.NoSuchUpload if there is none.
+func (x *Index) AbortUpload(volume, name, id string, now time.Duration) error {
+	return x.db.Update(func(tx *bbolt.Tx) error {
+		if _, err := findUpload(tx, volume, name, id); err != nil {
+			return err
+		}
+		parts, err := readParts(tx, id)
+		if err != nil {
+			return err
+		}
+		for _, part := range parts {
+			if err := abandon(tx, volume, part.Extent, now); err != nil {
+				return err
+			}
+		}
+		return deleteUpload(tx, id, parts)
+	})
+}
+
+func deleteUpload(tx *bbolt.Tx, id string, parts []*pb.PartRecord) error {
+	for _, part := range parts {
+		if err := tx.Bucket(partsBucket).Delete(partKey(id, part.Number)); err != nil {
+			return err
+		}
+	}
+	return tx.Bucket(uploadsBucket).Delete([]byte(id))
+}
+
+// ListUploads returns the open uploads of a volume, or of all volumes if volume is empty, by name and id.
+func (x *Index) ListUploads(volume string) (uploads []*pb.UploadRecord, err error) {
+	err = x.db.View(func(tx *bbolt.Tx) error {
+		return tx.Bucket(uploadsBucket).ForEach(func(_, value []byte) error {
+			upload := &pb.UploadRecord{}
+			if err := proto.Unmarshal(value, upload); err != nil {
+				return err
+			}
+			if volume == "" || upload.Volume == volume {
+				uploads = append(uploads, upload)
+			}
+			return nil
+		})
+	})
+	slices.SortFunc(uploads, func(a, b *pb.UploadRecord) int { return strings.Compare(a.Name+"\x00"+a.Id, b.Name+"\x00"+b.Id) })
+	return uploads, err
+}
+
+// IdleUploads returns the open uploads, of all volumes, that were created at least minAge ago and got no part since then.
+func (x *Index) IdleUploads(minAge, now time.Duration) (idle []*pb.UploadRecord, err error) {
+	uploads, err := x.ListUploads("")
+	if err != nil {
+		return nil, err
+	}
+	err = x.db.View(func(tx *bbolt.Tx) error {
+		for _, upload := range uploads {
+			lastChange := upload.Begun
+			parts, err := readParts(tx, upload.Id)
+			if err != nil {
+				return err
+			}
+			for _, part := range parts {
+				lastChange = max(lastChange, part.Modified)
+			}
+			if now-time.Duration(lastChange) >= minAge {
+				idle = append(idle, upload)
+			}
+		}
+		return nil
+	})
+	return idle, err
+}
