--- a/client/client_test.go
+++ b/client/client_test.go
@@ -28,9 +28,9 @@
 // memory answers a gate's commands.
 type memory struct{ data sync.Map }
 
-func (m *memory) Cells(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
-func (m *memory) Gone(*engine.Request)                 {}
-func (m *memory) Take(t *engine.Request) bool {
+func (m *memory) Shards(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
+func (m *memory) ClientDisconnected(*engine.Request)    {}
+func (m *memory) Submit(t *engine.Request) bool {
 	if t.Class == "put" {
 		m.data.Store(t.Object, bytes.Clone(t.Body))
 	}
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	h := api.Handler(api.Config{Keys: keys, Skew: time.Minute, Requests: 32, LeastPart: 1000, Log: log, Gate: gate.New(gate.Config{Commands: &memory{}, Index: x, ReadType: "get",
-		WriteType: "put", Extent: 4096, Unit: 4096, Window: 4, Log: log, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})})
+	h := api.Handler(api.Config{Keys: keys, Skew: time.Minute, Requests: 32, LeastPart: 1000, Log: log, Gate: gate.New(gate.Config{Engine: &memory{}, Index: x, ReadClass: "get",
+		WriteClass: "put", ExtentBytes: 4096, UnitBytes: 4096, MaxInFlight: 4, Log: log, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if trouble == nil || !trouble(w, r) {
 			h.ServeHTTP(w, r)
--- a/internal/gateway/objects.go
+++ b/internal/gateway/objects.go
@@ -90,9 +90,9 @@
 	if extent > int64(g.limits.MaxBody) {
 		return fmt.Errorf("objects.extent: %d bytes are more than bounds.body allows a message (%d)", extent, g.limits.MaxBody)
 	}
-	o.gate = gate.New(gate.Config{Commands: o, Index: o.index, ReadType: conf.ReadType, WriteType: conf.WriteType,
-		Extent: extent, Unit: int64(cmp.Or(conf.Unit, defaultUnit)), Window: int(cmp.Or(conf.Window, defaultWindow)),
-		UploadAge: settings.Duration(conf.UploadAge, defaultUploadAge), LooseAge: settings.Duration(conf.LooseAge, defaultLooseAge),
+	o.gate = gate.New(gate.Config{Engine: o, Index: o.index, ReadClass: conf.ReadType, WriteClass: conf.WriteType,
+		ExtentBytes: extent, UnitBytes: int64(cmp.Or(conf.Unit, defaultUnit)), MaxInFlight: int(cmp.Or(conf.Window, defaultWindow)),
+		UploadIdleTimeout: settings.Duration(conf.UploadAge, defaultUploadAge), IntentTimeout: settings.Duration(conf.LooseAge, defaultLooseAge),
 		Log: g.log, Now: g.loop.Now})
 	var config net.ListenConfig
 	var err error
@@ -179,21 +179,21 @@
 	o.shards.Store(&shards)
 }
 
-// Take, Gone and Cells are the gate's way to the loop (gate.Commands).
+// Submit, ClientDisconnected and Shards are the gate's way to the engine (gate.Engine).
 
-// Take submits a request; false: it is not accepted, and never reached the scheduler.
-func (o *objectServer) Take(request *engine.Request) bool {
+// Submit submits a request; false: it is not accepted, and never reached the scheduler.
+func (o *objectServer) Submit(request *engine.Request) bool {
 	return !o.gateway.shuttingDown.Load() && o.gateway.loop.TryPost(func(c *engine.Core) { c.Submit(request) })
 }
 
-// Gone tells that the client of a request has disconnected.
-func (o *objectServer) Gone(request *engine.Request) {
+// ClientDisconnected notifies the engine that the client of a request has disconnected.
+func (o *objectServer) ClientDisconnected(request *engine.Request) {
 	o.gateway.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(request) })
 }
 
-// Cells returns the shards where a volume's new data may lie: of those that the control plane names for it the ones that serve,
+// Shards returns the shards where a volume's new data may lie: of those that the control plane names for it the ones that serve,
 // else all that serve. false: no such volume.
-func (o *objectServer) Cells(volume string) ([]uint32, bool) {
+func (o *objectServer) Shards(volume string) ([]uint32, bool) {
 	if _, _, ok := o.gateway.volumes.lookup(volume); !ok {
 		return nil, false
 	}
--- a/internal/object/api/api.go
+++ b/internal/object/api/api.go
@@ -54,7 +54,7 @@
 		c.Now = time.Now
 	}
 	if c.LeastPart == 0 {
-		c.LeastPart = decide.LeastPart
+		c.LeastPart = decide.MinPartBytes
 	}
 	return &api{c, make(chan bool, max(c.Requests, 1))}
 }
@@ -82,7 +82,7 @@
 	case a.room <- true:
 		defer func() { <-a.room }()
 	default:
-		c.fail(decide.Busy.With("As many requests as are allowed are under way."))
+		c.fail(decide.SlowDown.With("As many requests as are allowed are under way."))
 		return
 	}
 	if err := c.serve(); err != nil {
@@ -114,12 +114,12 @@
 func (c *call) serve() error {
 	path, ok := strings.CutPrefix(c.r.URL.Path, "/")
 	if !ok {
-		return decide.BadArgument.With("The path does not begin with /.")
+		return decide.InvalidArgument.With("The path does not begin with /.")
 	}
 	c.volume, c.name, _ = strings.Cut(path, "/")
 	var err error
 	if c.q, err = url.ParseQuery(c.r.URL.RawQuery); err != nil {
-		return decide.BadArgument.With("The query can't be read.")
+		return decide.InvalidArgument.With("The query can't be read.")
 	}
 	access, payload, f := c.c.Keys.check(c.r, c.c.Now(), c.c.Skew)
 	if f != nil {
@@ -128,13 +128,13 @@
 	c.payload = payload
 	switch {
 	case c.volume == "":
-		return &decide.NotBuilt
+		return &decide.NotImplemented
 	case !access.May(c.volume):
-		return decide.Denied.With("The key does not reach the bucket.")
-	case !c.c.Gate.Volume(c.volume):
+		return decide.AccessDenied.With("The key does not reach the bucket.")
+	case !c.c.Gate.HasVolume(c.volume):
 		return &decide.NoSuchBucket
-	case len(c.name) > decide.MostNameSize:
-		return decide.BadArgument.With("A name of more than %d bytes.", decide.MostNameSize)
+	case len(c.name) > decide.MaxNameBytes:
+		return decide.InvalidArgument.With("A name of more than %d bytes.", decide.MaxNameBytes)
 	case c.name == "":
 		return c.bucket()
 	}
@@ -148,7 +148,7 @@
 	case http.MethodPut:
 		switch {
 		case c.r.Header.Get("X-Amz-Copy-Source") != "":
-			return decide.NotBuilt.With("(copy)")
+			return decide.NotImplemented.With("(copy)")
 		case id != "":
 			return c.putPart(id)
 		}
@@ -170,7 +170,7 @@
 			return c.complete(id)
 		}
 	}
-	return &decide.NotAllowed
+	return &decide.MethodNotAllowed
 }
 
 // now is the clock by which extents age.
@@ -181,20 +181,20 @@
 
 func quoted(etag string) string { return `"` + etag + `"` }
 
-func current(o *pb.ObjectRecord) *decide.Current {
+func current(o *pb.ObjectRecord) *decide.Representation {
 	if o == nil {
 		return nil
 	}
-	return &decide.Current{ETag: o.Etag, Modified: time.Unix(0, o.Modified), Size: o.Size}
+	return &decide.Representation{ETag: o.Etag, Modified: time.Unix(0, o.Modified), Size: o.Size}
 }
 
 // check judges a change's conditions in the transaction that makes it.
 func (c *call) check(old *pb.ObjectRecord) error {
-	if decide.Conditions(c.r.Header, current(old), false) == decide.Failed {
+	if decide.EvaluatePreconditions(c.r.Header, current(old), false) == decide.PreconditionFails {
 		if old == nil && c.r.Header.Get("If-Match") != "" {
 			return &decide.NoSuchKey
 		}
-		return &decide.Precondition
+		return &decide.PreconditionFailed
 	}
 	return nil
 }
@@ -205,11 +205,11 @@
 	if c.payload == streamed {
 		n, err := strconv.ParseInt(c.r.Header.Get("X-Amz-Decoded-Content-Length"), 10, 64)
 		if err != nil {
-			return nil, 0, nil, decide.BadArgument.With("X-Amz-Decoded-Content-Length is missing.")
+			return nil, 0, nil, decide.InvalidArgument.With("X-Amz-Decoded-Content-Length is missing.")
 		}
 		in, announced = &chunked{in: bufio.NewReaderSize(c.r.Body, 4096)}, n
 	} else if strings.HasPrefix(c.payload, "STREAMING-") {
-		return nil, 0, nil, decide.NotBuilt.With("(%s)", c.payload)
+		return nil, 0, nil, decide.NotImplemented.With("(%s)", c.payload)
 	}
 	var hashes []hash.Hash
 	var wants [][]byte
@@ -234,7 +234,7 @@
 	}
 	return in, announced, func(_ string, size int64) *decide.Fault {
 		if announced >= 0 && size != announced {
-			return decide.Incomplete.With("%d of %d.", size, announced)
+			return decide.IncompleteBody.With("%d of %d.", size, announced)
 		}
 		for i, h := range hashes {
 			if subtle.ConstantTimeCompare(h.Sum(nil), wants[i]) != 1 {
@@ -247,15 +247,15 @@
 }
 
 // store writes the body as extents, and judges it.
-func (c *call) store() (gate.Written, error) {
+func (c *call) store() (gate.WriteResult, error) {
 	in, announced, done, f := c.stream()
 	if f != nil {
-		return gate.Written{}, f
+		return gate.WriteResult{}, f
 	}
-	if announced > decide.MostPart {
-		return gate.Written{}, decide.TooBig.With("At most %d.", int64(decide.MostPart))
+	if announced > decide.MaxPartBytes {
+		return gate.WriteResult{}, decide.EntityTooLarge.With("At most %d.", int64(decide.MaxPartBytes))
 	}
-	w, err := c.c.Gate.Write(c.r.Context(), c.volume, in, decide.MostPart)
+	w, err := c.c.Gate.Write(c.r.Context(), c.volume, in, decide.MaxPartBytes)
 	if err != nil {
 		return w, err
 	}
@@ -267,10 +267,8 @@
 }
 
 // drop gives up what was written and is not held.
-func (c *call) drop(w gate.Written) {
-	if err := c.c.Gate.Index().Abandon(c.volume, w.Extents, c.now()); err != nil {
-		c.c.Log.Warn("extents that were given up stay loose until they are old", "err", err)
-	}
+func (c *call) drop(w gate.WriteResult) {
+	c.c.Gate.Abandon(c.volume, w.Extents)
 }
 
 func (c *call) meta() map[string]string {
@@ -293,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	defer w.Done()
+	defer w.Release()
 	o := &pb.ObjectRecord{Volume: c.volume, Name: c.name, Etag: w.ETag, Size: w.Size, Modified: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta(),
 		Extent: w.Extents}
 	if err := c.c.Gate.Index().Commit(o, c.check, c.now()); err != nil {
@@ -314,7 +312,7 @@
 }
 
 func (c *call) get() error {
-	defer c.c.Gate.Reading()()
+	defer c.c.Gate.BeginRead()()
 	o, err := c.c.Gate.Index().Get(c.volume, c.name)
 	if err != nil {
 		return err
@@ -330,35 +328,32 @@
 	for k, v := range o.Meta {
 		h.Set("X-Amz-Meta-"+k, v)
 	}
-	switch decide.Conditions(c.r.Header, now, true) {
+	switch decide.EvaluatePreconditions(c.r.Header, now, true) {
 	case decide.NotModified:
 		c.w.WriteHeader(http.StatusNotModified)
 		return nil
-	case decide.Failed:
-		return &decide.Precondition
+	case decide.PreconditionFails:
+		return &decide.PreconditionFailed
 	}
 	typ := o.ContentType
 	if typ == "" {
 		typ = "binary/octet-stream"
 	}
-	ranges, none, unsatisfiable := decide.Ranges(c.r.Header, now)
-	if unsatisfiable {
+	ranges, fault := decide.ParseRanges(c.r.Header, now)
+	if fault != nil {
 		h.Set("Content-Range", fmt.Sprintf("bytes */%d", o.Size))
-		return &decide.InvalidRange
-	}
-	if none {
-		ranges = []decide.Range{{From: 0, Size: o.Size}}
+		return fault
 	}
-	status := http.StatusOK
-	if !none {
-		status = http.StatusPartialContent
+	partial, status := len(ranges) > 0, http.StatusPartialContent
+	if !partial {
+		ranges, status = []decide.Range{{From: 0, Size: o.Size}}, http.StatusOK
 	}
 	if len(ranges) > 1 {
 		return c.several(o, ranges, typ)
 	}
 	h.Set("Content-Type", typ)
 	h.Set("Content-Length", strconv.FormatInt(ranges[0].Size, 10))
-	if !none {
+	if partial {
 		h.Set("Content-Range", ranges[0].ContentRange(o.Size))
 	}
 	if c.r.Method == http.MethodHead {
@@ -406,7 +401,7 @@
 		if c.r.Context().Err() == nil {
 			c.c.Log.Error("request failed", "method", c.r.Method, "volume", c.volume, "name", c.name, "err", err)
 		}
-		f = &decide.Internal
+		f = &decide.InternalError
 	}
 	if c.begun {
 		panic(http.ErrAbortHandler) // the connection ends: the client sees that bytes are missing
@@ -416,18 +411,18 @@
 	h.Del("ETag")
 	h.Del("Last-Modified")
 	h.Set("Content-Type", "application/xml")
-	if f.After > 0 {
-		h.Set("Retry-After", strconv.Itoa(int((f.After+time.Second-1)/time.Second)))
+	if f.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int((f.RetryAfter+time.Second-1)/time.Second)))
 	}
 	if f.Status >= 500 {
-		h.Set("X-Weirhaven-May-Have-Run", map[bool]string{true: "yes", false: "no"}[f.MayRan])
+		h.Set("X-Weirhaven-May-Have-Run", map[bool]string{true: "yes", false: "no"}[f.MayHaveRun])
 	}
 	c.w.WriteHeader(f.Status)
 	if c.r.Method != http.MethodHead {
 		_ = c.xml(struct { // a client that went away needs no answer
 			XMLName                 xml.Name `xml:"Error"`
 			Code, Message, Resource string
-		}{Code: f.Code, Message: f.Text, Resource: c.r.URL.Path})
+		}{Code: f.Code, Message: f.Message, Resource: c.r.URL.Path})
 	}
 }
 
@@ -458,7 +453,7 @@
 		c.w.WriteHeader(http.StatusOK)
 		return nil
 	case c.r.Method != http.MethodGet:
-		return decide.NotAllowed.With("Volumes come and go by settings or the planner.")
+		return decide.MethodNotAllowed.With("Volumes come and go by settings or the planner.")
 	case c.q.Has("uploads"):
 		return c.listUploads()
 	case c.q.Has("location"):
@@ -477,7 +472,7 @@
 	}
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
-		return 0, decide.BadArgument.With("%s=%.20q.", name, s)
+		return 0, decide.InvalidArgument.With("%s=%.20q.", name, s)
 	}
 	return min(n, usual), nil
 }
@@ -495,7 +490,7 @@
 	if token != "" {
 		b, err := base64.URLEncoding.DecodeString(token)
 		if err != nil {
-			return decide.BadArgument.With("The continuation token can't be read.")
+			return decide.InvalidArgument.With("The continuation token can't be read.")
 		}
 		after = string(b)
 	}
@@ -550,7 +545,7 @@
 }
 
 func (c *call) begin() error {
-	u := &pb.UploadRecord{Volume: c.volume, Name: c.name, Id: gate.NewUpload(), Begun: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta()}
+	u := &pb.UploadRecord{Volume: c.volume, Name: c.name, Id: gate.NewUploadID(), Begun: c.date(), ContentType: c.r.Header.Get("Content-Type"), Meta: c.meta()}
 	if err := c.c.Gate.Index().CreateUpload(u); err != nil {
 		return err
 	}
@@ -564,8 +559,8 @@
 
 func (c *call) putPart(id string) error {
 	n, err := strconv.Atoi(c.q.Get("partNumber"))
-	if err != nil || n < 1 || n > decide.MostParts {
-		return decide.BadArgument.With("partNumber=%.20q; allowed: 1 to %d.", c.q.Get("partNumber"), decide.MostParts)
+	if err != nil || n < 1 || n > decide.MaxParts {
+		return decide.InvalidArgument.With("partNumber=%.20q; allowed: 1 to %d.", c.q.Get("partNumber"), decide.MaxParts)
 	}
 	if _, err := c.c.Gate.Index().GetUpload(c.volume, c.name, id); err != nil {
 		return err
@@ -574,7 +569,7 @@
 	if err != nil {
 		return err
 	}
-	defer w.Done()
+	defer w.Release()
 	p := &pb.PartRecord{Number: uint32(n), Etag: w.ETag, Size: w.Size, Modified: c.date(), Extent: w.Extents}
 	if err := c.c.Gate.Index().PutPart(c.volume, c.name, id, p, c.now()); err != nil {
 		c.drop(w)
@@ -593,7 +588,7 @@
 		}
 	}
 	if err := xml.NewDecoder(io.LimitReader(c.r.Body, 4<<20)).Decode(&in); err != nil {
-		return decide.Malformed.With("(%v)", err)
+		return decide.MalformedXML.With("(%v)", err)
 	}
 	var named []decide.CompletedPart
 	for _, p := range in.Part {
--- a/internal/object/api/api_test.go
+++ b/internal/object/api/api_test.go
@@ -34,7 +34,7 @@
 )
 
 // bricks answers commands from memory; the test may let them fail.
-type bricks struct {
+type fakeEngine struct {
 	mu     sync.Mutex
 	data   map[string][]byte
 	fail   func(t *engine.Request) *engine.Response // nil: not this one
@@ -43,15 +43,15 @@
 	gone   int
 }
 
-func (b *bricks) Cells(volume string) ([]uint32, bool) {
+func (b *fakeEngine) Shards(volume string) ([]uint32, bool) {
 	return []uint32{0, 1, 2}, volume == "yard" || volume == "other"
 }
-func (b *bricks) Gone(*engine.Request) {
+func (b *fakeEngine) ClientDisconnected(*engine.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gone++
 }
-func (b *bricks) Take(t *engine.Request) bool {
+func (b *fakeEngine) Submit(t *engine.Request) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.flight++
@@ -75,14 +75,14 @@
 	return true
 }
 
-func (b *bricks) failing(f func(t *engine.Request) *engine.Response) {
+func (b *fakeEngine) failing(f func(t *engine.Request) *engine.Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fail = f
 }
 
 // held is how many extents have bytes.
-func (b *bricks) held() (n int) {
+func (b *fakeEngine) held() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, x := range b.data {
@@ -94,7 +94,7 @@
 }
 
 type world struct {
-	b     *bricks
+	b     *fakeEngine
 	g     *gate.Gate
 	url   string
 	s3    *s3.Client
@@ -105,14 +105,14 @@
 
 func start(t testing.TB) *world {
 	t.Helper()
-	w := &world{b: &bricks{data: map[string][]byte{}}}
+	w := &world{b: &fakeEngine{data: map[string][]byte{}}}
 	x, err := index.Open(filepath.Join(t.TempDir(), "index.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { x.Close() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	w.g = gate.New(gate.Config{Commands: w.b, Index: x, ReadType: "read", WriteType: "write", Extent: 1 << 10, Unit: 512, Window: 4, UploadAge: time.Hour, LooseAge: time.Minute, Log: log,
+	w.g = gate.New(gate.Config{Engine: w.b, Index: x, ReadClass: "read", WriteClass: "write", ExtentBytes: 1 << 10, UnitBytes: 512, MaxInFlight: 4, UploadIdleTimeout: time.Hour, IntentTimeout: time.Minute, Log: log,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) + w.clock }})
 	s := httptest.NewServer(Handler(Config{Gate: w.g, Keys: Keys{"yardkey": {secret, []string{"yard"}}}, Skew: time.Minute, Requests: 64, LeastPart: 2 << 10, Log: log}))
 	t.Cleanup(s.Close)
--- a/internal/object/api/sign.go
+++ b/internal/object/api/sign.go
@@ -79,7 +79,7 @@
 	auth := r.Header.Get("Authorization")
 	rest, ok := strings.CutPrefix(auth, algorithm+" ")
 	if !ok {
-		return nil, "", decide.Denied.With("The request is not signed (%s).", algorithm)
+		return nil, "", decide.AccessDenied.With("The request is not signed (%s).", algorithm)
 	}
 	fields := map[string]string{}
 	for _, p := range strings.Split(rest, ",") {
@@ -88,25 +88,25 @@
 	}
 	scope := strings.Split(fields["Credential"], "/")
 	if len(scope) < 5 || fields["SignedHeaders"] == "" || len(fields["Signature"]) != 64 {
-		return nil, "", decide.Denied.With("The Authorization header can't be read.")
+		return nil, "", decide.AccessDenied.With("The Authorization header can't be read.")
 	}
 	n := len(scope)
 	name, region, service := strings.Join(scope[:n-4], "/"), scope[n-3], scope[n-2]
 	at, err := time.Parse(timeFormat, r.Header.Get("X-Amz-Date"))
 	if err != nil || at.Format("20060102") != scope[n-4] {
-		return nil, "", decide.Denied.With("X-Amz-Date is missing, or of another day than the signature.")
+		return nil, "", decide.AccessDenied.With("X-Amz-Date is missing, or of another day than the signature.")
 	}
 	if d := now.Sub(at); d > skew || d < -skew {
-		return nil, "", decide.Skewed.With("It is %s here, the request says %s.", now.UTC().Format(timeFormat), at.Format(timeFormat))
+		return nil, "", decide.RequestTimeTooSkewed.With("It is %s here, the request says %s.", now.UTC().Format(timeFormat), at.Format(timeFormat))
 	}
 	payload = r.Header.Get("X-Amz-Content-Sha256")
 	if payload == "" {
-		return nil, "", decide.Denied.With("X-Amz-Content-Sha256 is missing.")
+		return nil, "", decide.AccessDenied.With("X-Amz-Content-Sha256 is missing.")
 	}
 	signed := strings.Split(fields["SignedHeaders"], ";")
 	for _, must := range []string{"host", "x-amz-date", "x-amz-content-sha256"} {
 		if !slices.Contains(signed, must) {
-			return nil, "", decide.Denied.With("The header %s is not signed.", must)
+			return nil, "", decide.AccessDenied.With("The header %s is not signed.", must)
 		}
 	}
 	key := k[name]
@@ -130,10 +130,10 @@
 	same := subtle.ConstantTimeCompare([]byte(want), []byte(fields["Signature"])) == 1
 	switch {
 	case k[name] == nil:
-		f := decide.UnknownKey
+		f := decide.InvalidAccessKeyID
 		return nil, "", &f
 	case err != nil || !same:
-		f := decide.BadSignature
+		f := decide.SignatureDoesNotMatch
 		return nil, "", &f
 	}
 	return key, payload, nil
@@ -164,7 +164,7 @@
 		case err != nil:
 			c.err = err
 		case perr != nil || n < 0:
-			c.err = decide.Incomplete.With("The chunk length %.20q can't be read.", size)
+			c.err = decide.IncompleteBody.With("The chunk length %.20q can't be read.", size)
 		case n == 0:
 			c.err = c.trailer()
 		}
--- a/internal/object/gate/gate_test.go
+++ b/internal/object/gate/gate_test.go
@@ -16,95 +16,95 @@
 	"weirhaven/internal/pb"
 )
 
-const extentSize = 32 << 10
+const testExtentBytes = 32 << 10
 
-// memory is servers that keep what is written, by object.
-type memory struct {
+// fakeEngine serves every request from memory, by the name of the object.
+type fakeEngine struct {
 	mu      sync.Mutex
 	objects map[string][]byte
 	written chan bool
 }
 
-func (m *memory) Take(t *engine.Request) bool {
-	m.mu.Lock()
-	body := m.objects[t.Object]
-	if t.Class == "write" {
-		m.objects[t.Object] = t.Body
+func (e *fakeEngine) Submit(request *engine.Request) bool {
+	e.mu.Lock()
+	body := e.objects[request.Object]
+	if request.Class == "write" {
+		e.objects[request.Object] = request.Body
 		body = nil
 	}
-	m.mu.Unlock()
-	t.Respond(engine.Response{Result: engine.Served, Body: body})
-	if t.Class == "write" && len(t.Body) > 0 {
-		m.written <- true
+	e.mu.Unlock()
+	request.Respond(engine.Response{Result: engine.Served, Body: body})
+	if request.Class == "write" && len(request.Body) > 0 {
+		e.written <- true
 	}
 	return true
 }
 
-func (m *memory) Gone(*engine.Request)          {}
-func (m *memory) Cells(string) ([]uint32, bool) { return []uint32{0}, true }
+func (e *fakeEngine) ClientDisconnected(*engine.Request) {}
+func (e *fakeEngine) Shards(string) ([]uint32, bool)     { return []uint32{0}, true }
 
-// clock is moved by the test.
-type clock struct {
+// manualClock is moved by the test.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
 }
 
-func (c *clock) read() time.Duration {
+func (c *manualClock) read() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) step(d time.Duration) {
+func (c *manualClock) step(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now += d
 }
 
-// An upload that lasts longer than the age at which loose extents are swept, or during which the clock is stepped: what is
-// acknowledged can be read.
+// An upload lasts longer than the age at which intended extents are swept (a slow client, or a clock that is stepped), and the sweep runs
+// meanwhile. It must leave the upload's extents alone: the upload is acknowledged, so its object can be read.
 func TestSweepSparesUploadInProgress(t *testing.T) {
-	x, err := index.Open(filepath.Join(t.TempDir(), "index.db"))
+	idx, err := index.Open(filepath.Join(t.TempDir(), "index.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer x.Close()
-	servers, now := &memory{objects: map[string][]byte{}, written: make(chan bool, 10)}, &clock{now: 1000 * time.Hour}
-	g := New(Config{Commands: servers, Index: x, ReadType: "read", WriteType: "write", Extent: extentSize, Unit: extentSize, Window: 2,
-		UploadAge: 24 * time.Hour, LooseAge: time.Hour, Log: slog.New(slog.DiscardHandler), Now: now.read})
-	content := bytes.Repeat([]byte("content."), 2*extentSize/8)
+	defer idx.Close()
+	fake, testClock := &fakeEngine{objects: map[string][]byte{}, written: make(chan bool, 10)}, &manualClock{now: 1000 * time.Hour}
+	g := New(Config{Engine: fake, Index: idx, ReadClass: "read", WriteClass: "write", ExtentBytes: testExtentBytes, UnitBytes: testExtentBytes, MaxInFlight: 2,
+		UploadIdleTimeout: 24 * time.Hour, IntentTimeout: time.Hour, Log: slog.New(slog.DiscardHandler), Now: testClock.read})
+	content := bytes.Repeat([]byte("content."), 2*testExtentBytes/8)
 	stream, client := io.Pipe()
 	type result struct {
-		w     Written
+		w     WriteResult
 		fault error
 	}
 	done := make(chan result, 1)
 	go func() {
-		w, fault := g.Write(context.Background(), "v", stream, 1<<30)
-		done <- result{w, fault}
+		written, fault := g.Write(context.Background(), "v", stream, 1<<30)
+		done <- result{written, fault}
 	}()
-	client.Write(content[:extentSize])
-	<-servers.written
-	now.step(2 * time.Hour)
+	client.Write(content[:testExtentBytes])
+	<-fake.written
+	testClock.step(2 * time.Hour)
 	if _, _, err := g.Sweep(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	client.Write(content[extentSize:])
+	client.Write(content[testExtentBytes:])
 	client.Close()
-	r := <-done
-	if r.fault != nil {
-		t.Fatal("the upload failed: ", r.fault)
+	outcome := <-done
+	if outcome.fault != nil {
+		t.Fatal("the upload failed: ", outcome.fault)
 	}
-	o := &pb.ObjectRecord{Volume: "v", Name: "o", Size: r.w.Size, Extent: r.w.Extents}
-	if err := x.Commit(o, nil, now.read()); err != nil {
+	object := &pb.ObjectRecord{Volume: "v", Name: "o", Size: outcome.w.Size, Extent: outcome.w.Extents}
+	if err := idx.Commit(object, nil, testClock.read()); err != nil {
 		t.Fatal("the upload failed: ", err)
 	}
-	now.step(2 * time.Hour)
+	testClock.step(2 * time.Hour)
 	if _, _, err := g.Sweep(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	var got bytes.Buffer
-	if err := g.Read(context.Background(), o, decide.Range{From: 0, Size: o.Size}, &got, func() {}); err != nil || !bytes.Equal(got.Bytes(), content) {
+	if err := g.Read(context.Background(), object, decide.Range{From: 0, Size: object.Size}, &got, func() {}); err != nil || !bytes.Equal(got.Bytes(), content) {
 		t.Errorf("an acknowledged object can't be read: %v, %d of %d bytes", err, got.Len(), len(content))
 	}
 }
--- a/internal/object/index/index_test.go
+++ b/internal/object/index/index_test.go
@@ -185,7 +185,7 @@
 			}
 			return e
 		}
-		failing := func(*pb.ObjectRecord) error { f := decide.Precondition; return &f }
+		failing := func(*pb.ObjectRecord) error { f := decide.PreconditionFailed; return &f }
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			var precondition Precondition
@@ -236,7 +236,7 @@
 	idx.CreateUpload(&pb.UploadRecord{Volume: "v", Name: "n", Id: "u"})
 	var named []decide.CompletedPart
 	err := idx.db.Update(func(tx *bbolt.Tx) error { // as PutPart does, ten thousand times
-		for n := uint32(1); n <= decide.MostParts; n++ {
+		for n := uint32(1); n <= decide.MaxParts; n++ {
 			p := &pb.PartRecord{Number: n, Etag: "00", Size: 1, Extent: testExtents(fmt.Sprint("p", n), 1)}
 			named = append(named, decide.CompletedPart{Number: n, ETag: "00"})
 			intended := &pb.LooseRecord{Extent: p.Extent[0], Volume: "v"}
@@ -250,7 +250,7 @@
 		t.Fatal(err)
 	}
 	o, err := idx.CompleteUpload("v", "n", "u", named, 1, nil, 5)
-	if err != nil || o.Size != decide.MostParts || len(o.Extent) != decide.MostParts || o.Extent[9999].Id != "p10000/0" {
+	if err != nil || o.Size != decide.MaxParts || len(o.Extent) != decide.MaxParts || o.Extent[9999].Id != "p10000/0" {
 		t.Fatal(err)
 	}
 	for i := range 1000 {
--- a/internal/object/index/sweep.go
+++ b/internal/object/index/sweep.go
@@ -10,7 +10,7 @@
 	"weirhaven/internal/pb"
 )
 
-// RemovableExtents returns up to limit unreferenced extents whose bytes may be removed by the rule of decide.Sweep, and the number of
+// RemovableExtents returns up to limit unreferenced extents whose bytes may be removed by the rule of decide.RemovableExtents, and the number of
 // all unreferenced extents. An intended extent must be at least minAge old; oldestReader is when the oldest read under way began.
 // Nothing is changed: ClaimForRemoval has to follow before bytes are removed.
 func (x *Index) RemovableExtents(minAge, now, oldestReader time.Duration, limit int) (removable []*pb.LooseRecord, total int, err error) {
@@ -18,7 +18,7 @@
 		unreferenced, err := readUnreferenced(tx)
 		total = len(unreferenced)
 		referenced := func(id string) bool { return isReferenced(tx, id) }
-		removable = decide.Sweep(unreferenced, referenced, now, minAge, oldestReader)
+		removable = decide.RemovableExtents(unreferenced, referenced, now, minAge, oldestReader)
 		removable = removable[:min(len(removable), limit)]
 		return err
 	})
--- a/internal/object/index/uploads.go
+++ b/internal/object/index/uploads.go
@@ -101,13 +101,13 @@
 		if err != nil {
 			return err
 		}
-		extents, unused, size, etag, fault := decide.Complete(named, parts, minPart)
+		completed, fault := decide.CompleteUpload(named, parts, minPart)
 		if fault != nil {
 			return fault
 		}
-		object = &pb.ObjectRecord{Volume: volume, Name: name, Etag: etag, Size: size, Modified: int64(now),
-			ContentType: upload.ContentType, Meta: upload.Meta, Extent: extents}
-		if err := errors.Join(abandon(tx, volume, unused, now), commit(tx, object, precondition, now)); err != nil {
+		object = &pb.ObjectRecord{Volume: volume, Name: name, Etag: completed.ETag, Size: completed.Size, Modified: int64(now),
+			ContentType: upload.ContentType, Meta: upload.Meta, Extent: completed.Extents}
+		if err := errors.Join(abandon(tx, volume, completed.Unused, now), commit(tx, object, precondition, now)); err != nil {
 			return err
 		}
 		return deleteUpload(tx, id, parts)
