--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -477,7 +477,7 @@
 	var lines []engine.EndpointEntry
 	for _, b := range h.w.bricks {
 		l := h.w.s.Fleet.Brick[b.no]
-		x := engine.EndpointEntry{Name: b.name, Address: b.address, Zone: l.Zone, Shard: int(l.Cell), Serving: b.up || b.silent, Gone: !b.up && !b.silent, HasStart: true,
+		x := engine.EndpointEntry{Name: b.name, Address: b.address, Zone: l.Zone, Shard: int(l.Cell), Serving: b.up || b.silent, Removed: !b.up && !b.silent, HasStart: true,
 			Age: h.w.now - b.started}
 		lines = append(lines, x)
 	}
@@ -882,8 +882,8 @@
 
 func (h *host) RequestEndpointList() {}
 
-// SendNote does nothing: gossip between gateways is not simulated.
-func (h *host) SendNote([]byte) {}
+// SendGossip does nothing: gossip between gateways is not simulated.
+func (h *host) SendGossip([]byte) {}
 
 func (h *host) SendMembership(string, membership.Message)                   {}
 func (h *host) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
--- a/internal/controlplane/server/endpoints.go
+++ b/internal/controlplane/server/endpoints.go
@@ -55,7 +55,7 @@
 	reports := make([]endpointstate.Report, len(entries))
 	for i, entry := range entries {
 		reports[i] = endpointstate.Report{Name: entry.Name, Address: entry.Address, Zone: entry.Zone, Shard: entry.Shard,
-			Serving: entry.Serving && !entry.Gone, Removed: entry.Gone, ObservedAt: observedAt}
+			Serving: entry.Serving && !entry.Removed, Removed: entry.Removed, ObservedAt: observedAt}
 		if entry.HasStart {
 			reports[i].Started = observedAt - max(entry.Age, 0)
 		}
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -94,7 +94,7 @@
 	cutOff.stop()
 	for n := range 20 { // endpoints are replaced one after the other
 		number := int64(2 + 2*n)
-		changeList(c, number, false, engine.EndpointEntry{Name: fmt.Sprint("b", n), Gone: true, Address: "127.0.0.1:1", Zone: "n"})
+		changeList(c, number, false, engine.EndpointEntry{Name: fmt.Sprint("b", n), Removed: true, Address: "127.0.0.1:1", Zone: "n"})
 		changeList(c, number+1, false, endpoint(n+2, true))
 	}
 	waitFor(t, "the last endpoint", func() bool { return connected.holds(pb.Item_BRICK, "b21") != nil })
--- a/internal/controlplane/statemachine/placement.go
+++ b/internal/controlplane/statemachine/placement.go
@@ -27,7 +27,7 @@
 //   - in another zone than request.ButZone, if there is such a shard;
 //   - of these, the one with the fewest placements for each serving endpoint, then the lowest number.
 //
-// The error wraps ErrNoLease, ErrUnknownVolume, ErrNoServingEndpoint or ErrTooManyRecords, or is the Persister's.
+// The error wraps ErrNoLease, ErrUnknownVolume, ErrNoServingEndpoint or snapshot.ErrTooManyRecords, or is the Persister's.
 func (s *State) Place(request *pb.PlaceAsk, now time.Duration) (*pb.Item, error) {
 	key := snapshot.Key{Kind: pb.Item_PLACE, Name: request.Volume + "/" + request.Name}
 	if own := s.records[key]; own != nil && !own.Gone {
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("place %q: %w %q", key.Name, ErrUnknownVolume, request.Volume)
 	}
 	if len(s.records) >= s.config.MaxRecords {
-		return nil, fmt.Errorf("place %q: %w: at most %d", key.Name, ErrTooManyRecords, s.config.MaxRecords)
+		return nil, fmt.Errorf("place %q: %w: at most %d", key.Name, snapshot.ErrTooManyRecords, s.config.MaxRecords)
 	}
 	shard, found := s.chooseShard(s.candidateShards(volume.GetVolume(), request.ButZone))
 	if !found {
--- a/internal/controlplane/statemachine/recovery.go
+++ b/internal/controlplane/statemachine/recovery.go
@@ -1,7 +1,6 @@
 package statemachine
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
@@ -11,9 +10,6 @@
 	"weirhaven/internal/pb"
 )
 
-// ErrTooManyRecords is returned where Config.MaxRecords would be exceeded.
-var ErrTooManyRecords = errors.New("too many records")
-
 // MergeReport merges a part of what a gateway holds; last: the report is complete with it. Of each record the later generation wins
 // and drains add up, so that what this controller's disk lost comes back. A new drain found after recovery is a change like any
 // other, written with the next generation so that all gateways receive it.
@@ -25,7 +21,7 @@
 	var learned []*pb.Item
 	for _, record := range reported {
 		if len(s.records) >= s.config.MaxRecords && s.records[snapshot.KeyOf(record)] == nil {
-			return fmt.Errorf("%w: gateway %s reports more than %d", ErrTooManyRecords, name, s.config.MaxRecords)
+			return fmt.Errorf("%w: gateway %s reports more than %d", snapshot.ErrTooManyRecords, name, s.config.MaxRecords)
 		}
 		if merged := s.mergeReported(record); merged != nil {
 			learned = append(learned, merged)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,7 +23,7 @@
 		return Parse(m)
 	}
 	_, whole, lines, err := parse("5000000", "a 127.0.0.1:1 north 0 serving 2000000\nb 127.0.0.1:2 south 1 draining 0\nc 127.0.0.1:3 x 2 gone 9000000\n")
-	if err != nil || !whole || len(lines) != 3 || lines[0].Age != 3*time.Second || !lines[0].Serving || lines[1].Serving || !lines[2].Gone ||
+	if err != nil || !whole || len(lines) != 3 || lines[0].Age != 3*time.Second || !lines[0].Serving || lines[1].Serving || !lines[2].Removed ||
 		lines[2].Age != -4*time.Second {
 		t.Errorf("%v %+v", err, lines)
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -76,7 +76,7 @@
 		entry.Serving = true
 	case "draining":
 	case "gone":
-		entry.Gone = true
+		entry.Removed = true
 	default:
 		return entry, fmt.Errorf("state %q; allowed: serving, draining, gone", state)
 	}
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -182,7 +182,7 @@
 	if report.Outcome == policy.TimedOut && a.hasConn() {
 		a.target.conn.Abandon(a.id)
 	}
-	if !neverRan(report.Outcome) {
+	if report.Outcome.MayHaveRun() {
 		open.mayHaveRun = true
 	}
 	switch {
@@ -206,8 +206,3 @@
 	a.owner.inFlight = slices.DeleteFunc(a.owner.inFlight, func(other *attempt) bool { return other == a })
 	recordOutcome(a, report)
 }
-
-// neverRan reports whether an attempt that ended so certainly did not run.
-func neverRan(outcome policy.Outcome) bool {
-	return outcome == policy.Rejected || outcome == policy.ConnectFailed || outcome == policy.NotSent
-}
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -15,8 +15,8 @@
 	Connect(name, address string) EndpointConn
 	// RequestEndpointList asks the discovery service for the endpoint list or its changes.
 	RequestEndpointList()
-	// SendNote sends a gossip message of the scheduler to every other gateway; it may be lost.
-	SendNote(note []byte)
+	// SendGossip sends a gossip message of the scheduler to every other gateway; it may be lost.
+	SendGossip(note []byte)
 	// SendMembership sends a membership message to one gateway; it may be lost.
 	SendMembership(address string, m membership.Message)
 	// SendEndpoints reports endpoint states to one gateway; it may be lost. now is the Core's clock, to which the reports' times refer.
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -36,7 +36,7 @@
 	Name, Address, Zone string
 	Shard               int
 	Serving             bool          // false: draining or gone
-	Gone                bool          // no longer part of the fleet
+	Removed             bool          // no longer part of the fleet
 	HasStart            bool          // Age is known
 	Age                 time.Duration // since its start, by the clock of whoever made the list
 	Started             time.Duration // on the engine's clock, only for AuthoritativeList; 0: not known, long ago
@@ -83,7 +83,7 @@
 			c.suspendEndpoint(entry)
 			continue
 		}
-		c.EndpointChanged(entry.Name, entry.Address, entry.Zone, entry.Shard, entry.Serving, entry.Gone, entry.Started)
+		c.EndpointChanged(entry.Name, entry.Address, entry.Zone, entry.Shard, entry.Serving, entry.Removed, entry.Started)
 	}
 	c.endpointsChanged = true
 	c.applyEndpointChanges()
@@ -270,8 +270,8 @@
 			Address:    entry.Address,
 			Zone:       entry.Zone,
 			Shard:      entry.Shard,
-			Serving:    entry.Serving && !entry.Gone,
-			Removed:    entry.Gone,
+			Serving:    entry.Serving && !entry.Removed,
+			Removed:    entry.Removed,
 			ObservedAt: c.now,
 		}
 		if entry.HasStart {
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -22,7 +22,7 @@
 		}
 		e.EndpointList(endpointstate.Generation{}, false, []EndpointEntry{entry})
 	}
-	serving, gone := EndpointEntry{Serving: true}, EndpointEntry{Gone: true}
+	serving, gone := EndpointEntry{Serving: true}, EndpointEntry{Removed: true}
 	list(serving, 2*time.Second)
 	e.run(300 * ms)
 	list(serving, 2*time.Second+290*ms) // was under way 10 ms longer
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -96,7 +96,7 @@
 
 func (e *testEngine) Connect(name, _ string) EndpointConn                         { return &recordingConn{e, name} }
 func (e *testEngine) RequestEndpointList()                                        {}
-func (e *testEngine) SendNote([]byte)                                             {}
+func (e *testEngine) SendGossip([]byte)                                           {}
 func (e *testEngine) SendMembership(string, membership.Message)                   {}
 func (e *testEngine) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
 func (e *testEngine) MembersChanged([]membership.Member)                          {}
--- a/internal/engine/runtime.go
+++ b/internal/engine/runtime.go
@@ -67,7 +67,7 @@
 func (r *schedulerRuntime) RequestEndpointList() { r.outbound.RequestEndpointList() }
 
 // SendGossip implements policy.Runtime.
-func (r *schedulerRuntime) SendGossip(message []byte) { r.outbound.SendNote(message) }
+func (r *schedulerRuntime) SendGossip(message []byte) { r.outbound.SendGossip(message) }
 
 // Log implements policy.Runtime.
 func (r *schedulerRuntime) Log(line string) { r.outbound.Log(line) }
--- a/internal/gateway/outbound.go
+++ b/internal/gateway/outbound.go
@@ -19,8 +19,8 @@
 // RequestEndpointList requests the endpoint list and its changes.
 func (o outbound) RequestEndpointList() { o.gateway.discovery.RequestList() }
 
-// SendNote sends a note of the scheduler to every other gateway.
-func (o outbound) SendNote(note []byte) { o.gateway.peers.broadcast(note) }
+// SendGossip sends a message of the scheduler to every other gateway.
+func (o outbound) SendGossip(note []byte) { o.gateway.peers.broadcast(note) }
 
 // SendMembership sends a membership message to one gateway.
 func (o outbound) SendMembership(address string, m membership.Message) {
--- a/internal/httpgateway/config/list.go
+++ b/internal/httpgateway/config/list.go
@@ -77,19 +77,19 @@
 	entry := engine.EndpointEntry{Name: stringAt(member, "id"), Address: stringAt(member, "host_port"),
 		Zone: stringAt(member, "locality"), Shard: -1}
 	phase := stringAt(member, "phase")
-	entry.Serving, entry.Gone = phase == phaseInService, phase == phaseTerminated
+	entry.Serving, entry.Removed = phase == phaseInService, phase == phaseTerminated
 	if phase != phaseInService && phase != phaseTerminating && phase != phaseTerminated {
 		return entry, fmt.Errorf("phase: unknown phase %q", phase)
 	}
 	if entry.Name == "" {
 		return entry, errors.New("id: none")
 	}
-	if _, err := netip.ParseAddrPort(entry.Address); err != nil && !entry.Gone {
+	if _, err := netip.ParseAddrPort(entry.Address); err != nil && !entry.Removed {
 		return entry, fmt.Errorf("host_port: %q is no address with a port", entry.Address)
 	}
 	if shard, err := strconv.Atoi(jsonText(member.Get("cell"))); err == nil && shard >= 0 {
 		entry.Shard = shard
-	} else if !entry.Gone {
+	} else if !entry.Removed {
 		return entry, errors.New("cell: no whole number from 0")
 	}
 	entry.Started = startOf(member)
--- a/internal/httpgateway/config/stored_data_test.go
+++ b/internal/httpgateway/config/stored_data_test.go
@@ -40,7 +40,7 @@
 		KnownEndpoints: List{Revision: 41, Complete: true, Entries: []engine.EndpointEntry{
 			{Name: "brick-1", Address: "127.0.0.1:7301", Zone: "north", Shard: 3, Serving: true, Started: 1_790_000_000_123 * time.Millisecond},
 			{Name: "brick-2", Address: "[::1]:7302", Zone: "south", Shard: 4},
-			{Name: "brick-3", Shard: -1, Gone: true}}},
+			{Name: "brick-3", Shard: -1, Removed: true}}},
 		Settings: storedSettings(), ConnectTimeout: 250 * time.Millisecond, EndpointIdleTimeout: 30 * time.Second}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwanted %+v", got, want)
--- a/internal/httpgateway/downstream/probe.go
+++ b/internal/httpgateway/downstream/adminpaths.go
@@ -16,7 +16,7 @@
 const anonymous = "-"
 
 // probe answers the platform's own requests; ok is false for all others.
-func (s *Server) probe(head *http1.Head) (status int, body []byte, ok bool) {
+func (s *Server) serveAdminPath(head *http1.Head) (status int, body []byte, ok bool) {
 	if head.Method != "GET" || head.Length != 0 {
 		return 0, nil, false
 	}
--- a/internal/httpgateway/downstream/serve.go
+++ b/internal/httpgateway/downstream/serve.go
@@ -20,7 +20,7 @@
 		return c.rejectMalformed(err)
 	}
 	c.mustClose = head.Close
-	if status, body, ok := c.server.probe(head); ok {
+	if status, body, ok := c.server.serveAdminPath(head); ok {
 		c.pendingID = anonymous
 		return c.respond(status, "", body)
 	}
--- a/internal/httpgateway/gateway.go
+++ b/internal/httpgateway/gateway.go
@@ -14,7 +14,7 @@
 	"weirhaven/internal/httpgateway/discovery"
 	"weirhaven/internal/httpgateway/downstream"
 	"weirhaven/internal/httpgateway/metrics"
-	"weirhaven/internal/httpgateway/slowstart"
+	"weirhaven/internal/httpgateway/starttimes"
 	"weirhaven/internal/httpgateway/upstream"
 	"weirhaven/policy"
 )
@@ -105,18 +105,18 @@
 
 // newCore makes the engine, which knows the endpoints that stand in the configuration. The start times are used in the
 // engine's loop only, once that runs.
-func (g *Gateway) newCore() (*engine.Core, *slowstart.StartTimes) {
+func (g *Gateway) newCore() (*engine.Core, *starttimes.StartTimes) {
 	core := engine.New(g.Config.Settings, endpointstate.Rules{}, g.NewScheduler, outbound{g}, nil, healthCheckTimeout, g.loop.Now())
 	core.OnOverlap = func(request string) {
 		g.recorder.RecordViolation(metrics.OneAttemptInFlight, request, "an attempt began beside another one")
 	}
-	startTimes := slowstart.New()
+	startTimes := starttimes.New()
 	core.AuthoritativeList(true, startTimes.Translate(true, g.Config.KnownEndpoints.Entries, g.clockReadings(unknownSince)))
 	return core, startTimes
 }
 
 // newWatch makes the watch of the agent's endpoint list; onCurrent is called once the agent has sent what it has.
-func (g *Gateway) newWatch(startTimes *slowstart.StartTimes, onCurrent func()) *discovery.Watch {
+func (g *Gateway) newWatch(startTimes *starttimes.StartTimes, onCurrent func()) *discovery.Watch {
 	return discovery.New(discovery.Options{Address: g.Config.Discovery, Revision: g.Config.KnownEndpoints.Revision, Log: g.Log,
 		OnCurrent: onCurrent,
 		OnList: func(list config.List, sinceConfirmed time.Duration) {
@@ -159,8 +159,8 @@
 
 // clockReadings reads the clocks for a list that was received now; sinceConfirmed is how long ago the list before it was
 // last confirmed, unknownSince if none was.
-func (g *Gateway) clockReadings(sinceConfirmed time.Duration) slowstart.ClockReadings {
-	readings := slowstart.ClockReadings{Now: g.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
+func (g *Gateway) clockReadings(sinceConfirmed time.Duration) starttimes.ClockReadings {
+	readings := starttimes.ClockReadings{Now: g.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
 	if sinceConfirmed >= 0 {
 		readings.Confirmed = readings.Now - sinceConfirmed
 	}
--- a/internal/httpgateway/outbound.go
+++ b/internal/httpgateway/outbound.go
@@ -23,8 +23,8 @@
 // RequestEndpointList does nothing: the watch is always open.
 func (o outbound) RequestEndpointList() {}
 
-// SendNote does nothing: there are no peers.
-func (o outbound) SendNote([]byte) {}
+// SendGossip does nothing: there are no peers.
+func (o outbound) SendGossip([]byte) {}
 
 // SendMembership does nothing: there are no peers.
 func (o outbound) SendMembership(string, membership.Message) {}
--- a/internal/httpgateway/slowstart/slowstart.go
+++ b/internal/httpgateway/starttimes/starttimes.go
@@ -1,10 +1,10 @@
-// Package slowstart puts the start times of endpoints on this process's monotonic clock. The agent reports a start as a
+// Package starttimes puts the start times of endpoints on this process's monotonic clock. The agent reports a start as a
 // wall-clock time, and a wall clock may be stepped by an hour; then an endpoint that has just started looks an hour old, gets
 // its full share at once and is pushed over. How long an endpoint has been up is a span of real time, so a start time is
 // translated once, when it is first reported, and doesn't move with the wall clock afterwards.
 //
 // The package has no clock and no I/O, and is not safe for concurrent use.
-package slowstart
+package starttimes
 
 import (
 	"time"
@@ -52,7 +52,7 @@
 	for i, entry := range entries {
 		before, listed := known[entry.Name]
 		switch {
-		case entry.Gone:
+		case entry.Removed:
 			delete(s.endpoints, entry.Name)
 		case entry.Unreadable && !listed:
 		case entry.Unreadable, listed && before.reported == entry.Started:
--- a/internal/httpgateway/slowstart/slowstart_test.go
+++ b/internal/httpgateway/starttimes/starttimes_test.go
@@ -1,4 +1,4 @@
-package slowstart
+package starttimes
 
 import (
 	"testing"
@@ -59,7 +59,7 @@
 func TestForgets(t *testing.T) {
 	d := New()
 	d.Translate(true, append(oneEntry(now), engine.EndpointEntry{Name: "other"}), ClockReadings{Now: now, Wall: now})
-	d.Translate(false, []engine.EndpointEntry{{Name: "s", Gone: true}}, ClockReadings{Now: now, Wall: now})
+	d.Translate(false, []engine.EndpointEntry{{Name: "s", Removed: true}}, ClockReadings{Now: now, Wall: now})
 	if d.Translate(true, nil, ClockReadings{Now: now, Wall: now}); len(d.endpoints) != 0 {
 		t.Errorf("%d endpoints are remembered", len(d.endpoints))
 	}
--- a/internal/httpgateway/state.go
+++ b/internal/httpgateway/state.go
@@ -2,15 +2,16 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"net"
 	"runtime"
+	"strings"
 	"syscall"
 	"time"
 
 	"weirhaven/internal/engine"
 	"weirhaven/internal/httpgateway/downstream"
+	"weirhaven/policy"
 )
 
 func (g *Gateway) logServing(clients net.Addr, shares shares) {
@@ -57,9 +58,12 @@
 		slog.Int64("attempts", requests.Attempts),
 		slog.Int64("retries", requests.Retries),
 		slog.Int64("late_outcomes", requests.LateOutcomes),
-		slog.String("served/error_response/rejected/timed_out/connect_failed/connection_reset/canceled/not_sent", fmt.Sprint(requests.Outcomes)),
 		slog.Duration("loop_delay", loopDelay),
 	}
+	for outcome, count := range requests.Outcomes {
+		name := strings.ReplaceAll(policy.Outcome(outcome).String(), "-", "_")
+		attrs = append(attrs, slog.Int64("attempts_"+name, count))
+	}
 	attrs = append(attrs, processState()...)
 	attrs = append(attrs, g.connectionState(server)...)
 	g.Log.LogAttrs(context.Background(), slog.LevelInfo, "state", attrs...)
--- a/internal/httpgateway/upstream/attempt.go
+++ b/internal/httpgateway/upstream/attempt.go
@@ -15,7 +15,7 @@
 	request       *engine.Request
 	header, body  []byte        // the request's own, which drops its body with the final response
 	deadline      time.Duration // on the loop's clock: the client, or the scheduler, waits no longer
-	sendBefore    time.Duration // on the loop's clock: it must have begun by then; 0: no such limit
+	startBy       time.Duration // on the loop's clock: it must have begun by then; 0: no such limit
 	reservedBytes int64         // of Pool.responseMemory
 
 	ctx          context.Context
--- a/internal/httpgateway/upstream/endpoint.go
+++ b/internal/httpgateway/upstream/endpoint.go
@@ -24,15 +24,15 @@
 }
 
 // Send begins an attempt: on the idle connection used last if one may be used already, else on the first one that is there
-// for it. timeout is what the client has left, or less; the attempt must not begin at sendBefore or later on the loop's
+// for it. timeout is what the client has left, or less; the attempt must not begin at startBy or later on the loop's
 // clock (0: no such limit).
-func (e *endpoint) Send(id uint64, request *engine.Request, _ int, timeout, sendBefore time.Duration) {
+func (e *endpoint) Send(id uint64, request *engine.Request, _ int, timeout, startBy time.Duration) {
 	p := e.pool
 	deadline := p.options.Loop.Now() + timeout
 	if request.Deadline > 0 { // the loop may have been held up since it computed the timeout
 		deadline = min(deadline, request.Deadline)
 	}
-	a := &attempt{id: id, request: request, header: request.Header, body: request.Body, deadline: deadline, sendBefore: sendBefore}
+	a := &attempt{id: id, request: request, header: request.Header, body: request.Body, deadline: deadline, startBy: startBy}
 	a.ctx, a.cancel = context.WithCancel(p.ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpgateway/upstream/pool.go
+++ b/internal/httpgateway/upstream/pool.go
@@ -22,7 +22,7 @@
 	"weirhaven/internal/engine"
 	"weirhaven/internal/httpgateway/metrics"
 	"weirhaven/internal/httpgateway/upstream/idle"
-	"weirhaven/internal/httpgateway/upstream/quarantine"
+	"weirhaven/internal/httpgateway/upstream/reusedelay"
 )
 
 // Loop is the engine's loop. Its methods may be called from any goroutine.
@@ -73,7 +73,7 @@
 	endpoints         map[*endpoint]bool
 	counts            Counts
 	idleLimit         *idle.Limit
-	reuseDelay        *quarantine.Delay
+	reuseDelay        *reusedelay.Delay
 	malformedLoggedAt time.Time
 }
 
@@ -92,7 +92,7 @@
 		options.Recorder = metrics.New(options.Log)
 	}
 	p := &Pool{options: options, endpoints: map[*endpoint]bool{}, idleLimit: idle.New(options.IdleTimeout),
-		reuseDelay: quarantine.New(), responseMemory: semaphore.NewWeighted(max(options.ResponseMemory, MaxResponseBody))}
+		reuseDelay: reusedelay.New(), responseMemory: semaphore.NewWeighted(max(options.ResponseMemory, MaxResponseBody))}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
--- a/internal/httpgateway/upstream/report.go
+++ b/internal/httpgateway/upstream/report.go
@@ -3,14 +3,8 @@
 import (
 	"weirhaven/internal/engine"
 	"weirhaven/internal/httpgateway/metrics"
-	"weirhaven/policy"
 )
 
-// outcomeNames are the words for an attempt's outcome in the log, the counters and the operators' page.
-var outcomeNames = [...]metrics.Reason{policy.Served: "served", policy.ErrorResponse: "error-response", policy.Rejected: "rejected",
-	policy.TimedOut: "timed-out", policy.ConnectFailed: "connect-failed", policy.ConnectionReset: "connection-reset",
-	policy.Canceled: "canceled", policy.NotSent: "not-sent"}
-
 // report hands an attempt's outcome to the loop, unless it was canceled; the endpoint's name and the attempt's id are filled
 // in here. Two reports would end a request twice, so whoever removes the attempt from inFlight, under mu, is the one that
 // reports; a second report of the same attempt is counted as a violation. The caller does not hold mu: the loop may block.
@@ -26,9 +20,9 @@
 		release()
 		return
 	}
-	name := outcomeNames[report.Outcome]
-	p.options.Recorder.Count(metrics.Attempt, name)
-	p.options.Log.Debug("attempt ended", "request", a.request.Trace, "endpoint", e.name, "outcome", string(name), "started", a.started)
+	outcome := report.Outcome.String()
+	p.options.Recorder.Count(metrics.Attempt, metrics.Reason(outcome))
+	p.options.Log.Debug("attempt ended", "request", a.request.Trace, "endpoint", e.name, "outcome", outcome, "started", a.started)
 	report.Endpoint, report.ID = e.name, a.id
 	posted := p.options.Loop.Post(func(core *engine.Core) {
 		a.request.Release = release
--- a/internal/httpgateway/upstream/quarantine/quarantine.go
+++ b/internal/httpgateway/upstream/reusedelay/reusedelay.go
@@ -1,8 +1,8 @@
-// Package quarantine learns how long a connection must rest after a response before the next attempt goes on it. An endpoint
+// Package reusedelay learns how long a connection must rest after a response before the next attempt goes on it. An endpoint
 // may send a response twice, the duplicate a little later; responses carry no id, so a duplicate that comes after the next
 // attempt was sent would be taken for the response to that attempt, and a client would get the data of another request.
 // A connection on which a duplicate comes during its rest is closed instead. The package has no clock and no I/O.
-package quarantine
+package reusedelay
 
 import "time"
 
--- a/internal/httpgateway/upstream/quarantine/quarantine_test.go
+++ b/internal/httpgateway/upstream/reusedelay/reusedelay_test.go
@@ -1,4 +1,4 @@
-package quarantine
+package reusedelay
 
 import (
 	"fmt"
--- a/internal/httpgateway/upstream/send.go
+++ b/internal/httpgateway/upstream/send.go
@@ -48,7 +48,7 @@
 	_, ended := a.request.EndedAt()
 	switch {
 	case c.endpoint.inFlight[a.id] != a, c.closed: // canceled
-	case ended, now >= a.deadline, a.sendBefore != 0 && now >= a.sendBefore:
+	case ended, now >= a.deadline, a.startBy != 0 && now >= a.startBy:
 	default:
 		a.started = true
 	}
--- a/internal/httpgateway/upstream/send_test.go
+++ b/internal/httpgateway/upstream/send_test.go
@@ -32,17 +32,17 @@
 // would do work that nobody waits for. The attempt is reported all the same.
 func TestSendGuard(t *testing.T) {
 	for name, row := range map[string]struct {
-		sent       bool
-		timeout    time.Duration
-		sendBefore func(now time.Duration) time.Duration
-		change     func(request *engine.Request, now time.Duration)
+		sent    bool
+		timeout time.Duration
+		startBy func(now time.Duration) time.Duration
+		change  func(request *engine.Request, now time.Duration)
 	}{
 		"nothing happened":                     {sent: true, timeout: time.Second},
 		"client disconnected, noticed":         {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.End(now) }},
 		"client disconnected, not noticed yet": {timeout: time.Second, change: func(request *engine.Request, _ time.Duration) { request.ClientClosed = func() bool { return true } }},
 		"deadline passed":                      {timeout: 20 * time.Millisecond},
 		"the request's deadline passed":        {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.Deadline = now + time.Millisecond }},
-		"its own time limit passed":            {timeout: time.Second, sendBefore: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
+		"its own time limit passed":            {timeout: time.Second, startBy: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,14 +67,14 @@
 					return new(net.Dialer).DialContext(ctx, "tcp", address)
 				}})
 			request, now := &engine.Request{Header: []byte("GET / HTTP/1.1\r\n")}, loop.Now()
-			var sendBefore time.Duration
-			if row.sendBefore != nil {
-				sendBefore = row.sendBefore(now)
+			var startBy time.Duration
+			if row.startBy != nil {
+				startBy = row.startBy(now)
 			}
 			if row.change != nil {
 				row.change(request, now)
 			}
-			p.Connect("s", l.Addr().String()).Send(1, request, 0, row.timeout, sendBefore)
+			p.Connect("s", l.Addr().String()).Send(1, request, 0, row.timeout, startBy)
 			time.Sleep(50 * time.Millisecond)
 			close(mayConnect)
 			if n := <-received; n > 0 != row.sent {
