--- a/internal/controlplane/client/handle.go
+++ b/internal/controlplane/client/handle.go
@@ -10,7 +10,8 @@
 
 var errChangesDontFit = errors.New("changes don't fit what is held, the full snapshot will be asked for")
 
-// handle takes a controller's message and returns the replies. What the replies promise is on disk before. An error ends the stream.
+// handle takes a controller's message and returns the replies. A term is on disk before a reply speaks of it. A generation may be
+// acknowledged from memory where the disk fails: after a restart the digest shows what is missing. An error ends the stream.
 func (f *Follower) handle(s *stream, message *pb.PlannerSays) (replies []*pb.EdgeSays, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -57,7 +57,7 @@
 	stallTimeout time.Duration
 	streamsDone  sync.WaitGroup // goroutines of streams: they end once their handler has returned
 
-	mu          sync.Mutex // guards all below; held, the store is not written
+	mu          sync.Mutex // guards all below; the store is written only while it is held
 	state       *statemachine.State
 	endpoints   *endpointstate.Fleet
 	streams     map[string]*gatewayStream // by gateway
--- a/internal/engine/membership.go
+++ b/internal/engine/membership.go
@@ -59,7 +59,7 @@
 func (m *membershipOutbound) MembershipChanged(counts membership.Counts) {
 	c := (*Core)(m)
 	c.deferCall(func() {
-		c.outbound.Log(fmt.Sprintf("gateways: %d serving, capacity split over %d", counts.Serving, counts.Parts))
+		c.outbound.Log(fmt.Sprintf("gateways: %d serving, slow-start budgets split over %d", counts.Serving, counts.Parts))
 		c.scheduler.SetGateways(counts.Serving, counts.Parts)
 		if c.group != nil {
 			c.outbound.MembersChanged(c.group.Members())
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -69,7 +69,7 @@
 // The results of a request.
 const (
 	Served             Result = iota
-	Rejected                  // not run; a retry is harmless
+	Rejected                  // a retry is harmless: it did not run, or may run again
 	Failed                    // nothing is promised; see Response.MayHaveRun
 	ClientDisconnected        // no response: the client went away first
 )
--- a/internal/engine/runtime.go
+++ b/internal/engine/runtime.go
@@ -9,7 +9,7 @@
 // Scheduler is the scheduler as the engine calls it; *policy.Scheduler is one. Its methods are called by the Core's
 // owner, and never while it is in a call of its policy.Runtime.
 type Scheduler interface {
-	BeginEndpointList(whole bool)
+	BeginEndpointList(complete bool)
 	UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate)
 	EndEndpointList()
 	EndpointListFailed()
@@ -18,8 +18,8 @@
 	AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult)
 	ClientDisconnected(request *policy.Request)
 	HealthChecked(endpoint *policy.Endpoint, outcome policy.Outcome, duration time.Duration)
-	GossipReceived(sender int, data []byte)
-	SetGateways(serving, parts int)
+	GossipReceived(sender int, message []byte)
+	SetGateways(serving, slowStartShares int)
 	SetVolumeGateways(volume *policy.Volume, gateways int)
 }
 
--- a/internal/fleet/endpointstate/doc.go
+++ b/internal/fleet/endpointstate/doc.go
@@ -13,7 +13,7 @@
 //  5. trust.go: trust decays with age; a doubted endpoint goes to the sink as one that has just started.
 //  6. addressfilter.go: a report with an address outside the allowed networks is rejected.
 //
-// reports.go takes the evidence and applies the rules in that order.
+// reports.go takes the evidence and applies the rules; where several apply, any of them is enough to drop a report.
 //
 // The package has no I/O, clock or goroutine, and knows nothing of requests or connections. Each call that needs the time
 // is given it: the time since an epoch that the caller chooses and keeps over restarts, since beliefs are saved with it. The
--- a/internal/httpgateway/downstream/respond.go
+++ b/internal/httpgateway/downstream/respond.go
@@ -18,7 +18,7 @@
 	switch response.Result {
 	case engine.Served:
 		return c.respond(200, "", response.Body)
-	case engine.Rejected: // it did not run
+	case engine.Rejected: // a retry is harmless: it did not run, or may run again
 		fields := ""
 		if response.RetryAfter > 0 {
 			fields = "Retry-After: " + strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64) + "\r\n"
