--- a/internal/capacity/bounds/bounds.go
+++ b/internal/capacity/bounds/bounds.go
@@ -1,283 +1,144 @@
-// Package bounds tells from sums alone how far a load may grow before a limit is reached: quick, and a check on what the forecast
-// finds. It has no I/O, clock or goroutine.
-//
-// Every bound looks at the worst stretch of the load, as long as the longest command timeout: what is asked for within it can't
-// be put off past it. A mean over the capture hides a surge; this does not.
 package bounds
 
 import (
-	"cmp"
-	"fmt"
 	"math"
-	"slices"
 	"time"
 
-	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/wants"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
 )
 
-// Limit is one that the load meets as it grows.
-type Limit struct {
-	Kind   string // brick, zone, fleet, host, plan limit, reserve, in flight, budget, cold ramp
-	Which  string
-	Factor float64 // times the load at which it is reached; +Inf: never
-	Used   float64 // now, in the worst stretch
-	Most   float64
-	Unit   string
-	At     time.Duration // begin of the worst stretch
-	// When is empty where the limit holds on a usual day; else what must have happened.
-	When string
-}
-
-func (l Limit) String() string {
-	return fmt.Sprintf("%s %s: %.3g of %.3g %s, reached at %.2f times the load", l.Kind, l.Which, l.Used, l.Most, l.Unit, l.Factor)
-}
-
-// Input is what the bounds are of.
+// Input is what the bounds are computed from.
 type Input struct {
-	Fleet *pb.CapacityFleet
-	Model *pb.CapacityModel
-	Wants []wants.Want
-	// Further dispatches and commands, as captured; and the mean time that a host holds a command.
-	Further, Commands float64
-	Held              time.Duration
-	Span              time.Duration
+	Fleet  *pb.CapacityFleet
+	Model  *pb.CapacityModel
+	Demand []wants.Want // by time
+	// ExtraAttempts (retries and hedged attempts) and Requests are counts over Span, as captured.
+	ExtraAttempts, Requests float64
+	HoldTime                time.Duration // mean time that a gateway holds a request; 0: not known
+	Span                    time.Duration // length of the capture; 0: not known
 }
 
-// Speeds tells each brick's capacity in core seconds a second, pauses taken off.
-func Speeds(f *pb.CapacityFleet, m *pb.CapacityModel) func(b *pb.Server) float64 {
-	by, cores, stated := map[string]float64{}, map[string]float64{}, map[string]float64{}
-	for _, b := range m.Brick {
-		by[b.Name+" "+b.Kind] = b.Speed
-	}
-	for _, k := range f.Kind {
-		cores[k.Name], stated[k.Name] = math.Max(float64(k.Cores), 1), k.Speed
-	}
-	left, known := map[string]float64{}, map[string]bool{}
-	for _, k := range m.Kind {
-		known[k.Name], left[k.Name] = true, 1
-		if k.PauseEvery > 0 {
-			left[k.Name] = k.PauseEvery / (k.PauseEvery + k.Pause)
-		}
-	}
-	return func(b *pb.Server) float64 {
-		s := by[b.Name+" "+b.Kind]
-		if s == 0 {
-			if s = 1; !known[b.Kind] && stated[b.Kind] > 0 {
-				s = stated[b.Kind]
-			}
-		}
-		if l := left[b.Kind]; l > 0 {
-			s *= l
-		}
-		return s * cores[b.Kind]
-	}
+// analysis collects the limits of one input.
+type analysis struct {
+	Input
+	usage    *usage
+	byShard  map[int][]*pb.Server
+	speed    func(endpoint *pb.Server) float64
+	capacity float64 // of all endpoints, cores
+	limits   []Limit
 }
 
-// Window is the stretch that the bounds look at.
-func Window(f *pb.CapacityFleet) time.Duration {
-	w := time.Second
-	for _, q := range f.QueueType {
-		w = max(w, settings.Duration(q.CommandTimeout, 0))
-	}
-	return w
+// Limits returns all bounds, the nearest first. A limit that needs an input which isn't known or a setting which isn't there is left out.
+func Limits(in Input) []Limit {
+	a := &analysis{Input: in, byShard: map[int][]*pb.Server{}, speed: Speeds(in.Fleet, in.Model)}
+	for _, endpoint := range in.Fleet.Brick {
+		a.byShard[int(endpoint.Cell)] = append(a.byShard[int(endpoint.Cell)], endpoint)
+		a.capacity += a.speed(endpoint)
+	}
+	a.usage = measure(in, a.byShard)
+	a.addFleet()
+	a.addEndpoints()
+	a.addSlowStart()
+	a.addZones()
+	a.addGateways()
+	a.addPlanQuotas()
+	a.addReservations()
+	a.addInFlight()
+	a.addAttemptBudget()
+	a.addUnplaced()
+	sortNearest(a.limits)
+	return a.limits
 }
 
-// peak is the most of a series in any stretch, and where it begins.
-type peak struct {
-	window time.Duration
-	at     []time.Duration
-	x      []float64
-	from   int
-	sum    float64
-	most   float64
-	where  time.Duration
+func (a *analysis) add(l Limit) { a.limits = append(a.limits, l) }
+
+func (a *analysis) addFleet() {
+	a.add(newLimit(KindFleet, "all bricks", a.usage.fleet.rate(), a.capacity, "cores"))
 }
 
-func (p *peak) add(at time.Duration, x float64) {
-	p.at, p.x = append(p.at, at), append(p.x, x)
-	p.sum += x
-	for at-p.at[p.from] >= p.window {
-		p.sum -= p.x[p.from]
-		p.from++
-	}
-	if p.sum > p.most {
-		p.most, p.where = p.sum, p.at[p.from]
+func (a *analysis) addEndpoints() {
+	for _, endpoint := range a.Fleet.Brick {
+		a.add(newLimit(KindEndpoint, endpoint.Name, a.usage.peak(KindEndpoint, endpoint.Name), a.speed(endpoint), "cores"))
 	}
 }
 
-// Limits are all bounds, the nearest first.
-func Limits(in Input) []Limit {
-	f, window := in.Fleet, Window(in.Fleet)
-	cost, speed := place.CostOf(in.Model, f), Speeds(f, in.Model)
-	peaks := map[string]*peak{}
-	add := func(key string, at time.Duration, x float64) {
-		p := peaks[key]
-		if p == nil {
-			p = &peak{window: window}
-			peaks[key] = p
-		}
-		p.add(at, x)
-	}
-	byCell, zones := map[int][]*pb.Server{}, map[string]float64{}
-	capacity := 0.0
-	for _, b := range f.Brick {
-		byCell[int(b.Cell)] = append(byCell[int(b.Cell)], b)
-		zones[b.Zone] += speed(b)
-		capacity += speed(b)
-	}
-	plans := map[string]*pb.Plan{}
-	for _, p := range f.Plan {
-		plans[p.Name] = p
-	}
-	var total peak
-	total.window = window
-	units, work := map[string]float64{}, map[string]float64{} // by plan
-	volumes := map[string]string{}
-	lone := 0.0 // what lies nowhere
-	for i := range in.Wants {
-		w := &in.Wants[i]
-		c := cost(w)
-		volumes[w.Volume] = w.Plan
-		total.add(w.At, c)
-		units[w.Plan], work[w.Plan] = units[w.Plan]+w.Units, work[w.Plan]+c
-		volumes[w.Volume] = w.Plan
-		add("volume "+w.Volume, w.At, w.Units)
-		add("host "+w.Host, w.At, float64(max(w.Asked, 1)))
-		if w.Cell < 0 {
-			continue // goes where there is room: it counts against the fleet only
-		}
-		at := byCell[w.Cell]
-		if len(at) == 0 {
-			lone += c
-		}
-		for _, b := range at {
-			add("brick "+b.Name, w.At, c/float64(len(at)))
-			add("zone "+b.Zone, w.At, c/float64(len(at)))
-		}
-	}
-	var all []Limit
-	put := func(kind, which string, used, most float64, unit string, at time.Duration) {
-		factor := math.Inf(1)
-		if used > 0 {
-			factor = most / used
-		}
-		all = append(all, Limit{Kind: kind, Which: which, Factor: factor, Used: used, Most: most, Unit: unit, At: at})
-	}
-	get := func(key string) (float64, time.Duration) {
-		if p := peaks[key]; p != nil {
-			return p.most / window.Seconds(), p.where
-		}
-		return 0, 0
-	}
-	put("fleet", "all bricks", total.most/window.Seconds(), capacity, "cores", total.where)
-	worst := Limit{Factor: math.Inf(1)}
-	for _, b := range f.Brick {
-		used, at := get("brick " + b.Name)
-		put("brick", b.Name, used, speed(b), "cores", at)
-		if from := f.Rules.ColdFrom; from > 0 && from < 1 && used > 0 && len(byCell[int(b.Cell)]) == 1 {
-			if x := speed(b) * from / used; x < worst.Factor {
-				worst = Limit{Kind: "cold ramp", Which: b.Name, Factor: x, Used: used, Most: speed(b) * from, Unit: "cores", At: at,
-					When: "its replacement has just come up"}
-			}
-		}
-	}
-	if worst.Which != "" {
-		all = append(all, worst)
-	}
-	for z, most := range zones {
-		used, at := get("zone " + z)
-		put("zone", z, used, most, "cores", at)
-	}
-	for _, h := range f.Host {
-		if h.Commands > 0 {
-			used, at := get("host " + h.Name)
-			put("host", h.Name, used, h.Commands, "commands/s", at)
-		}
-	}
-	// A plan's limit: the volume that comes nearest. The store lets a surge through, the longer the stretch the less it helps.
-	for _, p := range f.Plan {
-		if p.Limit <= 0 {
+// addSlowStart finds the endpoint whose replacement, still warming up, would be overloaded first. Only the sole holder of a shard
+// counts: others leave the replacement time.
+func (a *analysis) addSlowStart() {
+	initial := a.Fleet.Rules.ColdFrom // part of its capacity that an endpoint starts with
+	if initial <= 0 || initial >= 1 {
+		return
+	}
+	nearest := Limit{Factor: math.Inf(1)}
+	for _, endpoint := range a.Fleet.Brick {
+		peak := a.usage.peak(KindEndpoint, endpoint.Name)
+		if peak.rate <= 0 || len(a.byShard[int(endpoint.Cell)]) != 1 {
 			continue
 		}
-		near := Limit{Factor: math.Inf(1)}
-		for v, plan := range volumes {
-			if plan != p.Name {
-				continue
-			}
-			used, at := get("volume " + v)
-			most := p.Limit + p.Depth/window.Seconds()
-			if x := most / math.Max(used, 1e-12); x < near.Factor || x == near.Factor && v < near.Which {
-				near = Limit{Kind: "plan limit", Which: v, Factor: x, Used: used, Most: most, Unit: "units/s of plan " + p.Name, At: at}
-			}
+		l := newLimit(KindSlowStart, endpoint.Name, peak, a.speed(endpoint)*initial, "cores")
+		if l.Factor < nearest.Factor {
+			l.Condition = "its replacement has just come up"
+			nearest = l
 		}
-		if near.Which != "" {
-			all = append(all, near)
-		}
-	}
-	if promised, which := reserved(in, volumes, units, work); promised > 0 {
-		all = append(all, Limit{Kind: "reserve", Which: which, Factor: capacity / promised, Used: promised, Most: capacity, Unit: "cores promised",
-			When: "all volumes with a reservation use it at once"})
 	}
-	if b := f.Bounds; b != nil && b.CommandsAConnection > 0 && b.Connections > 0 && in.Held > 0 {
-		for _, h := range f.Host {
-			used, at := get("host " + h.Name)
-			put("in flight", h.Name, used*in.Held.Seconds(), float64(b.CommandsAConnection)*float64(b.Connections), "commands", at)
-		}
+	if nearest.Subject != "" {
+		a.add(nearest)
 	}
-	if b := f.Rules.Budget; b != nil && in.Commands > 0 && in.Span > 0 {
-		span := settings.Duration(b.Span, time.Second).Seconds() / in.Span.Seconds() / math.Max(float64(len(f.Host)), 1)
-		used, share := in.Further*span, b.Share*in.Commands*span
-		factor := math.Inf(1)
-		if used > share {
-			factor = b.Free / (used - share)
-		}
-		all = append(all, Limit{Kind: "budget", Which: "further dispatches", Factor: factor, Used: used, Most: b.Free + share, Unit: "a host within " + b.Span})
+}
+
+func (a *analysis) addZones() {
+	zones := map[string]float64{}
+	for _, endpoint := range a.Fleet.Brick {
+		zones[endpoint.Zone] += a.speed(endpoint)
 	}
-	if lone > 0 {
-		all = append(all, Limit{Kind: "cell", Which: "data on no brick", Factor: 0, Used: lone, Unit: "core seconds",
-			When: "the fleet has no brick for some cells of the load"})
+	for zone, capacity := range zones {
+		a.add(newLimit(KindZone, zone, a.usage.peak(KindZone, zone), capacity, "cores"))
 	}
-	slices.SortStableFunc(all, func(a, b Limit) int {
-		return cmp.Or(cmp.Compare(a.Factor, b.Factor), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Which, b.Which))
-	})
-	return all
 }
 
-// reserved is the work that all reservations together promise, by what a unit of each plan costs in this load.
-func reserved(in Input, volumes map[string]string, units, work map[string]float64) (promised float64, which string) {
-	count := map[string]int{}
-	named := map[string]bool{}
-	for _, v := range in.Fleet.Volume {
-		count[v.Plan]++
-		named[v.Name] = true
-	}
-	for v, p := range volumes {
-		if !named[v] {
-			count[p]++
+func (a *analysis) addGateways() {
+	for _, gateway := range a.Fleet.Host {
+		if gateway.Commands > 0 {
+			a.add(newLimit(KindGateway, gateway.Name, a.usage.peak(KindGateway, gateway.Name), gateway.Commands, "commands/s"))
 		}
 	}
-	all, sum := 0.0, 0.0
-	for p := range units {
-		all, sum = all+work[p], sum+units[p]
-	}
-	top := 0.0
-	for _, p := range in.Fleet.Plan {
-		each := all / math.Max(sum, 1e-12)
-		if units[p.Name] > 0 {
-			each = work[p.Name] / units[p.Name]
-		}
-		x := p.Reservation * float64(count[p.Name]) * each
-		if promised += x; x > top {
-			top, which = x, "plan "+p.Name+" and others"
-		}
+}
+
+// addInFlight applies Little's law: requests held at once are their rate times the mean time that each is held.
+func (a *analysis) addInFlight() {
+	b := a.Fleet.Bounds
+	if b == nil || b.CommandsAConnection <= 0 || b.Connections <= 0 || a.HoldTime <= 0 {
+		return
+	}
+	capacity := float64(b.CommandsAConnection) * float64(b.Connections)
+	for _, gateway := range a.Fleet.Host {
+		peak := a.usage.peak(KindGateway, gateway.Name)
+		peak.rate *= a.HoldTime.Seconds()
+		a.add(newLimit(KindInFlight, gateway.Name, peak, capacity, "commands"))
 	}
-	return promised, which
 }
 
-// Usual are the limits of a usual day.
-func Usual(all []Limit) []Limit {
-	return slices.DeleteFunc(slices.Clone(all), func(l Limit) bool { return l.When != "" })
+// addAttemptBudget compares a gateway's retries and hedged attempts with its budget: a fixed allowance, and a share of its
+// requests. The share grows with the load, the allowance doesn't, so only what exceeds the share counts against it.
+func (a *analysis) addAttemptBudget() {
+	b := a.Fleet.Rules.Budget
+	if b == nil || a.Requests <= 0 || a.Span <= 0 {
+		return
+	}
+	perGateway := settings.Duration(b.Span, time.Second).Seconds() / a.Span.Seconds() / math.Max(float64(len(a.Fleet.Host)), 1)
+	used, share := a.ExtraAttempts*perGateway, b.Share*a.Requests*perGateway
+	factor := math.Inf(1)
+	if used > share {
+		factor = b.Free / (used - share)
+	}
+	a.add(Limit{Kind: KindAttemptBudget, Subject: "further dispatches", Factor: factor, Used: used, Capacity: b.Free + share, Unit: "a host within " + b.Span})
+}
+
+func (a *analysis) addUnplaced() {
+	if a.usage.unplaced > 0 {
+		a.add(Limit{Kind: KindShard, Subject: "data on no brick", Factor: 0, Used: a.usage.unplaced, Unit: "core seconds",
+			Condition: "the fleet has no brick for some cells of the load"})
+	}
 }
--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -32,7 +32,7 @@
 	return all
 }
 
-func find(t *testing.T, all []Limit, kind string) Limit {
+func find(t *testing.T, all []Limit, kind Kind) Limit {
 	t.Helper()
 	for _, l := range all {
 		if l.Kind == kind {
@@ -49,18 +49,18 @@
 	w := steady(20, 0, 300*time.Second, "v", "priority", 0, 1, 2, 3)
 	w = append(w, steady(200, 300*time.Second, 302*time.Second, "v", "priority", 1, 1, 1, 0)...)
 	w = append(w, steady(20, 302*time.Second, 600*time.Second, "v", "priority", 0, 1, 2, 3)...)
-	all := Limits(Input{Fleet: f, Model: m, Wants: w})
+	all := Limits(Input{Fleet: f, Model: m, Demand: w})
 	first := Usual(all)[0]
-	if first.Kind != "brick" || first.Which != "b1" || math.Abs(first.Factor-1/1.5) > 0.02 || first.At < 299*time.Second || first.At > 302*time.Second {
+	if first.Kind != "brick" || first.Subject != "b1" || math.Abs(first.Factor-1/1.5) > 0.02 || first.PeakStart < 299*time.Second || first.PeakStart > 302*time.Second {
 		t.Error(first)
 	}
-	if l := find(t, all, "host"); math.Abs(l.Used-200) > 2 || l.Most != 400 {
+	if l := find(t, all, "host"); math.Abs(l.Used-200) > 2 || l.Capacity != 400 {
 		t.Error(l)
 	}
-	if l := find(t, all, "zone"); l.Which != "n" || math.Abs(l.Used-2) > 0.03 {
+	if l := find(t, all, "zone"); l.Subject != "n" || math.Abs(l.Used-2) > 0.03 {
 		t.Error(l)
 	}
-	if l := find(t, all, "cold ramp"); l.Which != "b1" || l.When == "" || math.Abs(l.Factor-0.2/1.5) > 0.01 {
+	if l := find(t, all, "cold ramp"); l.Subject != "b1" || l.Condition == "" || math.Abs(l.Factor-0.2/1.5) > 0.01 {
 		t.Error(l)
 	}
 	if l := find(t, all, "fleet"); math.Abs(l.Factor-2) > 0.02 {
@@ -77,11 +77,11 @@
 		w = append(w, wants.Want{Host: "h", Volume: fmt.Sprint("p", i), Plan: "priority", Type: "read", Units: 1, Cell: i})
 	}
 	w = append(w, steady(80, 0, 4*time.Second, "v", "basic", 0, 1)...)
-	all := Limits(Input{Fleet: f, Model: m, Wants: w, Further: 30, Commands: 100, Span: 20 * time.Second, Held: time.Second})
+	all := Limits(Input{Fleet: f, Model: m, Demand: w, ExtraAttempts: 30, Requests: 100, Span: 20 * time.Second, HoldTime: time.Second})
 	if l := find(t, all, "reserve"); math.Abs(l.Used-5) > 0.01 || math.Abs(l.Factor-0.8) > 0.01 { // 5 x 100 units x 10 ms on 4 cores
 		t.Error(l)
 	}
-	if l := find(t, all, "plan limit"); l.Which != "v" || math.Abs(l.Factor-0.5) > 0.02 { // 30 + 20 in 2 s against 80
+	if l := find(t, all, "plan limit"); l.Subject != "v" || math.Abs(l.Factor-0.5) > 0.02 { // 30 + 20 in 2 s against 80
 		t.Error(l)
 	}
 	if l := find(t, all, "budget"); math.Abs(l.Factor-2.0/10) > 0.01 { // 15 further, 5 of them from the share
@@ -98,7 +98,7 @@
 	if s := Speeds(g, m); s(g.Brick[0]) != 1 || s(g.Brick[4]) != 3 {
 		t.Error(s(g.Brick[4]))
 	}
-	for _, l := range Limits(Input{Fleet: g, Model: m, Wants: w}) {
+	for _, l := range Limits(Input{Fleet: g, Model: m, Demand: w}) {
 		if l.Kind == "cell" {
 			t.Error(l)
 		}
--- /dev/null
+++ b/internal/capacity/bounds/plans.go
@@ -0,0 +1,95 @@
+package bounds
+
+import (
+	"math"
+
+	"weirhaven/internal/pb"
+)
+
+// minimumRate keeps a division by a rate or a sum of units defined.
+const minimumRate = 1e-12
+
+// addPlanQuotas finds, for each plan with a quota, the volume that comes nearest to it.
+func (a *analysis) addPlanQuotas() {
+	for _, plan := range a.Fleet.Plan {
+		if plan.Limit <= 0 {
+			continue
+		}
+		if l := a.nearestVolume(plan); l.Subject != "" {
+			a.add(l)
+		}
+	}
+}
+
+// nearestVolume counts the token bucket's depth as additional rate: it lets a surge through, the less so the longer the window.
+func (a *analysis) nearestVolume(plan *pb.Plan) Limit {
+	capacity := plan.Limit + plan.Depth/a.usage.window.Seconds()
+	nearest := Limit{Factor: math.Inf(1)}
+	for volume, name := range a.usage.volumes {
+		if name != plan.Name {
+			continue
+		}
+		peak := a.usage.peak(KindPlanQuota, volume)
+		factor := capacity / math.Max(peak.rate, minimumRate)
+		if factor < nearest.Factor || factor == nearest.Factor && volume < nearest.Subject {
+			nearest = Limit{Kind: KindPlanQuota, Subject: volume, Factor: factor, Used: peak.rate, Capacity: capacity,
+				Unit: "units/s of plan " + plan.Name, PeakStart: peak.start}
+		}
+	}
+	return nearest
+}
+
+// addReservations compares the work that all reservations together promise with what the fleet can do.
+func (a *analysis) addReservations() {
+	promised, subject := a.reserved()
+	if promised <= 0 {
+		return
+	}
+	a.add(Limit{Kind: KindReservation, Subject: subject, Factor: a.capacity / promised, Used: promised, Capacity: a.capacity, Unit: "cores promised",
+		Condition: "all volumes with a reservation use it at once"})
+}
+
+// reserved sums up what all reservations promise, in cores, by what a unit of each plan costs in this load. A plan that the load
+// doesn't show costs the mean. It also names the plan that promises most.
+func (a *analysis) reserved() (promised float64, subject string) {
+	count := a.volumesByPlan()
+	meanCost := a.meanUnitCost()
+	greatest := 0.0
+	for _, plan := range a.Fleet.Plan {
+		unitCost := meanCost
+		if units := a.usage.planUnits[plan.Name]; units > 0 {
+			unitCost = a.usage.planWork[plan.Name] / units
+		}
+		cores := plan.Reservation * float64(count[plan.Name]) * unitCost
+		promised += cores
+		if cores > greatest {
+			greatest, subject = cores, "plan "+plan.Name+" and others"
+		}
+	}
+	return promised, subject
+}
+
+// volumesByPlan counts the volumes that the fleet names, and those that only the load shows.
+func (a *analysis) volumesByPlan() map[string]int {
+	count := map[string]int{}
+	named := map[string]bool{}
+	for _, volume := range a.Fleet.Volume {
+		count[volume.Plan]++
+		named[volume.Name] = true
+	}
+	for volume, plan := range a.usage.volumes {
+		if !named[volume] {
+			count[plan]++
+		}
+	}
+	return count
+}
+
+// meanUnitCost is the work of a unit over all plans, in core seconds.
+func (a *analysis) meanUnitCost() float64 {
+	work, units := 0.0, 0.0
+	for plan := range a.usage.planUnits {
+		work, units = work+a.usage.planWork[plan], units+a.usage.planUnits[plan]
+	}
+	return work / math.Max(units, minimumRate)
+}
--- /dev/null
+++ b/internal/capacity/bounds/usage.go
@@ -0,0 +1,77 @@
+package bounds
+
+import (
+	"time"
+
+	"weirhaven/internal/capacity/place"
+	"weirhaven/internal/pb"
+)
+
+// seriesKey names a series whose peak is of interest: what one endpoint, zone, gateway or volume is asked for.
+type seriesKey struct {
+	kind    Kind // KindEndpoint, KindZone, KindGateway; KindPlanQuota for a volume
+	subject string
+}
+
+// usage is what the load asks of each resource.
+type usage struct {
+	window    time.Duration
+	fleet     *windowPeak               // core seconds
+	series    map[seriesKey]*windowPeak // core seconds; requests for a gateway, units for a volume
+	volumes   map[string]string         // the plan of each volume
+	planUnits map[string]float64
+	planWork  map[string]float64 // core seconds
+	unplaced  float64            // core seconds on shards that no endpoint holds
+}
+
+func newUsage(window time.Duration) *usage {
+	return &usage{window: window, fleet: &windowPeak{window: window}, series: map[seriesKey]*windowPeak{},
+		volumes: map[string]string{}, planUnits: map[string]float64{}, planWork: map[string]float64{}}
+}
+
+// measure adds up the whole load.
+func measure(in Input, byShard map[int][]*pb.Server) *usage {
+	u := newUsage(Window(in.Fleet))
+	cost := place.CostOf(in.Model, in.Fleet)
+	for i := range in.Demand {
+		request := &in.Demand[i]
+		work := cost(request)
+		u.volumes[request.Volume] = request.Plan
+		u.fleet.add(request.At, work)
+		u.planUnits[request.Plan] += request.Units
+		u.planWork[request.Plan] += work
+		u.add(KindPlanQuota, request.Volume, request.At, request.Units)
+		u.add(KindGateway, request.Host, request.At, float64(max(request.Asked, 1)))
+		if request.Cell < 0 {
+			continue // a new object goes where there is room: it counts against the fleet only
+		}
+		u.addShard(byShard[request.Cell], request.At, work)
+	}
+	return u
+}
+
+// addShard shares work out evenly over the endpoints that hold a shard.
+func (u *usage) addShard(holders []*pb.Server, now time.Duration, work float64) {
+	if len(holders) == 0 {
+		u.unplaced += work
+	}
+	for _, endpoint := range holders {
+		u.add(KindEndpoint, endpoint.Name, now, work/float64(len(holders)))
+		u.add(KindZone, endpoint.Zone, now, work/float64(len(holders)))
+	}
+}
+
+func (u *usage) add(kind Kind, subject string, now time.Duration, value float64) {
+	key := seriesKey{kind, subject}
+	p := u.series[key]
+	if p == nil {
+		p = &windowPeak{window: u.window}
+		u.series[key] = p
+	}
+	p.add(now, value)
+}
+
+// peak is a resource's rate a second in its worst window.
+func (u *usage) peak(kind Kind, subject string) peakRate {
+	return u.series[seriesKey{kind, subject}].rate()
+}
--- a/internal/capacity/decide/decide_test.go
+++ b/internal/capacity/decide/decide_test.go
@@ -157,8 +157,8 @@
 
 func TestReasons(t *testing.T) {
 	g, _ := ParseGoal("plan=basic target>=0.99")
-	limits := []bounds.Limit{{Kind: "plan limit", Which: "v7", Factor: 0.5, Used: 40, Most: 20, Unit: "units/s of plan basic"},
-		{Kind: "brick", Which: "b3", Factor: 0.8, Used: 1, Most: 0.8, Unit: "cores"}}
+	limits := []bounds.Limit{{Kind: "plan limit", Subject: "v7", Factor: 0.5, Used: 40, Capacity: 20, Unit: "units/s of plan basic"},
+		{Kind: "brick", Subject: "b3", Factor: 0.8, Used: 1, Capacity: 0.8, Unit: "cores"}}
 	s := Reasons(g, 0.7, limits, []string{"v9"})
 	for _, want := range []string{"v7", "limit", "b3", "v9", "0.7"} {
 		if !strings.Contains(s, want) {
--- a/internal/capacity/decide/giveup.go
+++ b/internal/capacity/decide/giveup.go
@@ -64,14 +64,14 @@
 	var why []string
 	for _, l := range limits {
 		if l.Kind == "plan limit" && l.Factor < 1 && (g.Plan == "" || strings.HasSuffix(l.Unit, " "+g.Plan)) {
-			why = append(why, fmt.Sprintf("volume %s asks for %.3g of %.3g %s: its plan's limit refuses the rest, whatever the fleet", l.Which, l.Used, l.Most, l.Unit))
+			why = append(why, fmt.Sprintf("volume %s asks for %.3g of %.3g %s: its plan's limit refuses the rest, whatever the fleet", l.Subject, l.Used, l.Capacity, l.Unit))
 		}
 		if l.Kind == "host" && l.Factor < 1 {
-			why = append(why, fmt.Sprintf("host %s is asked for %.3g of %.3g %s: more bricks don't help, more hosts do", l.Which, l.Used, l.Most, l.Unit))
+			why = append(why, fmt.Sprintf("host %s is asked for %.3g of %.3g %s: more bricks don't help, more hosts do", l.Subject, l.Used, l.Capacity, l.Unit))
 		}
 		if l.Kind == "brick" && l.Factor < 1 && len(lone) > 0 {
-			why = append(why, fmt.Sprintf("brick %s is asked for %.3g of %.3g %s with volumes that lie on one brick (%s): spread them over several cells", l.Which, l.Used,
-				l.Most, l.Unit, strings.Join(lone[:min(len(lone), 3)], ", ")))
+			why = append(why, fmt.Sprintf("brick %s is asked for %.3g of %.3g %s with volumes that lie on one brick (%s): spread them over several cells", l.Subject, l.Used,
+				l.Capacity, l.Unit, strings.Join(lone[:min(len(lone), 3)], ", ")))
 			lone = nil
 		}
 	}
--- a/internal/capacity/report/report.go
+++ b/internal/capacity/report/report.go
@@ -102,8 +102,8 @@
 		}
 	}
 	for _, l := range a.Limits {
-		if l.When != "" {
-			fmt.Fprintf(out, "  when %s: %s\n", l.When, l)
+		if l.Condition != "" {
+			fmt.Fprintf(out, "  when %s: %s\n", l.Condition, l)
 		}
 	}
 	if len(a.Servers) > 0 {
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -106,7 +106,7 @@
 // Limits are the analytic bounds.
 func (s *Study) Limits(f *pb.CapacityFleet, all []wants.Want) []bounds.Limit {
 	in := s.Captured
-	in.Fleet, in.Model, in.Wants = f, s.Model, all
+	in.Fleet, in.Model, in.Demand = f, s.Model, all
 	return bounds.Limits(in)
 }
 
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("with the surge x %.2f (%.2f-%.2f), naive %.2f; without x %.2f (%.2f-%.2f)", g.Times, g.Low, g.High, g.Naive, c.Times, c.Low, c.High)
-	if !g.Reached || g.Times > 1.6 || g.Times < 0.8 || g.Naive < 2.2 || c.Times < 2*g.Times || g.First[0].Kind != "brick" || g.First[0].At < 38*time.Second {
+	if !g.Reached || g.Times > 1.6 || g.Times < 0.8 || g.Naive < 2.2 || c.Times < 2*g.Times || g.First[0].Kind != "brick" || g.First[0].PeakStart < 38*time.Second {
 		t.Errorf("%+v", g)
 	}
 	if !(g.Low <= g.Times*1.05 && g.High >= g.Times*0.95) || g.Busiest < 0.8 || len(g.Plans) != 1 {
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -89,13 +89,13 @@
 	held := time.Duration(0)
 	for _, x := range l.Lines {
 		if m := x.GetCommand(); m != nil {
-			in.Commands++
-			in.Further += float64(max(len(m.Dispatch)-1, 0))
+			in.Requests++
+			in.ExtraAttempts += float64(max(len(m.Dispatch)-1, 0))
 			held += time.Duration(m.Took)
 		}
 	}
-	if in.Commands > 0 {
-		in.Held = held / time.Duration(in.Commands)
+	if in.Requests > 0 {
+		in.HoldTime = held / time.Duration(in.Requests)
 	}
 	from, to := l.Span()
 	in.Span = to - from
@@ -139,7 +139,7 @@
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	a := &report.Answer{Commands: int(s.Captured.Commands), Wants: len(offered), Folded: int(model.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
+	a := &report.Answer{Commands: int(s.Captured.Requests), Wants: len(offered), Folded: int(model.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
 		Seed: c.Seed, Capacity: s.Capacity(), Work: s.Work(), Limits: s.Limits(f, offered)}
 	if a.Inputs, err = report.Digest(append(c.Load, c.Fleet)...); err != nil {
 		return err
