--- a/internal/capacity/bounds/bounds.go
+++ b/internal/capacity/bounds/bounds.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
 )
@@ -13,7 +13,7 @@
 type Input struct {
 	Fleet  *pb.CapacityFleet
 	Model  *pb.CapacityModel
-	Demand []wants.Want // by time
+	Demand []demand.Request // by time
 	// ExtraAttempts (retries and hedged attempts) and Requests are counts over Span, as captured.
 	ExtraAttempts, Requests float64
 	HoldTime                time.Duration // mean time that a gateway holds a request; 0: not known
--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"weirhaven/internal/capacity/place"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/pb"
 )
 
@@ -23,10 +23,10 @@
 }
 
 // steady asks rate times a second, each of a unit, on the cells in turn.
-func steady(rate int, from, to time.Duration, volume, plan string, cells ...int) (all []wants.Want) {
+func steady(rate int, from, to time.Duration, volume, plan string, cells ...int) (all []demand.Request) {
 	i := 0
 	for at := from; at < to; at += time.Second / time.Duration(rate) {
-		all = append(all, wants.Want{At: at, Host: "h", Volume: volume, Plan: plan, Type: "read", Units: 1, Cell: cells[i%len(cells)], Asked: 1})
+		all = append(all, demand.Request{Arrival: at, Gateway: "h", Volume: volume, Plan: plan, QueueType: "read", Units: 1, Shard: cells[i%len(cells)], Attempts: 1})
 		i++
 	}
 	return all
@@ -72,9 +72,9 @@
 // brick; a kind that the capture never saw.
 func TestPromises(t *testing.T) {
 	f, m := fleet()
-	var w []wants.Want
+	var w []demand.Request
 	for i := range 5 {
-		w = append(w, wants.Want{Host: "h", Volume: fmt.Sprint("p", i), Plan: "priority", Type: "read", Units: 1, Cell: i})
+		w = append(w, demand.Request{Gateway: "h", Volume: fmt.Sprint("p", i), Plan: "priority", QueueType: "read", Units: 1, Shard: i})
 	}
 	w = append(w, steady(80, 0, 4*time.Second, "v", "basic", 0, 1)...)
 	all := Limits(Input{Fleet: f, Model: m, Demand: w, ExtraAttempts: 30, Requests: 100, Span: 20 * time.Second, HoldTime: time.Second})
@@ -90,7 +90,7 @@
 	if l := all[0]; l.Kind != "cell" || l.Factor != 0 { // p4 is on cell 4
 		t.Error(l)
 	}
-	g, err := place.With(f, "k", 6)
+	g, err := place.ResizeFleet(f, "k", 6)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,33 +105,34 @@
 	}
 }
 
-// With twice the bricks a volume on three cells lies on six; one on a single cell stays whole, and every want keeps a brick.
-func TestSpread(t *testing.T) {
+// A fleet grows to twice its endpoints. A volume on three shards then lies on six; one on a single shard stays whole. When the fleet
+// shrinks to two endpoints instead, every request still has one that is there.
+func TestRelocate(t *testing.T) {
 	f, m := fleet()
-	var w []wants.Want
+	var w []demand.Request
 	for i := range 4000 {
-		x := wants.Want{Volume: "wide", Plan: "priority", Type: "read", Units: 1, Cell: i % 4, Object: uint64(i*7919 + 1)}
+		x := demand.Request{Volume: "wide", Plan: "priority", QueueType: "read", Units: 1, Shard: i % 4, Object: uint64(i*7919 + 1)}
 		if i%4 == 0 {
-			x.Volume, x.Cell = "lone", 2
+			x.Volume, x.Shard = "lone", 2
 		}
 		w = append(w, x)
 	}
-	g, _ := place.With(f, "k", 8)
-	out := place.Spread(w, f, g, place.CostOf(m, f), Speeds(g, m))
+	g, _ := place.ResizeFleet(f, "k", 8)
+	out := place.Relocate(w, f, g, place.CostOf(m, f), Speeds(g, m))
 	by := map[string]map[int]int{"wide": {}, "lone": {}}
 	for _, x := range out {
-		by[x.Volume][x.Cell]++
+		by[x.Volume][x.Shard]++
 	}
 	if len(by["lone"]) != 1 || len(by["wide"]) != 6 {
 		t.Error(by)
 	}
-	less, _ := place.With(f, "k", 2)
-	for _, x := range place.Spread(w, f, less, place.CostOf(m, f), Speeds(less, m)) {
-		if x.Cell > 1 {
+	less, _ := place.ResizeFleet(f, "k", 2)
+	for _, x := range place.Relocate(w, f, less, place.CostOf(m, f), Speeds(less, m)) {
+		if x.Shard > 1 {
 			t.Fatal(x)
 		}
 	}
-	if _, err := place.With(f, "none", 3); err == nil {
+	if _, err := place.ResizeFleet(f, "none", 3); err == nil {
 		t.Error("a kind that is not there")
 	}
 }
--- a/internal/capacity/bounds/usage.go
+++ b/internal/capacity/bounds/usage.go
@@ -37,15 +37,15 @@
 		request := &in.Demand[i]
 		work := cost(request)
 		u.volumes[request.Volume] = request.Plan
-		u.fleet.add(request.At, work)
+		u.fleet.add(request.Arrival, work)
 		u.planUnits[request.Plan] += request.Units
 		u.planWork[request.Plan] += work
-		u.add(KindPlanQuota, request.Volume, request.At, request.Units)
-		u.add(KindGateway, request.Host, request.At, float64(max(request.Asked, 1)))
-		if request.Cell < 0 {
+		u.add(KindPlanQuota, request.Volume, request.Arrival, request.Units)
+		u.add(KindGateway, request.Gateway, request.Arrival, float64(max(request.Attempts, 1)))
+		if request.Shard < 0 {
 			continue // a new object goes where there is room: it counts against the fleet only
 		}
-		u.addShard(byShard[request.Cell], request.At, work)
+		u.addShard(byShard[request.Shard], request.Arrival, work)
 	}
 	return u
 }
--- /dev/null
+++ b/internal/capacity/demand/fold.go
@@ -0,0 +1,110 @@
+package demand
+
+import (
+	"slices"
+	"time"
+
+	"weirhaven/internal/pb"
+)
+
+// FoldRetries finds the requests behind a capture, and how clients retry and cancel. Lines come in order of time.
+//
+// A captured request is a retry if an earlier one like it (volume, queue type, object, units, shard) ended without success before
+// this one came, and the earlier one's timeout is not over; it must also be marked as a retry or name an object, since nothing else
+// says that two requests without an object are the same. What is marked but has no first (the capture began later, or lost it)
+// counts as a request of its own.
+func FoldRetries(lines []*pb.Captured) ([]Request, *pb.CapacityModel_ClientModel) {
+	f := folder{unfinished: map[identity]unfinished{}}
+	for _, line := range lines {
+		if captured := line.GetCommand(); captured != nil {
+			f.add(time.Duration(line.At), captured)
+		}
+	}
+	return f.load, f.clients()
+}
+
+// identity is what a request and its retries have in common.
+type identity struct {
+	volume, queueType string
+	object            uint64
+	units             float64
+	shard             int64
+}
+
+// unfinished is a request without success: what comes like it may be its retry.
+type unfinished struct {
+	index    int           // in the load
+	deadline time.Duration // a client retries no later
+	ended    time.Duration // when its client learned that the last attempt had failed
+}
+
+type folder struct {
+	load                       []Request
+	begin                      time.Duration // of the capture's first request
+	unfinished                 map[identity]unfinished
+	failed, retries, cancelled int
+	backoffs                   []time.Duration // from a failure until its retry
+}
+
+func (f *folder) add(now time.Duration, captured *pb.CapturedCommand) {
+	if len(f.load) == 0 {
+		f.begin = now
+	}
+	id := identity{captured.Volume, captured.QueueType, captured.Object, captured.Units, captured.Cell}
+	previous, known := f.unfinished[id]
+	sameRequest := captured.Repeat || captured.Object != 0
+	if known && sameRequest && now >= previous.ended && now < previous.deadline {
+		f.addRetry(id, previous, now, captured)
+		return
+	}
+	f.addFirst(id, now, captured)
+}
+
+func (f *folder) addRetry(id identity, previous unfinished, now time.Duration, captured *pb.CapturedCommand) {
+	f.load[previous.index].Attempts++
+	f.retries++
+	f.backoffs = append(f.backoffs, now-previous.ended)
+	if captured.Final == pb.CapturedCommand_COMPLETED {
+		delete(f.unfinished, id)
+		return
+	}
+	f.failed++
+	previous.ended = now + time.Duration(captured.Took)
+	f.unfinished[id] = previous
+}
+
+func (f *folder) addFirst(id identity, now time.Duration, captured *pb.CapturedCommand) {
+	r := Request{Arrival: now - f.begin, Gateway: captured.Host, Volume: captured.Volume, Plan: captured.Plan, QueueType: captured.QueueType,
+		Units: captured.Units, Shard: int(captured.Cell), Object: captured.Object, Timeout: time.Duration(captured.Timeout), Body: int(captured.Body), Attempts: 1}
+	switch captured.Final {
+	case pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_ABORTED:
+		f.failed++
+	case pb.CapturedCommand_LEFT:
+		// Its client may retry at another gateway after a lost connection. That retry is folded, but a cancellation is not counted
+		// as a failure that clients retry after.
+		r.CancelAfter = time.Duration(captured.Took)
+		f.cancelled++
+	default:
+		f.load = append(f.load, r)
+		delete(f.unfinished, id)
+		return
+	}
+	f.load = append(f.load, r)
+	f.unfinished[id] = unfinished{index: len(f.load) - 1, deadline: now + r.Timeout, ended: now + time.Duration(captured.Took)}
+}
+
+// clients sums up how clients retry and cancel.
+func (f *folder) clients() *pb.CapacityModel_ClientModel {
+	c := &pb.CapacityModel_ClientModel{Folded: uint32(f.retries), Firsts: uint32(len(f.load))}
+	if f.failed > 0 {
+		c.Repeats = min(1, float64(f.retries)/float64(f.failed))
+	}
+	if len(f.backoffs) > 0 {
+		slices.Sort(f.backoffs)
+		c.Wait = f.backoffs[len(f.backoffs)/2].Seconds()
+	}
+	if len(f.load) > 0 {
+		c.Leaves = float64(f.cancelled) / float64(len(f.load))
+	}
+	return c
+}
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"weirhaven/internal/capacity/model"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/engine"
 	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/fleet/membership"
@@ -33,7 +33,7 @@
 type Scenario struct {
 	Fleet  *pb.CapacityFleet
 	Model  *pb.CapacityModel
-	Wants  []wants.Want // by time
+	Wants  []demand.Request // by time
 	Events []Event
 	Seed   int64
 	// Notice is how late hosts hear of what came or went. 0: 300 ms.
@@ -246,8 +246,8 @@
 	}
 	end := time.Duration(0)
 	for i := range s.Wants {
-		end = max(end, s.Wants[i].At+s.Wants[i].Timeout)
-		w.after(s.Wants[i].At, func() { w.want(&s.Wants[i]) })
+		end = max(end, s.Wants[i].Arrival+s.Wants[i].Timeout)
+		w.after(s.Wants[i].Arrival, func() { w.want(&s.Wants[i]) })
 	}
 	for _, e := range s.Events {
 		w.after(e.At, func() { w.strike(e) })
@@ -268,7 +268,7 @@
 	for _, b := range w.bricks {
 		w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, b.m.Pressure), w.r.Turned+b.m.Turned
 	}
-	keep := int(s.Wants[len(s.Wants)-1].At/w.s.Block) + 1 // uses are told for as long as there is load
+	keep := int(s.Wants[len(s.Wants)-1].Arrival/w.s.Block) + 1 // uses are told for as long as there is load
 	for i := range w.r.Bricks {
 		b := &w.r.Bricks[i]
 		b.By, b.Done = b.By[:min(keep, len(b.By))], b.Done[:min(keep, len(b.Done))]
@@ -333,9 +333,9 @@
 			v = &volume{plan: x.Plan}
 			w.volumes[x.Volume] = v
 		}
-		h := w.byHost[x.Host]
+		h := w.byHost[x.Gateway]
 		if h == nil { // a fleet described without that host: its clients come through another one
-			h = w.hosts[int(hash(x.Host+x.Volume)%uint64(len(w.hosts)))]
+			h = w.hosts[int(hash(x.Gateway+x.Volume)%uint64(len(w.hosts)))]
 		}
 		if !slices.Contains(v.at, h) {
 			v.at = append(v.at, h)
@@ -576,7 +576,7 @@
 
 // A client's want while it is open.
 type open struct {
-	w     *wants.Want
+	w     *demand.Request
 	first time.Duration
 	until time.Duration
 	asked int
@@ -597,16 +597,16 @@
 	return b[k]
 }
 
-func (w *world) want(x *wants.Want) {
+func (w *world) want(x *demand.Request) {
 	v := w.volumes[x.Volume]
-	h := w.byHost[x.Host]
+	h := w.byHost[x.Gateway]
 	if h == nil {
-		h = v.at[int(hash(x.Host+x.Volume)%uint64(len(v.at)))]
+		h = v.at[int(hash(x.Gateway+x.Volume)%uint64(len(v.at)))]
 	}
-	o := &open{w: x, first: w.now, until: w.now + x.Timeout, host: h, tally: w.tally(w.now, Key{x.Plan, x.Type})}
+	o := &open{w: x, first: w.now, until: w.now + x.Timeout, host: h, tally: w.tally(w.now, Key{x.Plan, x.QueueType})}
 	o.tally.Wanted++
-	if x.Leaves > 0 {
-		w.at(w.now+x.Leaves, func() {
+	if x.CancelAfter > 0 {
+		w.at(w.now+x.CancelAfter, func() {
 			if !o.over {
 				o.over = true
 				o.tally.Left++
@@ -643,8 +643,8 @@
 	o.tally.Asked++
 	x, h := o.w, o.host
 	h.taken++
-	cell := x.Cell
-	o.task = &engine.Request{Volume: x.Volume, Class: x.Type, Object: fmt.Sprintf("%x", x.Object), Shard: cell, Units: x.Units,
+	cell := x.Shard
+	o.task = &engine.Request{Volume: x.Volume, Class: x.QueueType, Object: fmt.Sprintf("%x", x.Object), Shard: cell, Units: x.Units,
 		Timeout: o.until - w.now, Retry: o.asked > 1 && w.s.Fleet.Rules.ClientsMarkRepeats}
 	o.task.Respond = func(a engine.Response) { w.answered(o, a) }
 	h.in(func(c *engine.Core) {
@@ -703,7 +703,7 @@
 	o.over = true
 	took := w.now - o.first
 	switch {
-	case how == engine.Served && took <= w.targets[o.w.Type]:
+	case how == engine.Served && took <= w.targets[o.w.QueueType]:
 		o.tally.InTarget++
 	case how == engine.Served:
 		o.tally.Late++
--- a/internal/capacity/forecast/forecast_test.go
+++ b/internal/capacity/forecast/forecast_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/pb"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // load of so many commands a second, each of a volume that lies on two cells.
-func load(rate float64, length time.Duration, bricks, hosts int, seed int64) (all []wants.Want) {
+func load(rate float64, length time.Duration, bricks, hosts int, seed int64) (all []demand.Request) {
 	rng := rand.New(rand.NewSource(seed))
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -39,10 +39,10 @@
 			return all
 		}
 		v := rng.Intn(4 * bricks)
-		w := wants.Want{At: at, Volume: fmt.Sprint("v", v), Plan: []string{"basic", "priority"}[v%2], Type: "read", Units: 1,
-			Cell: (v + rng.Intn(2)) % bricks, Object: rng.Uint64()%50 + 1, Timeout: time.Second, Host: fmt.Sprint("h", (v+rng.Intn(2))%hosts)}
+		w := demand.Request{Arrival: at, Volume: fmt.Sprint("v", v), Plan: []string{"basic", "priority"}[v%2], QueueType: "read", Units: 1,
+			Shard: (v + rng.Intn(2)) % bricks, Object: rng.Uint64()%50 + 1, Timeout: time.Second, Gateway: fmt.Sprint("h", (v+rng.Intn(2))%hosts)}
 		if rng.Intn(4) == 0 {
-			w.Type, w.Timeout = "post", 1500*time.Millisecond
+			w.QueueType, w.Timeout = "post", 1500*time.Millisecond
 		}
 		for w.Units < 8 && rng.Intn(2) == 0 {
 			w.Units++
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -9,14 +9,14 @@
 
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/engine"
 	"weirhaven/internal/pb"
 )
 
 // big is a fleet so many times that of the tests, and a load on it.
-func big(bricks, hosts int, rate float64, length time.Duration) (*pb.CapacityFleet, *pb.CapacityModel, []wants.Want) {
+func big(bricks, hosts int, rate float64, length time.Duration) (*pb.CapacityFleet, *pb.CapacityModel, []demand.Request) {
 	f, m := fleet()
 	f.Brick, f.Host = nil, nil
 	for i := range bricks {
@@ -28,9 +28,9 @@
 	w := load(rate, 0, length, "basic", 0.3, 1)
 	for i := range w {
 		v := i * 7919 % (4 * bricks)
-		w[i].Volume, w[i].Host = fmt.Sprint("v", v), fmt.Sprint("h", (v+i%2)%hosts)
-		if w[i].Cell >= 0 {
-			w[i].Cell = (v + i%3) % bricks
+		w[i].Volume, w[i].Gateway = fmt.Sprint("v", v), fmt.Sprint("h", (v+i%2)%hosts)
+		if w[i].Shard >= 0 {
+			w[i].Shard = (v + i%3) % bricks
 		}
 	}
 	return f, m, w
@@ -79,7 +79,7 @@
 		if _, _, err := capture.Segment(bytes.NewReader(file.Bytes()), func(*pb.Captured) error { return nil }); err != nil {
 			b.Fatal(err)
 		}
-		_, c := wants.Unfold(lines)
+		_, c := demand.FoldRetries(lines)
 		if _, err := learn.Model(lines, f, c); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -20,7 +20,7 @@
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/sample"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
 )
@@ -29,7 +29,7 @@
 type Study struct {
 	Fleet *pb.CapacityFleet
 	Model *pb.CapacityModel
-	Wants []wants.Want
+	Wants []demand.Request
 	Goals []decide.Goal
 	Seed  int64
 	// Length and Stretches of what is played: 20 s, 5.
@@ -88,9 +88,9 @@
 
 // Work is what the load asks for in each second, in core seconds.
 func (s *Study) Work() []float64 {
-	work := make([]float64, int(s.Wants[len(s.Wants)-1].At/time.Second)+1)
+	work := make([]float64, int(s.Wants[len(s.Wants)-1].Arrival/time.Second)+1)
 	for i := range s.Wants {
-		work[int(s.Wants[i].At/time.Second)] += s.cost(&s.Wants[i])
+		work[int(s.Wants[i].Arrival/time.Second)] += s.cost(&s.Wants[i])
 	}
 	return work
 }
@@ -104,7 +104,7 @@
 }
 
 // Limits are the analytic bounds.
-func (s *Study) Limits(f *pb.CapacityFleet, all []wants.Want) []bounds.Limit {
+func (s *Study) Limits(f *pb.CapacityFleet, all []demand.Request) []bounds.Limit {
 	in := s.Captured
 	in.Fleet, in.Model, in.Demand = f, s.Model, all
 	return bounds.Limits(in)
@@ -117,7 +117,7 @@
 }
 
 // play plays the stretches of a load, so many times as large.
-func (s *Study) play(ctx context.Context, f *pb.CapacityFleet, all []wants.Want, times float64) (*played, error) {
+func (s *Study) play(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, times float64) (*played, error) {
 	p := &played{pieces: make([][]decide.Piece, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
@@ -128,7 +128,7 @@
 			}
 			rng := rand.New(rand.NewSource(s.Seed + int64(i)))
 			from := max(st.From-warm, 0)
-			load := wants.Scale(wants.Cut(all, from, st.To), times, rng)
+			load := demand.Scale(demand.Slice(all, from, st.To), times, rng)
 			if len(load) == 0 {
 				return nil
 			}
@@ -186,7 +186,7 @@
 	for _, x := range s.Work() {
 		mean += x
 	}
-	g.Naive = s.Capacity() / math.Max(mean/(s.Wants[len(s.Wants)-1].At.Seconds()+1e-9), 1e-12)
+	g.Naive = s.Capacity() / math.Max(mean/(s.Wants[len(s.Wants)-1].Arrival.Seconds()+1e-9), 1e-12)
 	guess := 1.0
 	if g.Bound > 0 && !math.IsInf(g.Bound, 1) {
 		guess = g.Bound
@@ -323,11 +323,11 @@
 			if !ok {
 				break
 			}
-			f, err := place.With(s.Fleet, k.Name, n)
+			f, err := place.ResizeFleet(s.Fleet, k.Name, n)
 			if err != nil {
 				return nil, err
 			}
-			p, err := s.play(ctx, f, place.Spread(s.Wants, s.Fleet, f, s.cost, s.speed), 1)
+			p, err := s.play(ctx, f, place.Relocate(s.Wants, s.Fleet, f, s.cost, s.speed), 1)
 			if err != nil {
 				return nil, err
 			}
@@ -352,7 +352,7 @@
 		sum, window := 0.0, bounds.Window(s.Fleet)
 		from, in := 0, 0.0
 		for i := range s.Wants {
-			for in++; s.Wants[i].At-s.Wants[from].At >= window; from++ {
+			for in++; s.Wants[i].Arrival-s.Wants[from].Arrival >= window; from++ {
 				in--
 			}
 			sum = math.Max(sum, in/window.Seconds())
@@ -365,14 +365,14 @@
 
 // why tells of each goal that is missed with many servers.
 func (s *Study) why(p *played, kind string) string {
-	f, err := place.With(s.Fleet, kind, 4*len(s.Fleet.Brick))
+	f, err := place.ResizeFleet(s.Fleet, kind, 4*len(s.Fleet.Brick))
 	if err != nil {
 		return err.Error()
 	}
-	spread := place.Spread(s.Wants, s.Fleet, f, s.cost, s.speed)
+	spread := place.Relocate(s.Wants, s.Fleet, f, s.cost, s.speed)
 	limits := s.Limits(f, spread)
 	var lone []string
-	for v, cells := range place.Cells(spread, f) {
+	for v, cells := range place.VolumeShards(spread, f) {
 		if len(cells) == 1 {
 			lone = append(lone, v)
 		}
@@ -454,7 +454,7 @@
 	before, after := 6*time.Second, 8*time.Second
 	gone = max(gone.Truncate(time.Second), time.Second)
 	need := before + gone + cold + after
-	length := s.Wants[len(s.Wants)-1].At + time.Second
+	length := s.Wants[len(s.Wants)-1].Arrival + time.Second
 	if need > length { // a short capture: each phase is shorter
 		scale := float64(length) / float64(need)
 		whole := func(d time.Duration) time.Duration { // results stand by second
@@ -470,7 +470,7 @@
 		}
 	}
 	from := max(min((heavy.From+s.Length/2-before-gone/2).Truncate(time.Second), length-need), 0)
-	load := wants.Cut(s.Wants, from, from+need)
+	load := demand.Slice(s.Wants, from, from+need)
 	if len(load) == 0 {
 		return nil, fmt.Errorf("the capture holds no command in the stretch around its heaviest")
 	}
@@ -529,7 +529,7 @@
 }
 
 // phase is what came of one stretch of a loss, and what sums say of it.
-func (s *Study) phase(p Phase, load []wants.Want, results []*forecast.Result, l *Loss) Phase {
+func (s *Study) phase(p Phase, load []demand.Request, results []*forecast.Result, l *Loss) Phase {
 	type parts struct {
 		sum forecast.Tally
 		by  []float64
@@ -585,11 +585,11 @@
 }
 
 // shares are the kinds of work in a phase's worst second, of what can be reached.
-func (s *Study) shares(load []wants.Want, p Phase, reach map[int]bool) (all []decide.Share, lost, total float64) {
+func (s *Study) shares(load []demand.Request, p Phase, reach map[int]bool) (all []decide.Share, lost, total float64) {
 	by := map[int]float64{}
 	for i := range load {
-		if w := &load[i]; w.At >= p.From && w.At < p.To {
-			by[int(w.At/time.Second)] += s.cost(w)
+		if w := &load[i]; w.Arrival >= p.From && w.Arrival < p.To {
+			by[int(w.Arrival/time.Second)] += s.cost(w)
 		}
 	}
 	worst, most := 0, -1.0
@@ -610,18 +610,18 @@
 	units := map[string]float64{} // by volume, so far: the first of it are reserved
 	for i := range load {
 		w := &load[i]
-		if int(w.At/time.Second) != worst || plans[w.Plan] == nil || types[w.Type] == nil {
+		if int(w.Arrival/time.Second) != worst || plans[w.Plan] == nil || types[w.QueueType] == nil {
 			continue
 		}
 		c := s.cost(w)
 		total += c
-		if w.Cell >= 0 && !reach[w.Cell] {
+		if w.Shard >= 0 && !reach[w.Shard] {
 			lost += c
 			continue
 		}
-		k := key{w.Plan, w.Type}
+		k := key{w.Plan, w.QueueType}
 		if sums[k] == nil {
-			sums[k] = &decide.Share{Plan: w.Plan, Type: w.Type, Worth: math.Max(plans[w.Plan].Importance, 0.01) * math.Max(types[w.Type].Importance, 0.01)}
+			sums[k] = &decide.Share{Plan: w.Plan, Type: w.QueueType, Worth: math.Max(plans[w.Plan].Importance, 0.01) * math.Max(types[w.QueueType].Importance, 0.01)}
 		}
 		sums[k].Work += c
 		sums[k].Commands++
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -13,7 +13,7 @@
 	"weirhaven/internal/capacity/decide"
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/engine"
 	"weirhaven/internal/pb"
 )
@@ -38,7 +38,7 @@
 }
 
 // load of so many commands a second; a part of them new objects, which go to any brick.
-func load(rate float64, from, to time.Duration, plan string, fresh float64, seed int64) (all []wants.Want) {
+func load(rate float64, from, to time.Duration, plan string, fresh float64, seed int64) (all []demand.Request) {
 	rng := rand.New(rand.NewSource(seed))
 	for at := from; ; {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -46,12 +46,12 @@
 			return all
 		}
 		v := rng.Intn(12)
-		w := wants.Want{At: at, Volume: fmt.Sprint(plan, v), Plan: plan, Type: "read", Units: 1, Cell: (v + rng.Intn(3)) % 6, Object: rng.Uint64() | 1,
-			Timeout: time.Second, Host: fmt.Sprint("h", (v+rng.Intn(2))%3), Asked: 1}
+		w := demand.Request{Arrival: at, Volume: fmt.Sprint(plan, v), Plan: plan, QueueType: "read", Units: 1, Shard: (v + rng.Intn(3)) % 6, Object: rng.Uint64() | 1,
+			Timeout: time.Second, Gateway: fmt.Sprint("h", (v+rng.Intn(2))%3), Attempts: 1}
 		if rng.Intn(4) == 0 {
-			w.Type, w.Timeout = "post", 1500*time.Millisecond
+			w.QueueType, w.Timeout = "post", 1500*time.Millisecond
 			if rng.Float64() < fresh {
-				w.Cell = -1
+				w.Shard = -1
 			}
 		}
 		for w.Units < 8 && rng.Intn(2) == 0 {
@@ -61,15 +61,15 @@
 	}
 }
 
-func merge(all ...[]wants.Want) []wants.Want {
-	var out []wants.Want
+func merge(all ...[]demand.Request) []demand.Request {
+	var out []demand.Request
 	for _, w := range all {
 		out = append(out, w...)
 	}
-	return wants.Scale(out, 1.0000001, rand.New(rand.NewSource(1))) // by time
+	return demand.Scale(out, 1.0000001, rand.New(rand.NewSource(1))) // by time
 }
 
-func study(t *testing.T, f *pb.CapacityFleet, m *pb.CapacityModel, w []wants.Want, goals ...string) *Study {
+func study(t *testing.T, f *pb.CapacityFleet, m *pb.CapacityModel, w []demand.Request, goals ...string) *Study {
 	t.Helper()
 	s := &Study{Fleet: f, Model: m, Wants: w, Seed: 1, Length: 8 * time.Second, Stretches: 3}
 	for _, text := range goals {
@@ -129,7 +129,7 @@
 	}
 	lone := load(250, 0, 16*time.Second, "basic", 0, 4)
 	for i := range lone {
-		lone[i].Volume, lone[i].Cell = "whole", 2
+		lone[i].Volume, lone[i].Shard = "whole", 2
 	}
 	all, err = study(t, f, m, merge(lone, load(50, 0, 16*time.Second, "priority", 0, 5)), "plan=basic target>=0.95", "plan=priority target>=0.9").Least(context.Background())
 	if err != nil {
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	byTime(lines)
-	got, client := wants.Unfold(lines)
+	got, client := demand.FoldRetries(lines)
 	again, err := learn.Model(lines, f, client)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -18,7 +18,7 @@
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/place"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/scenario"
@@ -36,7 +36,7 @@
 type Case struct {
 	Name   string
 	Drill  func(d *pb.Drill)
-	Wants  func(all []wants.Want, rng *rand.Rand) []wants.Want
+	Wants  func(all []demand.Request, rng *rand.Rand) []demand.Request
 	Events []forecast.Event
 	Moved  bool // the fleet is another one
 }
@@ -64,7 +64,7 @@
 	runs       = 5
 )
 
-func demand(times float64) func(d *pb.Drill) {
+func scaleDemand(times float64) func(d *pb.Drill) {
 	return func(d *pb.Drill) {
 		for _, v := range d.Volumes {
 			v.Demand *= times
@@ -72,8 +72,8 @@
 	}
 }
 
-func scaled(times float64) func(all []wants.Want, rng *rand.Rand) []wants.Want {
-	return func(all []wants.Want, rng *rand.Rand) []wants.Want { return wants.Scale(all, times, rng) }
+func scaleLoad(times float64) func(all []demand.Request, rng *rand.Rand) []demand.Request {
+	return func(all []demand.Request, rng *rand.Rand) []demand.Request { return demand.Scale(all, times, rng) }
 }
 
 // Cases are the ten.
@@ -94,37 +94,37 @@
 		}
 	}
 	return []Case{
-		{Name: "as recorded", Drill: demand(1), Wants: scaled(1)},
-		{Name: "load x 0.6", Drill: demand(0.6), Wants: scaled(0.6)},
-		{Name: "load x 1.25", Drill: demand(1.25), Wants: scaled(1.25)},
-		{Name: "load x 1.5", Drill: demand(1.5), Wants: scaled(1.5)},
-		{Name: "load x 2", Drill: demand(2), Wants: scaled(2)},
+		{Name: "as recorded", Drill: scaleDemand(1), Wants: scaleLoad(1)},
+		{Name: "load x 0.6", Drill: scaleDemand(0.6), Wants: scaleLoad(0.6)},
+		{Name: "load x 1.25", Drill: scaleDemand(1.25), Wants: scaleLoad(1.25)},
+		{Name: "load x 1.5", Drill: scaleDemand(1.5), Wants: scaleLoad(1.5)},
+		{Name: "load x 2", Drill: scaleDemand(2), Wants: scaleLoad(2)},
 		{Name: "surge of plan basic x 4", Drill: func(d *pb.Drill) {
 			d.Trouble = append(d.Trouble, &pb.Trouble{Kind: pb.Trouble_PLAN_BURST, At: "4s", Length: "5s", Size: 4, Plan: "basic"})
-		}, Wants: func(all []wants.Want, rng *rand.Rand) []wants.Want {
+		}, Wants: func(all []demand.Request, rng *rand.Rand) []demand.Request {
 			out := slices.Clone(all) // what more the plan asks for is like what it asked for all the time, not like those few seconds
-			last := all[len(all)-1].At
+			last := all[len(all)-1].Arrival
 			for _, w := range all {
 				for left := 3 * (5 * time.Second).Seconds() / last.Seconds(); w.Plan == "basic" && left > 0; left-- {
 					if left >= 1 || rng.Float64() < left {
-						w.At = 4*time.Second + time.Duration(rng.Int63n(int64(5*time.Second)))
+						w.Arrival = 4*time.Second + time.Duration(rng.Int63n(int64(5*time.Second)))
 						out = append(out, w)
 					}
 				}
 			}
-			slices.SortStableFunc(out, func(a, b wants.Want) int { return int(a.At - b.At) })
+			slices.SortStableFunc(out, func(a, b demand.Request) int { return int(a.Arrival - b.Arrival) })
 			return out
 		}},
-		{Name: "one brick fewer", Drill: func(d *pb.Drill) { d.Bricks[len(d.Bricks)-1].Count-- }, Wants: scaled(1), Moved: true},
+		{Name: "one brick fewer", Drill: func(d *pb.Drill) { d.Bricks[len(d.Bricks)-1].Count-- }, Wants: scaleLoad(1), Moved: true},
 		{Name: "two bricks more, load x 1.5", Drill: func(d *pb.Drill) {
-			demand(1.5)(d)
+			scaleDemand(1.5)(d)
 			d.Bricks = append(d.Bricks, &pb.BrickGroup{Kind: d.Bricks[0].Kind, Count: 2, Zone: d.Bricks[0].Zone, Speed: d.Bricks[0].Speed})
-		}, Wants: scaled(1.5),
+		}, Wants: scaleLoad(1.5),
 			Moved: true},
-		{Name: "zone " + last + " lost for 4 s", Drill: crash(cells), Wants: scaled(1), Events: lost},
+		{Name: "zone " + last + " lost for 4 s", Drill: crash(cells), Wants: scaleLoad(1), Events: lost},
 		{Name: "one host lost for 4 s", Drill: func(d *pb.Drill) {
 			d.Trouble = append(d.Trouble, &pb.Trouble{Kind: pb.Trouble_HOST_CRASH, At: "4s", On: []uint32{1}, Back: "4s"})
-		}, Wants: scaled(1), Events: []forecast.Event{{At: 4 * time.Second, Host: "host-1", Down: true}, {At: 8 * time.Second, Host: "host-1"}}},
+		}, Wants: scaleLoad(1), Events: []forecast.Event{{At: 4 * time.Second, Host: "host-1", Down: true}, {At: 8 * time.Second, Host: "host-1"}}},
 	}
 }
 
@@ -132,7 +132,7 @@
 type Learnt struct {
 	Fleet *pb.CapacityFleet
 	Model *pb.CapacityModel
-	Wants []wants.Want
+	Wants []demand.Request
 	Load  *capture.Load
 }
 
@@ -155,7 +155,7 @@
 		return nil, err
 	}
 	f := scenario.Describe(d, o.Seed)
-	w, clients := wants.Unfold(l.Lines)
+	w, clients := demand.FoldRetries(l.Lines)
 	m, err := learn.Model(l.Lines, f, clients)
 	if err != nil {
 		return nil, err
@@ -173,10 +173,10 @@
 	c.Drill(day)
 	if c.Moved { // a brick that was not there before is taken for one of its kind's mean speed
 		g := scenario.Describe(day, o.Seed)
-		load = place.Spread(load, f, g, place.CostOf(l.Model, f), bounds.Speeds(g, l.Model))
+		load = place.Relocate(load, f, g, place.CostOf(l.Model, f), bounds.Speeds(g, l.Model))
 		f = g
 	}
-	load = wants.Cut(load, 0, length)
+	load = demand.Slice(load, 0, length)
 	for i := range int64(runs) { // the mean of some: one forecast is as much chance as one run
 		asked := c.Wants(load, rand.New(rand.NewSource(o.Seed+i)))
 		r, err := forecast.Run(forecast.Scenario{Fleet: f, Model: l.Model, Wants: asked, Events: c.Events, Seed: o.Seed + i})
@@ -290,7 +290,7 @@
 }
 
 // naive is what a mean rate over a mean work says: one queue for all bricks (M/M/c by its busy part, waits exponential).
-func naive(f *pb.CapacityFleet, m *pb.CapacityModel, load []wants.Want) (x Figures) {
+func naive(f *pb.CapacityFleet, m *pb.CapacityModel, load []demand.Request) (x Figures) {
 	cost, speed, capacity, work := place.CostOf(m, f), bounds.Speeds(f, m), 0.0, 0.0
 	for _, b := range f.Brick {
 		capacity += speed(b)
@@ -302,9 +302,9 @@
 	}
 	for i := range load {
 		work += cost(&load[i])
-		target += targets[load[i].Type] / float64(len(load))
+		target += targets[load[i].QueueType] / float64(len(load))
 	}
-	span := load[len(load)-1].At.Seconds()
+	span := load[len(load)-1].Arrival.Seconds()
 	each := work / float64(len(load)) / (capacity / float64(len(f.Brick)))
 	x.Use = math.Min(work/span/capacity, 1)
 	if x.Use >= 1 {
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -13,7 +13,7 @@
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/report"
 	"weirhaven/internal/capacity/study"
-	"weirhaven/internal/capacity/wants"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
@@ -72,8 +72,8 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []wants.Want, error) {
-	w, clients := wants.Unfold(l.Lines)
+func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []demand.Request, error) {
+	w, clients := demand.FoldRetries(l.Lines)
 	m, err := learn.Model(l.Lines, f, clients)
 	if err != nil {
 		return nil, nil, err
@@ -156,7 +156,7 @@
 }
 
 // model reads the model that the flags name, or learns one from the load; offered is what clients asked for.
-func (c *capacityAnswer) model(l *capture.Load, f *pb.CapacityFleet) (m *pb.CapacityModel, offered []wants.Want, err error) {
+func (c *capacityAnswer) model(l *capture.Load, f *pb.CapacityFleet) (m *pb.CapacityModel, offered []demand.Request, err error) {
 	if c.Model == "" {
 		return learnt(l, f, c.Load)
 	}
@@ -164,7 +164,7 @@
 	if err := settings.Load(c.Model, m); err != nil {
 		return nil, nil, err
 	}
-	offered, _ = wants.Unfold(l.Lines)
+	offered, _ = demand.FoldRetries(l.Lines)
 	return m, offered, nil
 }
 
