--- a/internal/capacity/decide/decide_test.go
+++ b/internal/capacity/decide/decide_test.go
@@ -13,12 +13,13 @@
 	"weirhaven/internal/capacity/forecast"
 )
 
+// A goal is read, a wrong one is refused with the reason, and its value comes from the tallies that it covers.
 func TestParseGoal(t *testing.T) {
 	g, err := ParseGoal("plan=priority queue=read target>=0.99")
-	if err != nil || g.Plan != "priority" || g.Type != "read" || g.Bound != 0.99 || !g.Least {
+	if err != nil || g.Plan != "priority" || g.QueueType != "read" || g.Bound != 0.99 || !g.AtLeast {
 		t.Error(g, err)
 	}
-	if g, err := ParseGoal("p99<=250ms"); err != nil || g.Bound != 0.25 || g.Least {
+	if g, err := ParseGoal("p99<=250ms"); err != nil || g.Bound != 0.25 || g.AtLeast {
 		t.Error(g, err)
 	}
 	for _, bad := range []string{"", "plan=", "target>=2", "target<=0.9", "p99>=1s", "p98<=1s", "p99<=fast", "target>=0.9 busy<=0.1", "zone=x target>=1", "target>=x"} {
@@ -37,21 +38,22 @@
 	if _, ok := c.Value(all); ok {
 		t.Error("a value of nothing")
 	}
-	if m, i := Worst([]Goal{b, c, a}, all); i != 2 || m >= 0 {
+	if m, i := WorstMargin([]Goal{b, c, a}, all); i != 2 || m >= 0 {
 		t.Error(m, i)
 	}
-	if Unknown([]Goal{a, c}, []string{"a", "b"}, nil) == nil || Unknown([]Goal{a}, []string{"a"}, nil) != nil {
+	if CheckNames([]Goal{a, c}, []string{"a", "b"}, nil) == nil || CheckNames([]Goal{a}, []string{"a"}, nil) != nil {
 		t.Error("unknown plans")
 	}
 }
 
-// Wherever the edge lies and however noisy margins are near it, the search ends within its tries and its answer is near the edge.
-func TestSearch(t *testing.T) {
+// Wherever the crossing lies and however noisy margins are near it, the search ends within its probes and its answer is near the
+// crossing.
+func TestLoadSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		edge := math.Exp(rapid.Float64Range(math.Log(0.1), math.Log(30)).Draw(t, "edge"))
 		guess := math.Exp(rapid.Float64Range(math.Log(0.05), math.Log(40)).Draw(t, "guess"))
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
-		s := NewSearch(guess, 1.0/16, 32, 1.04, 24)
+		s := NewLoadSearch(guess, 1.0/16, 32, 1.04, 24)
 		n := 0
 		for {
 			x, ok := s.Next()
@@ -61,30 +63,31 @@
 			if n++; n > 24 || x < 1.0/16 || x > 32 {
 				t.Fatal(n, x)
 			}
-			s.Tell(x, math.Log(edge/x)+0.01*rng.NormFloat64())
+			s.Record(x, math.Log(edge/x)+0.01*rng.NormFloat64())
 		}
-		if x, ok := Crossing(s.Tried()); !ok || x < edge/1.1 || x > edge*1.1 {
-			t.Fatalf("edge %.3f, found %.3f after %d: %v", edge, x, n, s.Tried())
+		if x, ok := Crossing(s.Probes()); !ok || x < edge/1.1 || x > edge*1.1 {
+			t.Fatalf("edge %.3f, found %.3f after %d: %v", edge, x, n, s.Probes())
 		}
 	})
-	s := NewSearch(1, 0.5, 2, 1.05, 20) // an edge beyond what is looked at
+	s := NewLoadSearch(1, 0.5, 2, 1.05, 20) // a crossing beyond what is looked at
 	for {
 		x, ok := s.Next()
 		if !ok {
 			break
 		}
-		s.Tell(x, 1)
+		s.Record(x, 1)
 	}
-	if x, ok := Crossing(s.Tried()); ok || x != 2 {
+	if x, ok := Crossing(s.Probes()); ok || x != 2 {
 		t.Error(x, ok)
 	}
 }
 
-func TestCount(t *testing.T) {
+// Wherever the least sufficient number of servers lies, the search finds it exactly; where no number is enough it says so soon.
+func TestServerSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		edge := rapid.IntRange(1, 300).Draw(t, "edge")
 		guess := rapid.IntRange(edge/8+1, 300).Draw(t, "guess")
-		c := NewCount(guess, 1024)
+		c := NewServerSearch(guess, 1024)
 		for n := 0; ; n++ {
 			x, ok := c.Next()
 			if !ok {
@@ -93,43 +96,43 @@
 			if n > 24 {
 				t.Fatal("no end")
 			}
-			c.Tell(x, float64(x-edge)/float64(edge))
+			c.Record(x, float64(x-edge)/float64(edge))
 		}
 		if x, ok := c.Found(); !ok || x != edge {
 			t.Fatalf("edge %d, found %d %v", edge, x, ok)
 		}
 	})
-	c := NewCount(4, 1<<20) // more servers don't help: it says so soon
+	c := NewServerSearch(4, 1<<20) // more servers don't help: it says so soon
 	n := 0
 	for ; ; n++ {
 		x, ok := c.Next()
 		if !ok {
 			break
 		}
-		c.Tell(x, -0.5-1/float64(100*x))
+		c.Record(x, -0.5-1/float64(100*x))
 	}
 	if _, ok := c.Found(); ok || n > 4 {
 		t.Error("found a number of servers that does not exist", n)
 	}
 }
 
-// The range holds the edge of most draws and shrinks with more pieces.
-func TestRange(t *testing.T) {
+// The range holds the crossing of most draws and shrinks with more blocks.
+func TestConfidenceRange(t *testing.T) {
 	g, _ := ParseGoal("target>=0.9")
 	k := forecast.Key{Plan: "p", Type: "q"}
 	loads := []float64{0.5, 1, 2, 4}
-	width := func(pieces int) (low, high float64) {
+	width := func(blocks int) (low, high float64) {
 		rng := rand.New(rand.NewSource(1))
-		var all []Piece
-		for range pieces {
-			p := Piece{Weight: 1}
+		var all []Block
+		for range blocks {
+			p := Block{Weight: 1}
 			bad := rng.Float64()
 			for _, x := range loads {
-				p.Found = append(p.Found, map[forecast.Key]*forecast.Tally{k: {Wanted: 100, InTarget: 100 - int(20*bad*x/2)}})
+				p.Tallies = append(p.Tallies, map[forecast.Key]*forecast.Tally{k: {Wanted: 100, InTarget: 100 - int(20*bad*x/2)}})
 			}
 			all = append(all, p)
 		}
-		return Range([][]Piece{all}, loads, []Goal{g}, false, 200, rng)
+		return ConfidenceRange([][]Block{all}, loads, []Goal{g}, false, 200, rng)
 	}
 	a, b := width(10)
 	c, d := width(200)
@@ -138,34 +141,35 @@
 	}
 }
 
-// What earns least goes first; nothing reserved goes while anything else is left.
-func TestGiveUp(t *testing.T) {
-	shares := []Share{{Plan: "priority", Type: "read", Work: 3, Reserved: 2, Worth: 4, Commands: 100}, {Plan: "basic", Type: "read", Work: 2, Worth: 1, Commands: 100},
-		{Plan: "basic", Type: "log", Work: 1, Worth: 0.2, Commands: 100}}
-	if g, met := GiveUp(shares, 7); len(g) != 0 || !met {
+// A fleet loses capacity and must shed work. What earns least goes first; nothing reserved goes while anything else remains.
+func TestShedToFit(t *testing.T) {
+	shares := []Share{{Plan: "priority", QueueType: "read", Work: 3, Reserved: 2, Weight: 4, RequestRate: 100}, {Plan: "basic", QueueType: "read", Work: 2, Weight: 1, RequestRate: 100},
+		{Plan: "basic", QueueType: "log", Work: 1, Weight: 0.2, RequestRate: 100}}
+	if g, met := ShedToFit(shares, 7); len(g) != 0 || !met {
 		t.Error(g, met)
 	}
-	g, met := GiveUp(shares, 4)
-	if len(g) != 2 || g[0].Type != "log" || g[0].Part != 1 || g[1].Plan != "basic" || g[1].Part != 0.5 || !met {
+	g, met := ShedToFit(shares, 4)
+	if len(g) != 2 || g[0].QueueType != "log" || g[0].Part != 1 || g[1].Plan != "basic" || g[1].Part != 0.5 || !met {
 		t.Error(g, met)
 	}
-	g, met = GiveUp(shares, 1)
+	g, met = ShedToFit(shares, 1)
 	if met || len(g) != 4 || g[3].Plan != "priority" || math.Abs(g[3].Work-1) > 1e-9 {
 		t.Error(g, met)
 	}
 }
 
-func TestReasons(t *testing.T) {
+// The explanation names the quota, the overloaded endpoint and the volume that lies on it alone.
+func TestExplainUnmet(t *testing.T) {
 	g, _ := ParseGoal("plan=basic target>=0.99")
 	limits := []bounds.Limit{{Kind: "plan limit", Subject: "v7", Factor: 0.5, Used: 40, Capacity: 20, Unit: "units/s of plan basic"},
 		{Kind: "brick", Subject: "b3", Factor: 0.8, Used: 1, Capacity: 0.8, Unit: "cores"}}
-	s := Reasons(g, 0.7, limits, []string{"v9"})
-	for _, want := range []string{"v7", "limit", "b3", "v9", "0.7"} {
-		if !strings.Contains(s, want) {
-			t.Errorf("no %q in %s", want, s)
+	s := ExplainUnmet(g, 0.7, limits, []string{"v9"})
+	for _, part := range []string{"v7", "limit", "b3", "v9", "0.7"} {
+		if !strings.Contains(s, part) {
+			t.Errorf("no %q in %s", part, s)
 		}
 	}
-	if s := Reasons(g, 0.7, nil, nil); !strings.Contains(s, "idle") {
+	if s := ExplainUnmet(g, 0.7, nil, nil); !strings.Contains(s, "idle") {
 		t.Error(s)
 	}
 }
--- a/internal/capacity/demand/demand_test.go
+++ b/internal/capacity/demand/demand_test.go
@@ -14,7 +14,7 @@
 }
 
 // On an overloaded day most of what is captured are retries: each request stands once, with when its client first asked.
-func TestUnfold(t *testing.T) {
+func TestFoldRetries(t *testing.T) {
 	rejected, done := pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_COMPLETED
 	all, c := FoldRetries([]*pb.Captured{
 		line(0, 1, rejected, 1), line(100, 1, rejected, 1), line(300, 1, done, 50), // one request with two retries
--- a/internal/capacity/report/report.go
+++ b/internal/capacity/report/report.go
@@ -138,7 +138,7 @@
 			}
 			_ = w.Flush()
 			for i, g := range p.GiveUp {
-				fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*g.Part, g.Plan, g.Type, g.Work)
+				fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*g.Part, g.Plan, g.QueueType, g.Work)
 			}
 		}
 		fmt.Fprintf(out, "  most pressure on a cold brick: %.2f of what pushes it over; pushed over: %d\n", l.Pressure, l.Fell)
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -73,7 +73,7 @@
 	for _, q := range s.Fleet.QueueType {
 		types = append(types, q.Name)
 	}
-	if err := decide.Unknown(s.Goals, plans, types); err != nil {
+	if err := decide.CheckNames(s.Goals, plans, types); err != nil {
 		return err
 	}
 	if len(s.Goals) == 0 {
@@ -112,13 +112,13 @@
 
 // played is what came of one load on one fleet, stretch by stretch.
 type played struct {
-	pieces  [][]decide.Piece // of each stretch; one try in Found
+	pieces  [][]decide.Block // of each stretch; one probe in Tallies
 	results []*forecast.Result
 }
 
 // play plays the stretches of a load, so many times as large.
 func (s *Study) play(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, times float64) (*played, error) {
-	p := &played{pieces: make([][]decide.Piece, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
+	p := &played{pieces: make([][]decide.Block, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
 	for i, st := range s.stretch {
@@ -140,7 +140,7 @@
 			skip := int((st.From - from) / time.Second)
 			weight := st.Weight
 			for b := skip; b < len(r.Blocks) && b < int((st.To-from)/time.Second)+1; b++ {
-				p.pieces[i] = append(p.pieces[i], decide.Piece{Weight: weight, Found: []map[forecast.Key]*forecast.Tally{r.Blocks[b]}})
+				p.pieces[i] = append(p.pieces[i], decide.Block{Weight: weight, Tallies: []map[forecast.Key]*forecast.Tally{r.Blocks[b]}})
 			}
 			return nil
 		})
@@ -158,7 +158,7 @@
 	First       []bounds.Limit
 	Bound       float64 // by sums alone
 	Naive       float64 // mean load over capacity, for comparison
-	Tries       []decide.Try
+	Tries       []decide.Probe
 	Plans       []Curve
 	BusiestName string
 	Busiest     float64 // use of the busiest brick in a second, just beyond
@@ -191,8 +191,8 @@
 	if g.Bound > 0 && !math.IsInf(g.Bound, 1) {
 		guess = g.Bound
 	}
-	search := decide.NewSearch(guess, 1.0/16, 32, 1.05, 16)
-	all := make([][]decide.Piece, len(s.stretch))
+	search := decide.NewLoadSearch(guess, 1.0/16, 32, 1.05, 16)
+	all := make([][]decide.Block, len(s.stretch))
 	type one struct {
 		times float64
 		p     *played
@@ -208,13 +208,13 @@
 			return nil, err
 		}
 		margin := decide.Margin(p.pieces, 0, s.Goals, true)
-		search.Tell(x, margin)
+		search.Record(x, margin)
 		tried = append(tried, one{x, p})
 		low, high := search.Bracket()
 		s.Progress(fmt.Sprintf("load x %.2f: margin %+.2f; the edge is between %.2f and %s", x, margin, low, upTo(high)))
 	}
 	slices.SortFunc(tried, func(a, b one) int { return cmp.Compare(a.times, b.times) })
-	g.Tries = search.Tried()
+	g.Tries = search.Probes()
 	g.Times, g.Reached = decide.Crossing(g.Tries)
 	// What each try found, piece by piece, so that the range can draw pieces anew.
 	loads := make([]float64, len(tried))
@@ -223,15 +223,15 @@
 		for i := range s.stretch {
 			for b := range t.p.pieces[i] {
 				if b >= len(all[i]) {
-					all[i] = append(all[i], decide.Piece{Weight: t.p.pieces[i][b].Weight, Found: make([]map[forecast.Key]*forecast.Tally, len(tried))})
+					all[i] = append(all[i], decide.Block{Weight: t.p.pieces[i][b].Weight, Tallies: make([]map[forecast.Key]*forecast.Tally, len(tried))})
 				}
-				all[i][b].Found[k] = t.p.pieces[i][b].Found[0]
+				all[i][b].Tallies[k] = t.p.pieces[i][b].Tallies[0]
 			}
 		}
 	}
-	g.Low, g.High = decide.Range(all, loads, s.Goals, true, 200, rand.New(rand.NewSource(s.Seed)))
+	g.Low, g.High = decide.ConfidenceRange(all, loads, s.Goals, true, 200, rand.New(rand.NewSource(s.Seed)))
 	for k, t := range tried {
-		whole := decide.Sum(t.p.pieces, 0)
+		whole := decide.Combine(t.p.pieces, 0)
 		by := map[string]*forecast.Tally{}
 		for key, x := range whole {
 			if by[key.Plan] == nil {
@@ -268,8 +268,8 @@
 func (s *Study) beyond(g *Growth, p *played) {
 	worst := math.Inf(1)
 	for i, pieces := range p.pieces {
-		found := decide.Sum([][]decide.Piece{pieces}, 0)
-		m, which := decide.Worst(s.Goals, found)
+		found := decide.Combine([][]decide.Block{pieces}, 0)
+		m, which := decide.WorstMargin(s.Goals, found)
 		if which < 0 || m >= worst {
 			continue
 		}
@@ -315,7 +315,7 @@
 				guess = int(math.Ceil(float64(now)/l.Factor*1.2)) + 1
 			}
 		}
-		count := decide.NewCount(guess, max(64*now, 256))
+		count := decide.NewServerSearch(guess, max(64*now, 256))
 		x := Servers{Kind: k.Name, Now: now}
 		var last *played
 		for {
@@ -333,11 +333,11 @@
 			}
 			last = p
 			m := decide.Margin(p.pieces, 0, s.Goals, true)
-			count.Tell(n, m)
+			count.Record(n, m)
 			s.Progress(fmt.Sprintf("%d of kind %s: margin %+.2f", n, k.Name, m))
 		}
 		x.Least, x.Found = count.Found()
-		x.Tried = count.Tried()
+		x.Tried = count.Margins()
 		x.Cost = float64(x.Least) * math.Max(k.Cost, 1)
 		if !x.Found && last != nil {
 			x.Why = s.why(last, k.Name)
@@ -382,12 +382,12 @@
 	for _, g := range s.Goals {
 		worst, value := 0.0, 0.0
 		for _, pieces := range p.pieces {
-			if x, ok := g.Value(decide.Sum([][]decide.Piece{pieces}, 0)); ok && g.Margin(x) < worst {
+			if x, ok := g.Value(decide.Combine([][]decide.Block{pieces}, 0)); ok && g.Margin(x) < worst {
 				worst, value = g.Margin(x), x
 			}
 		}
 		if worst < 0 {
-			why = append(why, decide.Reasons(g, value, limits, lone))
+			why = append(why, decide.ExplainUnmet(g, value, limits, lone))
 		}
 	}
 	return strings.Join(why, "\n")
@@ -403,7 +403,7 @@
 	Lost     float64 // part of the work that lies on nothing that serves
 	Reserved float64 // cores that reservations in use promise, of what can be reached
 	Met      bool    // the reserves can be met
-	GiveUp   []decide.Given
+	GiveUp   []decide.Shed
 }
 
 // Service is the part in target of a plan and queue type, and its range over the runs.
@@ -580,7 +580,7 @@
 	if total > 0 {
 		p.Lost = lost / total
 	}
-	p.GiveUp, p.Met = decide.GiveUp(shares, p.Capacity)
+	p.GiveUp, p.Met = decide.ShedToFit(shares, p.Capacity)
 	return p
 }
 
@@ -621,10 +621,10 @@
 		}
 		k := key{w.Plan, w.QueueType}
 		if sums[k] == nil {
-			sums[k] = &decide.Share{Plan: w.Plan, Type: w.QueueType, Worth: math.Max(plans[w.Plan].Importance, 0.01) * math.Max(types[w.QueueType].Importance, 0.01)}
+			sums[k] = &decide.Share{Plan: w.Plan, QueueType: w.QueueType, Weight: math.Max(plans[w.Plan].Importance, 0.01) * math.Max(types[w.QueueType].Importance, 0.01)}
 		}
 		sums[k].Work += c
-		sums[k].Commands++
+		sums[k].RequestRate++
 		if units[w.Volume]+w.Units <= plans[w.Plan].Reservation {
 			sums[k].Reserved += c
 		}
@@ -633,6 +633,6 @@
 	for _, x := range sums {
 		all = append(all, *x)
 	}
-	slices.SortFunc(all, func(a, b decide.Share) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Type, b.Type)) })
+	slices.SortFunc(all, func(a, b decide.Share) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType)) })
 	return all, lost, total
 }
