--- /dev/null
+++ b/internal/capacity/report/charts.go
@@ -0,0 +1,101 @@
+package report
+
+import (
+	"fmt"
+	"path/filepath"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+
+	"weirhaven/internal/capacity/study"
+)
+
+// The size of every chart.
+const (
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 10 * vg.Centimeter
+)
+
+// series is one line of a chart.
+type series struct {
+	name string
+	x, y []float64
+}
+
+// bySecond is a series whose values are those of seconds 0, 1, 2 and so on.
+func bySecond(name string, values []float64) series {
+	seconds := make([]float64, len(values))
+	for i := range seconds {
+		seconds[i] = float64(i)
+	}
+	return series{name: name, x: seconds, y: values}
+}
+
+func newChart(title, x, y string) *plot.Plot {
+	p := plot.New()
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
+	p.Add(plotter.NewGrid())
+	p.Legend.Top = true
+	return p
+}
+
+// addSeries draws each series that has a point.
+func addSeries(p *plot.Plot, all []series) error {
+	var namesAndPoints []any // as plotutil takes them: a name, its points, the next name
+	for _, s := range all {
+		points := make(plotter.XYs, len(s.x))
+		for i := range points {
+			points[i].X, points[i].Y = s.x[i], s.y[i]
+		}
+		if len(points) > 0 {
+			namesAndPoints = append(namesAndPoints, s.name, points)
+		}
+	}
+	return plotutil.AddLines(p, namesAndPoints...)
+}
+
+func save(p *plot.Plot, dir, name string) error {
+	return p.Save(chartWidth, chartHeight, filepath.Join(dir, name))
+}
+
+func loadChart(dir string, a *Answer) error {
+	p := newChart("work asked for", "second of the capture", "cores")
+	capacity := make([]float64, len(a.Work))
+	for i := range capacity {
+		capacity[i] = a.Capacity
+	}
+	if err := addSeries(p, []series{bySecond("asked for", a.Work), bySecond("all bricks", capacity)}); err != nil {
+		return err
+	}
+	p.Y.Min = 0
+	return save(p, dir, "load.svg")
+}
+
+func growthChart(dir string, g *study.Growth) error {
+	p := newChart("service as the load grows", "times the captured load", "in target")
+	var all []series
+	for _, c := range g.Plans {
+		all = append(all, series{name: c.Plan, x: c.Times, y: c.Part})
+	}
+	if err := addSeries(p, all); err != nil {
+		return err
+	}
+	p.Y.Min, p.Y.Max = 0, 1
+	return save(p, dir, "growth.svg")
+}
+
+// lossChart draws the number-th loss, counted from 1.
+func lossChart(dir string, number int, l *study.Loss) error {
+	p := newChart("losing "+l.What, "second", "in target")
+	var all []series
+	for i, plan := range l.Plans {
+		all = append(all, bySecond(plan, l.By[i]))
+	}
+	if err := addSeries(p, all); err != nil {
+		return err
+	}
+	p.Y.Min, p.Y.Max = 0, 1
+	return save(p, dir, fmt.Sprintf("loss-%d.svg", number))
+}
--- /dev/null
+++ b/internal/capacity/report/text.go
@@ -0,0 +1,129 @@
+package report
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"text/tabwriter"
+	"time"
+
+	"weirhaven/internal/capacity/bounds"
+	"weirhaven/internal/capacity/study"
+)
+
+// Text writes the answer for reading. An error of the writer shows in what follows a write to it, such as a file's Close.
+func Text(out io.Writer, a *Answer) {
+	writeLoad(out, a)
+	if a.Growth != nil {
+		writeGrowth(out, a.Growth)
+	}
+	writeConditional(out, a.Limits)
+	if len(a.Servers) > 0 {
+		writeServers(out, a.Servers)
+	}
+	for _, l := range a.Losses {
+		writeLoss(out, l)
+	}
+	writeSources(out, a)
+}
+
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
+
+func writeLoad(out io.Writer, a *Answer) {
+	table := newTable(out)
+	fmt.Fprintf(table, "load\t%d commands in %v, taken for %d wants (%d were repeats)\n", a.Captured, a.Span.Round(time.Millisecond), a.Requests, a.Folded)
+	if a.LostLines > 0 || a.TornBlocks > 0 {
+		fmt.Fprintf(table, "left out\t%d lines lost by hosts, %d torn blocks\n", a.LostLines, a.TornBlocks)
+	}
+	fmt.Fprintf(table, "asked for\t%.2f cores in the mean, %.2f in the worst second, of %.2f\n", mean(a.Work), slices.Max(a.Work), a.Capacity)
+	_ = table.Flush()
+}
+
+func writeGrowth(out io.Writer, g *study.Growth) {
+	fmt.Fprintln(out, "\nThe first limit")
+	switch {
+	case g.Reached:
+		fmt.Fprintf(out, "  at %.2f times the load (%.2f to %.2f) the goal %q is missed: %.4g\n", g.Times, g.Low, g.High, g.Goal, g.Value)
+	case g.Times < 1:
+		fmt.Fprintf(out, "  the goal %q is missed at every load looked at, down to %.2f times: %.4g\n", g.Goal, g.Times, g.Value)
+	default:
+		fmt.Fprintf(out, "  none up to %.2f times the load\n", g.Times)
+	}
+	fmt.Fprintf(out, "  by sums alone %.2f times; mean load over capacity would say %.2f\n", g.Bound, g.Naive)
+	order := []string{"first", "then", "then"}
+	for i, l := range g.First {
+		fmt.Fprintf(out, "  %s: %s\n", order[i], l)
+	}
+	if g.BusiestName != "" {
+		fmt.Fprintf(out, "  just beyond: brick %s busy %.0f%% in its worst second, %d dispatches found a queue full, %.0f%% of a host's budget of further dispatches, %d commands held by one host\n",
+			g.BusiestName, 100*g.Busiest, g.Turned, 100*g.Budget, g.InFlight)
+	}
+}
+
+// writeConditional writes the limits that need something to have happened.
+func writeConditional(out io.Writer, limits []bounds.Limit) {
+	for _, l := range limits {
+		if l.Condition != "" {
+			fmt.Fprintf(out, "  when %s: %s\n", l.Condition, l)
+		}
+	}
+}
+
+func writeServers(out io.Writer, servers []study.Servers) {
+	fmt.Fprintln(out, "\nServers")
+	table := newTable(out)
+	fmt.Fprintln(table, "  KIND\tNOW\tLEAST\t")
+	for _, s := range servers {
+		least := fmt.Sprint(s.Least)
+		if !s.Found {
+			least = "none is enough"
+		}
+		fmt.Fprintf(table, "  %s\t%d\t%s\t\n", s.Kind, s.Now, least)
+	}
+	_ = table.Flush()
+	for _, s := range servers {
+		if s.Why != "" {
+			fmt.Fprintf(out, "  %s: %s\n", s.Kind, s.Why)
+		}
+	}
+}
+
+func writeLoss(out io.Writer, l *study.Loss) {
+	fmt.Fprintf(out, "\nLosing %s: bricks %v, hosts %v\n", l.What, l.Bricks, l.Hosts)
+	for _, p := range l.Phases {
+		writePhase(out, p)
+	}
+	fmt.Fprintf(out, "  most pressure on a cold brick: %.2f of what pushes it over; pushed over: %d\n", l.Pressure, l.Fell)
+}
+
+func writePhase(out io.Writer, p study.Phase) {
+	met := "reserves can be met"
+	if !p.Met {
+		met = "RESERVES CAN'T BE MET"
+	}
+	fmt.Fprintf(out, "  %s (%v): %.2f cores there, %.2f asked for of what can be reached, %.2f of them reserved: %s; %.0f%% of the work lies on what is gone\n", p.Name,
+		(p.To - p.From).Round(100*time.Millisecond), p.Capacity, p.Asked, p.Reserved, met, 100*p.Lost)
+	table := newTable(out)
+	fmt.Fprintln(table, "    PLAN\tQUEUE TYPE\tIN TARGET\tRANGE\tP99\tWANTS")
+	for _, s := range p.Service {
+		fmt.Fprintf(table, "    %s\t%s\t%.3f\t%.3f-%.3f\t%v\t%d\n", s.Plan, s.Type, s.Part, s.Low, s.High, s.P99.Round(time.Millisecond), s.Wanted)
+	}
+	_ = table.Flush()
+	for i, shed := range p.GiveUp {
+		fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*shed.Part, shed.Plan, shed.QueueType, shed.Work)
+	}
+}
+
+func writeSources(out io.Writer, a *Answer) {
+	fmt.Fprintf(out, "\nworked out in %v, seed %d, from\n", a.Elapsed.Round(time.Millisecond), a.Seed)
+	for _, input := range a.Inputs {
+		fmt.Fprintf(out, "  %s  %s\n", input.SHA256[:16], input.File)
+	}
+}
+
+func mean(values []float64) (m float64) {
+	for _, v := range values {
+		m += v / float64(len(values))
+	}
+	return m
+}
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -139,7 +139,7 @@
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	a := &report.Answer{Commands: int(s.Captured.Requests), Wants: len(offered), Folded: int(model.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
+	a := &report.Answer{Captured: int(s.Captured.Requests), Requests: len(offered), Folded: int(model.Client.GetFolded()), LostLines: l.Lost, TornBlocks: l.Torn.Blocks, Span: s.Captured.Span,
 		Seed: c.Seed, Capacity: s.Capacity(), Work: s.Work(), Limits: s.Limits(f, offered)}
 	if a.Inputs, err = report.Digest(append(c.Load, c.Fleet)...); err != nil {
 		return err
@@ -147,7 +147,7 @@
 	if err := c.search(s, a); err != nil {
 		return err
 	}
-	a.Took = time.Since(start)
+	a.Elapsed = time.Since(start)
 	report.Text(os.Stdout, a)
 	if c.Out != "" {
 		return report.Write(c.Out, a)
