--- a/internal/capacity/learn/learn_test.go
+++ b/internal/capacity/learn/learn_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// What a brick was made of is read off what hosts saw of it: works, spread, way, cache, deferred writes, speeds.
+// Endpoints of known make serve a load. Their costs, variation, round trip, cache, deferred writes and speeds are found again in what
+// gateways captured.
 func TestRecovers(t *testing.T) {
 	k := &pb.CapacityModel_KindModel{Way: 0.001, Remembers: 3, Saves: 0.4, Deferred: 0.3, Flush: 0.9, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Base: 0.001, Unit: 0.003, Vary: 0.3, Samples: 1}, {QueueType: "write", Base: 0.0005, Unit: 0.004, Vary: 0.3, Samples: 1}}}
@@ -93,7 +94,7 @@
 	}
 }
 
-// Pauses are told from deferred work; four cores from one.
+// An endpoint with four cores pauses now and then. The pauses are found, and not taken for deferred work or a cache.
 func TestPausesAndCores(t *testing.T) {
 	k := &pb.CapacityModel_KindModel{Way: 0.0005, Pause: 0.12, PauseEvery: 1.5, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Unit: 0.008, Vary: 0.3, Samples: 1}, {QueueType: "write", Unit: 0.008, Vary: 0.3, Samples: 1}}}
@@ -110,6 +111,8 @@
 	}
 }
 
+// A capture is empty, shows a queue type that the fleet does not describe, or has only lost attempts. Each time there is an error and no
+// made-up model.
 func TestNothingToLearn(t *testing.T) {
 	if _, err := Model(nil, fleet, nil); err == nil || !strings.Contains(err.Error(), "nothing to learn") {
 		t.Error(err)
