--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -17,10 +17,10 @@
 
 	"weirhaven/internal/capacity/bounds"
 	"weirhaven/internal/capacity/decide"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/sample"
-	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
 )
@@ -633,6 +633,8 @@
 	for _, x := range sums {
 		all = append(all, *x)
 	}
-	slices.SortFunc(all, func(a, b decide.Share) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType)) })
+	slices.SortFunc(all, func(a, b decide.Share) int {
+		return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType))
+	})
 	return all, lost, total
 }
--- /dev/null
+++ b/internal/capacity/verify/measure.go
@@ -0,0 +1,126 @@
+package verify
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"weirhaven/internal/pb"
+	"weirhaven/internal/settings"
+)
+
+// What a record says of how a request or an attempt ended.
+const (
+	outcomeDone      = "DONE"
+	outcomeCancelled = "left" // its client went away
+)
+
+// observedRequest is what a client asked for, retries included.
+type observedRequest struct {
+	start, completed int64 // ns on the observer's clock; completed 0: not yet
+	queueType        uint32
+	cancelled        bool
+}
+
+// attemptID names an attempt at an endpoint.
+type attemptID struct {
+	endpoint   string
+	connection int64
+	request    uint64
+	attempt    uint32
+}
+
+// observer follows a record of what crossed the sockets.
+type observer struct {
+	scenario          *pb.Drill
+	requests          map[uint64]*observedRequest // by the number of the first try
+	first             map[uint64]uint64           // the first try of each
+	work              map[attemptID]float64       // seconds at speed 1
+	done              float64                     // work completed
+	capacity          float64                     // work a second, of the endpoints that the scenario starts with
+	endpoints         uint32
+	firstAsk, lastAsk int64 // ns
+}
+
+// measure reads the figures off a record.
+func measure(d *pb.Drill, seen []*pb.Seen) Figures {
+	o := &observer{scenario: d, requests: map[uint64]*observedRequest{}, first: map[uint64]uint64{}, work: map[attemptID]float64{}, firstAsk: -1}
+	for _, s := range seen {
+		o.add(s)
+	}
+	return o.figures()
+}
+
+func (o *observer) add(s *pb.Seen) {
+	switch s.What {
+	case pb.Seen_BRICK_UP:
+		if o.endpoints < initialEndpoints(o.scenario) { // replacements don't add capacity
+			o.capacity += s.Capacity
+			o.endpoints++
+		}
+	case pb.Seen_ASKED:
+		o.addAsked(s)
+	case pb.Seen_ANSWERED:
+		if r := o.requests[o.first[s.Command]]; r != nil && s.How == outcomeDone && r.completed == 0 {
+			r.completed = s.At
+		}
+	case pb.Seen_UNANSWERED:
+		if r := o.requests[o.first[s.Command]]; r != nil && s.How == outcomeCancelled {
+			r.cancelled = true
+		}
+	case pb.Seen_REACHED:
+		o.work[idOf(s)] = s.Work
+	case pb.Seen_REPLIED:
+		if s.How == outcomeDone {
+			o.done += o.work[idOf(s)]
+		}
+	}
+}
+
+func (o *observer) addAsked(s *pb.Seen) {
+	if o.firstAsk < 0 {
+		o.firstAsk = s.At
+	}
+	o.lastAsk = s.At
+	o.first[s.Command] = s.First
+	if o.requests[s.First] == nil {
+		o.requests[s.First] = &observedRequest{start: s.At, queueType: s.QueueType}
+	}
+}
+
+func idOf(s *pb.Seen) attemptID {
+	return attemptID{endpoint: s.Brick, connection: s.Connection, request: s.Command, attempt: s.Dispatch}
+}
+
+func (o *observer) figures() (f Figures) {
+	counted, inTarget := 0, 0
+	var latencies []time.Duration
+	for _, r := range o.requests {
+		if r.cancelled {
+			continue
+		}
+		counted++
+		if r.completed == 0 {
+			continue
+		}
+		latency := time.Duration(r.completed - r.start)
+		latencies = append(latencies, latency)
+		if latency <= settings.Duration(o.scenario.QueueType[r.queueType].ServiceTarget, 0) {
+			inTarget++
+		}
+	}
+	slices.Sort(latencies)
+	if n := len(latencies); n > 0 {
+		f.P99 = latencies[min(n*99/100, n-1)]
+	}
+	f.InTarget = float64(inTarget) / math.Max(float64(counted), 1)
+	f.Utilization = o.done / (o.capacity * math.Max(time.Duration(o.lastAsk-o.firstAsk).Seconds(), 1e-9))
+	return f
+}
+
+func initialEndpoints(d *pb.Drill) (n uint32) {
+	for _, group := range d.Bricks {
+		n += group.Count
+	}
+	return n
+}
--- a/internal/capacity/verify/verify_test.go
+++ b/internal/capacity/verify/verify_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%+v", r)
-		if math.Abs(r.Off[0]) > 0.15 || math.Abs(r.Off[2]) > 0.25 || r.Measured.Use < 0.3 { // p99 of five seconds says little
+		if math.Abs(r.Deviation[0]) > 0.15 || math.Abs(r.Deviation[2]) > 0.25 || r.Measured.Utilization < 0.3 { // p99 of five seconds says little
 			t.Errorf("%+v", r)
 		}
 	}
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -62,8 +62,8 @@
 		if ng {
 			naive++
 		}
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.0f%%\t%.3f\t%v\t%v\t%+.0f%%\t%v\t%.3f\t%.3f\t%+.0f%%\t%.3f\t%v\t%v\n", x.Name, m.InTarget, f.InTarget, 100*r.Off[0], n.InTarget,
-			m.P99.Round(time.Millisecond), f.P99.Round(time.Millisecond), 100*r.Off[1], n.P99.Round(time.Millisecond), m.Use, f.Use, 100*r.Off[2], n.Use, g, ng)
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.0f%%\t%.3f\t%v\t%v\t%+.0f%%\t%v\t%.3f\t%.3f\t%+.0f%%\t%.3f\t%v\t%v\n", x.Name, m.InTarget, f.InTarget, 100*r.Deviation[0], n.InTarget,
+			m.P99.Round(time.Millisecond), f.P99.Round(time.Millisecond), 100*r.Deviation[1], n.P99.Round(time.Millisecond), m.Utilization, f.Utilization, 100*r.Deviation[2], n.Utilization, g, ng)
 	}
 	_ = w.Flush()
 	fmt.Printf("\n%d of %d forecasts within %.0f%%; of the naive ones %d\n", good, all, 100*c.Aim, naive)
