--- a/internal/controlplane/statemachine/random_faults_test.go
+++ b/internal/controlplane/statemachine/random_faults_test.go
@@ -34,12 +34,26 @@
 }
 
 func newRandomFaults(t *rapid.T) *randomFaults {
-	f := &randomFaults{world: newWorld(t, 5, func() uint64 { return rapid.Uint64().Draw(t, "life") }), disk: newDisk()}
+	f := &randomFaults{world: newWorld(t, 5, distinctIncarnations(t)), disk: newDisk()}
 	f.main = f.startWithVolume(t, "a", f.disk)
 	f.oldDisk = f.disk.copy()
 	return f
 }
 
+// distinctIncarnations draws one that no controller of this run has: controllers draw 64 random bits, so that no two meet, while rapid
+// favors small numbers and would give two the same. A number that is taken is replaced by the next that is not.
+func distinctIncarnations(t *rapid.T) func() uint64 {
+	taken := map[uint64]bool{}
+	return func() uint64 {
+		incarnation := rapid.Uint64().Draw(t, "life")
+		for taken[incarnation] {
+			incarnation++
+		}
+		taken[incarnation] = true
+		return incarnation
+	}
+}
+
 func (f *randomFaults) startWithVolume(t *rapid.T, name string, d *disk) *controller {
 	clockRate := rapid.SampledFrom([]float64{0.95, 1, 1.05}).Draw(t, "speed")
 	d.full = false // it would not start
