--- a/client/client_test.go
+++ b/client/client_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	h := api.Handler(api.Config{Keys: keys, Skew: time.Minute, Requests: 32, LeastPart: 1000, Log: log, Gate: gate.New(gate.Config{Engine: &memory{}, Index: x, ReadClass: "get",
+	h := api.Handler(api.Config{Keys: keys, MaxClockSkew: time.Minute, MaxRequests: 32, MinPartBytes: 1000, Log: log, Gate: gate.New(gate.Config{Engine: &memory{}, Index: x, ReadClass: "get",
 		WriteClass: "put", ExtentBytes: 4096, UnitBytes: 4096, MaxInFlight: 4, Log: log, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if trouble == nil || !trouble(w, r) {
--- a/internal/gateway/objects.go
+++ b/internal/gateway/objects.go
@@ -99,8 +99,8 @@
 	if o.listener, err = config.Listen(ctx, "tcp", conf.Listen); err != nil {
 		return fmt.Errorf("listen for objects: %w", err)
 	}
-	handler := api.Handler(api.Config{Gate: o.gate, Keys: keys, Skew: settings.Duration(conf.Skew, defaultSkew),
-		Requests: int(cmp.Or(conf.Requests, defaultRequests)), Stall: g.limits.StallTimeout, Log: g.log})
+	handler := api.Handler(api.Config{Gate: o.gate, Keys: keys, MaxClockSkew: settings.Duration(conf.Skew, defaultSkew),
+		MaxRequests: int(cmp.Or(conf.Requests, defaultRequests)), StallTimeout: g.limits.StallTimeout, Log: g.log})
 	o.server = &http.Server{Handler: handler, ReadHeaderTimeout: g.limits.StallTimeout, IdleTimeout: g.limits.IdleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, Protocols: &http.Protocols{}}
 	o.server.Protocols.SetHTTP1(true)
--- /dev/null
+++ b/internal/object/api/uploads_test.go
@@ -0,0 +1,290 @@
+package api
+
+import (
+	"bytes"
+	"io"
+	"log/slog"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/aws/aws-sdk-go-v2/aws"
+	"github.com/aws/aws-sdk-go-v2/service/s3"
+	"github.com/aws/aws-sdk-go-v2/service/s3/types"
+
+	"weirhaven/internal/engine"
+)
+
+// Parts are uploaded in any order, at once, and each of them twice; one is not named at the end; another upload is never completed. The
+// object has the named parts, and the sweep removes all the other extents, the idle upload's after its timeout.
+func TestMultipart(t *testing.T) {
+	server := startServer(t)
+	name := aws.String("big")
+	upload, err := server.s3.CreateMultipartUpload(ctx, &s3.CreateMultipartUploadInput{Bucket: aws.String("yard"), Key: name})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var whole []byte
+	bodies := map[int32][]byte{}
+	for n := range int32(6) {
+		bodies[n+1] = randomBytes(3000, int64(n))
+	}
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	done := map[int32]types.CompletedPart{}
+	for n, b := range bodies {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			for range 2 { // the second replaces the first
+				o, err := server.s3.UploadPart(ctx, &s3.UploadPartInput{Bucket: aws.String("yard"), Key: name, UploadId: upload.UploadId, PartNumber: aws.Int32(n), Body: bytes.NewReader(b)})
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				mu.Lock()
+				done[n] = types.CompletedPart{PartNumber: aws.Int32(n), ETag: o.ETag}
+				mu.Unlock()
+			}
+		}()
+	}
+	wg.Wait()
+	listed, err := server.s3.ListParts(ctx, &s3.ListPartsInput{Bucket: aws.String("yard"), Key: name, UploadId: upload.UploadId, MaxParts: aws.Int32(4)})
+	if err != nil || len(listed.Parts) != 4 || !*listed.IsTruncated {
+		t.Error(err, listed)
+	}
+	var named []types.CompletedPart
+	for n := int32(1); n <= 5; n++ { // the sixth is left out
+		named, whole = append(named, done[n]), append(whole, bodies[n]...)
+	}
+	finish := func(parts []types.CompletedPart) error {
+		_, err := server.s3.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("yard"), Key: name, UploadId: upload.UploadId,
+			MultipartUpload: &types.CompletedMultipartUpload{Parts: parts}})
+		return err
+	}
+	if err := finish([]types.CompletedPart{named[1], named[0]}); errorCode(err) != "InvalidPartOrder" {
+		t.Error(err)
+	}
+	if err := finish([]types.CompletedPart{{PartNumber: aws.Int32(1), ETag: aws.String("nonsense")}}); errorCode(err) != "InvalidPart" {
+		t.Error(err)
+	}
+	if _, _, err := server.get("big", ""); errorCode(err) != "NoSuchKey" {
+		t.Error("there before it is complete", err)
+	}
+	if err := finish(named); err != nil {
+		t.Fatal(err)
+	}
+	if err := finish(named); errorCode(err) != "NoSuchUpload" {
+		t.Error(err)
+	}
+	if got, o, err := server.get("big", ""); err != nil || !bytes.Equal(got, whole) || !strings.HasSuffix(*o.ETag, `-5"`) {
+		t.Error(err, len(got))
+	}
+	if got, _, err := server.get("big", "bytes=2990-3010"); err != nil || !bytes.Equal(got, whole[2990:3011]) {
+		t.Error(err)
+	}
+	idle, err := server.s3.CreateMultipartUpload(ctx, &s3.CreateMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String("left")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := server.s3.UploadPart(ctx, &s3.UploadPartInput{Bucket: aws.String("yard"), Key: aws.String("left"), UploadId: idle.UploadId, PartNumber: aws.Int32(1),
+		Body: bytes.NewReader(randomBytes(5000, 9))}); err != nil {
+		t.Fatal(err)
+	}
+	sweep := func() (removed, remaining int) {
+		for {
+			n, listed, err := server.gate.Sweep(ctx)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if removed += n; n == 0 {
+				return removed, listed
+			}
+		}
+	}
+	if removed, remaining := sweep(); removed != 6*3+3 || remaining != 0 { // the six parts that were replaced, and the sixth one
+		t.Error(removed, remaining)
+	}
+	server.clockOffset = 2 * time.Hour
+	if removed, remaining := sweep(); removed != 5 || remaining != 0 { // the idle upload
+		t.Error(removed, remaining)
+	}
+	if got, _, err := server.get("big", ""); err != nil || !bytes.Equal(got, whole) || server.engine.storedExtents() != 15 {
+		t.Error(err, len(got), server.engine.storedExtents())
+	}
+}
+
+// One part is uploaded eight times at once with different bytes. Each upload is confirmed with its own entity tag; one of them becomes the
+// object, whole, and the extents of the others are removed.
+func TestConcurrentUploadsOfOnePart(t *testing.T) {
+	server := startServer(t)
+	upload, err := server.s3.CreateMultipartUpload(ctx, &s3.CreateMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String("a")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var wg sync.WaitGroup
+	tags := make([]string, 8)
+	for i := range tags {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			o, err := server.s3.UploadPart(ctx, &s3.UploadPartInput{Bucket: aws.String("yard"), Key: aws.String("a"), UploadId: upload.UploadId, PartNumber: aws.Int32(1),
+				Body: bytes.NewReader(randomBytes(5000, int64(i)))})
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			tags[i] = *o.ETag
+		}()
+	}
+	wg.Wait()
+	completed := -1
+	for i, tag := range tags {
+		_, err := server.s3.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String("a"), UploadId: upload.UploadId,
+			MultipartUpload: &types.CompletedMultipartUpload{Parts: []types.CompletedPart{{PartNumber: aws.Int32(1), ETag: aws.String(tag)}}}})
+		switch {
+		case err == nil:
+			completed = i
+		case errorCode(err) != "InvalidPart" && errorCode(err) != "NoSuchUpload": // it was replaced, or the upload is completed
+			t.Error(err)
+		}
+	}
+	if completed < 0 {
+		t.Fatal("no upload of the part could be completed")
+	}
+	if b, _, err := server.get("a", ""); err != nil || !bytes.Equal(b, randomBytes(5000, int64(completed))) {
+		t.Error(err)
+	}
+	for {
+		n, _, err := server.gate.Sweep(ctx)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n == 0 {
+			break
+		}
+	}
+	if server.engine.storedExtents() != 5 {
+		t.Errorf("%d extents have bytes", server.engine.storedExtents())
+	}
+}
+
+// A client retries the upload of a part while its first attempt is held up at an endpoint; the first is confirmed last. It counts, with
+// its own bytes. Then an upload is completed while a second attempt of its part is in flight: the object has the first one's bytes,
+// and the second attempt fails.
+func TestLateUploadOfPart(t *testing.T) {
+	server := startServer(t)
+	createUpload := func(name string) *string {
+		u, err := server.s3.CreateMultipartUpload(ctx, &s3.CreateMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String(name)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return u.UploadId
+	}
+	uploadPart := func(name string, id *string, body []byte) (string, error) {
+		o, err := server.s3.UploadPart(ctx, &s3.UploadPartInput{Bucket: aws.String("yard"), Key: aws.String(name), UploadId: id, PartNumber: aws.Int32(1), Body: bytes.NewReader(body)})
+		if err != nil {
+			return "", err
+		}
+		return *o.ETag, nil
+	}
+	complete := func(name string, id *string, tag string) error {
+		_, err := server.s3.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String(name), UploadId: id,
+			MultipartUpload: &types.CompletedMultipartUpload{Parts: []types.CompletedPart{{PartNumber: aws.Int32(1), ETag: aws.String(tag)}}}})
+		return err
+	}
+	// holdNextRequest lets the next request to the engine wait until release is closed; reached is closed when it waits.
+	holdNextRequest := func() (reached, release chan bool) {
+		reached, release = make(chan bool), make(chan bool)
+		fired := false // guarded by the engine's lock
+		server.engine.setFailure(func(*engine.Request) *engine.Response {
+			if !fired {
+				fired = true
+				close(reached)
+				server.engine.mu.Unlock()
+				<-release
+				server.engine.mu.Lock()
+			}
+			return nil
+		})
+		return reached, release
+	}
+	firstBody, secondBody := randomBytes(900, 1), randomBytes(900, 2)
+	id := createUpload("late")
+	reached, release := holdNextRequest()
+	first := make(chan string, 1)
+	go func() {
+		tag, err := uploadPart("late", id, firstBody)
+		if err != nil {
+			t.Error(err)
+		}
+		first <- tag
+	}()
+	<-reached
+	if _, err := uploadPart("late", id, secondBody); err != nil {
+		t.Fatal(err)
+	}
+	close(release)
+	tag := <-first
+	if err := complete("late", id, tag); err != nil {
+		t.Error(err)
+	}
+	if b, _, err := server.get("late", ""); err != nil || !bytes.Equal(b, firstBody) {
+		t.Error("not the bytes of the attempt that was confirmed last", err)
+	}
+	id = createUpload("flight")
+	server.engine.setFailure(nil)
+	tag, err := uploadPart("flight", id, firstBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	reached, release = holdNextRequest()
+	second := make(chan error, 1)
+	go func() {
+		_, err := uploadPart("flight", id, secondBody)
+		second <- err
+	}()
+	<-reached
+	if err := complete("flight", id, tag); err != nil {
+		t.Error(err)
+	}
+	close(release)
+	if err := <-second; errorCode(err) != "NoSuchUpload" {
+		t.Error(err)
+	}
+	if b, _, err := server.get("flight", ""); err != nil || !bytes.Equal(b, firstBody) {
+		t.Error("a part in flight changed a completed object", err)
+	}
+	for {
+		n, _, err := server.gate.Sweep(ctx)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n == 0 {
+			break
+		}
+	}
+	if server.engine.storedExtents() != 2 {
+		t.Errorf("%d extents have bytes", server.engine.storedExtents())
+	}
+}
+
+// Whatever document completes an upload without parts, the response is an error of the client.
+func FuzzComplete(f *testing.F) {
+	f.Add([]byte("<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>x</ETag></Part></CompleteMultipartUpload>"))
+	server := startServer(f)
+	upload, err := server.s3.CreateMultipartUpload(ctx, &s3.CreateMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String("f")})
+	if err != nil {
+		f.Fatal(err)
+	}
+	handler := Handler(Config{Gate: server.gate, MaxRequests: 1, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	f.Fuzz(func(t *testing.T, body []byte) {
+		response := httptest.NewRecorder()
+		handler.ServeHTTP(response, httptest.NewRequest("POST", "/yard/f?uploadId="+*upload.UploadId, bytes.NewReader(body)))
+		if response.Code < 400 || response.Code > 499 {
+			t.Fatalf("%d for %q", response.Code, body)
+		}
+	})
+}
--- a/internal/object/index/index_test.go
+++ b/internal/object/index/index_test.go
@@ -150,7 +150,7 @@
 			}
 			if o.Etag != id { // it was committed, but killed before it could be acknowledged
 				if !strings.HasPrefix(o.Etag, fmt.Sprint("life", life)) {
-					t.Fatalf("%s is %s, answered was %s", name, o.Etag, id)
+					t.Fatalf("%s is %s, acknowledged was %s", name, o.Etag, id)
 				}
 				acknowledged[name] = o.Etag
 			}
