--- a/client/client_test.go
+++ b/client/client_test.go
@@ -25,24 +25,24 @@
 	"weirhaven/internal/object/index"
 )
 
-// memory answers a gate's commands.
-type memory struct{ data sync.Map }
+// fakeEngine serves the gate's requests from memory.
+type fakeEngine struct{ data sync.Map }
 
-func (m *memory) Shards(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
-func (m *memory) ClientDisconnected(*engine.Request)    {}
-func (m *memory) Submit(t *engine.Request) bool {
-	if t.Class == "put" {
-		m.data.Store(t.Object, bytes.Clone(t.Body))
-	}
-	b, _ := m.data.Load(t.Object)
-	body, _ := b.([]byte)
-	go t.Respond(engine.Response{Result: engine.Served, Body: body})
+func (e *fakeEngine) Shards(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
+func (e *fakeEngine) ClientDisconnected(*engine.Request)    {}
+func (e *fakeEngine) Submit(request *engine.Request) bool {
+	if request.Class == "put" {
+		e.data.Store(request.Object, bytes.Clone(request.Body))
+	}
+	stored, _ := e.data.Load(request.Object)
+	body, _ := stored.([]byte)
+	go request.Respond(engine.Response{Result: engine.Served, Body: body})
 	return true
 }
 
-// host is an object API; before each request trouble may answer in its place.
-func host(dir string, trouble func(w http.ResponseWriter, r *http.Request) bool) (c *client.Client, stop func(), err error) {
-	x, err := index.Open(filepath.Join(dir, "index.db"))
+// startGateway serves the object API, and returns a client of it. Where intercept returns true, it has sent the response itself; nil: never.
+func startGateway(dir string, intercept func(w http.ResponseWriter, r *http.Request) bool) (c *client.Client, stop func(), err error) {
+	idx, err := index.Open(filepath.Join(dir, "index.db"))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -55,21 +55,21 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	h := api.Handler(api.Config{Keys: keys, MaxClockSkew: time.Minute, MaxRequests: 32, MinPartBytes: 1000, Log: log, Gate: gate.New(gate.Config{Engine: &memory{}, Index: x, ReadClass: "get",
+	handler := api.Handler(api.Config{Keys: keys, MaxClockSkew: time.Minute, MaxRequests: 32, MinPartBytes: 1000, Log: log, Gate: gate.New(gate.Config{Engine: &fakeEngine{}, Index: idx, ReadClass: "get",
 		WriteClass: "put", ExtentBytes: 4096, UnitBytes: 4096, MaxInFlight: 4, Log: log, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})})
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if trouble == nil || !trouble(w, r) {
-			h.ServeHTTP(w, r)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if intercept == nil || !intercept(w, r) {
+			handler.ServeHTTP(w, r)
 		}
 	}))
-	c, err = client.New(client.Config{Endpoint: s.URL, Key: "key", Secret: "a-long-secret"})
-	return c, func() { s.Close(); x.Close() }, err
+	c, err = client.New(client.Config{Endpoint: server.URL, Key: "key", Secret: "a-long-secret"})
+	return c, func() { server.Close(); idx.Close() }, err
 }
 
 func Example() {
 	dir, _ := os.MkdirTemp("", "weirhaven")
 	defer os.RemoveAll(dir)
-	c, stop, err := host(dir, nil) // a host; elsewhere: client.New(client.Config{Endpoint: ...})
+	c, stop, err := startGateway(dir, nil) // for a gateway that runs: client.New(client.Config{Endpoint: ...})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -100,25 +100,26 @@
 	// true
 }
 
-// Parts go up in parallel; some are busy-replied and come back no sooner than the host says, some connections end in the middle.
-func TestPartsThroughTrouble(t *testing.T) {
-	var asked, early atomic.Int64
+// Parts are uploaded in parallel. Of the requests, one in four is rejected with a Retry-After and one in four loses its connection. The client
+// retries, never before the advised time, and the object is whole.
+func TestPartsAreRetried(t *testing.T) {
+	var requests, early atomic.Int64
 	var mu sync.Mutex
-	backAt := map[string]time.Time{}
-	c, stop, err := host(t.TempDir(), func(w http.ResponseWriter, r *http.Request) bool {
+	retryAt := map[string]time.Time{}
+	c, stop, err := startGateway(t.TempDir(), func(w http.ResponseWriter, r *http.Request) bool {
 		part := r.URL.Query().Get("partNumber")
 		if part == "" {
 			return false
 		}
-		n := asked.Add(1)
+		n := requests.Add(1)
 		mu.Lock()
 		defer mu.Unlock()
-		if at, ok := backAt[part]; ok && time.Now().Before(at) {
+		if earliest, ok := retryAt[part]; ok && time.Now().Before(earliest) {
 			early.Add(1)
 		}
 		switch n % 4 {
 		case 1:
-			backAt[part] = time.Now().Add(time.Second)
+			retryAt[part] = time.Now().Add(time.Second)
 			w.Header().Set("Retry-After", "1")
 			w.Header().Set("X-Weirhaven-May-Have-Run", "no")
 			w.WriteHeader(503)
@@ -134,16 +135,16 @@
 	defer stop()
 	body := make([]byte, 50000)
 	rand.New(rand.NewSource(1)).Read(body)
-	most := int64(0)
+	progress := int64(0)
 	ctx := context.Background()
 	etag, err := c.Put(ctx, "yard", "a b/ü", bytes.NewReader(body), int64(len(body)), client.PutOptions{Part: 8000, Parallel: 3, Meta: map[string]string{"from": "crane 4"},
-		Progress: func(done int64) { most = max(most, done) }})
-	if err != nil || !strings.HasSuffix(etag, "-7") || most != 50000 || early.Load() > 0 {
-		t.Fatal(etag, err, most, early.Load())
+		Progress: func(done int64) { progress = max(progress, done) }})
+	if err != nil || !strings.HasSuffix(etag, "-7") || progress != 50000 || early.Load() > 0 {
+		t.Fatal(etag, err, progress, early.Load())
 	}
-	i, in, err := c.Get(ctx, "yard", "a b/ü", 0, 0)
-	if err != nil || i.Meta["from"] != "crane 4" || i.Size != 50000 {
-		t.Fatal(err, i)
+	info, in, err := c.Get(ctx, "yard", "a b/ü", 0, 0)
+	if err != nil || info.Meta["from"] != "crane 4" || info.Size != 50000 {
+		t.Fatal(err, info)
 	}
 	got, err := io.ReadAll(in)
 	in.Close()
@@ -168,17 +169,18 @@
 	}
 }
 
-// What may have run is not run twice where that would matter: the end of an upload and a put that must be the first.
-func TestNothingTwice(t *testing.T) {
-	var ends, puts, plain atomic.Int64
-	c, stop, err := host(t.TempDir(), func(w http.ResponseWriter, r *http.Request) bool {
+// The gateway responds that a request may have run. The client does not repeat it where a second run could change something: the end of an
+// upload, and a put that must be the first. Else it does.
+func TestNonIdempotentRequestsAreNotRepeated(t *testing.T) {
+	var completions, firstPuts, puts atomic.Int64
+	c, stop, err := startGateway(t.TempDir(), func(w http.ResponseWriter, r *http.Request) bool {
 		switch {
 		case r.Method == "POST" && r.URL.Query().Has("uploadId"):
-			ends.Add(1)
+			completions.Add(1)
 		case r.Method == "PUT" && r.Header.Get("If-None-Match") != "":
-			puts.Add(1)
+			firstPuts.Add(1)
 		case r.Method == "PUT" && !r.URL.Query().Has("partNumber"):
-			if plain.Add(1) > 1 {
+			if puts.Add(1) > 1 {
 				return false
 			}
 		default:
@@ -195,14 +197,14 @@
 	ctx := context.Background()
 	body := bytes.NewReader(make([]byte, 5000))
 	var e *client.Error
-	if _, err := c.Put(ctx, "yard", "a", body, 5000, client.PutOptions{Part: 2000}); !errors.As(err, &e) || !e.MayHaveRun || ends.Load() != 1 {
-		t.Error(err, ends.Load())
+	if _, err := c.Put(ctx, "yard", "a", body, 5000, client.PutOptions{Part: 2000}); !errors.As(err, &e) || !e.MayHaveRun || completions.Load() != 1 {
+		t.Error(err, completions.Load())
 	}
-	if _, err := c.Put(ctx, "yard", "b", body, 5000, client.PutOptions{OnlyNew: true}); !errors.As(err, &e) || !e.MayHaveRun || puts.Load() != 1 {
-		t.Error(err, puts.Load())
+	if _, err := c.Put(ctx, "yard", "b", body, 5000, client.PutOptions{OnlyNew: true}); !errors.As(err, &e) || !e.MayHaveRun || firstPuts.Load() != 1 {
+		t.Error(err, firstPuts.Load())
 	}
-	if _, err := c.Put(ctx, "yard", "c", body, 5000, client.PutOptions{}); err != nil || plain.Load() != 2 {
-		t.Error(err, plain.Load())
+	if _, err := c.Put(ctx, "yard", "c", body, 5000, client.PutOptions{}); err != nil || puts.Load() != 2 {
+		t.Error(err, puts.Load())
 	}
 	if _, err := client.New(client.Config{Endpoint: "nonsense"}); err == nil {
 		t.Error("an endpoint that is none")
