--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -76,7 +76,7 @@
 	}
 	start := time.Now()
 	for b.Loop() {
-		if _, _, err := capture.Segment(bytes.NewReader(file.Bytes()), func(*pb.Captured) error { return nil }); err != nil {
+		if _, _, err := capture.ReadSegment(bytes.NewReader(file.Bytes()), func(*pb.Captured) error { return nil }); err != nil {
 			b.Fatal(err)
 		}
 		_, c := wants.Unfold(lines)
--- a/internal/capture/align/align_test.go
+++ b/internal/capture/align/align_test.go
@@ -8,35 +8,36 @@
 	"pgregory.net/rapid"
 )
 
-// Hosts whose clocks are off by any amount come out aligned to within what their words took on the way, though some marks are wrong
-// and not every pair of hosts knows a brick in common.
+// The clocks of gateways differ by any amount. They are aligned to within the delay of their notifications, although one mark is wrong and not
+// every pair of gateways shares an endpoint.
 func TestOffsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "hosts")
-		off := make([]time.Duration, n)
-		hosts := map[string]Marks{}
+		clockOffset := make([]time.Duration, n)
+		gateways := map[string]Marks{}
 		for i := range n {
-			off[i] = time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "off"))
-			m := Marks{}
-			for b := i; b < i+9; b++ { // overlaps with its neighbours
-				late := time.Duration(rapid.Int64Range(0, int64(2*time.Millisecond)).Draw(t, "late"))
-				m[fmt.Sprint("b", b)] = time.Duration(b)*time.Minute + off[i] + late
+			clockOffset[i] = time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "off"))
+			marks := Marks{}
+			for b := i; b < i+9; b++ { // shared with the next gateways
+				delay := time.Duration(rapid.Int64Range(0, int64(2*time.Millisecond)).Draw(t, "late"))
+				marks[fmt.Sprint("b", b)] = time.Duration(b)*time.Minute + clockOffset[i] + delay
 			}
-			hosts[fmt.Sprint("h", i)] = m
+			gateways[fmt.Sprint("h", i)] = marks
 		}
-		hosts["h0"]["b8"] = 7 * 24 * time.Hour // nonsense
-		all, err := Offsets(hosts)
+		gateways["h0"]["b8"] = 7 * 24 * time.Hour // one wrong mark
+		all, err := Offsets(gateways)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, o := range all {
-			if d := o.Add + off[i] - off[0]; d < -20*time.Millisecond || d > 20*time.Millisecond {
-				t.Fatalf("%s: %v, off by %v", o.Host, o.Add, d)
+			if d := o.Add + clockOffset[i] - clockOffset[0]; d < -20*time.Millisecond || d > 20*time.Millisecond {
+				t.Fatalf("%s: %v, off by %v", o.Gateway, o.Add, d)
 			}
 		}
 	})
 }
 
+// One of three gateways shares no mark with the others: it keeps its clock, and the error names it.
 func TestNothingShared(t *testing.T) {
 	all, err := Offsets(map[string]Marks{"a": {"x": 1}, "b": {"x": 3}, "c": {"y": 1}})
 	if err == nil || len(all) != 3 || all[1].Add != -2 || all[2].Add != 0 {
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -19,15 +19,16 @@
 	"weirhaven/policy"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func past(i int) *engine.RequestRecord {
+// testRecord returns the i-th request of a load, received i milliseconds after its start.
+func testRecord(i int) *engine.RequestRecord {
 	return &engine.RequestRecord{Volume: fmt.Sprint("v", i%7), Plan: "basic", Class: "read", Object: fmt.Sprint("secret-object-", i%5), Units: 2, Shard: i % 3,
 		ReceivedAt: time.Duration(i) * time.Millisecond, Duration: time.Millisecond, Timeout: time.Second,
 		Attempts: []engine.AttemptRecord{{Endpoint: "b1", SentAt: time.Duration(i)*time.Millisecond + 5, Duration: 900, Outcome: policy.ErrorResponse}}}
 }
 
-func open(t testing.TB, c Config) *Writer {
+func openWriter(t testing.TB, c Config) *Writer {
 	t.Helper()
 	if c.Key == nil {
 		c.Key = []byte("0123456789abcdef")
@@ -35,7 +36,7 @@
 	if c.Head == nil {
 		c.Head = &pb.CaptureHead{Host: "host-0", Life: 7}
 	}
-	c.Log = quiet
+	c.Log = discardLog
 	w, err := Open(c)
 	if err != nil {
 		t.Fatal(err)
@@ -43,40 +44,42 @@
 	return w
 }
 
+// A gateway captures 2000 requests. Each is read back with its attempts and the gateway's name; requests for one object are known by its
+// hash, and no object's name is on disk.
 func TestWriteAndRead(t *testing.T) {
 	dir := t.TempDir()
-	w := open(t, Config{Folder: dir, Queue: 5000})
-	w.EndpointChanged(engine.EndpointChange{Endpoint: "b1", Zone: "north", Shard: 4, Serving: true, StartedAt: 55, ChangedAt: 60}) // before it was on: needed all the same
+	w := openWriter(t, Config{Folder: dir, QueueSize: 5000})
+	w.EndpointChanged(engine.EndpointChange{Endpoint: "b1", Zone: "north", Shard: 4, Serving: true, StartedAt: 55, ChangedAt: 60}) // before Start: it is needed all the same
 	if w.Enabled() {
 		t.Error("on before Start")
 	}
 	w.Start()
 	for i := range 2000 {
-		w.RequestEnded(past(i))
+		w.RequestEnded(testRecord(i))
 	}
 	w.Stop()
-	s := w.State()
+	state := w.State()
 	w.Close()
-	if s.Lost != 0 || s.Lines != 2000 && s.Lines != 2001 || s.On {
-		t.Errorf("%+v", s)
+	if state.Lost != 0 || state.Lines != 2000 && state.Lines != 2001 || state.On {
+		t.Errorf("%+v", state)
 	}
-	l, err := Read(dir)
+	load, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, same, started := 0, map[uint64]bool{}, int64(0)
-	for _, c := range l.Lines {
+	commands, objects, started := 0, map[uint64]bool{}, int64(0)
+	for _, c := range load.Lines {
 		started = max(started, c.GetBrick().GetStarted())
 		if x := c.GetCommand(); x != nil {
-			if x.Host != "host-0" || c.At != int64(n)*1e6 || x.Dispatch[0].How != int32(policy.ErrorResponse) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
-				t.Fatalf("%d: %v", n, c)
+			if x.Host != "host-0" || c.At != int64(commands)*1e6 || x.Dispatch[0].How != int32(policy.ErrorResponse) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
+				t.Fatalf("%d: %v", commands, c)
 			}
-			same[x.Object] = true
-			n++
+			objects[x.Object] = true
+			commands++
 		}
 	}
-	if n != 2000 || len(same) != 5 || started != 55 {
-		t.Errorf("%d commands, %d objects, started %d", n, len(same), started)
+	if commands != 2000 || len(objects) != 5 || started != 55 {
+		t.Errorf("%d requests, %d objects, started %d", commands, len(objects), started)
 	}
 	all, _ := filepath.Glob(dir + "/*")
 	for _, f := range all {
@@ -86,14 +89,14 @@
 	}
 }
 
-// However a capture is cut off, all whole blocks before the cut are read, and what is lost is told. Bytes spoilt in the middle cost
-// their block.
-func TestTorn(t *testing.T) {
+// A segment is cut off at each of its bytes in turn, as a gateway leaves it that is killed: all whole blocks before the cut are read, and the
+// torn one is counted. A flipped byte in the middle costs its block. A file that is no segment, or of a later version, is an error.
+func TestTornSegments(t *testing.T) {
 	dir := t.TempDir()
-	w := open(t, Config{Folder: dir})
+	w := openWriter(t, Config{Folder: dir})
 	w.Start()
 	for i := range 300 {
-		w.RequestEnded(past(i))
+		w.RequestEnded(testRecord(i))
 		if i%100 == 99 {
 			w.Stop() // a block
 			w.Start()
@@ -105,8 +108,8 @@
 	if err != nil || len(all) != 1 {
 		t.Fatal(err, all)
 	}
-	count := func(b []byte) (n int, torn Torn, err error) {
-		_, torn, err = Segment(bytes.NewReader(b), func(c *pb.Captured) error {
+	readCommands := func(b []byte) (n int, torn Torn, err error) {
+		_, torn, err = ReadSegment(bytes.NewReader(b), func(c *pb.Captured) error {
 			if c.GetCommand() != nil {
 				n++
 			}
@@ -116,39 +119,41 @@
 	}
 	last := 0
 	for cut := range len(whole) {
-		n, torn, err := count(whole[:cut])
+		n, torn, err := readCommands(whole[:cut])
 		if err == nil && (n%100 != 0 || n < last) || n != 300 && err == nil && n < 300 && torn.Blocks == 0 && n%100 != 0 {
-			t.Fatalf("cut at %d: %d commands, %+v, %v", cut, n, torn, err)
+			t.Fatalf("cut at %d: %d requests, %+v, %v", cut, n, torn, err)
 		}
 		last = n
 	}
-	if n, torn, err := count(whole); n != 300 || torn.Blocks != 0 || err != nil {
+	if n, torn, err := readCommands(whole); n != 300 || torn.Blocks != 0 || err != nil {
 		t.Fatal(n, torn, err)
 	}
-	spoilt := bytes.Clone(whole)
-	middle := bytes.LastIndex(spoilt, magic[:])
-	middle = bytes.LastIndex(spoilt[:middle], magic[:]) // the second block of commands
-	spoilt[middle+20] ^= 0xff
-	if n, torn, err := count(spoilt); n != 200 || torn.Blocks != 1 || err != nil {
-		t.Errorf("%d commands, %+v, %v", n, torn, err)
+	corrupted := bytes.Clone(whole)
+	middle := bytes.LastIndex(corrupted, magic[:])
+	middle = bytes.LastIndex(corrupted[:middle], magic[:]) // the second block of requests
+	corrupted[middle+20] ^= 0xff
+	if n, torn, err := readCommands(corrupted); n != 200 || torn.Blocks != 1 || err != nil {
+		t.Errorf("%d requests, %+v, %v", n, torn, err)
 	}
-	if _, _, err := count([]byte("something else altogether, and long enough")); err == nil {
+	if _, _, err := readCommands([]byte("something else altogether, and long enough")); err == nil {
 		t.Error("a foreign file was read")
 	}
-	p, _ := newPacker()
+	p, _ := newBlockBuilder()
 	p.add(&pb.CaptureHead{Version: Version + 1})
-	if _, _, err := count(p.block()); err == nil || !strings.Contains(err.Error(), "form 2") {
+	if _, _, err := readCommands(p.finish()); err == nil || !strings.Contains(err.Error(), "form 2") {
 		t.Error(err)
 	}
 }
 
+// Three runs of a gateway write far more than the ring may hold. It stays within its size, nothing is lost on the way, and it ends with the
+// newest request.
 func TestRingIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	for life := range 3 {
-		w := open(t, Config{Folder: dir, Most: 64 << 10, Queue: 100})
+		w := openWriter(t, Config{Folder: dir, MaxBytes: 64 << 10, QueueSize: 100})
 		w.Start()
 		for i := range 4000 {
-			w.RequestEnded(past(life*4000 + i))
+			w.RequestEnded(testRecord(life*4000 + i))
 			if i%40 == 39 {
 				w.Stop()
 				w.Start()
@@ -168,82 +173,84 @@
 			t.Errorf("%d bytes in %d segments of at most %d", total, len(all), 64<<10)
 		}
 	}
-	l, err := Read(dir)
+	load, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, to := l.Span(); to != 11999*time.Millisecond {
-		t.Errorf("the newest line is at %v", to)
+	if _, to := load.Span(); to != 11999*time.Millisecond {
+		t.Errorf("the newest request is at %v", to)
 	}
 }
 
-type gate struct {
-	mu    sync.Mutex
-	open  chan bool
-	fails bool
-	got   bytes.Buffer
+// fakeFile is a segment on a disk that is blocked, or full: half of each block fits then.
+type fakeFile struct {
+	mu        sync.Mutex
+	unblocked chan bool
+	full      bool
+	content   bytes.Buffer
 }
 
-func (g *gate) Write(b []byte) (int, error) {
-	<-g.open
+func (g *fakeFile) Write(b []byte) (int, error) {
+	<-g.unblocked
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.fails {
-		n, _ := g.got.Write(b[:len(b)/2])
+	if g.full {
+		n, _ := g.content.Write(b[:len(b)/2])
 		return n, syscall.ENOSPC
 	}
-	return g.got.Write(b)
+	return g.content.Write(b)
 }
-func (g *gate) Close() error { return nil }
+func (g *fakeFile) Close() error { return nil }
 
-// A disk that takes nothing never holds the loop up: lines beyond the queue are dropped and counted, and the capture says how many.
+// The disk blocks for ever while 20,000 requests end. The engine is never held up: requests beyond the queue are dropped and counted. Once the
+// disk works again, the capture itself says how many.
 func TestSlowDisk(t *testing.T) {
-	g := &gate{open: make(chan bool)}
-	w := open(t, Config{Folder: t.TempDir(), Queue: 100, Create: func(string) (io.WriteCloser, error) { return g, nil }})
+	file := &fakeFile{unblocked: make(chan bool)}
+	w := openWriter(t, Config{Folder: t.TempDir(), QueueSize: 100, Create: func(string) (io.WriteCloser, error) { return file, nil }})
 	w.Start()
-	for i := range 20000 { // must come back though nothing is ever written; a block is full somewhere on the way
-		w.RequestEnded(past(i))
+	for i := range 20000 { // must not block although nothing is written; on the way, a block is full
+		w.RequestEnded(testRecord(i))
 	}
 	lost := w.State().Lost
 	if lost == 0 {
 		t.Error("nothing was dropped")
 	}
-	close(g.open)
+	close(file.unblocked)
 	w.Stop()
-	w.RequestEnded(past(1))
+	w.RequestEnded(testRecord(1))
 	w.Close()
-	told := uint64(0)
-	_, _, err := Segment(bytes.NewReader(g.got.Bytes()), func(c *pb.Captured) error {
-		told += c.GetLost()
+	recorded := uint64(0)
+	_, _, err := ReadSegment(bytes.NewReader(file.content.Bytes()), func(c *pb.Captured) error {
+		recorded += c.GetLost()
 		return nil
 	})
-	if err != nil || told != uint64(w.State().Lost) {
-		t.Errorf("%v: the capture tells %d lost, the writer %d", err, told, w.State().Lost)
+	if err != nil || recorded != uint64(w.State().Lost) {
+		t.Errorf("%v: the capture says %d are lost, the writer %d", err, recorded, w.State().Lost)
 	}
 }
 
-// A full disk costs the lines of the blocks that did not fit; once there is room the capture goes on.
+// The disk is full. The records of blocks that don't fit are lost and counted. Once there is space again, the capture goes on in a new segment.
 func TestFullDisk(t *testing.T) {
-	var files []*gate
-	fails := true
-	w := open(t, Config{Folder: t.TempDir(), Queue: 10000, Create: func(string) (io.WriteCloser, error) {
-		g := &gate{open: make(chan bool), fails: fails}
-		close(g.open)
-		files = append(files, g)
-		return g, nil
+	var files []*fakeFile
+	full := true
+	w := openWriter(t, Config{Folder: t.TempDir(), QueueSize: 10000, Create: func(string) (io.WriteCloser, error) {
+		file := &fakeFile{unblocked: make(chan bool), full: full}
+		close(file.unblocked)
+		files = append(files, file)
+		return file, nil
 	}})
 	w.Start()
 	for i := range 50 {
-		w.RequestEnded(past(i))
+		w.RequestEnded(testRecord(i))
 	}
 	w.Stop()
 	if s := w.State(); s.Lost != 50 || !strings.Contains(s.LastError, "no space") {
 		t.Errorf("%+v", s)
 	}
-	fails = false // the writer has nothing to do: Stop came back
+	full = false // no race: the writer is idle once Stop has returned
 	w.Start()
 	for i := range 50 {
-		w.RequestEnded(past(i))
+		w.RequestEnded(testRecord(i))
 	}
 	w.Stop()
 	w.Close()
@@ -251,7 +258,7 @@
 		t.Errorf("%+v", s)
 	}
 	n := 0
-	if _, _, err := Segment(bytes.NewReader(files[len(files)-1].got.Bytes()), func(c *pb.Captured) error {
+	if _, _, err := ReadSegment(bytes.NewReader(files[len(files)-1].content.Bytes()), func(c *pb.Captured) error {
 		if c.GetCommand() != nil {
 			n++
 		}
@@ -261,42 +268,43 @@
 	}
 }
 
-// Two hosts whose clocks differ by an hour come out in the order in which things happened; a cut keeps the bricks.
-func TestMerge(t *testing.T) {
+// The clocks of two gateways differ by an hour. Merged, their requests are in the order in which they happened; a cut of them keeps the
+// records of endpoints, without which the requests can't be understood.
+func TestMergedClocks(t *testing.T) {
 	dir := t.TempDir()
-	for h, off := range []time.Duration{0, time.Hour} {
-		w := open(t, Config{Folder: dir, Head: &pb.CaptureHead{Host: fmt.Sprint("host-", h), Life: int64(h + 1)}})
+	for gateway, offset := range []time.Duration{0, time.Hour} {
+		w := openWriter(t, Config{Folder: dir, Head: &pb.CaptureHead{Host: fmt.Sprint("host-", gateway), Life: int64(gateway + 1)}})
 		for b := range 5 {
 			w.EndpointChanged(engine.EndpointChange{Endpoint: fmt.Sprint("b", b), Zone: "north", Shard: b, Serving: true,
-				StartedAt: time.Duration(1e15+b*1000) + off, ChangedAt: 1e15})
+				StartedAt: time.Duration(1e15+b*1000) + offset, ChangedAt: 1e15})
 		}
 		w.Start()
 		for i := range 100 {
-			p := past(2*i + h)
-			p.ReceivedAt += off + 1e15
-			w.RequestEnded(p)
+			record := testRecord(2*i + gateway)
+			record.ReceivedAt += offset + 1e15
+			w.RequestEnded(record)
 		}
 		w.Close()
 	}
-	l, err := Read(dir)
+	load, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Align(); err != nil || l.Offset[1].Add != -time.Hour {
-		t.Fatal(err, l.Offset)
+	if err := load.Align(); err != nil || load.Offsets[1].Add != -time.Hour {
+		t.Fatal(err, load.Offsets)
 	}
 	var out bytes.Buffer
-	if err := l.Cut(50*time.Millisecond, 150*time.Millisecond).Write(&out); err != nil {
+	if err := load.Cut(50*time.Millisecond, 150*time.Millisecond).Write(&out); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "merged"+Suffix)
 	os.WriteFile(file, out.Bytes(), 0o600)
-	m, err := Read(file)
+	merged, err := Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	for _, c := range m.Lines {
+	for _, c := range merged.Lines {
 		if x := c.GetCommand(); x != nil {
 			if x.Host != fmt.Sprint("host-", n%2) || c.At != int64(1e15)+int64(50+n)*1e6 {
 				t.Fatalf("%d: %v", n, c)
@@ -304,34 +312,35 @@
 			n++
 		}
 	}
-	if n != 100 || m.Heads[0].Host != "merged" {
-		t.Error(n, m.Heads)
+	if n != 100 || merged.Heads[0].Host != "merged" {
+		t.Error(n, merged.Heads)
 	}
 	if _, err := Read(t.TempDir()); err == nil {
 		t.Error("an empty folder was read")
 	}
 }
 
+// Whatever bytes a segment has, it is read without a panic, and no more is torn than there is.
 func FuzzSegment(f *testing.F) {
-	p, _ := newPacker()
+	p, _ := newBlockBuilder()
 	p.add(&pb.CaptureHead{Version: 1, Host: "h"})
 	p.add(&pb.Captured{At: 3, What: &pb.Captured_Lost{Lost: 3}})
-	f.Add(p.block())
+	f.Add(p.finish())
 	f.Add([]byte("WCAP\x01\x00\x00\x00\xff\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		head, torn, err := Segment(bytes.NewReader(b), func(*pb.Captured) error { return nil })
+		head, torn, err := ReadSegment(bytes.NewReader(b), func(*pb.Captured) error { return nil })
 		if err == nil && head == nil || torn.Bytes > int64(len(b)) {
 			t.Error(head, torn, err)
 		}
 	})
 }
 
-// What a line costs the host loop, and what it takes on disk.
+// BenchmarkOver measures what a request costs the engine, and the bytes that it takes on disk.
 func BenchmarkOver(b *testing.B) {
-	w := open(b, Config{Folder: b.TempDir(), Queue: 1 << 20})
+	w := openWriter(b, Config{Folder: b.TempDir(), QueueSize: 1 << 20})
 	w.Start()
 	for i := 0; b.Loop(); i++ {
-		w.RequestEnded(past(i))
+		w.RequestEnded(testRecord(i))
 	}
 	b.StopTimer()
 	w.Close()
--- a/internal/capture/load.go
+++ b/internal/capture/load.go
@@ -4,88 +4,92 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"weirhaven/internal/capture/align"
 	"weirhaven/internal/pb"
 )
 
-// Load is what was captured, of one host or of several.
+// Load is what was captured, by one gateway or by several.
 type Load struct {
-	Heads  []*pb.CaptureHead // one a host's life
-	Lines  []*pb.Captured    // by time; commands and bricks name their host
-	Lost   uint64
-	Torn   Torn
-	Files  int
-	Offset []align.Offset // by which the hosts' times were moved
+	Heads   []*pb.CaptureHead // one for each run of a gateway
+	Lines   []*pb.Captured    // records by time; those of requests and endpoints name their gateway
+	Lost    uint64            // records that gateways could not write, as the captures say
+	Torn    Torn
+	Files   int            // that were read
+	Offsets []align.Offset // by which Align moved the times of the gateways
 }
 
-// Span is from the first command to the last.
+// Span returns when the first and the last request were received, in ns since 1970; 0 if there is none.
 func (l *Load) Span() (from, to time.Duration) {
-	for _, c := range l.Lines {
-		if c.GetCommand() != nil {
+	for _, record := range l.Lines {
+		if record.GetCommand() != nil {
 			if from == 0 {
-				from = time.Duration(c.At)
+				from = time.Duration(record.At)
 			}
-			to = time.Duration(c.At)
+			to = time.Duration(record.At)
 		}
 	}
 	return from, to
 }
 
-// Read reads captures: folders, segments or merged files. Lines stand in the order of their times.
+// Read reads captures: folders, segments or merged files. It fails if none of the files can be read; if only some can't, each of these counts
+// as a torn block.
 func Read(paths ...string) (*Load, error) {
-	l := &Load{}
-	lives := map[string]bool{}
-	var bad []error
-	for _, p := range paths {
-		files := []string{p}
-		if s, err := os.Stat(p); err != nil {
-			return nil, fmt.Errorf("capture: %w", err)
-		} else if s.IsDir() {
-			files, _ = filepath.Glob(filepath.Join(p, "*"+Suffix))
-			slices.Sort(files)
+	load := &Load{}
+	runs := map[string]bool{}
+	var unreadable []error
+	for _, path := range paths {
+		files, err := segmentsOf(path)
+		if err != nil {
+			return nil, err
 		}
 		for _, file := range files {
-			if err := l.file(file, lives); err != nil {
-				bad = append(bad, fmt.Errorf("%s: %w", file, err))
+			if err := load.readFile(file, runs); err != nil {
+				unreadable = append(unreadable, fmt.Errorf("%s: %w", file, err))
 			}
 		}
 	}
-	if l.Files == 0 {
-		return nil, errors.Join(append(bad, fmt.Errorf("no capture (*%s) in %s", Suffix, strings.Join(paths, ", ")))...)
+	if load.Files == 0 {
+		return nil, errors.Join(append(unreadable, fmt.Errorf("no capture (*%s) in %s", Suffix, strings.Join(paths, ", ")))...)
 	}
-	l.Torn.Blocks += len(bad) // a segment that was torn at its head; the others tell the rest
-	l.byTime()
-	return l, nil
+	load.Torn.Blocks += len(unreadable)
+	load.sort()
+	return load, nil
 }
 
-func (l *Load) byTime() {
+// segmentsOf returns the segments of a folder by name, or the file itself.
+func segmentsOf(path string) ([]string, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, fmt.Errorf("capture: %w", err)
+	}
+	if !info.IsDir() {
+		return []string{path}, nil
+	}
+	files, _ := filepath.Glob(filepath.Join(path, "*"+Suffix)) // fails for a malformed pattern only: none is found then
+	slices.Sort(files)
+	return files, nil
+}
+
+func (l *Load) sort() {
 	slices.SortStableFunc(l.Lines, func(a, b *pb.Captured) int { return cmp.Compare(a.At, b.At) })
 }
 
-func (l *Load) file(name string, lives map[string]bool) error {
-	f, err := os.Open(name)
+// readFile adds a file. runs are the runs of gateways whose heads were added already.
+func (l *Load) readFile(name string, runs map[string]bool) error {
+	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // only read
-	from := len(l.Lines)
-	head, torn, err := Segment(f, func(c *pb.Captured) error {
-		if n := c.GetLost(); n > 0 {
-			l.Lost += n
-			return nil
-		}
-		if c.What != nil {
-			l.Lines = append(l.Lines, c)
-		}
+	defer func() { _ = file.Close() }() // only read
+	before := len(l.Lines)
+	head, torn, err := ReadSegment(file, func(record *pb.Captured) error {
+		l.add(record)
 		return nil
 	})
 	l.Torn.Blocks += torn.Blocks
@@ -94,106 +98,32 @@
 		return err
 	}
 	l.Files++
-	for _, c := range l.Lines[from:] {
-		if x := c.GetCommand(); x != nil && x.Host == "" {
-			x.Host = head.Host
-		}
-		if x := c.GetBrick(); x != nil && x.Host == "" {
-			x.Host = head.Host
-		}
+	for _, record := range l.Lines[before:] {
+		setGateway(record, head.Host)
 	}
-	if id := fmt.Sprint(head.Host, head.Life); !lives[id] {
-		lives[id] = true
+	if run := fmt.Sprint(head.Host, head.Life); !runs[run] {
+		runs[run] = true
 		l.Heads = append(l.Heads, head)
 	}
 	return nil
 }
 
-// Align moves all hosts' times to one clock, by the bricks' starts that several hosts know. Hosts that share none stay as they are,
-// and the error names them.
-func (l *Load) Align() error {
-	hosts := map[string]align.Marks{}
-	for _, h := range l.Heads {
-		if hosts[h.Host] == nil {
-			hosts[h.Host] = align.Marks{}
-		}
-	}
-	for _, c := range l.Lines {
-		if b := c.GetBrick(); b != nil && b.Started > 0 && hosts[b.Host] != nil {
-			hosts[b.Host][b.Name] = time.Duration(b.Started)
-		}
-	}
-	offsets, err := align.Offsets(hosts)
-	l.Offset = offsets
-	add := map[string]int64{}
-	for _, o := range offsets {
-		add[o.Host] = int64(o.Add)
-	}
-	for _, c := range l.Lines {
-		if x := c.GetCommand(); x != nil {
-			c.At += add[x.Host]
-		}
-		if b := c.GetBrick(); b != nil {
-			c.At += add[b.Host]
-			if b.Started > 0 {
-				b.Started += add[b.Host]
-			}
-		}
+func (l *Load) add(record *pb.Captured) {
+	if lost := record.GetLost(); lost > 0 {
+		l.Lost += lost
+		return
 	}
-	l.byTime()
-	return err
-}
-
-// Cut keeps the commands that came in a stretch of the capture, counted from its first command, and all lines of bricks.
-func (l *Load) Cut(from, to time.Duration) *Load {
-	begin, _ := l.Span()
-	cut := *l
-	cut.Lines = nil
-	for _, c := range l.Lines {
-		at := time.Duration(c.At) - begin
-		if c.GetBrick() != nil || at >= from && at < to {
-			cut.Lines = append(cut.Lines, c)
-		}
+	if record.What != nil {
+		l.Lines = append(l.Lines, record)
 	}
-	return &cut
 }
 
-// Write writes it as one file, under the head of its first host with all hosts' names in it.
-func (l *Load) Write(out io.Writer) error {
-	p, err := newPacker()
-	if err != nil {
-		return err
-	}
-	defer func() { _ = p.zip.Close() }() // it holds memory only
-	head := proto.Clone(l.Heads[0]).(*pb.CaptureHead)
-	for _, h := range l.Heads[1:] {
-		if h.Key != head.Key {
-			head.Key = "several"
-		}
-		if h.Host != head.Host {
-			head.Host = "merged"
-		}
-	}
-	if err := p.add(head); err != nil {
-		return err
-	}
-	if l.Lost > 0 {
-		if err := p.add(&pb.Captured{What: &pb.Captured_Lost{Lost: l.Lost}}); err != nil {
-			return err
-		}
-	}
-	for _, c := range l.Lines {
-		if err := p.add(c); err != nil {
-			return err
-		}
-		if p.plain.Len() >= blockSize {
-			if _, err := out.Write(p.block()); err != nil {
-				return err
-			}
-		}
+// setGateway names the gateway of a record, unless it does already, as records of merged files do.
+func setGateway(record *pb.Captured, gateway string) {
+	if request := record.GetCommand(); request != nil && request.Host == "" {
+		request.Host = gateway
 	}
-	if p.lines > 0 {
-		_, err = out.Write(p.block())
+	if endpoint := record.GetBrick(); endpoint != nil && endpoint.Host == "" {
+		endpoint.Host = gateway
 	}
-	return err
 }
--- a/internal/capture/stored_data_test.go
+++ b/internal/capture/stored_data_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	storedMoment = 1_790_000_000 * time.Second // when the sample's first command came, since 1970
+	storedMoment = 1_790_000_000 * time.Second // when the sample's first request was received, since 1970
 	storedKey    = "stored data test key"      // by which objects are hashed
 	storedDigest = "0c0421bdc1aa25fa"          // of that key
 	storedBridge = 0x405cedf306751f93          // hash of the object "drawings/bridge.dwg"
@@ -29,7 +29,7 @@
 		Plan: []*pb.Plan{{Name: "basic", Nominal: 14, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8}}}
 }
 
-// storedBricks are the lines about bricks. They stand in the first block, behind the head.
+// storedBricks are the records of endpoints. They are in the first block, behind the head.
 func storedBricks() []*pb.Captured {
 	started := int64(storedMoment - 48*time.Hour)
 	brick := func(at time.Duration, b *pb.CapturedBrick) *pb.Captured {
@@ -42,8 +42,8 @@
 	}
 }
 
-// storedPast are the commands as the host loop told them.
-func storedPast() []*engine.RequestRecord {
+// storedRequests are the requests as the engine passed them on.
+func storedRequests() []*engine.RequestRecord {
 	return []*engine.RequestRecord{
 		{Volume: "volume-1", Plan: "basic", Class: "read", Object: "drawings/bridge.dwg", Shard: 3, BodyBytes: 64, Units: 2.5, ReceivedAt: storedMoment,
 			Duration: 12 * time.Millisecond, Timeout: time.Second, Result: engine.Served, Attempts: []engine.AttemptRecord{
@@ -64,7 +64,7 @@
 	}
 }
 
-// storedCommands are the same as they are read: two blocks of two.
+// storedCommands are the same requests as they are read: two blocks of two.
 func storedCommands() []*pb.Captured {
 	command := func(at time.Duration, c *pb.CapturedCommand) *pb.Captured {
 		c.Host, c.Plan = "edge-a", "basic"
@@ -98,7 +98,7 @@
 	return l
 }
 
-func sameLines(t *testing.T, got, want []*pb.Captured) {
+func checkEqual(t *testing.T, got, want []*pb.Captured) {
 	t.Helper()
 	if len(got) != len(want) {
 		t.Fatalf("%d lines, wanted %d: %v", len(got), len(want), got)
@@ -110,61 +110,61 @@
 	}
 }
 
-// A host of version a32f63c captured its load; the disk was full at first, which cost three lines. Every later version must read the head
-// and each line, in their order, with nothing lost or torn but what the capture itself tells.
+// A gateway of version a32f63c captured its load; the disk was full at first, which cost three records. Every later version must read the
+// head and each record, in their order, with nothing lost or torn but what the capture itself says.
 func TestStoredCaptureIsRead(t *testing.T) {
-	l := readStored(t, stored("whole"))
-	if len(l.Heads) != 1 || !proto.Equal(l.Heads[0], storedHead()) {
-		t.Errorf("heads %v\nwanted %v", l.Heads, storedHead())
+	load := readStored(t, stored("whole"))
+	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) {
+		t.Errorf("heads %v\nwanted %v", load.Heads, storedHead())
 	}
-	if l.Files != 1 || l.Torn != (Torn{}) || l.Lost != 3 {
-		t.Errorf("%d files, torn %+v, %d lost", l.Files, l.Torn, l.Lost)
+	if load.Files != 1 || load.Torn != (Torn{}) || load.Lost != 3 {
+		t.Errorf("%d files, torn %+v, %d lost", load.Files, load.Torn, load.Lost)
 	}
-	sameLines(t, l.Lines, append(storedBricks(), storedCommands()...))
-	if from, to := l.Span(); from != storedMoment || to != storedMoment+3*time.Millisecond {
+	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()...))
+	if from, to := load.Span(); from != storedMoment || to != storedMoment+3*time.Millisecond {
 		t.Errorf("from %v to %v", from, to)
 	}
 }
 
-// The same capture, torn in the middle of its last block, as a host that was killed leaves it. Every later version must read all whole
-// blocks and tell that one was torn.
+// The same capture, torn in the middle of its last block, as a gateway that was killed leaves it. Every later version must read all
+// whole blocks and count the torn one.
 func TestStoredCaptureCutOffIsRead(t *testing.T) {
-	l := readStored(t, stored("cut-off.wcap"))
-	if l.Torn != (Torn{Blocks: 1, Bytes: 84}) {
-		t.Errorf("torn: %+v", l.Torn)
+	load := readStored(t, stored("cut-off.wcap"))
+	if load.Torn != (Torn{Blocks: 1, Bytes: 84}) {
+		t.Errorf("torn: %+v", load.Torn)
 	}
-	sameLines(t, l.Lines, append(storedBricks(), storedCommands()[:2]...))
+	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()[:2]...))
 }
 
-// The same capture with a byte spoilt in the middle of its second block. Every later version must leave out just that block and read those
+// The same capture with a flipped byte in the middle of its second block. Every later version must leave out just that block and read those
 // before and after it.
-func TestStoredCaptureSpoiltIsRead(t *testing.T) {
-	l := readStored(t, stored("spoilt.wcap"))
-	if l.Torn != (Torn{Blocks: 1, Bytes: 228}) {
-		t.Errorf("torn: %+v", l.Torn)
+func TestStoredCorruptedCaptureIsRead(t *testing.T) {
+	load := readStored(t, stored("spoilt.wcap"))
+	if load.Torn != (Torn{Blocks: 1, Bytes: 228}) {
+		t.Errorf("torn: %+v", load.Torn)
 	}
-	sameLines(t, l.Lines, append(storedBricks(), storedCommands()[2:]...))
+	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()[2:]...))
 }
 
-// Version a32f63c wrote the capture again as one merged file, as weirctl does. Every later version must find the same lines in it.
+// Version a32f63c wrote the capture again as one merged file, by its command line. Every later version must find the same records in it.
 func TestStoredMergedCaptureIsRead(t *testing.T) {
-	l := readStored(t, stored("merged.wcap"))
-	if len(l.Heads) != 1 || !proto.Equal(l.Heads[0], storedHead()) || l.Torn != (Torn{}) || l.Lost != 3 {
-		t.Errorf("heads %v, torn %+v, %d lost", l.Heads, l.Torn, l.Lost)
+	load := readStored(t, stored("merged.wcap"))
+	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) || load.Torn != (Torn{}) || load.Lost != 3 {
+		t.Errorf("heads %v, torn %+v, %d lost", load.Heads, load.Torn, load.Lost)
 	}
-	sameLines(t, l.Lines, append(storedBricks(), storedCommands()...))
+	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()...))
 }
 
-// The folder that version a32f63c wrote is gone on with: a later version's segment stands behind the one there, and by the same key the same
-// objects have the same hashes.
-func TestStoredCaptureIsGoneOnWith(t *testing.T) {
+// A later version continues the capture in the folder that version a32f63c wrote: its segment has the next number, and with the same key the
+// same objects have the same hashes.
+func TestStoredCaptureIsContinued(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(stored("whole"))); err != nil {
 		t.Fatal(err)
 	}
-	w := open(t, Config{Folder: dir, Key: []byte(storedKey), Head: storedHead()})
+	w := openWriter(t, Config{Folder: dir, Key: []byte(storedKey), Head: storedHead()})
 	w.Start()
-	for _, p := range storedPast() {
+	for _, p := range storedRequests() {
 		w.RequestEnded(p)
 	}
 	w.Close()
@@ -173,11 +173,11 @@
 			t.Error(err)
 		}
 	}
-	l := readStored(t, filepath.Join(dir, "edge-a.000003.wcap"))
-	if len(l.Heads) != 1 || !proto.Equal(l.Heads[0], storedHead()) {
-		t.Errorf("heads %v\nwanted %v", l.Heads, storedHead())
+	load := readStored(t, filepath.Join(dir, "edge-a.000003.wcap"))
+	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) {
+		t.Errorf("heads %v\nwanted %v", load.Heads, storedHead())
 	}
-	sameLines(t, l.Lines, storedCommands())
+	checkEqual(t, load.Lines, storedCommands())
 	if both := readStored(t, dir); both.Files != 2 || len(both.Lines) != len(storedBricks())+2*len(storedCommands()) {
 		t.Errorf("%d files, %d lines", both.Files, len(both.Lines))
 	}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -4,17 +4,12 @@
 	"crypto/hmac"
 	"crypto/rand"
 	"crypto/sha256"
-	"encoding/binary"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"hash"
 	"io"
 	"log/slog"
 	"os"
-	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -25,120 +20,119 @@
 	"weirhaven/internal/pb"
 )
 
-type protoMessage = proto.Message
+const (
+	defaultMaxBytes  = 256 << 20
+	defaultQueueSize = 8192
+	flushInterval    = time.Second // after which records are written although their block is not full
 
-// Suffix of a segment's name.
-const Suffix = ".wcap"
+	minKeyBytes   = 16
+	drawnKeyBytes = 32
+)
 
-// Config is a writer's.
+// Config configures a Writer.
 type Config struct {
-	Folder string
-	Most   int64 // bytes of all segments; 0: 256 MiB
-	Queue  int   // lines that wait; 0: 8192
-	Key    []byte
-	Head   *pb.CaptureHead // but for version and key
-	Log    *slog.Logger
-	// Create opens a new file; nil: on disk.
+	Folder    string          // is created if it does not exist
+	MaxBytes  int64           // of all segments; 0: 256 MiB
+	QueueSize int             // records that wait for the disk; 0: 8192
+	Key       []byte          // by which names of objects are hashed
+	Head      *pb.CaptureHead // of each segment; the writer sets its version and key
+	Log       *slog.Logger
+	// Create creates a segment file; nil: on disk, failing if it exists.
 	Create func(name string) (io.WriteCloser, error)
 }
 
-// State is what a writer has done so far.
+// State is what a Writer has done so far.
 type State struct {
-	On                bool
-	Lines, Lost       int64 // written, and not written
-	Bytes, Bound      int64
-	Segments          int
-	Since             time.Duration // ns since 1970; 0: never on
-	Folder, LastError string
+	On              bool
+	Lines, Lost     int64 // records written, and not written
+	Bytes, MaxBytes int64 // of all segments
+	Segments        int
+	Since           time.Duration // when the capture was started, in ns since 1970; 0: never
+	Folder          string
+	LastError       string // of the last block; empty: it was written
 }
 
-// Writer writes what a host loop tells it. Its calls never wait for the disk; it is the loop's Tap.
+// Writer writes what an engine notifies it of. It is an engine's observer: its methods RequestEnded and EndpointChanged never block, and drop
+// and count records if the disk is too slow. All methods may be called by many goroutines at once. A goroutine of its own, which Close
+// ends, writes the files.
 type Writer struct {
-	c       Config
-	lines   chan any // *hostloop.Past, *wpb.Captured, bool (flush), or a chan bool (flush and tell)
+	config  Config
+	queue   chan message
 	on      atomic.Bool
 	lost    atomic.Int64
 	written atomic.Int64
-	told    int64 // lost lines that the capture itself tells
-	mac     hash.Hash
-	stop    chan struct{}
-	done    chan struct{}
+	stop    chan struct{} // closed by Close
+	done    chan struct{} // closed by run
 
 	mu    sync.Mutex
-	state State
+	state State // but for On, Lines and Lost
 
-	pack   *packer
-	out    io.WriteCloser
-	size   int64
-	no     int
-	failed bool
-	marks  map[string]*pb.Captured // the last known of each brick, repeated in each segment
+	// Used by run alone.
+	block         *blockBuilder
+	mac           hash.Hash
+	recordedLost  int64 // of lost, what the capture holds
+	segment       io.WriteCloser
+	segmentBytes  int64
+	segmentNumber int                     // of the last one
+	failed        bool                    // the last block could not be written
+	endpoints     map[string]*pb.Captured // the last record of each endpoint, repeated in each segment
 }
 
-const (
-	segments  = 8 // of which the ring is made
-	blockSize = 128 << 10
-	flushTime = time.Second
-)
+// message is one of: a request that ended, a record of an endpoint, a flush, after which flushed is closed.
+type message struct {
+	request  *engine.RequestRecord
+	endpoint *pb.Captured
+	flushed  chan struct{}
+}
 
-// ReadKey reads a key file; an empty name draws a key.
+// ReadKey reads the key by which names of objects are hashed; if file is empty, it draws one. The same key makes the same object known again
+// in another capture.
 func ReadKey(file string) ([]byte, error) {
 	if file == "" {
-		key := make([]byte, 32)
+		key := make([]byte, drawnKeyBytes)
 		_, err := rand.Read(key)
 		return key, err
 	}
 	key, err := os.ReadFile(file)
-	if err == nil && len(key) < 16 {
-		err = fmt.Errorf("%s: %d bytes; a key needs 16 or more", file, len(key))
+	if err == nil && len(key) < minKeyBytes {
+		err = fmt.Errorf("%s: %d bytes; a key needs %d or more", file, len(key), minKeyBytes)
 	}
 	return key, err
 }
 
-// Open starts a writer. Nothing is written before Start.
-func Open(c Config) (*Writer, error) {
-	if c.Most <= 0 {
-		c.Most = 256 << 20
+// Open starts a Writer. Nothing is written before Start. It fails if the folder can't be created.
+func Open(config Config) (*Writer, error) {
+	if config.MaxBytes <= 0 {
+		config.MaxBytes = defaultMaxBytes
 	}
-	if c.Queue <= 0 {
-		c.Queue = 8192
+	if config.QueueSize <= 0 {
+		config.QueueSize = defaultQueueSize
 	}
-	if err := os.MkdirAll(c.Folder, 0o750); err != nil {
+	if err := os.MkdirAll(config.Folder, 0o750); err != nil {
 		return nil, fmt.Errorf("capture folder: %w", err)
 	}
-	if c.Create == nil {
-		c.Create = func(name string) (io.WriteCloser, error) {
-			return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
-		}
+	if config.Create == nil {
+		config.Create = createSegment
 	}
-	pack, err := newPacker()
+	block, err := newBlockBuilder()
 	if err != nil {
 		return nil, err
 	}
-	c.Head = proto.Clone(c.Head).(*pb.CaptureHead)
-	c.Head.Version = Version
-	digest := sha256.Sum256(append([]byte("weirhaven capture key "), c.Key...))
-	c.Head.Key = hex.EncodeToString(digest[:8])
-	w := &Writer{c: c, lines: make(chan any, c.Queue), mac: hmac.New(sha256.New, c.Key), stop: make(chan struct{}), done: make(chan struct{}),
-		pack: pack, marks: map[string]*pb.Captured{}}
-	w.state.Folder, w.state.Bound = c.Folder, c.Most
-	for _, f := range w.own() {
-		var no int
-		if _, err := fmt.Sscanf(strings.TrimPrefix(filepath.Base(f), w.prefix()), "%d", &no); err == nil {
-			w.no = max(w.no, no)
-		}
-	}
+	config.Head = proto.Clone(config.Head).(*pb.CaptureHead)
+	config.Head.Version = Version
+	config.Head.Key = keyDigest(config.Key)
+	w := &Writer{config: config, queue: make(chan message, config.QueueSize), stop: make(chan struct{}), done: make(chan struct{}),
+		block: block, mac: hmac.New(sha256.New, config.Key), endpoints: map[string]*pb.Captured{}}
+	w.state.Folder, w.state.MaxBytes = config.Folder, config.MaxBytes
+	w.segmentNumber = w.lastSegmentNumber()
 	go w.run()
 	return w, nil
 }
 
-func (w *Writer) prefix() string { return w.c.Head.Host + "." }
-
-// own are this host's segments, oldest first.
-func (w *Writer) own() []string {
-	all, _ := filepath.Glob(filepath.Join(w.c.Folder, w.prefix()+"[0-9]*"+Suffix))
-	slices.Sort(all)
-	return all
+// keyDigest tells captures with the same key, and doesn't give the key away.
+func keyDigest(key []byte) string {
+	digest := sha256.Sum256(append([]byte("weirhaven capture key "), key...))
+	return hex.EncodeToString(digest[:8])
 }
 
 // Start begins a capture.
@@ -149,12 +143,12 @@
 	w.on.Store(true)
 }
 
-// Stop ends a capture. What was taken until then is on disk once it returns.
+// Stop ends a capture. It returns once all records that were queued are written, or lost.
 func (w *Writer) Stop() {
 	w.on.Store(false)
-	flushed := make(chan bool, 1)
+	flushed := make(chan struct{})
 	select {
-	case w.lines <- flushed:
+	case w.queue <- message{flushed: flushed}:
 	case <-w.done:
 		return
 	}
@@ -164,219 +158,151 @@
 	}
 }
 
-// State tells what it has done so far.
+// State returns what the writer has done so far.
 func (w *Writer) State() State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.state
-	s.On, s.Lost, s.Lines = w.on.Load(), w.lost.Load(), w.written.Load()
-	return s
+	state := w.state
+	state.On, state.Lost, state.Lines = w.on.Load(), w.lost.Load(), w.written.Load()
+	return state
 }
 
-// Close writes what waits and ends.
+// Close writes all records that are queued and ends the writer. Call it once.
 func (w *Writer) Close() {
 	w.on.Store(false)
 	close(w.stop)
 	<-w.done
 }
 
-func (w *Writer) offer(line any) {
-	select {
-	case w.lines <- line:
-	default:
-		w.lost.Add(1)
-	}
-}
-
 // Enabled reports whether requests are captured; the engine records none otherwise.
 func (w *Writer) Enabled() bool { return w.on.Load() }
 
-// RequestEnded takes a request that is over.
-func (w *Writer) RequestEnded(p *engine.RequestRecord) { w.offer(p) }
+// RequestEnded queues a request that ended. The writer keeps request.
+func (w *Writer) RequestEnded(request *engine.RequestRecord) { w.enqueue(message{request: request}) }
 
-// EndpointChanged takes the state of an endpoint. It is kept also while the writer is off: a capture that begins later needs it.
+// EndpointChanged queues the state of an endpoint. It is kept also while the writer is off: a capture that begins later needs it.
 func (w *Writer) EndpointChanged(change engine.EndpointChange) {
-	w.offer(&pb.Captured{At: int64(change.ChangedAt), What: &pb.Captured_Brick{Brick: &pb.CapturedBrick{Name: change.Endpoint, Zone: change.Zone,
-		Cell: int64(change.Shard), Serving: change.Serving, Gone: change.Removed, Started: int64(change.StartedAt)}}})
+	w.enqueue(message{endpoint: endpointRecord(change)})
+}
+
+// enqueue never blocks.
+func (w *Writer) enqueue(m message) {
+	select {
+	case w.queue <- m:
+	default:
+		w.lost.Add(1)
+	}
 }
 
+// run writes what is queued, until Close.
 func (w *Writer) run() {
 	defer close(w.done)
-	tick := time.NewTicker(flushTime)
-	defer tick.Stop()
+	ticker := time.NewTicker(flushInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case l := <-w.lines:
-			w.take(l)
-		case <-tick.C:
+		case m := <-w.queue:
+			w.handle(m)
+		case <-ticker.C:
 			w.flush()
 		case <-w.stop:
-			for {
-				select {
-				case l := <-w.lines:
-					w.take(l)
-					continue
-				default:
-				}
-				break
-			}
-			w.flush()
-			if w.out != nil {
-				_ = w.out.Close() // it ends: nobody is left to be notified
-			}
+			w.finish()
 			return
 		}
 	}
 }
 
-func (w *Writer) take(l any) {
-	switch l := l.(type) {
-	case chan bool:
-		w.flush()
-		l <- true
-	case *pb.Captured:
-		if b := l.GetBrick(); b.Gone {
-			delete(w.marks, b.Name)
-		} else {
-			if old := w.marks[b.Name]; old != nil && b.Started == 0 {
-				b.Started = old.GetBrick().Started
-			}
-			w.marks[b.Name] = l
-		}
-		if w.on.Load() || w.pack.lines > 0 {
-			w.line(l)
+// finish writes what is still queued.
+func (w *Writer) finish() {
+	for {
+		select {
+		case m := <-w.queue:
+			w.handle(m)
+			continue
+		default:
 		}
-	case *engine.RequestRecord:
-		w.line(w.captured(l))
+		break
+	}
+	w.flush()
+	if w.segment != nil {
+		_ = w.segment.Close() // nobody is left to be notified
 	}
 }
 
-func (w *Writer) line(c *pb.Captured) {
-	if err := w.pack.add(c); err != nil {
-		w.lost.Add(1)
-		return
-	}
-	if w.pack.plain.Len() >= blockSize {
+func (w *Writer) handle(m message) {
+	switch {
+	case m.flushed != nil:
 		w.flush()
+		close(m.flushed)
+	case m.endpoint != nil:
+		w.rememberEndpoint(m.endpoint)
+		if w.on.Load() || w.block.records > 0 {
+			w.add(m.endpoint)
+		}
+	case m.request != nil:
+		w.add(w.requestRecord(m.request))
 	}
 }
 
-// hash of an object's name: enough to know it again, no more.
-func (w *Writer) hash(object string) uint64 {
-	if object == "" {
-		return 0
+// rememberEndpoint keeps the last record of an endpoint that is not removed; its start time, if the new record has none.
+func (w *Writer) rememberEndpoint(record *pb.Captured) {
+	endpoint := record.GetBrick()
+	if endpoint.Gone {
+		delete(w.endpoints, endpoint.Name)
+		return
+	}
+	if old := w.endpoints[endpoint.Name]; old != nil && endpoint.Started == 0 {
+		endpoint.Started = old.GetBrick().Started
 	}
-	w.mac.Reset()
-	_, _ = io.WriteString(w.mac, object) // a hash never fails
-	return binary.LittleEndian.Uint64(w.mac.Sum(nil)) | 1
+	w.endpoints[endpoint.Name] = record
 }
 
-func (w *Writer) captured(p *engine.RequestRecord) *pb.Captured {
-	c := &pb.CapturedCommand{Volume: p.Volume, Plan: p.Plan, QueueType: p.Class, Units: p.Units, Cell: int64(p.Shard), Repeat: p.Retry,
-		Object: w.hash(p.Object), Timeout: int64(p.Timeout), Took: int64(p.Duration), Final: pb.CapturedCommand_Final(p.Result), Body: uint32(p.BodyBytes)}
-	for _, t := range p.Attempts {
-		c.Dispatch = append(c.Dispatch, &pb.CapturedDispatch{Brick: t.Endpoint, After: int64(t.SentAt - p.ReceivedAt), Took: int64(t.Duration), How: int32(t.Outcome)})
+// add adds a record to the current block.
+func (w *Writer) add(record *pb.Captured) {
+	if err := w.block.add(record); err != nil {
+		w.lost.Add(1)
+		return
+	}
+	if w.block.full() {
+		w.flush()
 	}
-	return &pb.Captured{At: int64(p.ReceivedAt), What: &pb.Captured_Command{Command: c}}
 }
 
-// flush writes a block. Where that fails its lines are lost and counted, and the next block goes to a new segment.
+// flush writes the current block. If that fails, its records are lost and counted, and the next block goes to a new segment: behind a torn
+// block, a reader would have to find its place again.
 func (w *Writer) flush() {
-	if w.pack.lines == 0 {
+	if w.block.records == 0 {
 		return
 	}
-	if lost := w.lost.Load(); lost > w.told {
-		_ = w.pack.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.told)}})
-		w.told = lost
+	if lost := w.lost.Load(); lost > w.recordedLost {
+		_ = w.block.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.recordedLost)}}) // the count is in State, too
+		w.recordedLost = lost
 	}
-	lines := int64(w.pack.lines)
-	block := w.pack.block()
-	err := w.write(slices.Clone(block))
-	if err != nil {
-		w.lost.Add(lines)
-		if w.out != nil {
-			_ = w.out.Close() // the segment is given up already
-			w.out = nil
-		}
+	records := int64(w.block.records)
+	err := w.write(w.block.finish())
+	if err == nil {
+		w.written.Add(records)
 	} else {
-		w.written.Add(lines)
+		w.lost.Add(records)
+		w.abandonSegment()
 	}
+	w.noteResult(err)
+}
+
+// noteResult notes the result of a write in State, and logs where it changed.
+func (w *Writer) noteResult(err error) {
 	w.mu.Lock()
 	w.state.LastError = ""
 	if err != nil {
 		w.state.LastError = err.Error()
 	}
 	w.mu.Unlock()
-	if (err != nil) != w.failed {
-		if w.failed = err != nil; w.failed {
-			w.c.Log.Warn("the capture can't be written; its lines are counted as lost", "err", err)
+	if failed := err != nil; failed != w.failed {
+		w.failed = failed
+		if failed {
+			w.config.Log.Warn("writing the capture failed, its records are counted as lost", "err", err)
 		} else {
-			w.c.Log.Info("the capture is written again", "lost", w.lost.Load())
-		}
-	}
-}
-
-func (w *Writer) write(block []byte) error {
-	if w.out != nil && w.size+int64(len(block)) > w.c.Most/segments {
-		err := w.out.Close()
-		if w.out = nil; err != nil {
-			return err
-		}
-	}
-	if w.out == nil {
-		if err := w.open(); err != nil {
-			return err
+			w.config.Log.Info("the capture is written again", "lost", w.lost.Load())
 		}
 	}
-	n, err := w.out.Write(block)
-	w.size += int64(n)
-	w.mu.Lock()
-	w.state.Bytes += int64(n)
-	w.mu.Unlock()
-	return err
-}
-
-// open begins a segment, and lets the oldest go where the ring is full.
-func (w *Writer) open() error {
-	old := w.own()
-	sizes, total := make([]int64, len(old)), int64(0)
-	for i, f := range old {
-		if s, err := os.Stat(f); err == nil {
-			sizes[i] = s.Size()
-			total += s.Size()
-		}
-	}
-	for len(old) > 0 && total > w.c.Most-w.c.Most/segments {
-		if err := os.Remove(old[0]); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("room for the capture: %w", err)
-		}
-		total -= sizes[0]
-		old, sizes = old[1:], sizes[1:]
-	}
-	w.no++
-	out, err := w.c.Create(filepath.Join(w.c.Folder, fmt.Sprintf("%s%06d%s", w.prefix(), w.no, Suffix)))
-	if err != nil {
-		return err
-	}
-	w.out, w.size = out, 0
-	w.mu.Lock()
-	w.state.Segments, w.state.Bytes = len(old)+1, total
-	w.mu.Unlock()
-	p, err := newPacker()
-	if err != nil {
-		return err
-	}
-	defer func() { _ = p.zip.Close() }() // it holds memory only
-	_ = p.add(w.c.Head)                  // what can't be encoded is left out, here and below: a capture must not end for it
-	names := make([]string, 0, len(w.marks))
-	for name := range w.marks {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		_ = p.add(w.marks[name])
-	}
-	n, err := out.Write(p.block())
-	w.size = int64(n)
-	return err
 }
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -121,8 +121,8 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "GATEWAY\tCLOCK OFFSET\tUNCERTAINTY\tSHARED STARTS")
-	for _, o := range l.Offset {
-		fmt.Fprintf(w, "%s\t%v\t%v\t%d\n", o.Host, o.Add, o.Spread, o.Marks)
+	for _, o := range l.Offsets {
+		fmt.Fprintf(w, "%s\t%v\t%v\t%d\n", o.Gateway, o.Add, o.Spread, o.Marks)
 	}
 	_ = w.Flush()
 	return write(l, c.Out)
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -24,7 +24,7 @@
 	}
 	head := &pb.CaptureHead{Host: g.conf.Name, Ordinal: g.conf.Ordinal, Zone: g.conf.Zone, Life: time.Now().UnixNano(), Hosts: g.conf.Hosts,
 		Fleet: g.conf.Fleet, QueueType: g.conf.QueueType, Plan: g.conf.Plan}
-	writer, err := capture.Open(capture.Config{Folder: conf.Folder, Most: int64(conf.MostBytes), Queue: int(conf.Queue), Key: key,
+	writer, err := capture.Open(capture.Config{Folder: conf.Folder, MaxBytes: int64(conf.MostBytes), QueueSize: int(conf.Queue), Key: key,
 		Log: g.log, Head: head})
 	if err != nil {
 		g.log.Warn("capture unavailable; serving without it", "err", err)
@@ -62,7 +62,7 @@
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "capture %s\nfolder %s\nsegments %d, %d bytes of at most %d\nlines written %d, lost %d\n", on, s.Folder, s.Segments,
-		s.Bytes, s.Bound, s.Lines, s.Lost)
+		s.Bytes, s.MaxBytes, s.Lines, s.Lost)
 	if s.LastError != "" {
 		fmt.Fprintf(&text, "last error: %s\n", s.LastError)
 	}
