--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -69,7 +69,7 @@
 }
 
 var faults = map[string]fault{
-	"answer dropped":     {wanted: "no command lost", menu: []string{"clients-reconnect"}, toClient: func(nc net.Conn) net.Conn { return &dropping{nc} }},
+	"answer dropped":     {wanted: "no request lost", menu: []string{"clients-reconnect"}, toClient: func(nc net.Conn) net.Conn { return &dropping{nc} }},
 	"answer given twice": {wanted: "another request's answer", menu: []string{"clients-slow"}, toClient: func(nc net.Conn) net.Conn { return &repeating{nc} }},
 	"written late": {wanted: "deadline told", menu: []string{"clients-leave"},
 		toServer: func(nc net.Conn, _ string) net.Conn { return &slow{nc} }},
@@ -79,9 +79,9 @@
 		toServer: func(nc net.Conn, address string) net.Conn { return &doubling{nc, address} }},
 	"drains ignored": {wanted: "drains kept", menu: []string{"drain"},
 		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &deafToDrains{policy.New(h, s)} }},
-	"cold servers flooded": {wanted: "no cold brick pushed over", menu: []string{"drain"}, rate: 100,
+	"cold servers flooded": {wanted: "no warming endpoint overloaded", menu: []string{"drain"}, rate: 100,
 		toServer: func(nc net.Conn, address string) net.Conn { return &flooding{nc, address} }},
-	"limits not shared": {wanted: "limits", menu: []string{"clients-slow"},
+	"limits not shared": {wanted: "rate limits", menu: []string{"clients-slow"},
 		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &alone{policy.New(h, s)} }},
 	"ends by itself": {wanted: "ended by itself", menu: []string{"clients-slow"},
 		process: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
