--- a/internal/controlplane/server/faults_test.go
+++ b/internal/controlplane/server/faults_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,6 +12,10 @@
 	"testing"
 	"time"
 
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"weirhaven/internal/controlplane/client"
 	"weirhaven/internal/controlplane/snapshot"
 	"weirhaven/internal/controlplane/statemachine"
 	"weirhaven/internal/pb"
@@ -39,6 +44,7 @@
 		g.checkNotBack()
 		return g.holds(pb.Item_VOLUME, "x3") != nil && g.holds(pb.Item_VOLUME, "w0") != nil && g.holds(pb.Item_VOLUME, "x0") != nil
 	})
+	g.checkNotBack() // the last snapshot may have come after the check in the condition
 	if g.highestGeneration < 4 {
 		t.Errorf("generation %d", g.highestGeneration)
 	}
@@ -59,10 +65,7 @@
 	olderDisk := filepath.Join(dir, "old.db")
 	copyStore(t, c, olderDisk)
 	changeList(c, 2, false, endpoint(0, false))
-	shard, err := gateways[0].follower.Place(context.Background(), "v", "object", "")
-	if err != nil {
-		t.Fatal(err)
-	}
+	shard := placeWithLease(t, gateways[0], "v", "object")
 	drained := func() bool {
 		for _, g := range gateways {
 			g.checkNotBack()
@@ -104,6 +107,24 @@
 	}
 }
 
+// placeWithLease places a new object. A stall of the machine loses the controller its short lease, which is not what is tested, so it
+// is asked again until it holds the lease; every other error fails the test.
+func placeWithLease(t *testing.T, g *testGateway, volume, name string) (shard uint32) {
+	t.Helper()
+	waitFor(t, "a placement", func() bool {
+		placed, err := g.follower.Place(context.Background(), volume, name, "")
+		if errors.Is(err, client.ErrNoController) || status.Code(err) == codes.Unavailable && strings.Contains(err.Error(), statemachine.ErrNoLease.Error()) {
+			return false
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		shard = placed
+		return true
+	})
+	return shard
+}
+
 // copyStore copies the controller's file. Its mutex keeps the file from being written.
 func copyStore(t *testing.T, c *Controller, file string) {
 	t.Helper()
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -83,14 +83,18 @@
 }
 
 // A gateway is cut off for so long that the tombstones of what was removed meanwhile are pruned. Changes alone would leave it with
-// removed endpoints for good. It gets the full snapshot, and holds what a gateway holds that was connected throughout.
+// removed endpoints for good. It gets the full snapshot, and holds what a gateway holds that was connected throughout. Another one stays
+// connected too: two of three are the majority without which the controller writes nothing once its lease has run out.
 func TestFullSnapshotAfterPrunedTombstones(t *testing.T) {
 	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 1, ""), Options{})
 	connected := startGateway(t, "stays", filepath.Join(t.TempDir(), "s"), address)
+	other := startGateway(t, "stays too", filepath.Join(t.TempDir(), "o"), address)
 	file := filepath.Join(t.TempDir(), "e")
 	cutOff := startGateway(t, "e", file, address)
 	changeList(c, 1, true, endpoint(0, true), endpoint(1, true))
-	waitFor(t, "the first snapshot", func() bool { return cutOff.holds(pb.Item_BRICK, "b1") != nil })
+	waitFor(t, "the first snapshot", func() bool {
+		return cutOff.holds(pb.Item_BRICK, "b1") != nil && connected.holds(pb.Item_BRICK, "b1") != nil && other.holds(pb.Item_BRICK, "b1") != nil
+	})
 	cutOff.stop()
 	for n := range 20 { // endpoints are replaced one after the other
 		number := int64(2 + 2*n)
