--- a/client/errors.go
+++ b/client/errors.go
@@ -21,6 +21,7 @@
 	After         time.Duration // when to retry; 0: the gateway gave no advice
 }
 
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%d %s: %s", e.Status, e.Code, e.Message) }
 
 // NotFound reports whether an error says that there is no such object, volume or upload.
--- a/internal/object/api/list.go
+++ b/internal/object/api/list.go
@@ -41,17 +41,17 @@
 	ContinuationToken     string `xml:",omitempty"`
 	NextContinuationToken string `xml:",omitempty"`
 	IsTruncated           bool
-	Contents              []listedObject
-	CommonPrefixes        []listedPrefix
+	Contents              []objectEntry
+	CommonPrefixes        []prefixEntry
 }
 
-type listedObject struct {
+type objectEntry struct {
 	Key, LastModified, ETag string
 	Size                    int64
 	StorageClass            string
 }
 
-type listedPrefix struct{ Prefix string }
+type prefixEntry struct{ Prefix string }
 
 func (c *call) listObjects() error {
 	list, err := c.parseList()
@@ -104,10 +104,10 @@
 		MaxKeys: l.limit, IsTruncated: page.NextAfter != ""}
 	for _, object := range page.Objects {
 		response.Contents = append(response.Contents,
-			listedObject{l.encode(object.Name), xmlTime(object.Modified), quoteETag(object.Etag), object.Size, "STANDARD"})
+			objectEntry{l.encode(object.Name), xmlTime(object.Modified), quoteETag(object.Etag), object.Size, "STANDARD"})
 	}
 	for _, prefix := range page.Prefixes {
-		response.CommonPrefixes = append(response.CommonPrefixes, listedPrefix{l.encode(prefix)})
+		response.CommonPrefixes = append(response.CommonPrefixes, prefixEntry{l.encode(prefix)})
 	}
 	if !l.version2 {
 		response.Marker, response.NextMarker = l.encode(l.after), l.encode(page.NextAfter)
--- a/internal/object/api/uploads.go
+++ b/internal/object/api/uploads.go
@@ -91,10 +91,10 @@
 	NextPartNumberMarker uint32
 	MaxParts             int
 	IsTruncated          bool
-	Part                 []listedPart
+	Part                 []partEntry
 }
 
-type listedPart struct {
+type partEntry struct {
 	PartNumber         uint32
 	LastModified, ETag string
 	Size               int64
@@ -119,7 +119,7 @@
 			response.IsTruncated = true
 			break
 		}
-		response.Part = append(response.Part, listedPart{part.Number, xmlTime(part.Modified), quoteETag(part.Etag), part.Size})
+		response.Part = append(response.Part, partEntry{part.Number, xmlTime(part.Modified), quoteETag(part.Etag), part.Size})
 		response.NextPartNumberMarker = part.Number
 	}
 	return c.sendXML(response)
@@ -130,10 +130,10 @@
 	Space   string   `xml:"xmlns,attr"`
 	Bucket  string
 	Prefix  string
-	Upload  []listedUpload
+	Upload  []uploadEntry
 }
 
-type listedUpload struct {
+type uploadEntry struct {
 	Key       string
 	UploadID  string `xml:"UploadId"`
 	Initiated string
@@ -147,7 +147,7 @@
 	response := listUploadsResponse{Space: xmlSpace, Bucket: c.volume, Prefix: c.query.Get("prefix")}
 	for _, upload := range uploads {
 		if strings.HasPrefix(upload.Name, response.Prefix) && len(response.Upload) < maxListedUploads {
-			response.Upload = append(response.Upload, listedUpload{upload.Name, upload.Id, xmlTime(upload.Begun)})
+			response.Upload = append(response.Upload, uploadEntry{upload.Name, upload.Id, xmlTime(upload.Begun)})
 		}
 	}
 	return c.sendXML(response)
--- a/internal/object/decide/faults.go
+++ b/internal/object/decide/faults.go
@@ -15,6 +15,7 @@
 	MayHaveRun bool          // the request may have taken effect; false: it has not
 }
 
+// Error implements error.
 func (f *Fault) Error() string { return f.Code + ": " + f.Message }
 
 // With returns a copy of a fault with more to read in its message.
