--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/demand"
+	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/pb"
 )
 
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"weirhaven/internal/capacity/model"
 	"weirhaven/internal/capacity/demand"
+	"weirhaven/internal/capacity/model"
 	"weirhaven/internal/engine"
 	"weirhaven/internal/fleet/endpointstate"
 	"weirhaven/internal/fleet/membership"
--- a/internal/capacity/place/cost.go
+++ b/internal/capacity/place/cost.go
@@ -1,8 +1,8 @@
 package place
 
 import (
-	"weirhaven/internal/capacity/model"
 	"weirhaven/internal/capacity/demand"
+	"weirhaven/internal/capacity/model"
 	"weirhaven/internal/pb"
 )
 
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
-	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/engine"
 	"weirhaven/internal/pb"
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -17,10 +17,10 @@
 
 	"weirhaven/internal/capacity/bounds"
 	"weirhaven/internal/capacity/decide"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/place"
 	"weirhaven/internal/capacity/sample"
-	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
 )
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -11,9 +11,9 @@
 
 	"weirhaven/internal/capacity/bounds"
 	"weirhaven/internal/capacity/decide"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
-	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/engine"
 	"weirhaven/internal/pb"
 )
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"weirhaven/internal/capacity/bounds"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/forecast"
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/place"
-	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/scenario"
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -10,10 +10,10 @@
 
 	"weirhaven/internal/capacity/bounds"
 	"weirhaven/internal/capacity/decide"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/report"
 	"weirhaven/internal/capacity/study"
-	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
