--- a/internal/audit/ordering.go
+++ b/internal/audit/ordering.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		served = served || other.answered != nil && other.answered.How == statusServed && at(other.answered) <= now
-		a.judgeRest(before, r, other, now, end, trace)
+		a.judgeCooldown(before, r, other, now, end, trace)
 	}
 	if !served && now < end-a.blur {
 		a.violation(ruleOrdering, now, trace, "request %d was sent before %d, received earlier with the same key, was over",
@@ -62,8 +62,8 @@
 	}
 }
 
-// judgeRest judges whether a key had to rest after an attempt of the request before.
-func (a *auditor) judgeRest(before, r *request, other *attempt, now, end time.Duration, trace []*pb.Seen) {
+// judgeCooldown judges whether a key had to rest after an attempt of the request before.
+func (a *auditor) judgeCooldown(before, r *request, other *attempt, now, end time.Duration, trace []*pb.Seen) {
 	rest := settings.Duration(a.header.Fleet.KeyRest, 0)
 	switch {
 	case other.answered != nil && at(other.answered) <= now:
--- a/internal/controlplane/server/follow.go
+++ b/internal/controlplane/server/follow.go
@@ -26,9 +26,9 @@
 	heartbeat     uint64
 }
 
-// keepInStep sends a gateway its snapshot, then what changes, and heartbeats between, until the stream ends. What is due is worked out
+// synchronize sends a gateway its snapshot, then what changes, and heartbeats between, until the stream ends. What is due is worked out
 // anew whenever the stream is woken, so nothing queues up for a gateway that reads slowly.
-func (c *Controller) keepInStep(stream *gatewayStream) error {
+func (c *Controller) synchronize(stream *gatewayStream) error {
 	stream.rng = rand.New(rand.NewSource(time.Now().UnixNano()))
 	for {
 		next, err := c.nextDue(stream)
@@ -44,7 +44,7 @@
 			}
 			continue
 		}
-		if err := stream.sendSigns(next); err != nil {
+		if err := stream.sendHeartbeat(next); err != nil {
 			return err
 		}
 		if err := stream.wait(next.retryAfter); err != nil {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// sendSigns sends when a transfer will be admitted, once, and the latest heartbeat.
-func (g *gatewayStream) sendSigns(next due) error {
+// sendHeartbeat sends when a transfer will be admitted, once, and the latest heartbeat.
+func (g *gatewayStream) sendHeartbeat(next due) error {
 	if next.retryAfter > 0 && !g.retryAnnounced {
 		if err := g.send(&pb.PlannerSays{What: &pb.PlannerSays_Later{Later: &pb.Later{After: int64(next.retryAfter)}}}); err != nil {
 			return err
--- a/internal/controlplane/server/stream.go
+++ b/internal/controlplane/server/stream.go
@@ -76,7 +76,7 @@
 			return err
 		}
 	}
-	return c.keepInStep(stream)
+	return c.synchronize(stream)
 }
 
 func receiveHello(server followServer) (*pb.EdgeHello, error) {
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// endedNormally reports whether a connection ended as connections do: at the client's end, at this one's, or with a timeout.
+// endedNormally reports whether a connection ended as connections do: at the client's end, at this one's, or with any error of the
+// network, timeouts and resets included. What is left are messages that can't be read.
 func endedNormally(err error) bool {
 	var netErr net.Error
 	return err == nil || errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr)
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -9,7 +9,8 @@
 //	controlplane.go, volumes.go  the control plane's snapshot, and the volumes that it and the settings name
 //	persistence.go             beliefs and members on disk
 //	objects.go, capture.go     objects over HTTP; the recorded load
-//	run.go, shutdown.go        start, graceful shutdown
+//	command.go, run.go, listener.go, shutdown.go  start, accept, graceful shutdown
+//	statelog.go, fleetview.go  logged totals, the operator's table
 //
 // The loop owns the engine's Core; everything else reaches it by posting an event. No event waits for a client, an endpoint
 // or the disk: what is written is queued (lineproto.Sender) or sent as a datagram.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -17,10 +17,10 @@
 	"weirhaven/internal/lineproto"
 )
 
-// Bounds of messages between gateways, in bytes. Membership and endpoint reports take at most half a datagram's body, so that no
-// datagram is fragmented beyond what the kernel takes.
+// Bounds of messages between gateways, in bytes. maxDatagram is what is read at most; a body that is larger than maxBody is not sent,
+// which leaves room for the head.
 const (
-	maxNote     = 512
+	maxGossip   = 512
 	maxDatagram = 16 << 10
 	maxBody     = maxDatagram / 2
 )
@@ -88,11 +88,11 @@
 
 // broadcast sends a note of the scheduler to every other gateway that is known.
 func (p *peers) broadcast(note []byte) {
-	if p.conn == nil || len(note) > maxNote {
+	if p.conn == nil || len(note) > maxGossip {
 		return
 	}
 	var m lineproto.Builder
-	m.Start(lineproto.VerbNote, 0).Int(lineproto.FieldSender, int64(p.gateway.conf.Ordinal)).End(note)
+	m.Start(lineproto.VerbSchedulerGossip, 0).Int(lineproto.FieldSender, int64(p.gateway.conf.Ordinal)).End(note)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, address := range p.addresses {
@@ -161,7 +161,7 @@
 		}
 	case lineproto.VerbEndpointReports:
 		loop.TryPost(func(c *engine.Core) { c.EndpointsFromPeer(decodeReports(m.Body, c.Now())) })
-	case lineproto.VerbNote:
+	case lineproto.VerbSchedulerGossip:
 		if sender, err := m.Int(lineproto.FieldSender, -1); err == nil && sender >= 0 {
 			loop.TryPost(func(c *engine.Core) { c.GossipReceived(int(sender), m.Body) })
 		}
--- a/internal/httpgateway/config/config.go
+++ b/internal/httpgateway/config/config.go
@@ -134,19 +134,19 @@
 	return nil
 }
 
-// checkSettings refuses settings with which the scheduler can't work.
+// checkSettings refuses settings without what the scheduler needs in each class and plan; the rest is left to the platform.
 func checkSettings(settings policy.Settings) error {
 	if len(settings.Classes) == 0 || len(settings.Plans) == 0 {
 		return errors.New("no classes or no plans")
 	}
 	for i, class := range settings.Classes {
 		if class.Name == "" || class.LatencyObjective <= 0 || class.Timeout <= 0 {
-			return fmt.Errorf("classes[%d]: name, aim_us and give_up_us are wanted", i)
+			return fmt.Errorf("classes[%d]: name, aim_us and give_up_us must be set", i)
 		}
 	}
 	for i, plan := range settings.Plans {
 		if plan.Name == "" || plan.Limit < 0 || plan.Reservation < 0 || plan.NominalRate < 0 {
-			return fmt.Errorf("plans[%d]: a name is wanted, and no rate below 0", i)
+			return fmt.Errorf("plans[%d]: a name must be set, and no rate may be below 0", i)
 		}
 	}
 	if settings.MaxAttempts < 1 {
--- a/internal/httpgateway/doc.go
+++ b/internal/httpgateway/doc.go
@@ -2,7 +2,7 @@
 // scheduler decide where and when each runs, and attempts go out to storage endpoints over pooled connections (package
 // upstream). The list of endpoints comes from the agent on this machine (package discovery).
 //
-// Its invariants, each counted by package metrics where it would be broken:
+// Its invariants; those with a counter for where they would be broken are metrics.Invariants:
 //
 //   - A request that was read whole gets exactly one final response, or its client has gone.
 //   - No byte of an attempt is sent long after the client left, after the final response, past the deadline, or to a draining
--- a/internal/httpgateway/downstream/adminpaths.go
+++ b/internal/httpgateway/downstream/adminpaths.go
@@ -15,7 +15,7 @@
 // anonymous stands for the id of a request that has none.
 const anonymous = "-"
 
-// probe answers the platform's own requests; ok is false for all others.
+// serveAdminPath answers the platform's own requests; ok is false for all others.
 func (s *Server) serveAdminPath(head *http1.Head) (status int, body []byte, ok bool) {
 	if head.Method != "GET" || head.Length != 0 {
 		return 0, nil, false
--- a/internal/httpgateway/downstream/respond.go
+++ b/internal/httpgateway/downstream/respond.go
@@ -25,7 +25,7 @@
 		}
 		return c.respond(503, fields, nil)
 	case engine.Failed:
-		if response.Reason != "" {
+		if response.Reason != "" { // given only for what the client sent wrongly
 			c.server.countBadRequest(500, response.Reason)
 		}
 		if response.MayHaveRun {
--- a/internal/httpgateway/downstream/shutdown.go
+++ b/internal/httpgateway/downstream/shutdown.go
@@ -11,7 +11,7 @@
 
 const shutdownPollInterval = 20 * time.Millisecond
 
-// Shutdown lets clients go. Until drainTime before deadline, which is on the loop's clock, everything is served as before,
+// Shutdown shuts the server down gracefully; it is called once, after Serve has begun. Until drainTime before deadline, which is on the loop's clock, everything is served as before,
 // since clients go on using the connections that they have; but no request may last beyond the deadline. Then the listener
 // is closed, each response is the last on its connection, connections without a request end, and requests in progress get
 // their responses. Shutdown returns when all have, or closes the connections that are left when ctx ends.
--- a/internal/httpgateway/shutdown.go
+++ b/internal/httpgateway/shutdown.go
@@ -9,15 +9,15 @@
 	"weirhaven/policy"
 )
 
-// After SIGTERM the platform takes a gateway out of service and kills it no sooner than after the longest request timeout,
-// of which maxKillDelay counts at most, and killGrace. However soon it ends it is out of service until then, so it goes on
-// serving the clients that are still connected for as long as it may.
+// After SIGTERM the platform takes a gateway out of service and kills it no sooner than min(longest request timeout,
+// maxKillDelay) + killGrace later. It gets no new clients until then however soon it ends, so it goes on serving those that
+// are still connected for as long as it may.
 const (
 	maxKillDelay        = 3 * time.Second
 	killGrace           = 700 * time.Millisecond
 	responseMargin      = 250 * time.Millisecond // so long before the kill all requests have their responses
 	connectionDrainTime = 250 * time.Millisecond // before that, connections end with their next response
-	shutdownOverrun     = time.Second            // past that time connections are closed whatever they owe
+	shutdownOverrun     = time.Second            // so long after longest timeout and killGrace connections are closed whatever they owe
 )
 
 // shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the longest timeout and
--- a/internal/httpgateway/starttimes/starttimes.go
+++ b/internal/httpgateway/starttimes/starttimes.go
@@ -1,6 +1,6 @@
 // Package starttimes puts the start times of endpoints on this process's monotonic clock. The agent reports a start as a
 // wall-clock time, and a wall clock may be stepped by an hour; then an endpoint that has just started looks an hour old, gets
-// its full share at once and is pushed over. How long an endpoint has been up is a span of real time, so a start time is
+// its full share at once and is overloaded. How long an endpoint has been up is a span of real time, so a start time is
 // translated once, when it is first reported, and doesn't move with the wall clock afterwards.
 //
 // The package has no clock and no I/O, and is not safe for concurrent use.
--- a/internal/httpgateway/upstream/idle/idle.go
+++ b/internal/httpgateway/upstream/idle/idle.go
@@ -54,7 +54,7 @@
 	return s.broken > p*n+significance*math.Sqrt(n*p*(1-p))+1
 }
 
-// Limit is the learnt bound on how long a connection may be idle. It is not safe for concurrent use.
+// Limit is the learned bound on how long a connection may be idle. It is not safe for concurrent use.
 type Limit struct {
 	firstUses samples
 	reuses    [bucketCount]samples // by how long the connection had been idle
--- a/internal/httpgateway/upstream/reusedelay/reusedelay.go
+++ b/internal/httpgateway/upstream/reusedelay/reusedelay.go
@@ -15,7 +15,7 @@
 	halfLife               = 20 * time.Second
 )
 
-// Delay is the learnt rest of a connection. It is not safe for concurrent use.
+// Delay is the learned rest of a connection. It is not safe for concurrent use.
 type Delay struct {
 	delay     time.Duration
 	updatedAt time.Duration // when it was last raised or halved
@@ -24,8 +24,8 @@
 // New returns the shortest Delay: no duplicate was seen.
 func New() *Delay { return &Delay{delay: minDelay} }
 
-// RecordUnsolicited records that bytes came so long after a response that belong to no attempt. now is any monotonic clock,
-// the same at each call.
+// RecordUnsolicited records that bytes arrived that belong to no attempt; after is how long after the last response. now is on
+// any monotonic clock, the same at each call.
 func (d *Delay) RecordUnsolicited(after, now time.Duration) {
 	delay := min(max(margin*after, minDelayAfterDuplicate), maxDelay)
 	if after >= minDelay/margin && delay >= d.Duration(now) {
--- a/internal/lineproto/fields.go
+++ b/internal/lineproto/fields.go
@@ -15,7 +15,7 @@
 	FieldObject  = "Object"
 	FieldTag     = "Tag" // idempotency key
 	FieldTrace   = "Trace"
-	FieldShard   = "Cell"  // -1: a new object
+	FieldShard   = "Cell"  // -1: any endpoint may serve it (a new object)
 	FieldUnits   = "Units" // cost
 	FieldTimeout = "Timeout"
 	FieldAttempt = "Dispatch" // number of the attempt, absent: the first
--- a/internal/lineproto/verbs.go
+++ b/internal/lineproto/verbs.go
@@ -17,7 +17,7 @@
 	VerbWatchEndpoints    = "WATCH"  // requests the endpoint list and its changes
 	VerbGetEndpoints      = "ALL"    // requests the complete endpoint list once
 	VerbEndpointList      = "LIST"   // the endpoint list, or changes of it
-	VerbNote              = "NEWS"   // a scheduler's note to another gateway
+	VerbSchedulerGossip   = "NEWS"   // a scheduler's note to another gateway
 	VerbEndpointReports   = "LINES"  // endpoint reports, from gateway to gateway
 	VerbMembership        = "GOSSIP" // a membership message
 	VerbDraining          = "DRAIN"  // the sender is draining: it takes no new requests
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -33,7 +33,7 @@
 	Rejected
 	// TimedOut means that no answer came by the deadline; the request may still run.
 	TimedOut
-	// ConnectFailed means that no connection came up; the request never ran.
+	// ConnectFailed means that the request was not sent whole, mostly since no connection came up; it never ran.
 	ConnectFailed
 	// ConnectionReset means that the connection broke; the request may have run.
 	ConnectionReset
--- a/policy/request.go
+++ b/policy/request.go
@@ -57,7 +57,8 @@
 	r.class, r.object, r.shard, r.units = class, arrival.Object, arrival.Shard, arrival.Units
 	r.receivedAt, r.deadline = now, arrival.Deadline
 	s.bindPlan(r.Volume, plan, arrival.Gateways, now)
-	r.firstReceivedAt = s.firstReceived(r, arrival.Retry)
+	r.fingerprint = retryFingerprint{r.Volume, r.class, r.object, r.units}
+	r.firstReceivedAt = s.matchClientRetry(r, arrival.Retry)
 	r.latencyObjectiveAt = min(r.firstReceivedAt+class.LatencyObjective, r.deadline)
 	r.queue = s.queueOf(r.Volume, r.shard)
 	s.joinOrder(r)
@@ -142,11 +143,10 @@
 	s.givenUp[r.fingerprint] = append(s.givenUp[r.fingerprint], r.firstReceivedAt)
 }
 
-// firstReceived is when the client first asked. Its retry of what this gateway gave up counts from there, so that it does not
+// matchClientRetry is when the client first asked; a match is used up. Its retry of what this gateway gave up counts from there, so that it does not
 // go before what can still be in time: this guards against retry storms. Where clients don't mark retries, an equal new request
 // may be taken for one.
-func (s *Scheduler) firstReceived(r *Request, markedRetry bool) time.Duration {
-	r.fingerprint = retryFingerprint{r.Volume, r.class, r.object, r.units}
+func (s *Scheduler) matchClientRetry(r *Request, markedRetry bool) time.Duration {
 	earlier := s.givenUp[r.fingerprint]
 	if len(earlier) == 0 || s.settings.ClientsMarkRetries && !markedRetry {
 		return r.receivedAt
