--- a/internal/object/api/faults_test.go
+++ b/internal/object/api/faults_test.go
@@ -162,7 +162,16 @@
 func TestStalledClients(t *testing.T) {
 	server := startServer(t)
 	server.put(t, "a", randomBytes(8<<20, 1))
-	httpServer := httptest.NewServer(Handler(Config{Gate: server.gate, MaxRequests: 1, StallTimeout: 300 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}))
+	admitted := make(chan struct{}, 1) // Now is read by each request that has got the only slot
+	now := func() time.Time {
+		select {
+		case admitted <- struct{}{}:
+		default:
+		}
+		return time.Now()
+	}
+	httpServer := httptest.NewServer(Handler(Config{Gate: server.gate, MaxRequests: 1, StallTimeout: 300 * time.Millisecond, Now: now,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))}))
 	defer httpServer.Close()
 	for _, request := range []string{"PUT /yard/b HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\nsome", "GET /yard/a HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		conn, err := net.Dial("tcp", httpServer.Listener.Addr().String())
@@ -171,7 +180,16 @@
 		}
 		defer conn.Close()
 		conn.(*net.TCPConn).SetReadBuffer(4096)
+		select { // of a request before
+		case <-admitted:
+		default:
+		}
 		fmt.Fprint(conn, request)
+		select {
+		case <-admitted: // else its slot would be available because it was never taken
+		case <-time.After(10 * time.Second):
+			t.Fatalf("%.10s: not served", request)
+		}
 		available := false
 		for deadline := time.Now().Add(10 * time.Second); !available && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 			a, err := http.Head(httpServer.URL + "/yard")
