--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/place"
-	"weirhaven/internal/capacity/wants"
 	"weirhaven/internal/pb"
 )
 
@@ -23,16 +23,16 @@
 }
 
 // steady asks rate times a second, each of a unit, on the cells in turn.
-func steady(rate int, from, to time.Duration, volume, plan string, cells ...int) (all []wants.Want) {
+func steady(rate int, from, to time.Duration, volume, plan string, cells ...int) (all []demand.Request) {
 	i := 0
 	for at := from; at < to; at += time.Second / time.Duration(rate) {
-		all = append(all, wants.Want{At: at, Host: "h", Volume: volume, Plan: plan, Type: "read", Units: 1, Cell: cells[i%len(cells)], Asked: 1})
+		all = append(all, demand.Request{Arrival: at, Gateway: "h", Volume: volume, Plan: plan, QueueType: "read", Units: 1, Shard: cells[i%len(cells)], Attempts: 1})
 		i++
 	}
 	return all
 }
 
-func find(t *testing.T, all []Limit, kind string) Limit {
+func find(t *testing.T, all []Limit, kind Kind) Limit {
 	t.Helper()
 	for _, l := range all {
 		if l.Kind == kind {
@@ -49,18 +49,18 @@
 	w := steady(20, 0, 300*time.Second, "v", "priority", 0, 1, 2, 3)
 	w = append(w, steady(200, 300*time.Second, 302*time.Second, "v", "priority", 1, 1, 1, 0)...)
 	w = append(w, steady(20, 302*time.Second, 600*time.Second, "v", "priority", 0, 1, 2, 3)...)
-	all := Limits(Input{Fleet: f, Model: m, Wants: w})
+	all := Limits(Input{Fleet: f, Model: m, Demand: w})
 	first := Usual(all)[0]
-	if first.Kind != "brick" || first.Which != "b1" || math.Abs(first.Factor-1/1.5) > 0.02 || first.At < 299*time.Second || first.At > 302*time.Second {
+	if first.Kind != "brick" || first.Subject != "b1" || math.Abs(first.Factor-1/1.5) > 0.02 || first.PeakStart < 299*time.Second || first.PeakStart > 302*time.Second {
 		t.Error(first)
 	}
-	if l := find(t, all, "host"); math.Abs(l.Used-200) > 2 || l.Most != 400 {
+	if l := find(t, all, "host"); math.Abs(l.Used-200) > 2 || l.Capacity != 400 {
 		t.Error(l)
 	}
-	if l := find(t, all, "zone"); l.Which != "n" || math.Abs(l.Used-2) > 0.03 {
+	if l := find(t, all, "zone"); l.Subject != "n" || math.Abs(l.Used-2) > 0.03 {
 		t.Error(l)
 	}
-	if l := find(t, all, "cold ramp"); l.Which != "b1" || l.When == "" || math.Abs(l.Factor-0.2/1.5) > 0.01 {
+	if l := find(t, all, "cold ramp"); l.Subject != "b1" || l.Condition == "" || math.Abs(l.Factor-0.2/1.5) > 0.01 {
 		t.Error(l)
 	}
 	if l := find(t, all, "fleet"); math.Abs(l.Factor-2) > 0.02 {
@@ -72,16 +72,16 @@
 // brick; a kind that the capture never saw.
 func TestPromises(t *testing.T) {
 	f, m := fleet()
-	var w []wants.Want
+	var w []demand.Request
 	for i := range 5 {
-		w = append(w, wants.Want{Host: "h", Volume: fmt.Sprint("p", i), Plan: "priority", Type: "read", Units: 1, Cell: i})
+		w = append(w, demand.Request{Gateway: "h", Volume: fmt.Sprint("p", i), Plan: "priority", QueueType: "read", Units: 1, Shard: i})
 	}
 	w = append(w, steady(80, 0, 4*time.Second, "v", "basic", 0, 1)...)
-	all := Limits(Input{Fleet: f, Model: m, Wants: w, Further: 30, Commands: 100, Span: 20 * time.Second, Held: time.Second})
+	all := Limits(Input{Fleet: f, Model: m, Demand: w, ExtraAttempts: 30, Requests: 100, Span: 20 * time.Second, HoldTime: time.Second})
 	if l := find(t, all, "reserve"); math.Abs(l.Used-5) > 0.01 || math.Abs(l.Factor-0.8) > 0.01 { // 5 x 100 units x 10 ms on 4 cores
 		t.Error(l)
 	}
-	if l := find(t, all, "plan limit"); l.Which != "v" || math.Abs(l.Factor-0.5) > 0.02 { // 30 + 20 in 2 s against 80
+	if l := find(t, all, "plan limit"); l.Subject != "v" || math.Abs(l.Factor-0.5) > 0.02 { // 30 + 20 in 2 s against 80
 		t.Error(l)
 	}
 	if l := find(t, all, "budget"); math.Abs(l.Factor-2.0/10) > 0.01 { // 15 further, 5 of them from the share
@@ -90,7 +90,7 @@
 	if l := all[0]; l.Kind != "cell" || l.Factor != 0 { // p4 is on cell 4
 		t.Error(l)
 	}
-	g, err := place.With(f, "k", 6)
+	g, err := place.ResizeFleet(f, "k", 6)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,40 +98,41 @@
 	if s := Speeds(g, m); s(g.Brick[0]) != 1 || s(g.Brick[4]) != 3 {
 		t.Error(s(g.Brick[4]))
 	}
-	for _, l := range Limits(Input{Fleet: g, Model: m, Wants: w}) {
+	for _, l := range Limits(Input{Fleet: g, Model: m, Demand: w}) {
 		if l.Kind == "cell" {
 			t.Error(l)
 		}
 	}
 }
 
-// With twice the bricks a volume on three cells lies on six; one on a single cell stays whole, and every want keeps a brick.
-func TestSpread(t *testing.T) {
+// A fleet grows to twice its endpoints. A volume on three shards then lies on six; one on a single shard stays whole. When the fleet
+// shrinks to two endpoints instead, every request still has one that is there.
+func TestRelocate(t *testing.T) {
 	f, m := fleet()
-	var w []wants.Want
+	var w []demand.Request
 	for i := range 4000 {
-		x := wants.Want{Volume: "wide", Plan: "priority", Type: "read", Units: 1, Cell: i % 4, Object: uint64(i*7919 + 1)}
+		x := demand.Request{Volume: "wide", Plan: "priority", QueueType: "read", Units: 1, Shard: i % 4, Object: uint64(i*7919 + 1)}
 		if i%4 == 0 {
-			x.Volume, x.Cell = "lone", 2
+			x.Volume, x.Shard = "lone", 2
 		}
 		w = append(w, x)
 	}
-	g, _ := place.With(f, "k", 8)
-	out := place.Spread(w, f, g, place.CostOf(m, f), Speeds(g, m))
+	g, _ := place.ResizeFleet(f, "k", 8)
+	out := place.Relocate(w, f, g, place.CostOf(m, f), Speeds(g, m))
 	by := map[string]map[int]int{"wide": {}, "lone": {}}
 	for _, x := range out {
-		by[x.Volume][x.Cell]++
+		by[x.Volume][x.Shard]++
 	}
 	if len(by["lone"]) != 1 || len(by["wide"]) != 6 {
 		t.Error(by)
 	}
-	less, _ := place.With(f, "k", 2)
-	for _, x := range place.Spread(w, f, less, place.CostOf(m, f), Speeds(less, m)) {
-		if x.Cell > 1 {
+	less, _ := place.ResizeFleet(f, "k", 2)
+	for _, x := range place.Relocate(w, f, less, place.CostOf(m, f), Speeds(less, m)) {
+		if x.Shard > 1 {
 			t.Fatal(x)
 		}
 	}
-	if _, err := place.With(f, "none", 3); err == nil {
+	if _, err := place.ResizeFleet(f, "none", 3); err == nil {
 		t.Error("a kind that is not there")
 	}
 }
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -10,10 +10,10 @@
 
 	"weirhaven/internal/capacity/bounds"
 	"weirhaven/internal/capacity/decide"
+	"weirhaven/internal/capacity/demand"
 	"weirhaven/internal/capacity/learn"
 	"weirhaven/internal/capacity/report"
 	"weirhaven/internal/capacity/study"
-	"weirhaven/internal/capacity/wants"
 	"weirhaven/internal/capture"
 	"weirhaven/internal/pb"
 	"weirhaven/internal/settings"
@@ -72,8 +72,8 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []wants.Want, error) {
-	w, clients := wants.Unfold(l.Lines)
+func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []demand.Request, error) {
+	w, clients := demand.FoldRetries(l.Lines)
 	m, err := learn.Model(l.Lines, f, clients)
 	if err != nil {
 		return nil, nil, err
@@ -89,13 +89,13 @@
 	held := time.Duration(0)
 	for _, x := range l.Lines {
 		if m := x.GetCommand(); m != nil {
-			in.Commands++
-			in.Further += float64(max(len(m.Dispatch)-1, 0))
+			in.Requests++
+			in.ExtraAttempts += float64(max(len(m.Dispatch)-1, 0))
 			held += time.Duration(m.Took)
 		}
 	}
-	if in.Commands > 0 {
-		in.Held = held / time.Duration(in.Commands)
+	if in.Requests > 0 {
+		in.HoldTime = held / time.Duration(in.Requests)
 	}
 	from, to := l.Span()
 	in.Span = to - from
@@ -139,7 +139,7 @@
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	a := &report.Answer{Commands: int(s.Captured.Commands), Wants: len(offered), Folded: int(model.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
+	a := &report.Answer{Commands: int(s.Captured.Requests), Wants: len(offered), Folded: int(model.Client.GetFolded()), Lost: l.Lost, Torn: l.Torn.Blocks, Span: s.Captured.Span,
 		Seed: c.Seed, Capacity: s.Capacity(), Work: s.Work(), Limits: s.Limits(f, offered)}
 	if a.Inputs, err = report.Digest(append(c.Load, c.Fleet)...); err != nil {
 		return err
@@ -156,7 +156,7 @@
 }
 
 // model reads the model that the flags name, or learns one from the load; offered is what clients asked for.
-func (c *capacityAnswer) model(l *capture.Load, f *pb.CapacityFleet) (m *pb.CapacityModel, offered []wants.Want, err error) {
+func (c *capacityAnswer) model(l *capture.Load, f *pb.CapacityFleet) (m *pb.CapacityModel, offered []demand.Request, err error) {
 	if c.Model == "" {
 		return learnt(l, f, c.Load)
 	}
@@ -164,7 +164,7 @@
 	if err := settings.Load(c.Model, m); err != nil {
 		return nil, nil, err
 	}
-	offered, _ = wants.Unfold(l.Lines)
+	offered, _ = demand.FoldRetries(l.Lines)
 	return m, offered, nil
 }
 
