--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -44,8 +44,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	report, err := soak.Run(ctx, soak.Options{Seed: c.Seed, Processes: c.Processes, Length: c.Length, Rate: c.Rate, Menu: c.Fault, Program: []string{program, "platform"},
-		Folder: c.Folder, Out: os.Stdout})
+	report, err := soak.Run(ctx, soak.Options{Seed: c.Seed, Processes: c.Processes, Length: c.Length, Rate: c.Rate, Faults: c.Fault, Program: []string{program, "platform"},
+		Directory: c.Folder, Out: os.Stdout})
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/soak/fault_endpoint.go
@@ -0,0 +1,66 @@
+package soak
+
+import (
+	"context"
+	"math/rand"
+	"time"
+
+	"weirhaven/internal/fake/storagenode"
+)
+
+// drainEndpoints replaces endpoints, with notice.
+func drainEndpoints(ctx context.Context, r *run, rng *rand.Rand) {
+	forEachConcurrently(pickSome(rng, r.currentEndpoints(), 2), func(e *endpoint) { r.replace(ctx, e) })
+}
+
+// crashEndpoint ends an endpoint without notice. Another one, which goes through slow start, takes its place.
+func crashEndpoint(ctx context.Context, r *run, rng *rand.Rand) {
+	e := pickSome(rng, r.currentEndpoints(), 8)[0]
+	e.node.Stop()
+	e.relay.Reset()
+	wait(ctx, 300*time.Millisecond)
+	r.replace(ctx, e)
+}
+
+// withConditions sets conditions of some endpoints until ctx ends.
+func (r *run) withConditions(ctx context.Context, rng *rand.Rand, divisor int, set func(*storagenode.Conditions)) {
+	chosen := pickSome(rng, r.currentEndpoints(), divisor)
+	for _, e := range chosen {
+		e.node.Set(set)
+	}
+	<-ctx.Done()
+	for _, e := range chosen {
+		e.node.Set(func(c *storagenode.Conditions) { *c = storagenode.Conditions{} })
+	}
+}
+
+// hangEndpoints lets endpoints accept requests and not work on them.
+func hangEndpoints(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Pause, c.PauseEvery = time.Hour, 2*time.Hour })
+}
+
+// failEndpoints lets endpoints answer most requests with an error.
+func failEndpoints(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withConditions(ctx, rng, 4, func(c *storagenode.Conditions) { c.Errors = 0.7 })
+}
+
+// loseResponses drops responses; in half of the cases each loss resets the connection.
+func loseResponses(ctx context.Context, r *run, rng *rand.Rand) {
+	reset := rng.Intn(2) == 0
+	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Lost, c.Reset = 0.2, reset })
+}
+
+// duplicateResponses sends responses twice on the same connection.
+func duplicateResponses(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withConditions(ctx, rng, 1, func(c *storagenode.Conditions) { c.Copies = 0.2 })
+}
+
+// truncateResponses sends responses without a length and resets the connection within them.
+func truncateResponses(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Endless = 0.2 })
+}
+
+// closeIdleConnections closes each connection after its response.
+func closeIdleConnections(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withConditions(ctx, rng, 1, func(c *storagenode.Conditions) { c.CloseIdle = true })
+}
--- /dev/null
+++ b/internal/soak/fault_network.go
@@ -0,0 +1,40 @@
+package soak
+
+import (
+	"context"
+	"math/rand"
+	"time"
+
+	"weirhaven/internal/fake/proxy"
+)
+
+// withNetworkFault sets a fault of the network in front of some endpoints until ctx ends.
+func (r *run) withNetworkFault(ctx context.Context, rng *rand.Rand, divisor int, fault proxy.Trouble) {
+	chosen := pickSome(rng, r.currentEndpoints(), divisor)
+	for _, e := range chosen {
+		e.relay.Set(fault)
+	}
+	<-ctx.Done()
+	for _, e := range chosen {
+		e.relay.Set(proxy.Trouble{})
+	}
+}
+
+// delayConnects delays new connections to endpoints.
+func delayConnects(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withNetworkFault(ctx, rng, 2, proxy.Trouble{ConnectDelay: 200 * time.Millisecond})
+}
+
+// silenceNetwork drops all bytes in both directions and leaves connections open, as a partition does.
+func silenceNetwork(ctx context.Context, r *run, rng *rand.Rand) {
+	r.withNetworkFault(ctx, rng, 3, proxy.Trouble{Silent: true})
+}
+
+// resetNetwork resets the connections to endpoints, repeatedly.
+func resetNetwork(ctx context.Context, r *run, rng *rand.Rand) {
+	for ; ctx.Err() == nil; wait(ctx, 100*time.Millisecond) {
+		for _, e := range pickSome(rng, r.currentEndpoints(), 1) {
+			e.relay.Reset()
+		}
+	}
+}
--- /dev/null
+++ b/internal/soak/fault_process.go
@@ -0,0 +1,94 @@
+package soak
+
+import (
+	"context"
+	"math/rand"
+	"os"
+	"syscall"
+	"time"
+)
+
+// restart starts a process again; one that can't be started is a violation.
+func (r *run) restart(p *process) {
+	if err := p.start(); err != nil {
+		r.report(Violation{Rule: "start", Process: p.name(), At: r.recorder.Now(), Detail: err.Error(), Log: p.path(".log")})
+	}
+}
+
+// stopProcesses shuts processes down gracefully and starts them again.
+func stopProcesses(_ context.Context, r *run, rng *rand.Rand) {
+	forEachConcurrently(pickSome(rng, r.processes, 5), func(p *process) {
+		p.stop()
+		r.restart(p)
+	})
+}
+
+// killProcesses kills processes and starts them again.
+func killProcesses(_ context.Context, r *run, rng *rand.Rand) {
+	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
+		p.kill()
+		r.restart(p)
+	})
+}
+
+// reloadProcesses reloads the configuration of processes.
+func reloadProcesses(_ context.Context, r *run, rng *rand.Rand) {
+	forEachConcurrently(pickSome(rng, r.processes, 3), func(p *process) {
+		for range 1 + len(p.name())%2 { // once, or twice in quick succession
+			if err := p.reload(); err != nil {
+				r.report(Violation{Rule: "soak", Process: p.name(), Detail: err.Error()})
+			}
+		}
+	})
+}
+
+// reloadWhileStopping reloads processes during their graceful shutdown.
+func reloadWhileStopping(_ context.Context, r *run, rng *rand.Rand) {
+	forEachConcurrently(pickSome(rng, r.processes, 6), func(p *process) {
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			time.Sleep(50 * time.Millisecond)
+			_ = p.reload() // the process may already have ended
+		}()
+		p.stop()
+		<-done
+		r.restart(p)
+	})
+}
+
+// reloadHalfWritten signals processes while their new configuration is being written.
+func reloadHalfWritten(_ context.Context, r *run, rng *rand.Rand) {
+	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
+		p.mu.Lock()
+		whole, err := os.ReadFile(p.path(".json"))
+		if err == nil {
+			err = os.WriteFile(p.path(".json"), whole[:len(whole)/2], 0o600)
+		}
+		p.mu.Unlock()
+		if err != nil {
+			return
+		}
+		p.signal(syscall.SIGHUP)
+		time.Sleep(100 * time.Millisecond)
+		if err := p.reload(); err != nil {
+			r.report(Violation{Rule: "soak", Process: p.name(), Detail: err.Error()})
+		}
+	})
+}
+
+// throttleProcesses suspends processes for 50 to 150 ms, repeatedly, as a scheduler that takes the CPU away does.
+func throttleProcesses(ctx context.Context, r *run, rng *rand.Rand) {
+	for chosen := pickSome(rng, r.processes, 3); ctx.Err() == nil; wait(ctx, 200*time.Millisecond) {
+		held := 50*time.Millisecond + time.Duration(rng.Int63n(int64(100*time.Millisecond)))
+		began := r.recorder.Now()
+		for _, p := range chosen {
+			p.signal(syscall.SIGSTOP)
+		}
+		time.Sleep(held)
+		for _, p := range chosen {
+			p.signal(syscall.SIGCONT)
+			p.recordSuspension(began, r.recorder.Now())
+		}
+	}
+}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// heldUp is how long a process may be held up between reading its clock and writing.
-	heldUp = 150 * time.Millisecond
-	// blur is how late the observer may see what happened, on a machine that runs the whole fleet.
-	blur = 150 * time.Millisecond
-	// leftGrace is how long after its client left an attempt may begin.
-	leftGrace = 100 * time.Millisecond
+	// maxHold is how long a process may be held up between reading its clock and writing.
+	maxHold = 150 * time.Millisecond
+	// observationDelay is how late the recorder may see what happened, on a machine that runs the whole fleet.
+	observationDelay = 150 * time.Millisecond
+	// abandonGrace is how long after its client closed an attempt may begin.
+	abandonGrace = 100 * time.Millisecond
 )
 
-// judge judges the whole record, and the processes' own checks.
+// judge judges the whole record, and the processes' own checks. The run is over.
 func (r *run) judge() *Report {
-	seen, rules := r.rec.All(), header(r.options.Seed, len(r.processes))
-	if err := record.Write(r.folder, rules, seen); err != nil { // weirhavenctl audit judges it again
-		r.violated(Violation{Rule: "soak", Detail: err.Error()})
+	observations, rules := r.recorder.All(), auditHeader(r.options.Seed, len(r.processes))
+	if err := record.Write(r.directory, rules, observations); err != nil { // weirhavenctl audit judges it again
+		r.report(Violation{Rule: "soak", Detail: err.Error()})
 	}
-	verdict := audit.Judge(rules, seen)
+	verdict := audit.Judge(rules, observations)
 	for rule, breach := range verdict.First {
 		if breach != nil {
 			detail := fmt.Sprintf("%s, %d times; first: %s", audit.Rules[rule], verdict.Violations[rule], breach.Description)
 			for _, line := range breach.Trace {
 				detail += "\n    " + line
 			}
-			r.violated(Violation{Rule: fmt.Sprintf("rule %d", rule), At: breach.At, Detail: detail, Process: "-", Log: r.folder})
+			r.report(Violation{Rule: fmt.Sprintf("rule %d", rule), At: breach.At, Detail: detail, Process: "-", Log: r.directory})
 		}
 	}
-	r.judgeTimes(seen)
+	r.judgeDeadlines(observations)
 	for _, p := range r.processes {
-		r.violations = append(r.violations, p.counters()...)
+		r.violations = append(r.violations, p.scanLog()...)
 	}
-	return &Report{Seed: r.options.Seed, Processes: len(r.processes), Requests: verdict.Totals.Sent, Completed: verdict.Totals.Served, Troubles: r.troubles.played,
-		Overlapping: r.troubles.overlapping, Violations: r.violations}
+	return &Report{Seed: r.options.Seed, Processes: len(r.processes), Requests: verdict.Totals.Sent, Completed: verdict.Totals.Served, Faults: r.faults.injected,
+		Overlapping: r.faults.overlapping, Violations: r.violations}
 }
 
-// judgeTimes checks each attempt against the time that its client had left, and against the moment at which it left.
-func (r *run) judgeTimes(seen []*pb.Seen) {
+// judgeDeadlines checks each attempt against its client's deadline, and against the moment at which the client closed.
+func (r *run) judgeDeadlines(seen []*pb.Seen) {
 	asked := map[uint64]*pb.Seen{}
 	for _, s := range seen {
 		switch s.What {
@@ -57,24 +57,25 @@
 	}
 }
 
+// judgeAttempt checks one attempt: the time that it declares to the endpoint, and when it reached it.
 func (r *run) judgeAttempt(asked, reached *pb.Seen) {
-	at := time.Duration(reached.At)
-	left := time.Duration(asked.At+asked.Timeout) - at
+	reachedAt := time.Duration(reached.At)
+	remaining := time.Duration(asked.At+asked.Timeout) - reachedAt
 	p := r.processes[asked.Host]
-	slack := heldUp + blur + p.heldBeyond(time.Duration(asked.At), at)
-	found := func(rule, format string, args ...any) {
-		r.violated(Violation{Rule: rule, Request: asked.Command, Process: p.name(), At: at, Detail: fmt.Sprintf(format, args...), Log: p.file(".log")})
+	slack := maxHold + observationDelay + p.excessSuspension(time.Duration(asked.At), reachedAt)
+	violated := func(rule, format string, args ...any) {
+		r.report(Violation{Rule: rule, Request: asked.Command, Process: p.name(), At: reachedAt, Detail: fmt.Sprintf(format, args...), Log: p.path(".log")})
 	}
-	if told := time.Duration(reached.Timeout); told > max(left, 0)+slack {
-		found("deadline told", "%v, but its client had %v left", told, left)
+	if declared := time.Duration(reached.Timeout); declared > max(remaining, 0)+slack {
+		violated("deadline told", "%v, but its client had %v left", declared, remaining)
 	}
-	if left < -slack {
-		found("sent in time", "an attempt reached %s %v after the deadline", reached.Brick, -left)
+	if remaining < -slack {
+		violated("sent in time", "an attempt reached %s %v after the deadline", reached.Brick, -remaining)
 	}
 	r.load.mu.Lock()
-	leftAt, hasLeft := r.load.left[asked.Command]
+	abandonedAt, abandoned := r.load.abandoned[asked.Command]
 	r.load.mu.Unlock()
-	if hasLeft && at > leftAt+leftGrace+slack {
-		found("sent in time", "an attempt reached %s %v after its client had left", reached.Brick, at-leftAt)
+	if abandoned && reachedAt > abandonedAt+abandonGrace+slack {
+		violated("sent in time", "an attempt reached %s %v after its client had left", reached.Brick, reachedAt-abandonedAt)
 	}
 }
--- /dev/null
+++ b/internal/soak/process_control.go
@@ -0,0 +1,105 @@
+package soak
+
+import (
+	"fmt"
+	"os"
+	"syscall"
+	"time"
+
+	"weirhaven/internal/pb"
+)
+
+// signal sends a signal to the process if it runs.
+func (p *process) signal(s os.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	select {
+	case <-p.exited:
+	default:
+		_ = p.cmd.Process.Signal(s)
+	}
+}
+
+// reload moves the process to another agent, by a new configuration and SIGHUP. The old agent goes on for a moment.
+func (p *process) reload() error {
+	next, err := p.run.discovery.Listen(p.onNotified)
+	if err != nil {
+		return err
+	}
+	p.mu.Lock()
+	old := p.agent
+	p.agent = next
+	text, err := configuration(p, p.run.discovery.Whole(), len(p.run.processes))
+	if err == nil {
+		err = os.WriteFile(p.path(".json"), text, 0o600)
+	}
+	p.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	p.signal(syscall.SIGHUP)
+	time.AfterFunc(reloadWithin/2, old.Close)
+	return nil
+}
+
+// kill ends the process at once.
+func (p *process) kill() {
+	if !p.recordEnd("killed") {
+		return
+	}
+	p.serving.Store(false)
+	_ = p.cmd.Process.Kill()
+	<-p.exited
+}
+
+// recordEnd records that this run ends the process. It returns false if it has done so before, or if the process never ran.
+func (p *process) recordEnd(cause string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil || p.stoppedByRun {
+		return false
+	}
+	p.stoppedByRun = true
+	p.run.recorder.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.number), Incarnation: p.incarnation.Load(), How: cause})
+	return true
+}
+
+// stop sends SIGTERM, and SIGKILL after the longest deadline and killGrace.
+func (p *process) stop() {
+	if !p.recordEnd("stopping") {
+		return
+	}
+	p.signal(syscall.SIGTERM)
+	select {
+	case <-p.exited:
+		if p.exit != nil {
+			p.run.report(Violation{Rule: "crash", Process: p.name(), At: p.run.recorder.Now(), Detail: "told to stop: " + p.exit.Error(), Log: p.path(".log")})
+		}
+	case <-time.After(requestTimeout + killGrace):
+		_ = p.cmd.Process.Kill()
+		<-p.exited
+	}
+	p.serving.Store(false)
+}
+
+// crashed reports whether the process ended by itself.
+func (p *process) crashed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	select {
+	case <-p.exited:
+		return !p.stoppedByRun
+	default:
+		return false
+	}
+}
+
+// shutDownProcesses stops all processes and reports those that had ended by themselves.
+func (r *run) shutDownProcesses() {
+	forEachConcurrently(r.processes, func(p *process) {
+		if p.crashed() {
+			r.report(Violation{Rule: "crash", Process: p.name(), At: r.recorder.Now(), Detail: fmt.Sprintf("ended by itself: %v", p.exit), Log: p.path(".log")})
+		}
+		p.stop()
+	})
+}
--- /dev/null
+++ b/internal/soak/process_log.go
@@ -0,0 +1,42 @@
+package soak
+
+import (
+	"bufio"
+	"os"
+	"regexp"
+	"strconv"
+	"strings"
+)
+
+// maxGoroutines bounds those of a process: two for each descriptor, and what it needs besides.
+const maxGoroutines = 2*sockets + 50
+
+// stateFigures finds heap (bytes) and goroutines in a state line.
+var stateFigures = regexp.MustCompile(`msg=state .*heap=(\d+) .*goroutines=(\d+)`)
+
+// figure converts digits; a text that is none counts as 0.
+func figure(text string) int {
+	n, _ := strconv.Atoi(text)
+	return n
+}
+
+// scanLog reads the process's log for broken invariants, panics, and state that exceeds its bounds.
+func (p *process) scanLog() (violations []Violation) {
+	logFile, err := os.Open(p.path(".log"))
+	if err != nil {
+		return nil
+	}
+	defer func() { _ = logFile.Close() }()
+	lines := bufio.NewScanner(logFile)
+	lines.Buffer(nil, 1<<20)
+	for lines.Scan() {
+		text := lines.Text()
+		if found := stateFigures.FindStringSubmatch(text); found != nil && (figure(found[1]) > memoryMB<<20/2 || figure(found[2]) > maxGoroutines) {
+			violations = append(violations, Violation{Rule: "bounded state", Process: p.name(), Detail: text, Log: p.path(".log")})
+		}
+		if strings.Contains(text, "invariant broken") || strings.Contains(text, "panic") || strings.Contains(text, "fatal error") {
+			violations = append(violations, Violation{Rule: "own check", Process: p.name(), Detail: text, Log: p.path(".log")})
+		}
+	}
+	return violations
+}
--- /dev/null
+++ b/internal/soak/request.go
@@ -0,0 +1,76 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand"
+	"strings"
+	"sync/atomic"
+	"time"
+)
+
+// request is one request of a client.
+type request struct {
+	number        uint64
+	process       int
+	class         int
+	plan          int
+	volume        string
+	object        string
+	shard         int
+	units         int
+	piecewise     bool
+	abandonAfter  time.Duration // the client closes so long after it has sent; 0: it waits
+	newConnection bool
+	closeAfter    bool // the connection is closed after the response
+}
+
+// drawRequest draws a request to a process. The number and order of the draws belong to the seed.
+func (l *load) drawRequest(process int, rng *rand.Rand) request {
+	q := request{number: l.lastRequest.Add(1), process: process, shard: rng.Intn(shardCount), units: 1}
+	count := len(l.run.processes)
+	volume := (process + count - rng.Intn(min(gatewaysPerVolume, count))) % count // each volume comes through gatewaysPerVolume processes
+	q.volume, q.object = fmt.Sprintf("%016x", volume+1), fmt.Sprintf("%016x", rng.Intn(1000))
+	if volume%4 == limitedPlanIndex {
+		q.plan = limitedPlanIndex
+	}
+	if rng.Float64() < meanUnits-1 {
+		q.units = 2
+	}
+	q.class = drawClass(rng)
+	percent := func(chance *atomic.Int32) bool { return rng.Intn(100) < int(chance.Load()) }
+	q.piecewise, q.newConnection = percent(&l.behavior.piecewisePercent), percent(&l.behavior.newConnectionPercent)
+	if percent(&l.behavior.abandonPercent) {
+		q.abandonAfter = 1 + time.Duration(rng.Int63n(int64(300*time.Millisecond)))
+	}
+	return q
+}
+
+// drawClass draws a class by its share.
+func drawClass(rng *rand.Rand) (class int) {
+	remaining := rng.Float64()
+	for i, c := range classes {
+		class = i
+		if remaining -= c.requestShare; remaining < 0 {
+			break
+		}
+	}
+	return class
+}
+
+// text is the request as it goes over the wire.
+func (q *request) text() string {
+	c := classes[q.class]
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s /%s/%s/%s HTTP/1.1\r\nHost: x\r\nX-Txn: %d\r\nX-Lane: %s\r\nTier: %s\r\nX-Remaining-Ms: %d\r\nIO-Info: units=%d,shard=%d,hosts=%d\r\n",
+		c.method, c.name, q.volume, q.object, q.number, c.name, plans[q.plan].Name, requestTimeout.Milliseconds(), q.units, q.shard, gatewaysPerVolume)
+	if c.idempotencyKey {
+		fmt.Fprintf(&b, "Idempotency-Key: k%d\r\n", q.number)
+	}
+	if c.method == "PUT" {
+		body := strings.Repeat("x", 64*q.units)
+		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(body), body)
+	} else {
+		b.WriteString("\r\n")
+	}
+	return b.String()
+}
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -11,45 +11,46 @@
 
 // The fleet of a run.
 const (
-	cells        = 8
-	volumeHosts  = 3 // processes through which a volume's requests come
-	requestTime  = time.Second
-	drainGrace   = 250 * time.Millisecond
-	answerSlack  = 500 * time.Millisecond // a later answer is a lost request
-	tagWindow    = 500 * time.Millisecond
-	fallMultiple = 2
-	fallAfter    = time.Second
-	coldFor      = 8 * time.Second
-	coldFrom     = 0.05
-	coldUnits    = 40
-	unitWork     = 2 * time.Millisecond
-	usualUnits   = 1.5
-	maxAttempts  = 3
-	sockets      = 96
-	memoryMB     = 64
-	killGrace    = 700 * time.Millisecond
+	shardCount        = 8
+	gatewaysPerVolume = 3 // processes through which the requests of a volume come
+	requestTimeout    = time.Second
+	drainGrace        = 250 * time.Millisecond
+	answerSlack       = 500 * time.Millisecond // after the deadline; a later response is a lost request
+	idempotencyWindow = 500 * time.Millisecond // for which an endpoint remembers a key
+	collapseMultiple  = 2                      // of its capacity that an endpoint in slow start doesn't survive ...
+	collapseAfter     = time.Second            // ... for so long
+	slowStartDuration = 8 * time.Second
+	slowStartFraction = 0.05 // of its capacity that an endpoint has when it starts
+	slowStartUnits    = 40   // units of work of a request that an endpoint in slow start may get
+	unitWork          = 2 * time.Millisecond
+	meanUnits         = 1.5 // units of work of a request
+	maxAttempts       = 3
+	sockets           = 96                     // connections that a process may hold
+	memoryMB          = 64                     // that a process may use, in MiB
+	killGrace         = 700 * time.Millisecond // after the longest deadline, before SIGKILL
 )
 
-var serverKind = &pb.BrickKind{Name: "usual", UnitWork: unitWork.String(), Vary: 0.3, Queue: 200, ColdFrom: coldFrom, ColdFor: coldFor.String(),
+var nodeKind = &pb.BrickKind{Name: "usual", UnitWork: unitWork.String(), Vary: 0.3, Queue: 200, ColdFrom: slowStartFraction, ColdFor: slowStartDuration.String(),
 	Cancel: pb.BrickKind_DROPS_WAITING, DropsExpired: true}
 
 // class is one class of requests.
 type class struct {
-	name      string
-	method    string
-	semantics string
-	judged    pb.Semantics
-	tagged    bool
-	share     float64
+	name           string
+	method         string
+	semantics      string
+	auditSemantics pb.Semantics
+	idempotencyKey bool
+	requestShare   float64
 }
 
 var classes = []class{
-	{name: "read", method: "GET", semantics: "repeatable", judged: pb.Semantics_RETRYABLE, share: 0.6},
-	{name: "write", method: "PUT", semantics: "once", judged: pb.Semantics_NON_RETRYABLE, share: 0.25},
-	{name: "append", method: "PUT", semantics: "by_key", judged: pb.Semantics_TAGGED, tagged: true, share: 0.15},
+	{name: "read", method: "GET", semantics: "repeatable", auditSemantics: pb.Semantics_RETRYABLE, requestShare: 0.6},
+	{name: "write", method: "PUT", semantics: "once", auditSemantics: pb.Semantics_NON_RETRYABLE, requestShare: 0.25},
+	{name: "append", method: "PUT", semantics: "by_key", auditSemantics: pb.Semantics_TAGGED, idempotencyKey: true, requestShare: 0.15},
 }
 
-func writes() map[string]bool {
+// writeClasses reports by class name whether its requests change data.
+func writeClasses() map[string]bool {
 	m := map[string]bool{}
 	for _, c := range classes {
 		m[c.name] = c.method == "PUT"
@@ -57,49 +58,51 @@
 	return m
 }
 
-const limitedPlan = 1
+// limitedPlanIndex is the plan with a limit.
+const limitedPlanIndex = 1
 
 var plans = []*pb.Plan{
 	{Name: "open", Nominal: 20, Reservation: 4, Weight: 1, Importance: 1},
 	{Name: "limited", Nominal: 10, Limit: 12, Depth: 36, Slack: 12, Weight: 1, Importance: 1},
 }
 
-// header is what the audit judges by.
-func header(seed int64, processes int) *pb.Header {
-	h := &pb.Header{Seed: seed, Drill: "soak", Hosts: uint32(processes), Plan: plans, Blur: int64(blur),
+// auditHeader is what the audit judges by.
+func auditHeader(seed int64, processes int) *pb.Header {
+	built := &pb.Header{Seed: seed, Drill: "soak", Hosts: uint32(processes), Plan: plans, Blur: int64(observationDelay),
 		Fleet: &pb.Fleet{Cancel: true, MaxDispatches: maxAttempts, AnswerSlack: answerSlack.String(), Resolution: "2ms", DrainGrace: drainGrace.String(),
-			ColdFrom: coldFrom, ColdFor: coldFor.String(), ColdUnits: coldUnits, FallMultiple: fallMultiple, FallAfter: fallAfter.String(), UsualUnits: usualUnits, MostUnits: 8}}
+			ColdFrom: slowStartFraction, ColdFor: slowStartDuration.String(), ColdUnits: slowStartUnits, FallMultiple: collapseMultiple, FallAfter: collapseAfter.String(), UsualUnits: meanUnits, MostUnits: 8}}
 	for _, c := range classes {
-		h.QueueType = append(h.QueueType, &pb.QueueType{Name: c.name, ServiceTarget: "400ms", CommandTimeout: requestTime.String(), TagWindow: tagWindow.String(),
-			Importance: 1, Semantics: c.judged, Writes: c.method == "PUT"})
+		built.QueueType = append(built.QueueType, &pb.QueueType{Name: c.name, ServiceTarget: "400ms", CommandTimeout: requestTimeout.String(), TagWindow: idempotencyWindow.String(),
+			Importance: 1, Semantics: c.auditSemantics, Writes: c.method == "PUT"})
 	}
-	return h
+	return built
 }
 
+// object is a JSON object of the configuration file.
 type object = map[string]any
 
-// configuration is a process's configuration file.
+// configuration encodes a process's configuration file.
 func configuration(p *process, known agent.List, processes int) ([]byte, error) {
-	var kinds, tiers []object
-	changes := []bool{}
+	var classObjects, planObjects []object
+	changesData := []bool{}
 	for _, c := range classes {
-		kinds = append(kinds, object{"name": c.name, "aim_us": micros(400 * time.Millisecond), "give_up_us": micros(requestTime), "window_us": micros(tagWindow),
+		classObjects = append(classObjects, object{"name": c.name, "aim_us": micros(400 * time.Millisecond), "give_up_us": micros(requestTimeout), "window_us": micros(idempotencyWindow),
 			"worth": 1, "late_value": 0.5, "semantics": c.semantics, "group": "all"})
-		changes = append(changes, c.method == "PUT")
+		changesData = append(changesData, c.method == "PUT")
 	}
-	for _, t := range plans {
-		tiers = append(tiers, object{"name": t.Name, "nominal": t.Nominal, "guaranteed": t.Reservation, "never_over": t.Limit, "cap_depth": t.Depth,
-			"cap_slack": t.Slack, "parts": t.Weight, "worth_factor": 1})
+	for _, plan := range plans {
+		planObjects = append(planObjects, object{"name": plan.Name, "nominal": plan.Nominal, "guaranteed": plan.Reservation, "never_over": plan.Limit, "cap_depth": plan.Depth,
+			"cap_slack": plan.Slack, "parts": plan.Weight, "worth_factor": 1})
 	}
 	return json.Marshal(object{"name": p.name(), "listen": p.address, "discovery": p.agent.Address(), "seed": fmt.Sprintf("%016x", 7919*(p.number+1)),
 		"limits": object{"cores": 0.5, "memory_mb": memoryMB, "sockets": sockets}, "known": known,
-		"settings": object{"balancers": processes, "zone": "a", "discovery": "push", "resolution_us": 2000, "classes": kinds, "plans": tiers,
+		"settings": object{"balancers": processes, "zone": "a", "discovery": "push", "resolution_us": 2000, "classes": classObjects, "plans": planObjects,
 			"limits": object{"second_copies": false, "cancel": true, "max_attempts": maxAttempts, "connect_timeout_us": micros(250 * time.Millisecond),
 				"conn_idle_us": micros(20 * time.Second), "retry_after": true, "max_retry_after_us": micros(time.Second)},
 			"client_habits": object{"marks_retry": true},
-			"contract": object{"drain_grace_us": micros(drainGrace), "cold_from": coldFrom, "cold_us": micros(coldFor), "fall_multiple": fallMultiple,
-				"overload_for_us": micros(fallAfter), "answer_slack_us": 8000, "ask_within_us": micros(10 * time.Second)},
-			"family_info": object{"cold_units": coldUnits, "changes_data": changes, "tells_elsewhere": true, "usual_units": usualUnits, "units_top": 8}}})
+			"contract": object{"drain_grace_us": micros(drainGrace), "cold_from": slowStartFraction, "cold_us": micros(slowStartDuration), "fall_multiple": collapseMultiple,
+				"overload_for_us": micros(collapseAfter), "answer_slack_us": 8000, "ask_within_us": micros(10 * time.Second)},
+			"family_info": object{"cold_units": slowStartUnits, "changes_data": changesData, "tells_elsewhere": true, "usual_units": meanUnits, "units_top": 8}}})
 }
 
 func micros(d time.Duration) int64 { return d.Microseconds() }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Program, o.Env, o.Folder, o.Out = []string{program, "platform"}, append(more, faultVariable+"="+name), t.TempDir(), io.Discard
+	o.Program, o.Env, o.Directory, o.Out = []string{program, "platform"}, append(more, faultVariable+"="+name), t.TempDir(), io.Discard
 	report, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 	for _, v := range report.Violations {
 		t.Error(v)
 	}
-	if report.Completed < report.Requests/4 || report.Troubles < 5 || report.Overlapping == 0 {
+	if report.Completed < report.Requests/4 || report.Faults < 5 || report.Overlapping == 0 {
 		t.Errorf("%v; %d completed", report, report.Completed)
 	}
 }
@@ -214,7 +214,7 @@
 	for name, logs := range map[string]Logs{"stalled": LogsStalled, "broken": LogsBroken} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := play(t, Options{Seed: 1, Processes: 2, Length: 8 * time.Second, Rate: 40, Menu: []string{"clients-slow"}, Logs: logs}, "", "EDGE_DEBUG=true")
+			report := play(t, Options{Seed: 1, Processes: 2, Length: 8 * time.Second, Rate: 40, Faults: []string{"clients-slow"}, Logs: logs}, "", "EDGE_DEBUG=true")
 			for _, v := range report.Violations {
 				t.Error(v)
 			}
@@ -230,7 +230,7 @@
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := play(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Menu: f.menu, Rate: f.rate}, name)
+			report := play(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Faults: f.menu, Rate: f.rate}, name)
 			for _, v := range report.Violations {
 				if strings.Contains(v.Rule+v.Detail, f.wanted) {
 					return
