--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -633,6 +633,8 @@
 	for _, x := range sums {
 		all = append(all, *x)
 	}
-	slices.SortFunc(all, func(a, b decide.Share) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType)) })
+	slices.SortFunc(all, func(a, b decide.Share) int {
+		return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType))
+	})
 	return all, lost, total
 }
