--- a/internal/capacity/report/charts.go
+++ b/internal/capacity/report/charts.go
@@ -88,10 +88,10 @@
 
 // lossChart draws the number-th loss, counted from 1.
 func lossChart(dir string, number int, l *study.Loss) error {
-	p := newChart("losing "+l.What, "second", "in target")
+	p := newChart("losing "+l.Target, "second", "in target")
 	var all []series
 	for i, plan := range l.Plans {
-		all = append(all, bySecond(plan, l.By[i]))
+		all = append(all, bySecond(plan, l.InTarget[i]))
 	}
 	if err := addSeries(p, all); err != nil {
 		return err
--- a/internal/capacity/report/json.go
+++ b/internal/capacity/report/json.go
@@ -41,7 +41,7 @@
 	if math.IsInf(g.Bound, 0) {
 		g.Bound = neverReached
 	}
-	g.Tries = finiteProbes(g.Tries)
+	g.Probes = finiteProbes(g.Probes)
 	return &g
 }
 
--- a/internal/capacity/report/text.go
+++ b/internal/capacity/report/text.go
@@ -56,7 +56,7 @@
 	}
 	if g.BusiestName != "" {
 		fmt.Fprintf(out, "  just beyond: brick %s busy %.0f%% in its worst second, %d dispatches found a queue full, %.0f%% of a host's budget of further dispatches, %d commands held by one host\n",
-			g.BusiestName, 100*g.Busiest, g.Turned, 100*g.Budget, g.InFlight)
+			g.BusiestName, 100*g.Busiest, g.Rejected, 100*g.Budget, g.InFlight)
 	}
 }
 
@@ -89,11 +89,11 @@
 }
 
 func writeLoss(out io.Writer, l *study.Loss) {
-	fmt.Fprintf(out, "\nLosing %s: bricks %v, hosts %v\n", l.What, l.Bricks, l.Hosts)
+	fmt.Fprintf(out, "\nLosing %s: bricks %v, hosts %v\n", l.Target, l.Bricks, l.Hosts)
 	for _, p := range l.Phases {
 		writePhase(out, p)
 	}
-	fmt.Fprintf(out, "  most pressure on a cold brick: %.2f of what pushes it over; pushed over: %d\n", l.Pressure, l.Fell)
+	fmt.Fprintf(out, "  most pressure on a cold brick: %.2f of what pushes it over; pushed over: %d\n", l.Pressure, l.Overloaded)
 }
 
 func writePhase(out io.Writer, p study.Phase) {
@@ -102,14 +102,14 @@
 		met = "RESERVES CAN'T BE MET"
 	}
 	fmt.Fprintf(out, "  %s (%v): %.2f cores there, %.2f asked for of what can be reached, %.2f of them reserved: %s; %.0f%% of the work lies on what is gone\n", p.Name,
-		(p.To - p.From).Round(100*time.Millisecond), p.Capacity, p.Asked, p.Reserved, met, 100*p.Lost)
+		(p.To - p.From).Round(100*time.Millisecond), p.Capacity, p.Asked, p.Reserved, met, 100*p.Unreachable)
 	table := newTable(out)
 	fmt.Fprintln(table, "    PLAN\tQUEUE TYPE\tIN TARGET\tRANGE\tP99\tWANTS")
 	for _, s := range p.Service {
 		fmt.Fprintf(table, "    %s\t%s\t%.3f\t%.3f-%.3f\t%v\t%d\n", s.Plan, s.Type, s.Part, s.Low, s.High, s.P99.Round(time.Millisecond), s.Wanted)
 	}
 	_ = table.Flush()
-	for i, shed := range p.GiveUp {
+	for i, shed := range p.Shed {
 		fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*shed.Part, shed.Plan, shed.QueueType, shed.Work)
 	}
 }
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -46,7 +46,7 @@
 		b.Run(fmt.Sprintf("%dx%d/%v", c.bricks, c.hosts, c.length), func(b *testing.B) {
 			f, m, w := big(c.bricks, c.hosts, c.rate, c.length)
 			for b.Loop() {
-				s := &Study{Fleet: f, Model: m, Wants: w, Seed: 1}
+				s := &Study{Fleet: f, Model: m, Requests: w, Seed: 1}
 				if err := s.Prepare(); err != nil {
 					b.Fatal(err)
 				}
@@ -54,7 +54,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(float64(len(g.Tries)), "loads")
+				b.ReportMetric(float64(len(g.Probes)), "loads")
 			}
 			b.ReportMetric(float64(len(w)), "commands")
 		})
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -71,7 +71,7 @@
 
 func study(t *testing.T, f *pb.CapacityFleet, m *pb.CapacityModel, w []demand.Request, goals ...string) *Study {
 	t.Helper()
-	s := &Study{Fleet: f, Model: m, Wants: w, Seed: 1, Length: 8 * time.Second, Stretches: 3}
+	s := &Study{Fleet: f, Model: m, Requests: w, Seed: 1, Length: 8 * time.Second, Stretches: 3}
 	for _, text := range goals {
 		g, err := decide.ParseGoal(text)
 		if err != nil {
@@ -118,10 +118,10 @@
 	}
 	x := all[0]
 	t.Log(all)
-	if !x.Found || x.Least < 3 || x.Least > 6 || x.Tried[x.Least] < 0 {
+	if !x.Found || x.Least < 3 || x.Least > 6 || x.Margins[x.Least] < 0 {
 		t.Errorf("%+v", x)
 	}
-	if below, ok := x.Tried[x.Least-1]; !ok || below >= 0 {
+	if below, ok := x.Margins[x.Least-1]; !ok || below >= 0 {
 		t.Errorf("%+v", x)
 	}
 	if h := all[1]; h.Kind != "host" || h.Least != 1 {
@@ -162,11 +162,11 @@
 		return x / float64(n)
 	}
 	t.Logf("before %.3f, gone %.3f, after %.3f; capacity %.1f asked %.2f reserved %.2f lost %.2f met %v give up %+v", part(before), part(gone), part(after), gone.Capacity,
-		gone.Asked, gone.Reserved, gone.Lost, gone.Met, gone.GiveUp)
-	if part(before) < 0.9 || part(gone) > 0.6 || part(after) < 0.85 || gone.Capacity != 2 || gone.Lost < 0.35 || l.Fell > 0 {
+		gone.Asked, gone.Reserved, gone.Unreachable, gone.Met, gone.Shed)
+	if part(before) < 0.9 || part(gone) > 0.6 || part(after) < 0.85 || gone.Capacity != 2 || gone.Unreachable < 0.35 || l.Overloaded > 0 {
 		t.Error("phases")
 	}
-	if len(gone.GiveUp) > 0 && gone.GiveUp[0].Plan != "basic" {
+	if len(gone.Shed) > 0 && gone.Shed[0].Plan != "basic" {
 		t.Error("what earns least goes first")
 	}
 	f.Plan[1].Reservation = 300 // more than is left
@@ -220,7 +220,7 @@
 	if x := each.Base + 2*each.Unit; math.Abs(x/0.008-1) > 0.1 {
 		t.Errorf("a read of two units: %.5f", x)
 	}
-	limits := bounds.Usual((&Study{Fleet: f, Model: again, Wants: got}).Limits(f, got))
+	limits := bounds.Usual((&Study{Fleet: f, Model: again, Requests: got}).Limits(f, got))
 	if limits[0].Factor > 0.8 {
 		t.Errorf("an overloaded fleet is said to have room: %v", limits[0])
 	}
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	s := &study.Study{Fleet: f, Model: model, Wants: offered, Goals: goals, Seed: c.Seed, Length: c.Stretch, Stretches: c.Stretches, Jobs: c.Jobs, Captured: captured(l),
+	s := &study.Study{Fleet: f, Model: model, Requests: offered, Goals: goals, Seed: c.Seed, Length: c.Stretch, Stretches: c.Stretches, Jobs: c.Jobs, Captured: captured(l),
 		Progress: func(line string) {
 			fmt.Fprintf(os.Stderr, "%6.1fs %s\n", time.Since(start).Seconds(), line)
 		}}
