--- a/internal/httpgateway/downstream/probe.go
+++ b/internal/httpgateway/downstream/adminpaths.go
@@ -15,8 +15,8 @@
 // anonymous stands for the id of a request that has none.
 const anonymous = "-"
 
-// probe answers the platform's own requests; ok is false for all others.
-func (s *Server) probe(head *http1.Head) (status int, body []byte, ok bool) {
+// serveAdminPath answers the platform's own requests; ok is false for all others.
+func (s *Server) serveAdminPath(head *http1.Head) (status int, body []byte, ok bool) {
 	if head.Method != "GET" || head.Length != 0 {
 		return 0, nil, false
 	}
--- a/internal/httpgateway/downstream/respond.go
+++ b/internal/httpgateway/downstream/respond.go
@@ -18,14 +18,14 @@
 	switch response.Result {
 	case engine.Served:
 		return c.respond(200, "", response.Body)
-	case engine.Rejected: // it did not run
+	case engine.Rejected: // a retry is harmless: it did not run, or may run again
 		fields := ""
 		if response.RetryAfter > 0 {
 			fields = "Retry-After: " + strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 		}
 		return c.respond(503, fields, nil)
 	case engine.Failed:
-		if response.Reason != "" {
+		if response.Reason != "" { // given only for what the client sent wrongly
 			c.server.countBadRequest(500, response.Reason)
 		}
 		if response.MayHaveRun {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -69,7 +69,7 @@
 }
 
 var faults = map[string]fault{
-	"answer dropped":     {wanted: "no command lost", menu: []string{"clients-reconnect"}, toClient: func(nc net.Conn) net.Conn { return &dropping{nc} }},
+	"answer dropped":     {wanted: "no request lost", menu: []string{"clients-reconnect"}, toClient: func(nc net.Conn) net.Conn { return &dropping{nc} }},
 	"answer given twice": {wanted: "another request's answer", menu: []string{"clients-slow"}, toClient: func(nc net.Conn) net.Conn { return &repeating{nc} }},
 	"written late": {wanted: "deadline told", menu: []string{"clients-leave"},
 		toServer: func(nc net.Conn, _ string) net.Conn { return &slow{nc} }},
@@ -79,9 +79,9 @@
 		toServer: func(nc net.Conn, address string) net.Conn { return &doubling{nc, address} }},
 	"drains ignored": {wanted: "drains kept", menu: []string{"drain"},
 		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &deafToDrains{policy.New(h, s)} }},
-	"cold servers flooded": {wanted: "no cold brick pushed over", menu: []string{"drain"}, rate: 100,
+	"cold servers flooded": {wanted: "no warming endpoint overloaded", menu: []string{"drain"}, rate: 100,
 		toServer: func(nc net.Conn, address string) net.Conn { return &flooding{nc, address} }},
-	"limits not shared": {wanted: "limits", menu: []string{"clients-slow"},
+	"limits not shared": {wanted: "rate limits", menu: []string{"clients-slow"},
 		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &alone{policy.New(h, s)} }},
 	"ends by itself": {wanted: "ended by itself", menu: []string{"clients-slow"},
 		process: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Program, o.Env, o.Folder, o.Out = []string{program, "platform"}, append(more, faultVariable+"="+name), t.TempDir(), io.Discard
+	o.Program, o.Env, o.Directory, o.Out = []string{program, "platform"}, append(more, faultVariable+"="+name), t.TempDir(), io.Discard
 	report, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 	for _, v := range report.Violations {
 		t.Error(v)
 	}
-	if report.Completed < report.Requests/4 || report.Troubles < 5 || report.Overlapping == 0 {
+	if report.Completed < report.Requests/4 || report.Faults < 5 || report.Overlapping == 0 {
 		t.Errorf("%v; %d completed", report, report.Completed)
 	}
 }
@@ -214,7 +214,7 @@
 	for name, logs := range map[string]Logs{"stalled": LogsStalled, "broken": LogsBroken} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := play(t, Options{Seed: 1, Processes: 2, Length: 8 * time.Second, Rate: 40, Menu: []string{"clients-slow"}, Logs: logs}, "", "EDGE_DEBUG=true")
+			report := play(t, Options{Seed: 1, Processes: 2, Length: 8 * time.Second, Rate: 40, Faults: []string{"clients-slow"}, Logs: logs}, "", "EDGE_DEBUG=true")
 			for _, v := range report.Violations {
 				t.Error(v)
 			}
@@ -230,7 +230,7 @@
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := play(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Menu: f.menu, Rate: f.rate}, name)
+			report := play(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Faults: f.menu, Rate: f.rate}, name)
 			for _, v := range report.Violations {
 				if strings.Contains(v.Rule+v.Detail, f.wanted) {
 					return
