--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -44,13 +44,13 @@
 // Run serves until a signal ends it.
 func (c *fakeStorageNode) Run() error {
 	ctx := untilStopped()
-	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Cell: c.Shard, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
-		Cold: c.Cold > 0, FallMultiple: 2, FallAfter: time.Second, Writes: map[string]bool{},
+	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Shard: c.Shard, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
+		SlowStart: c.Cold > 0, CollapseMultiple: 2, CollapseAfter: time.Second, WriteClasses: map[string]bool{},
 		Kind: &pb.BrickKind{UnitWork: c.UnitWork.String(), Vary: c.Vary, Queue: c.Queue, ColdFrom: 0.2, ColdFor: c.Cold.String()}})
 	if err != nil {
 		return err
 	}
-	b.Set(func(k *storagenode.Conditions) { k.Slow, k.Errors, k.Lost = c.Slow, c.Errors, c.Lost })
+	b.Set(func(k *storagenode.Conditions) { k.Slowdown, k.ErrorShare, k.LostShare = c.Slow, c.Errors, c.Lost })
 	fmt.Printf("READY %s\n", b.Address())
 	<-ctx.Done()
 	b.Stop()
--- /dev/null
+++ b/internal/fake/storagenode/data.go
@@ -0,0 +1,35 @@
+package storagenode
+
+import (
+	"sync"
+)
+
+// Data is the objects of a shard. It outlives the nodes that hold them one after the other.
+type Data struct {
+	mu      sync.Mutex
+	objects map[string]storedObject
+}
+
+// storedObject is the last version of an object.
+type storedObject struct {
+	body  []byte
+	times int // that it was written
+}
+
+// NewData returns an empty store.
+func NewData() *Data { return &Data{objects: map[string]storedObject{}} }
+
+// get returns an object, and false if it was never written.
+func (d *Data) get(object string) (storedObject, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s, ok := d.objects[object]
+	return s, ok
+}
+
+// put writes an object.
+func (d *Data) put(object string, body []byte) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.objects[object] = storedObject{body, d.objects[object].times + 1}
+}
--- a/internal/fake/storagenode/http.go
+++ b/internal/fake/storagenode/http.go
@@ -13,57 +13,59 @@
 	"weirhaven/internal/pb"
 )
 
-// maxRequestBody is the longest body of a request that a brick takes over HTTP.
+// maxRequestBody is the longest body of a request over HTTP, in bytes.
 const maxRequestBody = 64 << 10
 
-// serveHTTP reads requests of the platform's HTTP/1.1, one at a time; a closed connection cancels what it holds.
-func (b *Brick) serveHTTP(c *conn) {
-	defer func() { _ = c.nc.Close() }()
-	unhook := context.AfterFunc(b.ctx, func() { reset(c.nc) })
+// serveHTTP serves a connection that speaks HTTP/1.1, one request at a time. A connection that ends cancels its requests.
+func (n *Node) serveHTTP(c *connection) {
+	defer func() { _ = c.conn.Close() }()
+	unhook := context.AfterFunc(n.ctx, func() { reset(c.conn) })
 	defer unhook()
-	reader := http1.NewReader(c.nc)
+	reader := http1.NewReader(c.conn)
 	for id := uint64(1); ; id++ {
-		j, err := b.readHTTP(c, reader, id)
+		j, err := n.readHTTP(c, reader, id)
 		if err != nil {
 			break
 		}
-		b.arrive(j)
+		n.receive(j)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id := range c.ids {
-		b.cancel(c, id)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for id := range c.unanswered {
+		n.cancel(c, id)
 	}
-	b.c.Record.See(&pb.Seen{What: pb.Seen_CUT, Brick: b.c.Name, Connection: c.no})
+	n.config.Recorder.See(&pb.Seen{What: pb.Seen_CUT, Brick: n.config.Name, Connection: c.number})
 }
 
-func (b *Brick) readHTTP(c *conn, reader *http1.Reader, id uint64) (*job, error) {
+// readHTTP reads and decodes a request.
+func (n *Node) readHTTP(c *connection, reader *http1.Reader, id uint64) (*job, error) {
 	if err := reader.Await(); err != nil {
 		return nil, err
 	}
-	h, err := reader.Request()
+	head, err := reader.Request()
 	if err != nil {
 		return nil, err
 	}
-	body, err := reader.Body(h, maxRequestBody)
+	body, err := reader.Body(head, maxRequestBody)
 	if err != nil {
 		return nil, err
 	}
-	command, err := strconv.ParseUint(h.Get("X-Txn"), 10, 64)
+	request, err := strconv.ParseUint(head.Get("X-Txn"), 10, 64)
 	if err != nil {
 		return nil, fmt.Errorf("an id that no client sent: %w", err)
 	}
-	left, _ := http1.ParseDigits(h.Get("X-Remaining-Ms"))
-	parts := strings.Split(h.Target, "/")
-	if len(parts) != 4 {
-		return nil, fmt.Errorf("target %q", h.Target)
+	remaining, _ := http1.ParseDigits(head.Get("X-Remaining-Ms"))
+	path := strings.Split(head.Target, "/")
+	if len(path) != 4 {
+		return nil, fmt.Errorf("target %q", head.Target)
 	}
-	return &job{conn: c, id: id, command: command, n: b.c.AttemptOf(command), volume: parts[2], queue: parts[1], object: parts[3],
-		units: unitsOf(h.Get("Io-Info")), until: time.Now().Add(time.Duration(left) * time.Millisecond),
-		told: time.Duration(left) * time.Millisecond, body: body}, nil
+	return &job{connection: c, id: id, request: request, attempt: n.config.AttemptOf(request), volume: path[2], class: path[1], object: path[3],
+		units: parseUnits(head.Get("Io-Info")), deadline: time.Now().Add(time.Duration(remaining) * time.Millisecond),
+		declaredTimeout: time.Duration(remaining) * time.Millisecond, body: body}, nil
 }
 
-func unitsOf(info string) float64 {
+// parseUnits returns the units of an IO-Info field; 1 if it has none.
+func parseUnits(info string) float64 {
 	for _, part := range strings.Split(info, ",") {
 		if text, ok := strings.CutPrefix(part, "units="); ok {
 			if units, err := strconv.ParseFloat(text, 64); err == nil {
@@ -74,31 +76,37 @@
 	return 1
 }
 
-// AnswerTo is the body that a brick makes for a command, so that its client knows whose answer it got.
-func AnswerTo(command uint64) string { return "answer to " + strconv.FormatUint(command, 10) }
+// ResponseBody is the body that a node makes for a request, so that the client knows whose response it got.
+func ResponseBody(request uint64) string { return "answer to " + strconv.FormatUint(request, 10) }
 
-// copyDelay is how late the second copy of an answer comes at most.
-const copyDelay = 8 * time.Millisecond
+// maxDuplicateDelay is how late the second copy of a response comes at most.
+const maxDuplicateDelay = 8 * time.Millisecond
 
-// answerHTTP writes the outcome of an attempt. Under mu.
-func (b *Brick) answerHTTP(j *job, verb string, other float64) {
-	head := map[string]string{lineproto.VerbServed: "200 OK\r\n", lineproto.VerbRejected: "503 Busy\r\nX-Turned-Away: 1\r\n", lineproto.VerbFailed: "500 Failed\r\n"}[verb]
-	text := []byte("HTTP/1.1 " + head)
-	if other > 0 {
-		text = http1.AppendField(text, "Other-Hosts", strconv.FormatFloat(other, 'g', -1, 64))
+// statusLines is the status by outcome, with the fields that belong to it.
+var statusLines = map[string]string{
+	lineproto.VerbServed:   "200 OK\r\n",
+	lineproto.VerbRejected: "503 Busy\r\nX-Turned-Away: 1\r\n",
+	lineproto.VerbFailed:   "500 Failed\r\n",
+}
+
+// respondHTTP writes the outcome of an attempt. The caller holds mu.
+func (n *Node) respondHTTP(j *job, verb string, otherGateways float64) {
+	text := []byte("HTTP/1.1 " + statusLines[verb])
+	if otherGateways > 0 {
+		text = http1.AppendField(text, "Other-Hosts", strconv.FormatFloat(otherGateways, 'g', -1, 64))
 	}
-	_ = j.conn.nc.SetWriteDeadline(time.Now().Add(time.Second))
-	if verb == lineproto.VerbServed && b.rng.Float64() < b.cond.Endless {
-		_, _ = io.WriteString(j.conn.nc, string(text)+"\r\n"+AnswerTo(j.command)[:6])
-		reset(j.conn.nc)
+	_ = j.connection.conn.SetWriteDeadline(time.Now().Add(time.Second))
+	if verb == lineproto.VerbServed && n.random.Float64() < n.conditions.TruncatedShare {
+		_, _ = io.WriteString(j.connection.conn, string(text)+"\r\n"+ResponseBody(j.request)[:6])
+		reset(j.connection.conn)
 		return
 	}
-	text = http1.AppendBody(text, []byte(AnswerTo(j.command)))
-	_, _ = j.conn.nc.Write(text)
-	if b.rng.Float64() < b.cond.Copies {
-		time.AfterFunc(time.Duration(b.rng.Int63n(int64(copyDelay))), func() { _, _ = j.conn.nc.Write(text) })
+	text = http1.AppendBody(text, []byte(ResponseBody(j.request)))
+	_, _ = j.connection.conn.Write(text)
+	if n.random.Float64() < n.conditions.DuplicateShare {
+		time.AfterFunc(time.Duration(n.random.Int63n(int64(maxDuplicateDelay))), func() { _, _ = j.connection.conn.Write(text) })
 	}
-	if b.cond.CloseIdle {
-		_ = j.conn.nc.Close()
+	if n.conditions.CloseIdle {
+		_ = j.connection.conn.Close()
 	}
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -25,8 +25,8 @@
 
 func startIdleEndpoints(b *testing.B, n int) (more string, first string) {
 	for i := range n {
-		x, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Address: "127.0.0.1:0", Cell: i, Speed: 1,
-			Kind: &pb.BrickKind{UnitWork: "0s", Queue: 1 << 20}, Writes: map[string]bool{}})
+		x, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Address: "127.0.0.1:0", Shard: i, Speed: 1,
+			Kind: &pb.BrickKind{UnitWork: "0s", Queue: 1 << 20}, WriteClasses: map[string]bool{}})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/gateway/objects_test.go
+++ b/internal/gateway/objects_test.go
@@ -36,11 +36,11 @@
 `
 
 // startEndpoints starts endpoints that store what is written.
-func startEndpoints(t testing.TB, n int) (text string, all []*storagenode.Brick) {
+func startEndpoints(t testing.TB, n int) (text string, all []*storagenode.Node) {
 	t.Helper()
 	for i := range n {
-		b, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Zone: "n", Address: "127.0.0.1:0", Cell: i, Speed: 1, Seed: int64(i), TagWindow: 10 * time.Second,
-			Kind: &pb.BrickKind{Name: "k", UnitWork: "20us", Queue: 10000}, Writes: map[string]bool{"put": true}})
+		b, err := storagenode.Start(storagenode.Config{Name: fmt.Sprint("b", i), Zone: "n", Address: "127.0.0.1:0", Shard: i, Speed: 1, Seed: int64(i), IdempotencyWindow: 10 * time.Second,
+			Kind: &pb.BrickKind{Name: "k", UnitWork: "20us", Queue: 10000}, WriteClasses: map[string]bool{"put": true}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -129,20 +129,20 @@
 	extra := time.Duration(t.Extra * float64(time.Second))
 	switch t.Kind {
 	case pb.Trouble_SLOW:
-		set, reset = func(c *storagenode.Conditions) { c.Slow = t.Size }, func(c *storagenode.Conditions) { c.Slow = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.Slowdown = t.Size }, func(c *storagenode.Conditions) { c.Slowdown = 0 }
 	case pb.Trouble_FAST_ERRORS:
-		set, reset = func(c *storagenode.Conditions) { c.Errors = t.Size }, func(c *storagenode.Conditions) { c.Errors = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.ErrorShare = t.Size }, func(c *storagenode.Conditions) { c.ErrorShare = 0 }
 	case pb.Trouble_ANSWER_LOST:
-		set, reset = func(c *storagenode.Conditions) { c.Lost, c.Reset = t.Size, t.Reset_ }, func(c *storagenode.Conditions) { c.Lost = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.LostShare, c.ResetOnLoss = t.Size, t.Reset_ }, func(c *storagenode.Conditions) { c.LostShare = 0 }
 	case pb.Trouble_NEIGHBOUR:
-		set, reset = func(c *storagenode.Conditions) { c.Neighbour, c.OnOff = t.Size, extra }, func(c *storagenode.Conditions) { c.Neighbour = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.NeighborShare, c.NeighborPeriod = t.Size, extra }, func(c *storagenode.Conditions) { c.NeighborShare = 0 }
 	case pb.Trouble_PAUSES:
 		set = func(c *storagenode.Conditions) {
-			c.Pause, c.PauseEvery = time.Duration(t.Size*float64(time.Millisecond)), extra
+			c.Pause, c.PauseInterval = time.Duration(t.Size*float64(time.Millisecond)), extra
 		}
 		reset = func(c *storagenode.Conditions) { c.Pause = 0 }
 	case pb.Trouble_HEAVY_TAIL:
-		set, reset = func(c *storagenode.Conditions) { c.Costly, c.CostlyBy = t.Extra, t.Size }, func(c *storagenode.Conditions) { c.Costly = 0 }
+		set, reset = func(c *storagenode.Conditions) { c.CostlyShare, c.CostlyMultiple = t.Extra, t.Size }, func(c *storagenode.Conditions) { c.CostlyShare = 0 }
 	default:
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-func (r *runner) at(cell int) *storagenode.Brick {
+func (r *runner) at(cell int) *storagenode.Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.bricks[cell]
@@ -189,7 +189,7 @@
 func (r *runner) replace(ctx context.Context, cell int, drain, back time.Duration) {
 	b := r.at(cell)
 	r.unlist(b, cell, "draining")
-	b.DrainNotice()
+	b.AnnounceDraining()
 	if !wait(ctx, time.Now().Add(drain)) {
 		return
 	}
@@ -223,7 +223,7 @@
 	b := r.at(cell)
 	for time.Since(begin) < length {
 		part := time.Since(begin).Seconds() / length.Seconds()
-		b.Set(func(c *storagenode.Conditions) { c.Slow = 1 + (t.Size-1)*part })
+		b.Set(func(c *storagenode.Conditions) { c.Slowdown = 1 + (t.Size-1)*part })
 		if !wait(ctx, time.Now().Add(length/20)) {
 			return
 		}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -120,15 +120,15 @@
 	plan  *plannerProcess // nil: none
 	load  *client.Load
 	meter *storagenode.Meter
-	tags  map[string]*storagenode.Tags
+	tags  map[string]*storagenode.IdempotencyKeys
 	data  map[int]*storagenode.Data // by cell: what replaces a brick holds what it held
 	works *objectWorks              // nil: none
 
 	mu     sync.Mutex
-	bricks []*storagenode.Brick // by cell; the one there now
+	bricks []*storagenode.Node // by cell; the one there now
 	slots  []slot
 	serial int
-	old    []*storagenode.Brick
+	old    []*storagenode.Node
 	exits  []string
 	wg     sync.WaitGroup
 }
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	r := &runner{d: d, o: o, rng: rand.New(rand.NewSource(o.Seed)), rec: record.New(), dir: dir, tags: map[string]*storagenode.Tags{}, data: map[int]*storagenode.Data{}}
+	r := &runner{d: d, o: o, rng: rand.New(rand.NewSource(o.Seed)), rec: record.New(), dir: dir, tags: map[string]*storagenode.IdempotencyKeys{}, data: map[int]*storagenode.Data{}}
 	if o.Capture != "" { // one key for all hosts, gone with the run
 		if err := os.WriteFile(filepath.Join(dir, "key"), fmt.Appendf(nil, "capture key of drill seed %d", o.Seed), 0o600); err != nil {
 			return nil, err
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	r.bricks = make([]*storagenode.Brick, len(r.slots))
+	r.bricks = make([]*storagenode.Node, len(r.slots))
 	for cell := range r.slots {
 		b, err := r.startBrick(cell, "", slices.Contains(l.Cold, uint32(cell)), "127.0.0.1:0")
 		if err != nil {
@@ -270,7 +270,7 @@
 		}
 		if slices.Contains(l.Drained, uint32(cell)) {
 			r.unlist(b, cell, "draining")
-			b.DrainNotice()
+			b.AnnounceDraining()
 		}
 	}
 	return nil
@@ -320,7 +320,7 @@
 }
 
 // startBrick puts a brick into a cell and lists it. An empty name makes a new one.
-func (r *runner) startBrick(cell int, name string, cold bool, address string) (*storagenode.Brick, error) {
+func (r *runner) startBrick(cell int, name string, cold bool, address string) (*storagenode.Node, error) {
 	s, f := r.slots[cell], r.d.Fleet
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -328,14 +328,14 @@
 		r.serial++
 		name = fmt.Sprintf("brick-%d", r.serial)
 	}
-	c := storagenode.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Cell: cell, Kind: s.kind,
-		Speed: s.speed, Seed: r.rng.Int63(), Cold: cold, FallMultiple: f.FallMultiple,
-		FallAfter: settings.Duration(f.FallAfter, 0), Writes: map[string]bool{}, Record: r.rec, Meter: r.meter,
-		Elsewhere: f.TellsElsewhere, HostOf: r.hostOf}
+	c := storagenode.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Shard: cell, Kind: s.kind,
+		Speed: s.speed, Seed: r.rng.Int63(), SlowStart: cold, CollapseMultiple: f.FallMultiple,
+		CollapseAfter: settings.Duration(f.FallAfter, 0), WriteClasses: map[string]bool{}, Recorder: r.rec, Meter: r.meter,
+		ReportOtherGateways: f.TellsElsewhere, GatewayOf: r.hostOf}
 	group := "all"
 	for _, q := range r.d.QueueType {
-		c.Writes[q.Name] = q.Writes
-		c.TagWindow = max(c.TagWindow, settings.Duration(q.TagWindow, 0))
+		c.WriteClasses[q.Name] = q.Writes
+		c.IdempotencyWindow = max(c.IdempotencyWindow, settings.Duration(q.TagWindow, 0))
 		switch q.Group {
 		case pb.Group_ZONE:
 			group = "zone " + s.zone
@@ -344,9 +344,9 @@
 		}
 	}
 	if r.tags[group] == nil {
-		r.tags[group] = storagenode.NewTags()
+		r.tags[group] = storagenode.NewIdempotencyKeys()
 	}
-	c.Tags = r.tags[group]
+	c.Keys = r.tags[group]
 	if r.d.Objects != nil {
 		if r.data[cell] == nil {
 			r.data[cell] = storagenode.NewData()
@@ -367,7 +367,7 @@
 }
 
 // unlist tells the list that a brick drains or is gone.
-func (r *runner) unlist(b *storagenode.Brick, cell int, state string) {
+func (r *runner) unlist(b *storagenode.Node, cell int, state string) {
 	r.list.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone, Cell: cell, State: state})
 }
 
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -15,7 +15,7 @@
 // endpoint is a fake storage node behind its proxy.
 type endpoint struct {
 	shard   int
-	node    *storagenode.Brick
+	node    *storagenode.Node
 	relay   *proxy.Proxy
 	entry   agent.Server
 	retired bool // it drains, or has left the list
@@ -39,8 +39,8 @@
 	id := fmt.Sprintf("s-%d", r.serial)
 	seed := r.options.Seed*1000 + int64(r.serial)
 	r.mu.Unlock()
-	node, err := storagenode.Start(storagenode.Config{Name: id, Zone: "a", Address: "127.0.0.1:0", Cell: shard, Kind: nodeKind, Speed: 1, Seed: seed, Cold: warmingUp,
-		FallMultiple: collapseMultiple, FallAfter: collapseAfter, TagWindow: idempotencyWindow, Writes: writeClasses(), Record: r.recorder, Elsewhere: true, AttemptOf: r.nextAttempt})
+	node, err := storagenode.Start(storagenode.Config{Name: id, Zone: "a", Address: "127.0.0.1:0", Shard: shard, Kind: nodeKind, Speed: 1, Seed: seed, SlowStart: warmingUp,
+		CollapseMultiple: collapseMultiple, CollapseAfter: collapseAfter, IdempotencyWindow: idempotencyWindow, WriteClasses: writeClasses(), Recorder: r.recorder, ReportOtherGateways: true, AttemptOf: r.nextAttempt})
 	if err != nil {
 		return err
 	}
--- a/internal/soak/fault_endpoint.go
+++ b/internal/soak/fault_endpoint.go
@@ -36,28 +36,28 @@
 
 // hangEndpoints lets endpoints accept requests and not work on them.
 func hangEndpoints(ctx context.Context, r *run, rng *rand.Rand) {
-	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Pause, c.PauseEvery = time.Hour, 2*time.Hour })
+	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Pause, c.PauseInterval = time.Hour, 2*time.Hour })
 }
 
 // failEndpoints lets endpoints answer most requests with an error.
 func failEndpoints(ctx context.Context, r *run, rng *rand.Rand) {
-	r.withConditions(ctx, rng, 4, func(c *storagenode.Conditions) { c.Errors = 0.7 })
+	r.withConditions(ctx, rng, 4, func(c *storagenode.Conditions) { c.ErrorShare = 0.7 })
 }
 
 // loseResponses drops responses; in half of the cases each loss resets the connection.
 func loseResponses(ctx context.Context, r *run, rng *rand.Rand) {
 	reset := rng.Intn(2) == 0
-	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Lost, c.Reset = 0.2, reset })
+	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.LostShare, c.ResetOnLoss = 0.2, reset })
 }
 
 // duplicateResponses sends responses twice on the same connection.
 func duplicateResponses(ctx context.Context, r *run, rng *rand.Rand) {
-	r.withConditions(ctx, rng, 1, func(c *storagenode.Conditions) { c.Copies = 0.2 })
+	r.withConditions(ctx, rng, 1, func(c *storagenode.Conditions) { c.DuplicateShare = 0.2 })
 }
 
 // truncateResponses sends responses without a length and resets the connection within them.
 func truncateResponses(ctx context.Context, r *run, rng *rand.Rand) {
-	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.Endless = 0.2 })
+	r.withConditions(ctx, rng, 2, func(c *storagenode.Conditions) { c.TruncatedShare = 0.2 })
 }
 
 // closeIdleConnections closes each connection after its response.
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -100,7 +100,7 @@
 		outcome = lineproto.VerbFailed
 	}
 	l.run.recorder.See(&pb.Seen{What: pb.Seen_ANSWERED, Host: uint32(q.process), Command: q.number, How: outcome})
-	if head.Status == 200 && string(body) != storagenode.AnswerTo(q.number) {
+	if head.Status == 200 && string(body) != storagenode.ResponseBody(q.number) {
 		l.run.report(Violation{Rule: "another request's answer", Request: q.number, Process: l.run.processes[q.process].name(), At: l.run.recorder.Now(),
 			Detail: fmt.Sprintf("got %.40q", body), Log: l.run.processes[q.process].path(".log")})
 	}
