--- a/internal/capacity/decide/parse.go
+++ b/internal/capacity/decide/parse.go
@@ -15,6 +15,7 @@
 	Allowed string // what would have been right
 }
 
+// Error gives the goal, the problem and what is allowed, on one line.
 func (e *GoalError) Error() string {
 	return fmt.Sprintf("goal %q: %s; %s", e.Goal, e.Problem, e.Allowed)
 }
--- a/internal/capacity/study/growth.go
+++ b/internal/capacity/study/growth.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			return nil, err
 		}
-		margin := decide.Margin(p.pieces, 0, s.Goals, true)
+		margin := decide.Margin(p.blocks, 0, s.Goals, true)
 		search.Record(times, margin)
 		probes = append(probes, probed{times, p})
 		low, high := search.Bracket()
@@ -130,7 +130,7 @@
 	for k, p := range probes {
 		loads[k] = p.times
 		for i := range s.stretch {
-			for b, block := range p.pieces[i] {
+			for b, block := range p.blocks[i] {
 				if b >= len(blocks[i]) {
 					blocks[i] = append(blocks[i], decide.Block{Weight: block.Weight, Tallies: make([]map[forecast.Key]*forecast.Tally, len(probes))})
 				}
@@ -144,7 +144,7 @@
 // addCurves adds a point to each plan's curve.
 func (s *Study) addCurves(g *Growth, p probed) {
 	byPlan := map[string]*forecast.Tally{}
-	for key, tally := range decide.Combine(p.pieces, 0) {
+	for key, tally := range decide.Combine(p.blocks, 0) {
 		if byPlan[key.Plan] == nil {
 			byPlan[key.Plan] = &forecast.Tally{}
 		}
@@ -167,7 +167,7 @@
 // describeBeyond says what was short in the worst stretch of a load just beyond the limit.
 func (s *Study) describeBeyond(g *Growth, p *played) {
 	worst := math.Inf(1)
-	for i, blocks := range p.pieces {
+	for i, blocks := range p.blocks {
 		found := decide.Combine([][]decide.Block{blocks}, 0)
 		margin, goal := decide.WorstMargin(s.Goals, found)
 		if goal < 0 || margin >= worst {
--- a/internal/capacity/study/servers.go
+++ b/internal/capacity/study/servers.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return found, err
 		}
-		margin := decide.Margin(last.pieces, 0, s.Goals, true)
+		margin := decide.Margin(last.blocks, 0, s.Goals, true)
 		search.Record(n, margin)
 		s.Progress(fmt.Sprintf("%d of kind %s: margin %+.2f", n, kind.Name, margin))
 	}
@@ -143,7 +143,7 @@
 	var reasons []string
 	for _, g := range s.Goals {
 		worst, value := 0.0, 0.0
-		for _, blocks := range p.pieces {
+		for _, blocks := range p.blocks {
 			if x, ok := g.Value(decide.Combine([][]decide.Block{blocks}, 0)); ok && g.Margin(x) < worst {
 				worst, value = g.Margin(x), x
 			}
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -111,13 +111,13 @@
 
 // played is what came of one load on one fleet, stretch by stretch.
 type played struct {
-	pieces  [][]decide.Block // of each stretch; one probe in Tallies
+	blocks  [][]decide.Block // of each stretch; one probe in Tallies
 	results []*forecast.Result
 }
 
 // play plays the stretches of a load, so many times as large.
 func (s *Study) play(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, times float64) (*played, error) {
-	p := &played{pieces: make([][]decide.Block, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
+	p := &played{blocks: make([][]decide.Block, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
 	for i, st := range s.stretch {
@@ -139,7 +139,7 @@
 			skip := int((st.From - from) / time.Second)
 			weight := st.Weight
 			for b := skip; b < len(r.Blocks) && b < int((st.To-from)/time.Second)+1; b++ {
-				p.pieces[i] = append(p.pieces[i], decide.Block{Weight: weight, Tallies: []map[forecast.Key]*forecast.Tally{r.Blocks[b]}})
+				p.blocks[i] = append(p.blocks[i], decide.Block{Weight: weight, Tallies: []map[forecast.Key]*forecast.Tally{r.Blocks[b]}})
 			}
 			return nil
 		})
