--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -119,15 +119,15 @@
 	rec := record.New()
 	v := client.Volume{Name: c.Volume, Demand: c.Rate}
 	for i := range max(c.Shards, 1) {
-		v.Cells = append(v.Cells, i)
+		v.Shards = append(v.Shards, i)
 	}
 	for i := range c.Gateway {
-		v.Hosts = append(v.Hosts, i)
+		v.Gateways = append(v.Gateways, i)
 	}
 	q := &pb.QueueType{Name: c.Class, ServiceTarget: c.LatencyObjective.String(), CommandTimeout: c.Timeout.String(), Importance: 1}
-	l := client.Start(client.Config{Hosts: func(i int) string { return c.Gateway[i] }, Count: len(c.Gateway),
+	l := client.Start(client.Config{AddressOf: func(i int) string { return c.Gateway[i] }, Gateways: len(c.Gateway),
 		QueueTypes: []*pb.QueueType{q}, Volumes: []client.Volume{v}, Load: &pb.Load{Mix: []float64{1}, Objects: 100},
-		UsualUnits: 1, MostUnits: 1, Seed: c.Seed, Record: rec, Incarnation: func(int) uint32 { return 1 }})
+		MeanUnits: 1, MaxUnits: 1, Seed: c.Seed, Recorder: rec, Incarnation: func(int) uint32 { return 1 }})
 	time.Sleep(100 * time.Millisecond)
 	l.Run(ctx, c.Length)
 	l.Stop()
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -73,22 +73,22 @@
 			}
 		})
 	case pb.Trouble_BURST:
-		r.load.Burst(-1, max(t.Size, 1))
+		r.load.SetRate(-1, max(t.Size, 1))
 		wait(ctx, end)
-		r.load.Burst(-1, 1)
+		r.load.SetRate(-1, 1)
 	case pb.Trouble_PLAN_BURST:
 		plan := slices.IndexFunc(r.d.Plan, func(p *pb.Plan) bool { return p.Name == t.Plan })
-		r.load.Burst(max(plan, 0), max(t.Size, 1))
+		r.load.SetRate(max(plan, 0), max(t.Size, 1))
 		wait(ctx, end)
-		r.load.Burst(max(plan, 0), 1)
+		r.load.SetRate(max(plan, 0), 1)
 	case pb.Trouble_HOT_KEY:
-		r.load.Hot(t.Size)
+		r.load.SetHotShare(t.Size)
 		wait(ctx, end)
-		r.load.Hot(0)
+		r.load.SetHotShare(0)
 	case pb.Trouble_REPEAT_ABUSE:
-		r.load.Abuse(int(max(t.Size, 1)))
+		r.load.SetImmediateRetries(int(max(t.Size, 1)))
 		wait(ctx, end)
-		r.load.Abuse(0)
+		r.load.SetImmediateRetries(0)
 	case pb.Trouble_RECONNECT:
 		r.load.Reconnect(t.Size)
 	case pb.Trouble_LIST_FLAPS:
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -196,9 +196,9 @@
 	}
 	volumes := r.volumes()
 	h := r.d.Fleet
-	r.load = client.Start(client.Config{Hosts: func(i int) string { return r.hosts[i].address }, Count: len(r.hosts),
-		QueueTypes: r.d.QueueType, Volumes: volumes, Load: r.d.Load, UsualUnits: h.UsualUnits, MostUnits: h.MostUnits,
-		MaxPause: settings.Duration(h.MaxPause, 0), Marks: h.ClientsMarkRepeats, Seed: r.rng.Int63(), Record: r.rec,
+	r.load = client.Start(client.Config{AddressOf: func(i int) string { return r.hosts[i].address }, Gateways: len(r.hosts),
+		QueueTypes: r.d.QueueType, Volumes: volumes, Load: r.d.Load, MeanUnits: h.UsualUnits, MaxUnits: h.MostUnits,
+		MaxRetryAfter: settings.Duration(h.MaxPause, 0), MarkRetries: h.ClientsMarkRepeats, Seed: r.rng.Int63(), Recorder: r.rec,
 		Incarnation: func(i int) uint32 { return r.hosts[i].incarnation.Load() }})
 	defer r.load.Stop()
 	select { // hosts greet their clients and read their first list
@@ -380,8 +380,8 @@
 		}
 		for range g.Count {
 			all = append(all, client.Volume{Name: volumeName(g.Plan, len(all)), Plan: uint32(plan),
-				Cells: r.rng.Perm(len(r.slots))[:min(int(g.Cells), len(r.slots))],
-				Hosts: r.rng.Perm(len(r.hosts))[:min(int(g.Hosts), len(r.hosts))], Demand: g.Demand * r.d.Plan[plan].Nominal})
+				Shards: r.rng.Perm(len(r.slots))[:min(int(g.Cells), len(r.slots))],
+				Gateways: r.rng.Perm(len(r.hosts))[:min(int(g.Hosts), len(r.hosts))], Demand: g.Demand * r.d.Plan[plan].Nominal})
 		}
 	}
 	return all
@@ -631,8 +631,8 @@
 		r.rng.Int63()
 	}
 	for _, v := range r.volumes() {
-		x := &pb.PlacedVolume{Name: v.Name, Plan: d.Plan[v.Plan].Name, Hosts: uint32(len(v.Hosts))}
-		for _, c := range v.Cells {
+		x := &pb.PlacedVolume{Name: v.Name, Plan: d.Plan[v.Plan].Name, Hosts: uint32(len(v.Gateways))}
+		for _, c := range v.Shards {
 			x.Cell = append(x.Cell, uint32(c))
 		}
 		f.Volume = append(f.Volume, x)
