--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -380,7 +380,7 @@
 		}
 		for range g.Count {
 			all = append(all, client.Volume{Name: volumeName(g.Plan, len(all)), Plan: uint32(plan),
-				Shards: r.rng.Perm(len(r.slots))[:min(int(g.Cells), len(r.slots))],
+				Shards:   r.rng.Perm(len(r.slots))[:min(int(g.Cells), len(r.slots))],
 				Gateways: r.rng.Perm(len(r.hosts))[:min(int(g.Hosts), len(r.hosts))], Demand: g.Demand * r.d.Plan[plan].Nominal})
 		}
 	}
