--- a/client/client.go
+++ b/client/client.go
@@ -27,7 +27,7 @@
 	Key, Secret string       // access key; empty: requests are not signed
 	Region      string       // in signatures; empty: "weirhaven"
 	HTTP        *http.Client // nil: one with the defaults of net/http
-	// Repeats is how often one request is retried at most, Wait the longest time between two attempts; 0: 5, and 30 s.
+	// Repeats is the maximum number of retries of one request, Wait the maximum backoff, to which jitter adds up to a quarter; 0: 5, and 30 s.
 	Repeats int
 	Wait    time.Duration
 }
--- a/client/request.go
+++ b/client/request.go
@@ -48,7 +48,7 @@
 		switch {
 		case fromGateway && (e.Status < http.StatusInternalServerError || e.MayHaveRun && r.nonIdempotent):
 			return nil, err
-		case !fromGateway && r.nonIdempotent: // the connection ended: nobody knows
+		case !fromGateway && r.nonIdempotent: // the connection ended: the request may have run
 			return nil, fmt.Errorf("%w (it may have happened)", err)
 		}
 		select {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,6 +1,6 @@
 // Package audit judges seven rules from a record of what crossed the sockets, one rule a file. It knows nothing of how a gateway
 // decides: only the settings that state the rules' figures, and what clients, endpoints and discovery saw. An observer sees a
-// thing a little late; each rule allows for the header's blur in the gateway's favor.
+// thing a little late; each rule allows for the header's blur, the tolerance for observation delay, in the gateway's favor.
 package audit
 
 import (
@@ -69,7 +69,7 @@
 	return a.verdict
 }
 
-// Startup is how a day begins.
+// Startup is the service at the beginning of a run.
 type Startup struct {
 	FirstServed time.Duration // from the first request to the first one served; negative: none was
 	Share       float64       // of the value due for the requests first sent within the span
@@ -116,13 +116,13 @@
 
 func newAuditor(header *pb.Header, seen []*pb.Seen) *auditor {
 	a := &auditor{
-		header:   header,
-		seen:     slices.Clone(seen),
-		blur:     time.Duration(header.Blur),
-		verdict:  &Verdict{},
-		byID:     map[uint64]*request{},
-		downs:    map[gateway]*pb.Seen{},
-		listings: map[gateway]map[string][]listing{},
+		header:               header,
+		seen:                 slices.Clone(seen),
+		observationTolerance: time.Duration(header.Blur),
+		verdict:              &Verdict{},
+		byID:                 map[uint64]*request{},
+		downs:                map[gateway]*pb.Seen{},
+		listings:             map[gateway]map[string][]listing{},
 	}
 	sort.SliceStable(a.seen, func(i, j int) bool { return a.seen[i].At < a.seen[j].At })
 	a.index()
--- a/internal/audit/draining.go
+++ b/internal/audit/draining.go
@@ -15,7 +15,7 @@
 		for _, t := range r.attempts {
 			now := at(t.reached)
 			drained := a.drainedBy(r.gateway, t.reached.Brick, now)
-			if drained != nil && now > drained.at+grace+a.blur {
+			if drained != nil && now > drained.at+grace+a.observationTolerance {
 				a.violation(ruleDraining, now, r.trace, "request %d reached %s %v after gateway %d was notified that it drains or is removed",
 					r.sent.Command, t.reached.Brick, now-drained.at, r.gateway.number)
 			}
@@ -30,7 +30,7 @@
 		l := &listings[i]
 		switch {
 		case l.at > now:
-		case l.serving && (drained == nil || !l.startKnown || l.startedAt > drained.startedAt+a.blur):
+		case l.serving && (drained == nil || !l.startKnown || l.startedAt > drained.startedAt+a.observationTolerance):
 			drained = nil
 		case !l.serving && drained == nil:
 			drained = l
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -22,7 +22,7 @@
 // judgeRepeat judges an attempt after an earlier one.
 func (a *auditor) judgeRepeat(r *request, earlier, t *attempt) {
 	now := at(t.reached)
-	over := earlier.answered != nil && at(earlier.answered) <= now || earlier.ended != nil && at(earlier.ended) <= now+a.blur
+	over := earlier.answered != nil && at(earlier.answered) <= now || earlier.ended != nil && at(earlier.ended) <= now+a.observationTolerance
 	if !over && !a.header.Fleet.SecondCopies {
 		a.violation(ruleEffectOnce, now, r.trace, "request %d: two attempts in flight at once", r.sent.Command)
 	}
@@ -47,7 +47,7 @@
 	case class.Group == pb.Group_CELL && earlier.reached.Cell != t.reached.Cell:
 		return true
 	default:
-		return now > at(earlier.reached)+settings.Duration(class.TagWindow, 0)+a.blur
+		return now > at(earlier.reached)+settings.Duration(class.TagWindow, 0)+a.observationTolerance
 	}
 }
 
--- a/internal/audit/finalanswer.go
+++ b/internal/audit/finalanswer.go
@@ -10,8 +10,8 @@
 // Rule 1: each request that a gateway received gets exactly one final answer in time, nothing is sent for it afterwards, and an
 // answer is not held back. A gateway that was killed, or a client that left, ends what is owed.
 
-// holdBackBlurs is how many blurs an answer may take from the endpoint's writing to the client's reading.
-const holdBackBlurs = 5
+// holdBackTolerances is how many observation tolerances an answer may take from the endpoint's writing to the client's reading.
+const holdBackTolerances = 5
 
 func (a *auditor) judgeFinalAnswer(r *request) {
 	if !r.received() {
@@ -37,14 +37,14 @@
 	}
 	down := a.downs[r.gateway]
 	if len(r.ends) == 0 {
-		if down == nil || at(down) > due+a.blur {
+		if down == nil || at(down) > due+a.observationTolerance {
 			a.violation(ruleFinalAnswer, due, r.trace, "request %d got no final answer", r.sent.Command)
 		}
 		return
 	}
 	first := r.ends[0]
 	if answers == 1 {
-		if first.What == pb.Seen_ANSWERED && at(first) > due+a.blur {
+		if first.What == pb.Seen_ANSWERED && at(first) > due+a.observationTolerance {
 			a.violation(ruleFinalAnswer, at(first), r.trace, "the answer of request %d came %v after its timeout", r.sent.Command, at(first)-due)
 		}
 		return
@@ -56,10 +56,10 @@
 
 // endedWithGateway tells whether a connection ended because its gateway was killed, or was asked to stop before the request came.
 func (a *auditor) endedWithGateway(r *request, end, down *pb.Seen) bool {
-	if down == nil || at(down) > at(end)+a.blur {
+	if down == nil || at(down) > at(end)+a.observationTolerance {
 		return false
 	}
-	return down.How != "stopping" || at(r.sent) >= at(down)-a.blur
+	return down.How != "stopping" || at(r.sent) >= at(down)-a.observationTolerance
 }
 
 // judgeAfterEnd looks for attempts that began after the request was over.
@@ -69,7 +69,7 @@
 		end = min(end, at(r.ends[0]))
 	}
 	for _, t := range r.attempts {
-		if at(t.reached) > end+a.blur {
+		if at(t.reached) > end+a.observationTolerance {
 			a.violation(ruleFinalAnswer, at(t.reached), r.trace, "request %d was sent to %s %v after its end", r.sent.Command,
 				t.reached.Brick, at(t.reached)-end)
 		}
@@ -86,7 +86,7 @@
 		if t.answered == nil || t.torn || t.answered.How != statusServed {
 			continue
 		}
-		if at(answer) > at(t.answered)+holdBackBlurs*a.blur {
+		if at(answer) > at(t.answered)+holdBackTolerances*a.observationTolerance {
 			a.violation(ruleFinalAnswer, at(answer), r.trace, "the answer of request %d was held back for %v", r.sent.Command,
 				at(answer)-at(t.answered))
 		}
--- a/internal/audit/index.go
+++ b/internal/audit/index.go
@@ -24,7 +24,7 @@
 	trace        []*pb.Seen
 }
 
-// received tells that a gateway was there to take the request.
+// received reports whether a gateway received the request.
 func (r *request) received() bool { return r.sent.How == "" }
 
 // deadline is when the client's timeout passes.
@@ -61,15 +61,15 @@
 }
 
 type auditor struct {
-	header   *pb.Header
-	seen     []*pb.Seen // by time
-	blur     time.Duration
-	verdict  *Verdict
-	byID     map[uint64]*request
-	requests []*request // in the order in which they were sent
-	downs    map[gateway]*pb.Seen
-	listings map[gateway]map[string][]listing
-	pressure float64 // the most that a warming endpoint was sent, as a part of what overloads it
+	header               *pb.Header
+	seen                 []*pb.Seen // by time
+	observationTolerance time.Duration
+	verdict              *Verdict
+	byID                 map[uint64]*request
+	requests             []*request // in the order in which they were sent
+	downs                map[gateway]*pb.Seen
+	listings             map[gateway]map[string][]listing
+	pressure             float64 // the most that a warming endpoint was sent, as a part of what overloads it
 }
 
 func at(s *pb.Seen) time.Duration { return time.Duration(s.At) }
@@ -141,7 +141,7 @@
 	x.requests = append(x.requests, r)
 }
 
-// endAttempt takes an answer or a cancel to the attempt that it belongs to.
+// endAttempt matches an answer or a cancel with its attempt.
 func (x *indexer) endAttempt(s *pb.Seen) {
 	on := connectionOf(s)
 	i := slices.IndexFunc(x.inFlight[on], func(t *attempt) bool {
@@ -170,7 +170,7 @@
 		t.ended = s
 	}
 	for _, t := range x.answered[on] {
-		t.torn = at(s)-at(t.answered) <= x.blur
+		t.torn = at(s)-at(t.answered) <= x.observationTolerance
 	}
 	delete(x.inFlight, on)
 	delete(x.answered, on)
--- a/internal/audit/ordering.go
+++ b/internal/audit/ordering.go
@@ -47,7 +47,7 @@
 	served := false // what is served at the endpoint ends a request before its client has read the answer
 	for _, other := range before.attempts {
 		if at(other.reached) > now {
-			if at(other.reached) > now+a.blur {
+			if at(other.reached) > now+a.observationTolerance {
 				a.violation(ruleOrdering, now, trace, "request %d ran before %d, which was received earlier with the same key",
 					r.sent.Command, before.sent.Command)
 			}
@@ -56,7 +56,7 @@
 		served = served || other.answered != nil && other.answered.How == statusServed && at(other.answered) <= now
 		a.judgeCooldown(before, r, other, now, end, trace)
 	}
-	if !served && now < end-a.blur {
+	if !served && now < end-a.observationTolerance {
 		a.violation(ruleOrdering, now, trace, "request %d was sent before %d, received earlier with the same key, was over",
 			r.sent.Command, before.sent.Command)
 	}
@@ -67,9 +67,9 @@
 	rest := settings.Duration(a.header.Fleet.KeyRest, 0)
 	switch {
 	case other.answered != nil && at(other.answered) <= now:
-	case other.ended != nil && now < at(other.ended)+rest-a.blur:
+	case other.ended != nil && now < at(other.ended)+rest-a.observationTolerance:
 		a.violation(ruleOrdering, now, trace, "request %d was sent while the key of %d had to rest", r.sent.Command, before.sent.Command)
-	case other.ended == nil && now < end+rest-a.blur:
+	case other.ended == nil && now < end+rest-a.observationTolerance:
 		a.violation(ruleOrdering, now, trace, "request %d was sent while an attempt of %d had no outcome", r.sent.Command, before.sent.Command)
 	}
 }
--- a/internal/audit/ratelimit.go
+++ b/internal/audit/ratelimit.go
@@ -36,7 +36,7 @@
 			buckets[r.sent.Volume] = b
 		}
 		b.charge(plan, r.sent.Units, s)
-		if b.level < -plan.Slack-plan.Limit*a.blur.Seconds()-rounding {
+		if b.level < -plan.Slack-plan.Limit*a.observationTolerance.Seconds()-rounding {
 			a.violation(ruleRateLimit, at(s), b.recent, "volume %s: its bucket stands at %.2f, %.2f below its slack", r.sent.Volume, b.level,
 				-plan.Slack-b.level)
 		}
--- a/internal/audit/retrybudget.go
+++ b/internal/audit/retrybudget.go
@@ -23,8 +23,8 @@
 		case s.What == pb.Seen_ASKED && s.How == "":
 			received[r.gateway] = append(received[r.gateway], s)
 		case s.What == pb.Seen_REACHED && s.Dispatch > 0:
-			inWindow := since(append(retries[r.gateway], s), at(s)-window+a.blur)
-			earned := since(received[r.gateway], at(s)-window-a.blur)
+			inWindow := since(append(retries[r.gateway], s), at(s)-window+a.observationTolerance)
+			earned := since(received[r.gateway], at(s)-window-a.observationTolerance)
 			retries[r.gateway], received[r.gateway] = inWindow, earned
 			allowed := budget.Free + budget.Share*float64(len(earned))
 			if float64(len(inWindow)) > allowed {
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -52,7 +52,7 @@
 	return total
 }
 
-// serviceKind is what service is told apart by.
+// serviceKind is the key by which service is grouped.
 type serviceKind struct{ plan, class uint32 }
 
 // minPlanWeight keeps plans without a weight from counting nothing.
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -50,7 +50,7 @@
 		return false
 	}
 	return slices.ContainsFunc(a.listings[r.gateway][reached.Brick], func(l listing) bool {
-		return l.startKnown && l.at <= at(reached) && l.startedAt >= at(start)-a.blur
+		return l.startKnown && l.at <= at(reached) && l.startedAt >= at(start)-a.observationTolerance
 	})
 }
 
--- a/internal/capacity/learn/fit.go
+++ b/internal/capacity/learn/fit.go
@@ -144,7 +144,7 @@
 func (f *fitter) solve() bool {
 	n := len(f.columns)
 	left, right := f.normalEquations()
-	for a := range n { // a touch of ridge: columns that are nearly the same don't blow up
+	for a := range n { // ridge regularization: nearly collinear columns stay solvable
 		left.SetSym(a, a, left.At(a, a)*(1+1e-9)+1e-12)
 	}
 	var factors mat.Cholesky
--- a/internal/capacity/place/relocate.go
+++ b/internal/capacity/place/relocate.go
@@ -18,7 +18,7 @@
 // The largest parts are placed first, each on the endpoint that is least loaded with it, no two parts of a volume on one shard
 // while there is another.
 func Relocate(load []demand.Request, from, to *pb.CapacityFleet, cost Cost, speed func(endpoint *pb.Server) float64) []demand.Request {
-	p := planner{from: from, to: to, cost: cost, parts: map[string][]*part{}, current: VolumeShards(load, from)}
+	p := placer{from: from, to: to, cost: cost, parts: map[string][]*part{}, current: VolumeShards(load, from)}
 	if from != to {
 		p.stated = statedShards(to)
 	}
@@ -44,7 +44,7 @@
 	shard  int
 }
 
-type planner struct {
+type placer struct {
 	from, to *pb.CapacityFleet
 	cost     Cost
 	current  map[string][]int // shards of each volume in the load
@@ -54,7 +54,7 @@
 }
 
 // assign gives a request its part, or at once its shard where that is stated; nil: there is nothing to place.
-func (p *planner) assign(request *demand.Request) *part {
+func (p *placer) assign(request *demand.Request) *part {
 	n := p.partCount(request.Volume)
 	if request.Shard < 0 || n == 0 {
 		return nil
@@ -72,7 +72,7 @@
 }
 
 // partCount keeps the share of the fleet that a volume lies on, rounded; a volume on one shard stays on one.
-func (p *planner) partCount(volume string) int {
+func (p *placer) partCount(volume string) int {
 	n := len(p.current[volume])
 	if n <= 1 {
 		return n
@@ -81,7 +81,7 @@
 	return max(1, min(after, (n*after+before/2)/before))
 }
 
-func (p *planner) addVolume(volume string, n int) {
+func (p *placer) addVolume(volume string, n int) {
 	for index := range n {
 		added := &part{volume: volume, index: index}
 		p.parts[volume], p.order = append(p.parts[volume], added), append(p.order, added)
@@ -89,7 +89,7 @@
 }
 
 // place gives each part its shard, the largest first.
-func (p *planner) place(speed func(endpoint *pb.Server) float64) {
+func (p *placer) place(speed func(endpoint *pb.Server) float64) {
 	slices.SortStableFunc(p.order, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.work, a.work), cmp.Compare(a.volume, b.volume), cmp.Compare(a.index, b.index))
 	})
@@ -104,7 +104,7 @@
 }
 
 // leastLoaded is the endpoint that takes least time for what it has and the part, of those that don't hold the volume yet.
-func (p *planner) leastLoaded(placed *part, load []float64, used []int, speed func(endpoint *pb.Server) float64) int {
+func (p *placer) leastLoaded(placed *part, load []float64, used []int, speed func(endpoint *pb.Server) float64) int {
 	best := -1
 	for i, endpoint := range p.to.Brick {
 		if slices.Contains(used, i) && len(used) < len(p.to.Brick) {
--- a/internal/capacity/study/growth.go
+++ b/internal/capacity/study/growth.go
@@ -28,7 +28,7 @@
 // Growth is how far the load may grow.
 type Growth struct {
 	Times       float64 // the load at which a goal is first missed, in the worst stretch
-	Low, High   float64 // between them nine draws of ten lie
+	Low, High   float64 // 90% confidence interval by bootstrap, as multiples of the load
 	Reached     bool    // false: no limit within what was looked at; Times is then the most that was looked at
 	Goal        string
 	Value       float64 // of the goal's measure, just beyond
--- a/internal/capacity/study/servers.go
+++ b/internal/capacity/study/servers.go
@@ -18,8 +18,8 @@
 	guessReserve = 1.2
 	// gatewayUtilization is the part of a gateway's request rate that keeps its queue short.
 	gatewayUtilization = 0.7
-	// amply is how many times the fleet's endpoints are ample when a goal's failure is explained.
-	amply = 4
+	// ampleFactor is how many times the fleet's endpoints are ample when a goal's failure is explained.
+	ampleFactor = 4
 )
 
 // Servers is how many servers of a kind it takes.
@@ -127,7 +127,7 @@
 
 // explain says for each goal that is missed with many servers why they don't help.
 func (s *Study) explain(p *played, kind string) string {
-	f, err := place.ResizeFleet(s.Fleet, kind, amply*len(s.Fleet.Brick))
+	f, err := place.ResizeFleet(s.Fleet, kind, ampleFactor*len(s.Fleet.Brick))
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -94,7 +94,7 @@
 	return work
 }
 
-// Capacity is what all bricks do, in cores.
+// Capacity is the capacity of all endpoints together, in cores.
 func (s *Study) Capacity() (sum float64) {
 	for _, b := range s.Fleet.Brick {
 		sum += s.speed(b)
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -84,8 +84,8 @@
 	return m, w, nil
 }
 
-// captured tells what bounds need of the capture itself.
-func captured(l *capture.Load) (in bounds.Input) {
+// captureInput tells what bounds need of the capture itself.
+func captureInput(l *capture.Load) (in bounds.Input) {
 	held := time.Duration(0)
 	for _, x := range l.Lines {
 		if m := x.GetCommand(); m != nil {
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	s := &study.Study{Fleet: f, Model: model, Requests: offered, Goals: goals, Seed: c.Seed, Length: c.Stretch, Stretches: c.Stretches, Jobs: c.Jobs, Captured: captured(l),
+	s := &study.Study{Fleet: f, Model: model, Requests: offered, Goals: goals, Seed: c.Seed, Length: c.Stretch, Stretches: c.Stretches, Jobs: c.Jobs, Captured: captureInput(l),
 		Progress: func(line string) {
 			fmt.Fprintf(os.Stderr, "%6.1fs %s\n", time.Since(start).Seconds(), line)
 		}}
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -25,17 +25,17 @@
 }
 
 // Run lets a gateway begin to record its load.
-func (c *captureStart) Run() error { return tape(c.Gateway, "start") }
+func (c *captureStart) Run() error { return controlCapture(c.Gateway, "start") }
 
 type captureStop struct {
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
 // Run lets a gateway end its recording; what it recorded is on disk then.
-func (c *captureStop) Run() error { return tape(c.Gateway, "stop") }
+func (c *captureStop) Run() error { return controlCapture(c.Gateway, "stop") }
 
-func tape(gateway, action string) error {
-	b, err := ask(gateway, lineproto.VerbControlCapture, "Action", action)
+func controlCapture(gateway, action string) error {
+	b, err := callGateway(gateway, lineproto.VerbControlCapture, "Action", action)
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -50,7 +50,7 @@
 // Run describes what a gateway records, or captures on disk.
 func (c *captureInfo) Run() error {
 	if c.Gateway != "" {
-		return tape(c.Gateway, "info")
+		return controlCapture(c.Gateway, "info")
 	}
 	if len(c.Paths) == 0 {
 		return fmt.Errorf("name a gateway with --gateway, or captures on disk")
--- a/internal/cli/controlplane.go
+++ b/internal/cli/controlplane.go
@@ -33,7 +33,7 @@
 	Server     string `help:"Name in the controller's certificate." default:"weirplan"`
 }
 
-func (c *controlPlaneFlags) ask(a *pb.StatusAsk) (*pb.StatusTold, error) {
+func (c *controlPlaneFlags) queryStatus(a *pb.StatusAsk) (*pb.StatusTold, error) {
 	creds := insecure.NewCredentials()
 	if c.Cert != "" {
 		k, err := tlskeys.Load(&pb.Keys{Certificate: c.Cert, Key: c.Key, Trusted: c.Trusted}, slog.Default())
@@ -58,7 +58,7 @@
 
 // Run prints a controller's phase, and what keeps it from writing.
 func (c *controlPlaneStatus) Run() error {
-	t, err := c.ask(&pb.StatusAsk{Edges: true})
+	t, err := c.queryStatus(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 
 // Run prints each entry of the snapshot that a controller serves.
 func (c *controlPlaneSnapshots) Run() error {
-	t, err := c.ask(&pb.StatusAsk{View: true})
+	t, err := c.queryStatus(&pb.StatusAsk{View: true})
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 
 // Run prints the gateways that a controller knows.
 func (c *controlPlaneGateways) Run() error {
-	t, err := c.ask(&pb.StatusAsk{Edges: true})
+	t, err := c.queryStatus(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 
 // Run prints where a gateway and its controller differ.
 func (c *controlPlaneDiff) Run() error {
-	t, err := c.ask(&pb.StatusAsk{Diff: c.Gateway})
+	t, err := c.queryStatus(&pb.StatusAsk{Diff: c.Gateway})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -13,8 +13,8 @@
 	"weirhaven/internal/settings"
 )
 
-// ask sends one operator's message to a gateway and returns its answer's body.
-func ask(address, verb, field, name string) ([]byte, error) {
+// callGateway sends one operator message to a gateway and returns the body of its answer.
+func callGateway(address, verb, field, name string) ([]byte, error) {
 	nc, err := net.DialTimeout("tcp", address, 2*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("reach the gateway: %w", err)
@@ -44,7 +44,7 @@
 
 // Run prints what a gateway believes of each endpoint.
 func (c *fleetShow) Run() error {
-	b, err := ask(c.Gateway, lineproto.VerbShowFleet, "Brick", "")
+	b, err := callGateway(c.Gateway, lineproto.VerbShowFleet, "Brick", "")
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -57,7 +57,7 @@
 
 // Run prints a gateway's fleet as the capacity planner reads it.
 func (c *fleetExport) Run() error {
-	b, err := ask(c.Gateway, lineproto.VerbShowFleet, "Form", "txtpb")
+	b, err := callGateway(c.Gateway, lineproto.VerbShowFleet, "Form", "txtpb")
 	if err == nil {
 		fmt.Print(string(b))
 	}
@@ -76,7 +76,7 @@
 	if c.Peer {
 		field = "Host"
 	}
-	_, err := ask(c.Gateway, lineproto.VerbForget, field, c.Name)
+	_, err := callGateway(c.Gateway, lineproto.VerbForget, field, c.Name)
 	return err
 }
 
--- a/internal/cli/object.go
+++ b/internal/cli/object.go
@@ -37,8 +37,8 @@
 	return c, ctx, stop, err
 }
 
-// place reads VOLUME/NAME.
-func place(s string) (volume, name string, err error) {
+// parseObjectPath reads VOLUME/NAME.
+func parseObjectPath(s string) (volume, name string, err error) {
 	volume, name, ok := strings.Cut(s, "/")
 	if !ok || volume == "" || name == "" {
 		return "", "", fmt.Errorf("%q: wanted VOLUME/NAME", s)
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer stop()
-	volume, name, err := place(c.To)
+	volume, name, err := parseObjectPath(c.To)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 		return err
 	}
 	defer stop()
-	volume, name, err := place(c.From)
+	volume, name, err := parseObjectPath(c.From)
 	if err != nil {
 		return err
 	}
@@ -158,11 +158,11 @@
 		return err
 	}
 	defer stop()
-	volume, name, err := place(c.From)
+	volume, name, err := parseObjectPath(c.From)
 	if err != nil {
 		return err
 	}
-	from, size, err := span(c.Range)
+	from, size, err := parseRange(c.Range)
 	if err != nil {
 		return err
 	}
@@ -175,8 +175,8 @@
 	return err
 }
 
-// span reads a range as it is given on the command line.
-func span(s string) (from, size int64, err error) {
+// parseRange reads a range as it is given on the command line.
+func parseRange(s string) (from, size int64, err error) {
 	if s == "" {
 		return 0, 0, nil
 	}
@@ -244,7 +244,7 @@
 	}
 	defer stop()
 	for _, n := range c.Names {
-		volume, name, err := place(n)
+		volume, name, err := parseObjectPath(n)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -231,7 +231,7 @@
 				a.Verdict.Violations[1:], a.Kept, a.Exits)
 		}
 		if !arms[0].Kept {
-			breaches(os.Stdout, arms[0].Verdict)
+			printViolations(os.Stdout, arms[0].Verdict)
 		}
 		return nil
 	}
@@ -257,6 +257,6 @@
 			fmt.Printf("service: %.3f of that without faults of the controller\n", arms[0].Verdict.Total().Share()/a.Verdict.Total().Share())
 		}
 	}
-	breaches(os.Stdout, arms[0].Verdict)
+	printViolations(os.Stdout, arms[0].Verdict)
 	return nil
 }
--- a/internal/cli/states.go
+++ b/internal/cli/states.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 )
 
-// states gathers the "state" lines of hosts' logs on their way.
+// states collects the "state" lines of gateways' logs while passing the logs on.
 type states struct {
 	to   io.Writer // nil: nowhere
 	mu   sync.Mutex
@@ -41,7 +41,7 @@
 	return s.to.Write(b)
 }
 
-// print compares the second quarter of each host's time with the last: the first is start-up.
+// print compares the second quarter of each gateway's time with the last: the first is start-up.
 func (s *states) print(out io.Writer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cli/verdict.go
+++ b/internal/cli/verdict.go
@@ -32,7 +32,7 @@
 	} else {
 		fmt.Printf("scenario %s, seed %d, %d lines\n\n", h.Drill, h.Seed, len(seen))
 		table(os.Stdout, []string{h.Arm}, []*audit.Verdict{v})
-		breaches(os.Stdout, v)
+		printViolations(os.Stdout, v)
 	}
 	if !v.Kept() {
 		return errors.New("a rule is broken")
@@ -89,7 +89,7 @@
 	_ = w.Flush()
 }
 
-func breaches(out io.Writer, v *audit.Verdict) {
+func printViolations(out io.Writer, v *audit.Verdict) {
 	for _, b := range v.First {
 		if b == nil {
 			continue
--- a/internal/object/api/chunkedreader.go
+++ b/internal/object/api/chunkedreader.go
@@ -74,7 +74,8 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// readTrailer returns io.EOF if the trailer is fine.
+// readTrailer reads the trailer and checks its CRC-32, if there is one. It returns io.EOF at the trailer's end, also where the stream is
+// cut off before it, and decide.BadDigest for a wrong checksum.
 func (c *chunkedReader) readTrailer() error {
 	for {
 		line, err := c.readLine()
--- a/internal/object/api/handler.go
+++ b/internal/object/api/handler.go
@@ -24,7 +24,7 @@
 	MaxClockSkew time.Duration // between the time of a signed request and Now
 	MaxRequests  int           // at once; more are rejected. Less than 1: 1
 	MinPartBytes int64         // of each part of an upload but the last; 0: decide.MinPartBytes
-	StallTimeout time.Duration // how long a client may send, or take, no bytes of a body before its connection ends; 0: for ever
+	StallTimeout time.Duration // longest time that one read or write of a body may block before its connection ends; 0: no limit
 	Log          *slog.Logger
 	Now          func() time.Time // the wall clock; nil: time.Now
 }
--- a/internal/object/decide/ranges.go
+++ b/internal/object/decide/ranges.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("bytes %d-%d/%d", r.From, r.From+r.Size-1, size)
 }
 
-// maxRanges is how many ranges of a request are served; a request for more is taken for an attack (RFC 9110, section 17.15).
+// maxRanges is how many ranges of a request are served; a request for more is treated as a denial of service attack (RFC 9110, section 17.15).
 const maxRanges = 16
 
 // ParseRanges reads the fields Range and If-Range (RFC 9110, sections 14.2 and 13.1.5). Ranges that overlap or touch are merged; they are
--- a/internal/object/gate/streamwriter.go
+++ b/internal/object/gate/streamwriter.go
@@ -14,7 +14,7 @@
 	"weirhaven/internal/pb"
 )
 
-// headBytes is how much of an extent is read before a whole buffer is taken for it: a client that sends slowly holds no more memory.
+// headBytes is how much of an extent is read before a whole buffer is allocated for it: a client that sends slowly holds no more memory.
 const headBytes = 16 << 10
 
 // streamWriter cuts a stream into extents and writes up to MaxInFlight of them at once. One goroutine reads the stream; each extent has a
@@ -118,7 +118,7 @@
 	return chunk{content: (*buffer)[:n+more], buffer: buffer}, err
 }
 
-// streamError tells the end of a stream, nil, from its failure. n is how much was read before err.
+// streamError returns nil if err means the end of the stream, else the error that the client gets. n is how much was read before err.
 //
 // It guards against a stream that broke off: a reader may report that as io.ErrUnexpectedEOF, by which io.ReadFull also reports the end of
 // the stream within an extent. The object would be acknowledged with its end missing. The next read tells them apart: after the end it
--- a/internal/object/gate/sweep.go
+++ b/internal/object/gate/sweep.go
@@ -50,7 +50,7 @@
 
 // withoutOwnWrites leaves out the extents that this process still writes.
 //
-// It guards against a sweep of an upload in progress: a write may last longer than IntentTimeout, which then takes its extents for
+// It guards against a sweep of an upload in progress: a write may last longer than IntentTimeout, and Sweep then mistakes its extents for
 // leftovers of a process that died. The upload would fail at its commit, or be acknowledged without its bytes. It holds since an extent
 // is in writing before its intent is recorded and until its caller has committed or abandoned it.
 func (g *Gate) withoutOwnWrites(found []*pb.LooseRecord) []*pb.LooseRecord {
--- a/internal/object/index/extents.go
+++ b/internal/object/index/extents.go
@@ -54,7 +54,7 @@
 
 // addReferences makes extents referenced.
 //
-// It guards against a name for bytes that are gone: an upload may last so long that the sweep takes its extents for leftovers of a
+// It guards against an object whose bytes were already removed: an upload may last so long that the sweep mistakes its extents for leftovers of a
 // crash. A commit that came after that would acknowledge an object whose reads fail. It holds since the sweep abandons extents, in a
 // transaction, before it removes any bytes (ClaimForRemoval), writing transactions run one after another, and this one looks for each
 // extent before it refers to it.
--- a/policy/lostanswer.go
+++ b/policy/lostanswer.go
@@ -6,7 +6,7 @@
 )
 
 // Lost answers: a connection that fell silent leaves an attempt in flight until its deadline. When an endpoint answers a later
-// request or a health check quickly, an attempt that is overdue there is presumed lost: it holds no place any more, and it is
+// request or a health check quickly, an attempt that is overdue there is presumed lost: it no longer occupies a place, and it is
 // canceled so that its request can be retried. Without a health check it is canceled only after half of its request's time: the
 // endpoint may be slow for this request alone, and a retry would double its work.
 
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Pacing: a rate below one request at a time. An endpoint earns requests by its answers: slow ones open a least interval between
-// two attempts, starting from this gateway's own rate, quick ones close it. This guards against many gateways with one place each
-// at an endpoint, however few their requests, and against a full or dead endpoint that looks free since it fails fast. A
+// Pacing: a send rate below one request at a time. An endpoint's answers set the minimum interval between two attempts: slow ones
+// lengthen it, starting from this gateway's own rate, quick ones shorten it. This guards against overload by many gateways with one
+// place each at an endpoint, however few their requests, and against a full or dead endpoint that looks free since it fails fast. A
 // reservation that is due waits for a part of the interval only.
 
 const (
@@ -21,11 +21,11 @@
 	minIntervalDivisor = 4
 	// dueIntervalDivisor divides the interval into what a due reservation waits for.
 	dueIntervalDivisor = 4
-	// meanIntervalDivisor is one over the part that a new sample has in the mean interval.
+	// meanIntervalDivisor is the inverse of a new sample's weight in the mean interval.
 	meanIntervalDivisor = 4
 	// meanSampleCap is the most that one sample counts in the mean interval, in demand periods.
 	meanSampleCap = 4
-	// unboundedDuration stands for an attempt that took for ever: it opens the interval as far as one outcome can.
+	// unboundedDuration stands for the duration of an attempt that never ended: it opens the interval as far as one outcome can.
 	unboundedDuration = never / 4
 )
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -20,7 +20,7 @@
 	perServed  float64       // units in flight for each unit served within the window
 }
 
-// minSlowStartShare keeps growth finite where settings tell no share.
+// minSlowStartShare keeps growth finite where settings give no share.
 const minSlowStartShare = 0.01
 
 func newSlowStartBudget(settings Settings) slowStartBudget {
