--- a/policy/admission.go
+++ b/policy/admission.go
@@ -14,12 +14,12 @@
 func (s *Scheduler) scheduleGiveUp(r *Request, now time.Duration) {
 	objective := max(r.latencyObjectiveAt-now, s.congestionThreshold)
 	s.runtime.After(min(objective, (r.deadline-now)/2)-s.timerMargin, func() {
-		if !r.over && len(r.attempts) == 0 {
+		if !r.finished && len(r.attempts) == 0 {
 			s.giveUp(r, NotSentInTime)
 		}
 	})
 	s.runtime.After(r.deadline-s.timerMargin-now, func() {
-		if !r.over && !r.streaming {
+		if !r.finished && !r.streaming {
 			s.giveUp(r, DeadlinePassed)
 		}
 	})
@@ -28,7 +28,7 @@
 // giveUp ends a request without the answer that it asked for.
 func (s *Scheduler) giveUp(r *Request, cause GiveUpCause) {
 	r.giveUp = GiveUp{cause, s.holdOf(r, s.runtime.Now())}
-	s.rememberGivenUp(r)
+	s.recordGivenUp(r)
 	canReject := r.canReject()
 	s.finish(r)
 	if canReject {
@@ -65,20 +65,20 @@
 	}
 }
 
-// closedLatency is the latency taken for a shard without an accepting endpoint, in congestion thresholds: what waits there is given
+// noEndpointLatency is the latency taken for a shard without an accepting endpoint, in congestion thresholds: what waits there is given
 // up when its latency objective passes.
-const closedLatency = 2
+const noEndpointLatency = 2
 
 // lowestLatency is the least latency that the accepting endpoints of a shard show.
 func (s *Scheduler) lowestLatency(shardNumber int) time.Duration {
-	lowest := never
+	lowest := maxDuration
 	for _, e := range s.endpointsOf(shardNumber) {
 		if e.accepting {
 			lowest = min(lowest, e.smoothedLatency)
 		}
 	}
-	if lowest == never {
-		return closedLatency * s.congestionThreshold
+	if lowest == maxDuration {
+		return noEndpointLatency * s.congestionThreshold
 	}
 	return lowest
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -94,11 +94,11 @@
 // AttemptEnded takes an attempt's outcome: it is accounted, fed into latency, pace and outlier detection, and the request goes on.
 func (s *Scheduler) AttemptEnded(attempt *Attempt, result AttemptResult) {
 	now, r, e := s.runtime.Now(), attempt.Request, attempt.Endpoint
-	result.Duration = s.suspensions.running(attempt.sentAt, attempt.sentAt+result.Duration)
+	result.Duration = s.suspensions.runningTime(attempt.sentAt, attempt.sentAt+result.Duration)
 	s.account(attempt, result.Outcome, now)
 	s.observe(attempt, result, now)
 	if result.Outcome == Served || result.Outcome == ErrorResponse {
-		s.takeLoadReport(r, result.Load, now)
+		s.applyLoadReport(r, result.Load, now)
 	}
 	s.continueRequest(r, result.RequestOver, now)
 	s.fillEndpoint(e)
@@ -116,7 +116,7 @@
 	e.attempts = without(e.attempts, attempt)
 	e.inFlight--
 	r.inFlight--
-	s.coolOrder(r, outcome, now)
+	s.startOrderingCooldown(r, outcome, now)
 }
 
 // observe feeds an outcome into what is known of the endpoint. Only work done feeds latency: failures that come fast would widen
@@ -132,7 +132,7 @@
 	case Served:
 		s.observeServed(attempt, result.Duration, now)
 	case TimedOut, Canceled:
-		s.observeUnanswered(attempt, result.Duration, now)
+		s.observeNoResponse(attempt, result.Duration, now)
 	case Rejected, ConnectFailed, ConnectionReset:
 		s.observeFailure(attempt, result, now)
 	}
@@ -141,29 +141,29 @@
 // How fast the figures of a request class follow its answers. Work follows the quickest answers, which met nothing before them:
 // it falls twenty times faster than it rises.
 const (
-	workGainDown = 0.1
-	workGainUp   = 0.005
-	costGain     = 0.02
+	serviceTimeGainDown = 0.1
+	serviceTimeGainUp   = 0.005
+	responseTimeGain    = 0.02
 )
 
 func (s *Scheduler) observeServed(attempt *Attempt, duration, now time.Duration) {
 	r, e := attempt.Request, attempt.Endpoint
 	e.markHealthy()
 	e.addLatencySample(duration)
-	excess := duration.Seconds()/r.units - r.class.workPerUnit
-	r.class.workPerUnit += math.Min(workGainDown*excess, workGainUp*excess)
-	s.updatePace(attempt, duration-r.ownWork(), now)
+	excess := duration.Seconds()/r.units - r.class.serviceTimePerUnit
+	r.class.serviceTimePerUnit += math.Min(serviceTimeGainDown*excess, serviceTimeGainUp*excess)
+	s.updatePace(attempt, duration-r.serviceTime(), now)
 	e.smoothLatency(duration)
 	r.Volume.served += r.units
-	if !s.sharedHealthChecks && duration <= quickAnswer*s.congestionThreshold {
+	if !s.sharedHealthChecks && duration <= quickResponse*s.congestionThreshold {
 		s.presumeLost(e, attempt.sentAt, now)
 	}
-	r.class.costPerUnit += costGain * (duration.Seconds()/r.units - r.class.costPerUnit)
+	r.class.responseTimePerUnit += responseTimeGain * (duration.Seconds()/r.units - r.class.responseTimePerUnit)
 }
 
-// observeUnanswered: the endpoint may still hold the request, so its age counts as a latency sample; without it the limit of an
+// observeNoResponse: the endpoint may still hold the request, so its age counts as a latency sample; without it the limit of an
 // endpoint that hangs would stay wide.
-func (s *Scheduler) observeUnanswered(attempt *Attempt, duration, now time.Duration) {
+func (s *Scheduler) observeNoResponse(attempt *Attempt, duration, now time.Duration) {
 	e := attempt.Endpoint
 	e.addLatencySample(duration)
 	if duration > s.congestionThreshold && !attempt.presumedLost {
@@ -175,20 +175,20 @@
 	}
 }
 
-// ownWork is the time that the request's own work takes at an endpoint with nothing before it.
-func (r *Request) ownWork() time.Duration {
-	return time.Duration(r.class.workPerUnit * r.units * float64(time.Second))
+// serviceTime is the time that the request's own work takes at an endpoint with nothing before it.
+func (r *Request) serviceTime() time.Duration {
+	return time.Duration(r.class.serviceTimePerUnit * r.units * float64(time.Second))
 }
 
 // continueRequest ends a request or queues it for a retry after one of its attempts has ended.
 func (s *Scheduler) continueRequest(r *Request, over bool, now time.Duration) {
 	switch {
-	case r.over:
-		s.leaveOrder(r)
+	case r.finished:
+		s.leaveOrderingQueue(r)
 	case over:
 		s.finish(r)
 	case r.inFlight > 0:
-	case s.retryHopeless(r, now):
+	case s.retryImpossible(r, now):
 		s.giveUp(r, NoRetryPossible)
 	default:
 		s.enqueue(r)
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -28,11 +28,11 @@
 
 // concurrency is the limit of one endpoint as this gateway knows it.
 type concurrency struct {
-	fleetLimit   float64 // attempts in flight from all gateways: the paper's Q
-	limitShare   float64 // of this gateway, 0 to 1
-	limit        int     // attempts in flight from this gateway, at least 1
-	limitMovedAt time.Duration
-	limitReached bool // since the last step
+	fleetLimit     float64 // attempts in flight from all gateways: the paper's Q
+	limitShare     float64 // of this gateway, 0 to 1
+	limit          int     // attempts in flight from this gateway, at least 1
+	limitUpdatedAt time.Duration
+	limitReached   bool // since the last step
 
 	smoothedLatency time.Duration
 	latencySum      time.Duration // of the samples since the last step
@@ -55,9 +55,9 @@
 	c.smoothedLatency += time.Duration(latencyGain * float64(latency-c.smoothedLatency))
 }
 
-// moveLimit moves an endpoint's limit by the latency since the last step. Attempts in flight for longer than the threshold count
+// updateLimit moves an endpoint's limit by the latency since the last step. Attempts in flight for longer than the threshold count
 // with their age, or an endpoint that hangs would keep its limit.
-func (s *Scheduler) moveLimit(e *Endpoint, now time.Duration) {
+func (s *Scheduler) updateLimit(e *Endpoint, now time.Duration) {
 	s.sampleInFlight(e, now)
 	if e.latencySamples == 0 { // an endpoint that gets nothing is not slow for ever
 		e.smoothedLatency += (s.congestionThreshold - e.smoothedLatency) / idleLatencyDecay
@@ -65,12 +65,12 @@
 		mean := e.latencySum.Seconds() / float64(e.latencySamples)
 		ratio := math.Min(s.congestionThreshold.Seconds()/mean, 1+maxGrowth/limitGain)
 		if ratio < 1 || e.limitReached { // low latency at an idle endpoint says nothing of a wider limit
-			moved := (1-limitGain)*e.fleetLimit + limitGain*ratio*e.fleetLimit
-			e.fleetLimit = math.Min(math.Max(moved, 1), maxLimit)
+			updated := (1-limitGain)*e.fleetLimit + limitGain*ratio*e.fleetLimit
+			e.fleetLimit = math.Min(math.Max(updated, 1), maxLimit)
 		}
 	}
 	e.latencySum, e.latencySamples = 0, 0
-	e.limitMovedAt = now
+	e.limitUpdatedAt = now
 	e.limit = limitOf(e.fleetLimit, e.limitShare)
 	e.limitReached = e.inFlight >= e.limit
 }
@@ -79,7 +79,7 @@
 // gateways share them, and open the send interval elsewhere.
 func (s *Scheduler) sampleInFlight(e *Endpoint, now time.Duration) {
 	for _, attempt := range e.attempts {
-		age := s.suspensions.running(attempt.sentAt, now)
+		age := s.suspensions.runningTime(attempt.sentAt, now)
 		if age <= s.congestionThreshold || attempt.presumedLost && !s.sharedHealthChecks {
 			continue
 		}
@@ -100,16 +100,16 @@
 	claims := make([]claim, len(queues))
 	for i, queue := range queues {
 		total := queue.demand + queue.demandElsewhere
-		reserved := queue.volume.plan.Reservation * total / math.Max(queue.volume.demand, tiny)
+		reserved := queue.volume.plan.Reservation * total / math.Max(queue.volume.demand, epsilon)
 		claims[i] = claim{minimum: math.Min(reserved, total), maximum: total, weight: queue.volume.plan.Weight}
 	}
 	here, sum := 0.0, 0.0
 	capacity := e.fleetLimit / s.congestionThreshold.Seconds() * s.settings.TypicalUnits
 	for i, c := range divvy(capacity, claims) {
 		sum += c.granted
-		here += c.granted * queues[i].demand / math.Max(c.maximum, tiny)
+		here += c.granted * queues[i].demand / math.Max(c.maximum, epsilon)
 	}
-	e.limitShare = math.Max(1/s.gateways, here/math.Max(sum, tiny))
+	e.limitShare = math.Max(1/s.gateways, here/math.Max(sum, epsilon))
 	e.limit = limitOf(e.fleetLimit, e.limitShare)
 }
 
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -22,7 +22,7 @@
 	v.served = 0
 	here, elsewhere := 0.0, 0.0
 	for _, queue := range v.queues {
-		queue.count(now, 0)
+		queue.countOutstanding(now, 0)
 		queue.demand = queue.unitSeconds / demandPeriod.Seconds() / s.congestionThreshold.Seconds()
 		queue.unitSeconds = 0
 		here += queue.demand
@@ -50,9 +50,9 @@
 	}
 }
 
-// takeLoadReport takes what an answer says of the volume's use through other gateways. With few requests of a volume a report
+// applyLoadReport takes what an answer says of the volume's use through other gateways. With few requests of a volume a report
 // covers a long time: the rate is over the time since the last one.
-func (s *Scheduler) takeLoadReport(r *Request, load LoadReport, now time.Duration) {
+func (s *Scheduler) applyLoadReport(r *Request, load LoadReport, now time.Duration) {
 	v, queue := r.Volume, r.queue
 	if load.Utilization > 0 {
 		v.reportedRate = (load.Utilization - 1) / 100 * v.plan.NominalRate
--- a/policy/divvy.go
+++ b/policy/divvy.go
@@ -16,10 +16,10 @@
 const (
 	// divvySteps halve the interval in which the level of equal shares lies.
 	divvySteps = 40
-	// minWeight keeps weights away from zero.
-	minWeight = 0.01
+	// minVolumeWeight keeps weights away from zero.
+	minVolumeWeight = 0.01
 	// tiny keeps divisors away from zero.
-	tiny = 1e-9
+	epsilon = 1e-9
 )
 
 // divvy sets what each claim is granted, and returns the claims.
@@ -31,27 +31,27 @@
 	}
 	if demand <= amount {
 		for i, c := range claims {
-			claims[i].granted = c.maximum + (amount-demand)*c.weight/math.Max(weight, tiny)
+			claims[i].granted = c.maximum + (amount-demand)*c.weight/math.Max(weight, epsilon)
 		}
 		return claims
 	}
-	level := levelOf(amount, claims)
+	level := fairLevel(amount, claims)
 	for i, c := range claims {
-		claims[i].granted = c.at(level)
+		claims[i].granted = c.grantAt(level)
 	}
 	return claims
 }
 
-// levelOf finds the amount for each unit of weight at which the claims together take the whole amount.
-func levelOf(amount float64, claims []claim) float64 {
+// fairLevel finds the amount for each unit of weight at which the claims together take the whole amount.
+func fairLevel(amount float64, claims []claim) float64 {
 	low, high := 0.0, 0.0
 	for _, c := range claims {
-		high = math.Max(high, c.maximum/math.Max(c.weight, tiny))
+		high = math.Max(high, c.maximum/math.Max(c.weight, epsilon))
 	}
 	for range divvySteps {
 		level, sum := (low+high)/2, 0.0
 		for _, c := range claims {
-			sum += c.at(level)
+			sum += c.grantAt(level)
 		}
 		if sum > amount {
 			high = level
@@ -63,6 +63,6 @@
 }
 
 // at is what a claim takes at a level.
-func (c claim) at(level float64) float64 {
+func (c claim) grantAt(level float64) float64 {
 	return math.Min(math.Max(level*c.weight, c.minimum), c.maximum)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -13,12 +13,12 @@
 type Endpoint struct {
 	Name string
 
-	zone      string
-	shard     int
-	startedAt time.Duration // 0: long ago
-	accepting bool          // listed as serving
-	listed    bool          // named by the last complete list
-	known     bool          // to the scheduler
+	zone       string
+	shard      int
+	startedAt  time.Duration // 0: long ago
+	accepting  bool          // listed as serving
+	listed     bool          // named by the last complete list
+	registered bool          // to the scheduler
 
 	inFlight int
 	attempts []*Attempt // in flight
@@ -53,10 +53,10 @@
 
 // UpdateEndpoint takes one entry of the list; it takes effect at once.
 func (s *Scheduler) UpdateEndpoint(e *Endpoint, update EndpointUpdate) {
-	if !e.known {
+	if !e.registered {
 		s.addEndpoint(e, update.Shard)
 	}
-	s.takeStart(e, update.StartedAt)
+	s.updateStartTime(e, update.StartedAt)
 	if e.accepting && !update.Serving {
 		s.logStopped(e, update.Removed)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (s *Scheduler) addEndpoint(e *Endpoint, shardNumber int) {
-	e.known = true
+	e.registered = true
 	e.shard = shardNumber
 	e.startLimit(s.gateways, s.congestionThreshold)
 	s.endpoints = append(s.endpoints, e)
@@ -108,15 +108,15 @@
 }
 
 func (s *Scheduler) removeEndpoint(e *Endpoint) {
-	e.known = false
+	e.registered = false
 	s.endpoints = without(s.endpoints, e)
 	at := s.shardOf(e.shard)
 	at.endpoints = without(at.endpoints, e)
 }
 
-// takeStart notes when an endpoint started. A later start begins a new life: failures, ejection and send interval of the old one are
+// updateStartTime notes when an endpoint started. A later start begins a new life: failures, ejection and send interval of the old one are
 // dropped; its limit and latency stay, as the best guess there is. An earlier one puts right a start that was taken for a fresh one until more was known.
-func (s *Scheduler) takeStart(e *Endpoint, startedAt time.Duration) {
+func (s *Scheduler) updateStartTime(e *Endpoint, startedAt time.Duration) {
 	switch {
 	case startedAt > e.startedAt:
 		e.startedAt = startedAt
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -79,7 +79,7 @@
 
 // candidateOf is the request of a queue that goes first to an endpoint, with its tag.
 func (s *Scheduler) candidateOf(queue *volumeQueue, e *Endpoint, now time.Duration, allowance float64) (candidate, bool) {
-	r, urgency := s.firstOf(queue, e, now, allowance)
+	r, urgency := s.firstEligible(queue, e, now, allowance)
 	if r == nil {
 		return candidate{}, false
 	}
@@ -92,9 +92,9 @@
 	return c, true
 }
 
-// firstOf is the request of a queue that goes first to an endpoint: the most urgent one, of these the one whose units are worth most
+// firstEligible is the request of a queue that goes first to an endpoint: the most urgent one, of these the one whose units are worth most
 // for the time that they take, of these the one that came last, which has the most time left. Requests that an allowance, idempotency, order or the retry budget hold back are passed over.
-func (s *Scheduler) firstOf(queue *volumeQueue, e *Endpoint, now time.Duration, allowance float64) (best *Request, bestUrgency urgency) {
+func (s *Scheduler) firstEligible(queue *volumeQueue, e *Endpoint, now time.Duration, allowance float64) (best *Request, bestUrgency urgency) {
 	bestValue, volumeAllowance := 0.0, queue.volume.allowance(now)
 	for _, r := range queue.waiting {
 		if r.units > allowance || !r.charged && r.units > volumeAllowance {
@@ -111,7 +111,7 @@
 
 // rank is what a unit of the request is worth for the time that units of its class take, and how urgent the request is.
 func (s *Scheduler) rank(r *Request, e *Endpoint, now time.Duration) (value float64, u urgency) {
-	value = r.class.PriorityWeight / r.class.costPerUnit
+	value = r.class.PriorityWeight / r.class.responseTimePerUnit
 	switch {
 	case now+min(e.smoothedLatency, r.class.LatencyObjective/2) > r.latencyObjectiveAt:
 		return value * r.class.LateValue, objectiveMissed
--- a/policy/giveup.go
+++ b/policy/giveup.go
@@ -61,22 +61,22 @@
 	endpoints := s.endpointsOf(r.shard)
 	nearest := NoEndpoint
 	for _, e := range endpoints[:min(len(endpoints), maxExaminedEndpoints)] {
-		if hold := s.holdAt(r, e, now); holdOrder[hold] > holdOrder[nearest] {
+		if hold := s.holdAtEndpoint(r, e, now); holdOrder[hold] > holdOrder[nearest] {
 			nearest = hold
 		}
 	}
 	return nearest
 }
 
-// holdAt tells what keeps a request from being sent to one endpoint now.
-func (s *Scheduler) holdAt(r *Request, e *Endpoint, now time.Duration) Hold {
+// holdAtEndpoint tells what keeps a request from being sent to one endpoint now.
+func (s *Scheduler) holdAtEndpoint(r *Request, e *Endpoint, now time.Duration) Hold {
 	_, urgency := s.rank(r, e, now)
 	switch {
 	case !e.accepting:
 		return NotAccepting
 	case now < e.ejectedUntil:
 		return Ejected
-	case s.freePlaces(e) <= 0:
+	case s.freeSlots(e) <= 0:
 		return ConcurrencyLimit
 	case r.units > s.slowStartAllowance(e, now):
 		return SlowStart
@@ -97,6 +97,6 @@
 	if v.plan.Limit <= 0 {
 		return math.Inf(1)
 	}
-	filled := v.limit
-	return filled.fill(now)
+	bucket := v.limit
+	return bucket.refill(now)
 }
--- a/policy/golden_driver_test.go
+++ b/policy/golden_driver_test.go
@@ -15,37 +15,37 @@
 // checks, gossip and restarts, all of our own making. It keeps a digest of every call that the scheduler makes, with its
 // time and its order. Log text is left out.
 
-// goldenDay is one row of the golden test.
-type goldenDay struct {
-	name   string
-	story  string
-	seed   int64
-	adjust func(*Settings)
-	load   load
-	faults []fault
-	digest string
+// goldenScenario is one row of the golden test.
+type goldenScenario struct {
+	name        string
+	description string
+	seed        int64
+	adjust      func(*Settings)
+	load        load
+	faults      []fault
+	digest      string
 }
 
 // load says what clients ask for and how often things happen beside the requests.
 type load struct {
-	length          time.Duration
-	perSecond       float64
-	endpoints       int
-	shards          int
-	objects         int
-	anyShardShare   float64       // share of requests that any endpoint may serve
-	disconnects     float64       // share of clients that close early
-	streams         float64       // share of answers that stream
-	clientRetries   float64       // share of rejected requests that come again
-	impatient       float64       // share of requests with a short time-out
-	startsCorrected bool          // endpoints come back after a while, with a new start
-	membership      bool          // the number of gateways changes
-	reportsUsage    bool          // answers tell the volume's use over all gateways
-	workers         int           // of each endpoint, where not two to four
-	quietSpells     bool          // nobody asks for seven seconds of each ten
-	workPerUnit     time.Duration // work of a unit; 0: 8 ms
-	unknownPlans    float64       // share of requests with a plan that nobody knows
-	warming         bool          // all endpoints started shortly before this gateway
+	duration           time.Duration
+	requestsPerSecond  float64
+	endpoints          int
+	shards             int
+	objects            int
+	anyShardShare      float64       // share of requests that any endpoint may serve
+	disconnectShare    float64       // share of clients that close early
+	streamedShare      float64       // share of answers that stream
+	clientRetryShare   float64       // share of rejected requests that come again
+	shortTimeoutShare  float64       // share of requests with a short time-out
+	correctsStartTimes bool          // endpoints come back after a while, with a new start
+	membershipChanges  bool          // the number of gateways changes
+	loadReports        bool          // answers tell the volume's use over all gateways
+	workers            int           // of each endpoint, where not two to four
+	idlePeriods        bool          // nobody asks for seven seconds of each ten
+	serviceTimePerUnit time.Duration // work of a unit; 0: 8 ms
+	unknownPlanShare   float64       // share of requests with a plan that nobody knows
+	startsWarming      bool          // all endpoints started shortly before this gateway
 }
 
 // fault is something wrong with a share of the endpoints for a while.
@@ -63,16 +63,16 @@
 	overloaded
 	unreachable
 	resetting
-	erring
-	losing // some answers arrive late or never
+	returningErrors
+	losingResponses // some answers arrive late or never
 	draining
 	restarting
-	vanishing // taken off the list without a drain
+	disappearing // taken off the list without a drain
 	listDown
 )
 
 // storage is one storage endpoint as the driver plays it.
-type storage struct {
+type storageEndpoint struct {
 	endpoint  Endpoint
 	shard     int
 	workers   []time.Duration // busy until
@@ -83,38 +83,38 @@
 
 // sentAttempt is an attempt that the scheduler began.
 type sentAttempt struct {
-	attempt *Attempt
-	storage *storage
-	sentAt  time.Duration
-	ended   bool
+	attempt  *Attempt
+	endpoint *storageEndpoint
+	sentAt   time.Duration
+	ended    bool
 }
 
 // clientRequest is a request that a client made.
 type clientRequest struct {
-	request   Request
-	class     string
-	plan      string
-	object    string
-	shard     int
-	units     float64
-	deadline  time.Duration
-	answered  bool
-	streaming bool
-	retries   int
-	inFlight  []*sentAttempt
+	request    Request
+	class      string
+	plan       string
+	object     string
+	shard      int
+	units      float64
+	deadline   time.Duration
+	finished   bool
+	streaming  bool
+	retryCount int
+	inFlight   []*sentAttempt
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	run func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -127,15 +127,15 @@
 
 // goldenRuntime is the runtime that the scheduler sees on a golden day.
 type goldenRuntime struct {
-	day       goldenDay
+	scenario  goldenScenario
 	now       time.Duration
-	seq       int
+	sequence  int
 	queue     events
 	rng       *rand.Rand
 	scheduler *Scheduler
 	settings  Settings
-	storages  []*storage
-	byName    map[string]*storage
+	endpoints []*storageEndpoint
+	byName    map[string]*storageEndpoint
 	volumes   map[string]*Volume
 	requests  map[int64]*clientRequest
 	lastID    int64
@@ -144,28 +144,28 @@
 }
 
 // play runs a day and returns its digest and how often the scheduler made each call.
-func play(day goldenDay) (string, map[string]int) {
-	w := &goldenRuntime{day: day, now: time.Hour, rng: rand.New(rand.NewSource(day.seed)), settings: goldenSettings(day.seed),
-		byName: map[string]*storage{}, volumes: map[string]*Volume{}, requests: map[int64]*clientRequest{}, digest: sha256.New(),
+func playScenario(scenario goldenScenario) (string, map[string]int) {
+	w := &goldenRuntime{scenario: scenario, now: time.Hour, rng: rand.New(rand.NewSource(scenario.seed)), settings: goldenSettings(scenario.seed),
+		byName: map[string]*storageEndpoint{}, volumes: map[string]*Volume{}, requests: map[int64]*clientRequest{}, digest: sha256.New(),
 		calls: map[string]int{}}
-	day.adjust(&w.settings)
+	scenario.adjust(&w.settings)
 	w.scheduler = New(w, w.settings)
-	for i := range day.load.endpoints {
+	for i := range scenario.load.endpoints {
 		startedAt := time.Duration(0)
-		if day.load.warming {
+		if scenario.load.startsWarming {
 			startedAt = w.now - time.Duration(i+1)*300*time.Millisecond
 		}
-		w.addStorage(fmt.Sprintf("n%d", i), i%day.load.shards, startedAt)
+		w.addEndpoint(fmt.Sprintf("n%d", i), i%scenario.load.shards, startedAt)
 	}
 	w.sendList(true)
-	w.after(0, w.arrival)
-	for _, f := range day.faults {
-		w.after(f.from, func() { w.beginFault(f) })
+	w.after(0, w.scheduleArrival)
+	for _, f := range scenario.faults {
+		w.after(f.from, func() { w.runFault(f) })
 	}
-	if day.load.membership {
+	if scenario.load.membershipChanges {
 		w.after(3*time.Second, w.changeMembership)
 	}
-	for end := w.now + day.load.length; len(w.queue) > 0 && w.queue[0].at <= end; {
+	for end := w.now + scenario.load.duration; len(w.queue) > 0 && w.queue[0].at <= end; {
 		e := heap.Pop(&w.queue).(event)
 		w.now = max(w.now, e.at)
 		e.run()
@@ -174,8 +174,8 @@
 }
 
 func (w *goldenRuntime) after(wait time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + max(wait, 0), w.seq, run})
+	w.sequence++
+	heap.Push(&w.queue, event{w.now + max(wait, 0), w.sequence, run})
 }
 
 // record takes a call of the scheduler into the digest.
@@ -193,8 +193,8 @@
 
 func (w *goldenRuntime) Send(attempt *Attempt) {
 	w.record("attempt", attempt.Request.ID, attempt.Number, attempt.Endpoint.Name, int64(attempt.StartBy), 0)
-	client, storage := w.requests[attempt.Request.ID], w.byName[attempt.Endpoint.Name]
-	sent := &sentAttempt{attempt: attempt, storage: storage, sentAt: w.now}
+	client, at := w.requests[attempt.Request.ID], w.byName[attempt.Endpoint.Name]
+	sent := &sentAttempt{attempt: attempt, endpoint: at, sentAt: w.now}
 	client.inFlight = append(client.inFlight, sent)
 	w.after(client.deadline-w.now, func() { w.endAttempt(client, sent, TimedOut) })
 	w.serveAttempt(client, sent)
@@ -203,17 +203,17 @@
 func (w *goldenRuntime) Reject(request *Request, retryAfter time.Duration) {
 	w.record("reject", request.ID, int64(retryAfter))
 	client := w.requests[request.ID]
-	client.answered = true
-	if w.rng.Float64() < w.day.load.clientRetries && client.retries < 3 {
+	client.finished = true
+	if w.rng.Float64() < w.scenario.load.clientRetryShare && client.retryCount < 3 {
 		w.after(max(retryAfter, 20*time.Millisecond), func() {
-			w.request(client.class, client.plan, client.object, client.shard, client.units, client.retries+1)
+			w.sendRequest(client.class, client.plan, client.object, client.shard, client.units, client.retryCount+1)
 		})
 	}
 }
 
 func (w *goldenRuntime) Fail(request *Request) {
 	w.record("fail", request.ID)
-	w.requests[request.ID].answered = true
+	w.requests[request.ID].finished = true
 }
 
 func (w *goldenRuntime) Cancel(attempt *Attempt) {
@@ -243,12 +243,12 @@
 
 func (w *goldenRuntime) CheckHealth(endpoint *Endpoint) {
 	w.record("check", endpoint.Name)
-	storage := w.byName[endpoint.Name]
-	duration, outcome := w.serve(storage, 0.1), Served
+	at := w.byName[endpoint.Name]
+	duration, outcome := w.serve(at, 0.1), Served
 	switch {
-	case storage.faults[hanging]:
+	case at.faults[hanging]:
 		duration, outcome = time.Second, TimedOut
-	case storage.faults[unreachable]:
+	case at.faults[unreachable]:
 		duration, outcome = 2*time.Millisecond, ConnectFailed
 	}
 	w.after(duration, func() { w.scheduler.HealthChecked(endpoint, outcome, duration) })
@@ -262,15 +262,15 @@
 	return time.Duration(w.rng.Intn(3000)) * time.Microsecond
 }
 func (w *goldenRuntime) faultActive(kind faultKind) bool {
-	return len(w.storages) > 0 && w.storages[0].faults[kind]
+	return len(w.endpoints) > 0 && w.endpoints[0].faults[kind]
 }
 func (w *goldenRuntime) exponential(mean float64) float64 { return mean * w.rng.ExpFloat64() }
 
 // serve takes a worker of the endpoint for so many units and returns when they are done, from now.
-func (w *goldenRuntime) serve(at *storage, units float64) time.Duration {
+func (w *goldenRuntime) serve(at *storageEndpoint, units float64) time.Duration {
 	perUnit := 8 * time.Millisecond
-	if w.day.load.workPerUnit > 0 {
-		perUnit = w.day.load.workPerUnit
+	if w.scenario.load.serviceTimePerUnit > 0 {
+		perUnit = w.scenario.load.serviceTimePerUnit
 	}
 	if at.faults[slow] {
 		perUnit *= 9
@@ -291,24 +291,24 @@
 
 // serveAttempt plays what the endpoint does with an attempt.
 func (w *goldenRuntime) serveAttempt(client *clientRequest, sent *sentAttempt) {
-	storage := sent.storage
+	at := sent.endpoint
 	switch {
-	case storage.faults[unreachable]:
+	case at.faults[unreachable]:
 		w.after(w.jitter(), func() { w.endAttempt(client, sent, ConnectFailed) })
-	case storage.faults[hanging]:
-	case storage.faults[overloaded] && w.chance(0.8):
+	case at.faults[hanging]:
+	case at.faults[overloaded] && w.chance(0.8):
 		w.after(w.jitter(), func() { w.endAttempt(client, sent, Rejected) })
-	case storage.faults[resetting] && w.chance(0.5):
+	case at.faults[resetting] && w.chance(0.5):
 		w.after(4*w.jitter(), func() { w.endAttempt(client, sent, ConnectionReset) })
-	case storage.faults[erring] && w.chance(0.6):
+	case at.faults[returningErrors] && w.chance(0.6):
 		w.after(w.jitter(), func() { w.endAttempt(client, sent, ErrorResponse) })
-	case storage.faults[losing] && w.chance(0.3):
+	case at.faults[losingResponses] && w.chance(0.3):
 		if w.chance(0.5) { // on its way for long, but not lost
 			w.after(time.Duration(400+w.rng.Intn(500))*time.Millisecond, func() { w.endAttempt(client, sent, Served) })
 		}
 	default:
-		wait := w.serve(storage, client.units)
-		if w.chance(w.day.load.streams) {
+		wait := w.serve(at, client.units)
+		if w.chance(w.scenario.load.streamedShare) {
 			w.after(wait/2, func() { w.stream(client, sent) })
 		}
 		w.after(wait, func() { w.endAttempt(client, sent, Served) })
@@ -316,7 +316,7 @@
 }
 
 func (w *goldenRuntime) stream(client *clientRequest, sent *sentAttempt) {
-	if sent.ended || client.answered || client.streaming {
+	if sent.ended || client.finished || client.streaming {
 		return
 	}
 	client.streaming = true
@@ -325,60 +325,60 @@
 
 // endAttempt reports an attempt's one outcome.
 func (w *goldenRuntime) endAttempt(client *clientRequest, sent *sentAttempt, outcome Outcome) {
-	if sent.ended || outcome == TimedOut && client.streaming && !client.answered {
+	if sent.ended || outcome == TimedOut && client.streaming && !client.finished {
 		return
 	}
 	sent.ended = true
 	client.inFlight = slices.DeleteFunc(client.inFlight, func(o *sentAttempt) bool { return o == sent })
 	if outcome == Served || client.streaming {
-		client.answered = true
+		client.finished = true
 	}
 	elsewhere, utilization := 0.0, 0.0
-	if w.day.load.reportsUsage && (outcome == Served || outcome == ErrorResponse) {
+	if w.scenario.load.loadReports && (outcome == Served || outcome == ErrorResponse) {
 		elsewhere = w.exponential(20)
 		if w.chance(0.3) {
 			utilization = 1 + 150*w.rng.Float64()
 		}
 	}
-	w.scheduler.AttemptEnded(sent.attempt, AttemptResult{Outcome: outcome, Duration: w.now - sent.sentAt, RequestOver: client.answered,
+	w.scheduler.AttemptEnded(sent.attempt, AttemptResult{Outcome: outcome, Duration: w.now - sent.sentAt, RequestOver: client.finished,
 		Load: LoadReport{ServedElsewhere: elsewhere, Utilization: utilization}})
 }
 
 // arrival makes a client ask and plans the next one; a surge comes every seven seconds.
-func (w *goldenRuntime) arrival() {
+func (w *goldenRuntime) scheduleArrival() {
 	classes := []string{"read", "read", "read", "bulk", "put", "zoned", "free", "once", "row"}
 	plans := []string{"gold", "plain", "plain", "capped"}
-	shard := w.rng.Intn(w.day.load.shards)
-	if w.chance(w.day.load.anyShardShare) {
+	shard := w.rng.Intn(w.scenario.load.shards)
+	if w.chance(w.scenario.load.anyShardShare) {
 		shard = -1
 	}
 	class, plan := w.pick(classes), w.pick(plans)
-	if w.chance(w.day.load.unknownPlans) {
+	if w.chance(w.scenario.load.unknownPlanShare) {
 		plan = "nobody's"
 	}
-	object := fmt.Sprintf("o%d", int(float64(w.day.load.objects)*w.rng.Float64()*w.rng.Float64()))
-	w.request(class, plan, object, shard, 0.5+float64(w.rng.Intn(6)), 0)
-	rate := w.day.load.perSecond
+	object := fmt.Sprintf("o%d", int(float64(w.scenario.load.objects)*w.rng.Float64()*w.rng.Float64()))
+	w.sendRequest(class, plan, object, shard, 0.5+float64(w.rng.Intn(6)), 0)
+	rate := w.scenario.load.requestsPerSecond
 	if w.now%(7*time.Second) < time.Second {
 		rate *= 2.5
 	}
 	wait := time.Duration(w.exponential(1/rate) * float64(time.Second))
-	if w.day.load.quietSpells && (w.now+wait)%(10*time.Second) > 3*time.Second {
+	if w.scenario.load.idlePeriods && (w.now+wait)%(10*time.Second) > 3*time.Second {
 		wait += 7 * time.Second
 	}
-	w.after(wait, w.arrival)
+	w.after(wait, w.scheduleArrival)
 }
 
-func (w *goldenRuntime) request(class, plan, object string, shard int, units float64, retries int) {
+func (w *goldenRuntime) sendRequest(class, plan, object string, shard int, units float64, retries int) {
 	name := plan + object[:2]
 	if w.volumes[name] == nil {
 		w.volumes[name] = &Volume{}
 	}
 	w.lastID++
-	client := &clientRequest{class: class, plan: plan, object: object, shard: shard, units: units, retries: retries}
+	client := &clientRequest{class: class, plan: plan, object: object, shard: shard, units: units, retryCount: retries}
 	client.request = Request{ID: w.lastID, Volume: w.volumes[name]}
 	timeout := w.timeout(class)
-	if w.chance(w.day.load.impatient) {
+	if w.chance(w.scenario.load.shortTimeoutShare) {
 		timeout = timeout / time.Duration(2+w.rng.Intn(6))
 	}
 	client.deadline = w.now + timeout
@@ -390,14 +390,14 @@
 		w.record("error", client.request.ID)
 		return
 	}
-	if w.chance(w.day.load.disconnects) {
+	if w.chance(w.scenario.load.disconnectShare) {
 		w.after(time.Duration(w.exponential(float64(timeout)/6)), func() { w.disconnect(client) })
 	}
 }
 
 func (w *goldenRuntime) disconnect(client *clientRequest) {
-	if !client.answered {
-		client.answered = true
+	if !client.finished {
+		client.finished = true
 		w.scheduler.ClientDisconnected(&client.request)
 	}
 }
@@ -411,14 +411,14 @@
 	return 0
 }
 
-func (w *goldenRuntime) addStorage(name string, shard int, startedAt time.Duration) *storage {
-	workers := w.day.load.workers
+func (w *goldenRuntime) addEndpoint(name string, shard int, startedAt time.Duration) *storageEndpoint {
+	workers := w.scenario.load.workers
 	if workers == 0 {
-		workers = 2 + len(w.storages)%3
+		workers = 2 + len(w.endpoints)%3
 	}
-	added := &storage{endpoint: Endpoint{Name: name}, shard: shard, workers: make([]time.Duration, workers),
+	added := &storageEndpoint{endpoint: Endpoint{Name: name}, shard: shard, workers: make([]time.Duration, workers),
 		faults: map[faultKind]bool{}, serving: true, startedAt: startedAt}
-	w.storages = append(w.storages, added)
+	w.endpoints = append(w.endpoints, added)
 	w.byName[name] = added
 	return added
 }
@@ -426,71 +426,71 @@
 // sendList hands the list over, whole or only its changes.
 func (w *goldenRuntime) sendList(whole bool) {
 	w.scheduler.BeginEndpointList(whole)
-	for _, storage := range w.storages {
-		w.scheduler.UpdateEndpoint(&storage.endpoint, EndpointUpdate{Zone: fmt.Sprint("zone", storage.shard%2), Shard: storage.shard, Serving: storage.serving, StartedAt: storage.startedAt})
+	for _, at := range w.endpoints {
+		w.scheduler.UpdateEndpoint(&at.endpoint, EndpointUpdate{Zone: fmt.Sprint("zone", at.shard%2), Shard: at.shard, Serving: at.serving, StartedAt: at.startedAt})
 	}
 	w.scheduler.EndEndpointList()
 }
 
-// beginFault plays a fault from its first moment to its end.
-func (w *goldenRuntime) beginFault(f fault) {
-	count := max(1, int(f.share*float64(len(w.storages))))
-	hit := slices.Clone(w.storages[:count])
+// runFault plays a fault from its first moment to its end.
+func (w *goldenRuntime) runFault(f fault) {
+	count := max(1, int(f.share*float64(len(w.endpoints))))
+	hit := slices.Clone(w.endpoints[:count])
 	if f.kind != listDown {
-		w.rng.Shuffle(len(w.storages), func(i, j int) { w.storages[i], w.storages[j] = w.storages[j], w.storages[i] })
-		hit = slices.Clone(w.storages[:count])
+		w.rng.Shuffle(len(w.endpoints), func(i, j int) { w.endpoints[i], w.endpoints[j] = w.endpoints[j], w.endpoints[i] })
+		hit = slices.Clone(w.endpoints[:count])
 	}
-	for _, storage := range hit {
-		storage.faults[f.kind] = true
-		w.beginFaultAt(f.kind, storage)
+	for _, at := range hit {
+		at.faults[f.kind] = true
+		w.beginFaultAt(f.kind, at)
 	}
 	if f.kind == listDown {
 		w.scheduler.EndpointListFailed()
 	}
 	w.after(f.to-f.from, func() {
-		for _, storage := range hit {
-			storage.faults[f.kind] = false
-			w.endFaultAt(f.kind, storage)
+		for _, at := range hit {
+			at.faults[f.kind] = false
+			w.endFaultAt(f.kind, at)
 		}
 	})
 }
 
-func (w *goldenRuntime) beginFaultAt(kind faultKind, storage *storage) {
+func (w *goldenRuntime) beginFaultAt(kind faultKind, at *storageEndpoint) {
 	switch kind {
 	case draining:
-		storage.serving = false
+		at.serving = false
 		w.sendList(false)
 	case restarting:
-		storage.faults[unreachable] = true
+		at.faults[unreachable] = true
 	case overloaded:
 		if w.settings.Gossip && w.chance(0.5) {
-			w.after(w.jitter(), func() { w.scheduler.GossipReceived(w.rng.Intn(3), []byte("s"+storage.endpoint.Name)) })
+			w.after(w.jitter(), func() { w.scheduler.GossipReceived(w.rng.Intn(3), []byte("s"+at.endpoint.Name)) })
 		}
 	}
 }
 
-func (w *goldenRuntime) endFaultAt(kind faultKind, storage *storage) {
+func (w *goldenRuntime) endFaultAt(kind faultKind, at *storageEndpoint) {
 	switch kind {
-	case draining, vanishing:
-		w.replace(storage)
+	case draining, disappearing:
+		w.replaceEndpoint(at)
 	case restarting:
-		storage.faults[unreachable] = false
-		storage.startedAt = w.now
-		storage.workers = make([]time.Duration, len(storage.workers))
+		at.faults[unreachable] = false
+		at.startedAt = w.now
+		at.workers = make([]time.Duration, len(at.workers))
 		w.sendList(false)
 	case overloaded:
 		if w.settings.Gossip && w.chance(0.5) {
-			w.after(w.jitter(), func() { w.scheduler.GossipReceived(w.rng.Intn(3), []byte("f"+storage.endpoint.Name)) })
+			w.after(w.jitter(), func() { w.scheduler.GossipReceived(w.rng.Intn(3), []byte("f"+at.endpoint.Name)) })
 		}
 	}
 }
 
 // replace takes an endpoint off the list; another one with a new name takes its shard, with a start that is put right later.
-func (w *goldenRuntime) replace(old *storage) {
-	w.storages = slices.DeleteFunc(w.storages, func(one *storage) bool { return one == old })
-	added := w.addStorage(old.endpoint.Name+"'", old.shard, w.now)
+func (w *goldenRuntime) replaceEndpoint(old *storageEndpoint) {
+	w.endpoints = slices.DeleteFunc(w.endpoints, func(one *storageEndpoint) bool { return one == old })
+	added := w.addEndpoint(old.endpoint.Name+"'", old.shard, w.now)
 	w.sendList(true)
-	if w.day.load.startsCorrected {
+	if w.scenario.load.correctsStartTimes {
 		w.after(900*time.Millisecond, func() {
 			added.startedAt -= 700 * time.Millisecond
 			w.sendList(false)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -34,130 +34,130 @@
 
 const second = time.Second
 
-// goldenDays: each day's story says which rules it is there to reach.
-var goldenDays = []goldenDay{
+// goldenScenarios: each day's story says which rules it is there to reach.
+var goldenScenarios = []goldenScenario{
 	{name: "quiet", seed: 11, adjust: func(s *Settings) { s.Gateways = 1 },
-		story:  "Few requests, no fault: demand, divvy, tags, a limit that widens with low latency; one gateway alone.",
-		load:   load{length: 25 * second, perSecond: 60, endpoints: 4, shards: 2, objects: 40},
-		digest: "8bb300d2b5e62ad0e5e02ac0"},
+		description: "Few requests, no fault: demand, divvy, tags, a limit that widens with low latency; one gateway alone.",
+		load:        load{duration: 25 * second, requestsPerSecond: 60, endpoints: 4, shards: 2, objects: 40},
+		digest:      "8bb300d2b5e62ad0e5e02ac0"},
 	{name: "overload", seed: 12, adjust: func(s *Settings) { s.ClientsMarkRetries = false },
-		story: "More than the endpoints can do, clients that come again: load shedding, Retry-After, requests that will miss their " +
+		description: "More than the endpoints can do, clients that come again: load shedding, Retry-After, requests that will miss their " +
 			"objective, first tries remembered.",
-		load:   load{length: 20 * second, perSecond: 320, endpoints: 5, shards: 2, objects: 60, clientRetries: 0.8, anyShardShare: 0.1},
+		load:   load{duration: 20 * second, requestsPerSecond: 320, endpoints: 5, shards: 2, objects: 60, clientRetryShare: 0.8, anyShardShare: 0.1},
 		digest: "c2f84a6fd97c30f78fa8e1a2"},
 	{name: "marked repeats", seed: 13, adjust: unchanged,
-		story:  "The same with clients that mark what they repeat.",
-		load:   load{length: 15 * second, perSecond: 260, endpoints: 4, shards: 2, objects: 25, clientRetries: 0.9, impatient: 0.3},
-		digest: "9ce2d357643072cbbc3cfd58"},
+		description: "The same with clients that mark what they repeat.",
+		load:        load{duration: 15 * second, requestsPerSecond: 260, endpoints: 4, shards: 2, objects: 25, clientRetryShare: 0.9, shortTimeoutShare: 0.3},
+		digest:      "9ce2d357643072cbbc3cfd58"},
 	{name: "slow endpoints", seed: 14, adjust: unchanged,
-		story: "A third of the endpoints is nine times slower for a while: the limit narrows, pacing opens and closes, what was " +
+		description: "A third of the endpoints is nine times slower for a while: the limit narrows, pacing opens and closes, what was " +
 			"overtaken is taken for lost, without health checks.",
-		load:   load{length: 24 * second, perSecond: 150, endpoints: 6, shards: 2, objects: 80, clientRetries: 0.5, reportsUsage: true},
-		faults: []fault{{slow, 0.34, 4 * second, 14 * second}, {losing, 0.5, 15 * second, 21 * second}},
+		load:   load{duration: 24 * second, requestsPerSecond: 150, endpoints: 6, shards: 2, objects: 80, clientRetryShare: 0.5, loadReports: true},
+		faults: []fault{{slow, 0.34, 4 * second, 14 * second}, {losingResponses, 0.5, 15 * second, 21 * second}},
 		digest: "48400166fd708732b43d196a"},
 	{name: "health checks", seed: 15, adjust: healthChecksOn,
-		story: "Full, hanging and slow endpoints with health checks and gossip: consecutive failures, ejection, who checks for all, " +
+		description: "Full, hanging and slow endpoints with health checks and gossip: consecutive failures, ejection, who checks for all, " +
 			"the way back.",
-		load:   load{length: 26 * second, perSecond: 170, endpoints: 6, shards: 3, objects: 80, clientRetries: 0.5, reportsUsage: true},
-		faults: []fault{{overloaded, 0.34, 3 * second, 9 * second}, {hanging, 0.2, 7 * second, 13 * second}, {slow, 0.5, 15 * second, 20 * second}, {losing, 0.5, 18 * second, 24 * second}},
+		load:   load{duration: 26 * second, requestsPerSecond: 170, endpoints: 6, shards: 3, objects: 80, clientRetryShare: 0.5, loadReports: true},
+		faults: []fault{{overloaded, 0.34, 3 * second, 9 * second}, {hanging, 0.2, 7 * second, 13 * second}, {slow, 0.5, 15 * second, 20 * second}, {losingResponses, 0.5, 18 * second, 24 * second}},
 		digest: "8392f1b4e9133a5ccc2852c6"},
 	{name: "outliers", seed: 16, adjust: unchanged,
-		story:  "Connections refused, reset, errors that come fast, full endpoints: what counts as a failure, what only once in a row.",
-		load:   load{length: 24 * second, perSecond: 140, endpoints: 6, shards: 2, objects: 60, clientRetries: 0.6},
-		faults: []fault{{unreachable, 0.3, 2 * second, 6 * second}, {resetting, 0.5, 7 * second, 12 * second}, {erring, 0.5, 12 * second, 17 * second}, {overloaded, 0.5, 17 * second, 22 * second}},
-		digest: "817bc8e8b333dafcf54b240c"},
+		description: "Connections refused, reset, errors that come fast, full endpoints: what counts as a failure, what only once in a row.",
+		load:        load{duration: 24 * second, requestsPerSecond: 140, endpoints: 6, shards: 2, objects: 60, clientRetryShare: 0.6},
+		faults:      []fault{{unreachable, 0.3, 2 * second, 6 * second}, {resetting, 0.5, 7 * second, 12 * second}, {returningErrors, 0.5, 12 * second, 17 * second}, {overloaded, 0.5, 17 * second, 22 * second}},
+		digest:      "817bc8e8b333dafcf54b240c"},
 	{name: "slow start", seed: 17, adjust: unchanged,
-		story: "Endpoints restart and are replaced, some starts are put right later: the budget while they warm up, a list that " +
+		description: "Endpoints restart and are replaced, some starts are put right later: the budget while they warm up, a list that " +
 			"takes away what is gone.",
-		load:   load{length: 26 * second, perSecond: 160, endpoints: 6, shards: 2, objects: 60, startsCorrected: true, clientRetries: 0.4},
-		faults: []fault{{restarting, 0.34, 3 * second, 5 * second}, {draining, 0.5, 8 * second, 11 * second}, {restarting, 0.67, 15 * second, 16 * second}, {vanishing, 0.5, 20 * second, 21 * second}},
+		load:   load{duration: 26 * second, requestsPerSecond: 160, endpoints: 6, shards: 2, objects: 60, correctsStartTimes: true, clientRetryShare: 0.4},
+		faults: []fault{{restarting, 0.34, 3 * second, 5 * second}, {draining, 0.5, 8 * second, 11 * second}, {restarting, 0.67, 15 * second, 16 * second}, {disappearing, 0.5, 20 * second, 21 * second}},
 		digest: "ed2ba9915855d3d9e6e29897"},
 	{name: "retry budget", seed: 18, adjust: func(s *Settings) {
 		s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow, s.MaxAttempts = true, 3, 0.1, 2*second, 4
 	},
-		story:  "Errors under a retry budget: retries wait for it, also after what is called off as lost.",
-		load:   load{length: 22 * second, perSecond: 150, endpoints: 5, shards: 1, objects: 60, clientRetries: 0.3},
-		faults: []fault{{erring, 0.6, 3 * second, 9 * second}, {losing, 0.6, 10 * second, 15 * second}, {resetting, 0.6, 15 * second, 20 * second}},
-		digest: "7aafb11460e43dc81c4c77bb"},
+		description: "Errors under a retry budget: retries wait for it, also after what is called off as lost.",
+		load:        load{duration: 22 * second, requestsPerSecond: 150, endpoints: 5, shards: 1, objects: 60, clientRetryShare: 0.3},
+		faults:      []fault{{returningErrors, 0.6, 3 * second, 9 * second}, {losingResponses, 0.6, 10 * second, 15 * second}, {resetting, 0.6, 15 * second, 20 * second}},
+		digest:      "7aafb11460e43dc81c4c77bb"},
 	{name: "ordered keys", seed: 19, adjust: func(s *Settings) { s.OrderingCooldown = 400 * millisecond },
-		story:  "Few objects, so that ordered requests wait in line, with outcomes after which a key rests.",
-		load:   load{length: 20 * second, perSecond: 140, endpoints: 4, shards: 1, objects: 4, disconnects: 0.1},
-		faults: []fault{{resetting, 0.5, 3 * second, 8 * second}, {hanging, 0.25, 9 * second, 14 * second}},
-		digest: "6b2356c008e177b093df89ba"},
+		description: "Few objects, so that ordered requests wait in line, with outcomes after which a key rests.",
+		load:        load{duration: 20 * second, requestsPerSecond: 140, endpoints: 4, shards: 1, objects: 4, disconnectShare: 0.1},
+		faults:      []fault{{resetting, 0.5, 3 * second, 8 * second}, {hanging, 0.25, 9 * second, 14 * second}},
+		digest:      "6b2356c008e177b093df89ba"},
 	{name: "membership", seed: 20, adjust: func(s *Settings) { s.Gateways = 5 },
-		story:  "A gateway starts while all endpoints warm up, others come and go: parts of limits, reservations and slow-start budgets.",
-		load:   load{length: 26 * second, perSecond: 130, endpoints: 5, shards: 2, objects: 60, membership: true, reportsUsage: true, warming: true},
-		faults: []fault{{restarting, 0.4, 4 * second, 5 * second}, {restarting, 0.4, 13 * second, 14 * second}, {slow, 0.4, 18 * second, 22 * second}},
-		digest: "cde1edfa2e73538cc925e921"},
+		description: "A gateway starts while all endpoints warm up, others come and go: parts of limits, reservations and slow-start budgets.",
+		load:        load{duration: 26 * second, requestsPerSecond: 130, endpoints: 5, shards: 2, objects: 60, membershipChanges: true, loadReports: true, startsWarming: true},
+		faults:      []fault{{restarting, 0.4, 4 * second, 5 * second}, {restarting, 0.4, 13 * second, 14 * second}, {slow, 0.4, 18 * second, 22 * second}},
+		digest:      "cde1edfa2e73538cc925e921"},
 	{name: "list down", seed: 21, adjust: func(s *Settings) { s.PollEndpointList = true; s.MaxListAge = 5 * second },
-		story:  "The list is asked for and fails for a while: backoff with jitter; drains come when it is back.",
-		load:   load{length: 24 * second, perSecond: 110, endpoints: 4, shards: 2, objects: 60, disconnects: 0.2},
-		faults: []fault{{listDown, 0.1, 2 * second, 12 * second}, {draining, 0.5, 9 * second, 15 * second}, {hanging, 0.5, 17 * second, 21 * second}},
-		digest: "fc3ec8355817a13a860a41d8"},
+		description: "The list is asked for and fails for a while: backoff with jitter; drains come when it is back.",
+		load:        load{duration: 24 * second, requestsPerSecond: 110, endpoints: 4, shards: 2, objects: 60, disconnectShare: 0.2},
+		faults:      []fault{{listDown, 0.1, 2 * second, 12 * second}, {draining, 0.5, 9 * second, 15 * second}, {hanging, 0.5, 17 * second, 21 * second}},
+		digest:      "fc3ec8355817a13a860a41d8"},
 	{name: "streams", seed: 22, adjust: func(s *Settings) { healthChecksOn(s); s.Ordinal = 0 },
-		story:  "Streaming answers, clients that leave, short time-outs, requests for any endpoint: what is called off and what stays.",
-		load:   load{length: 22 * second, perSecond: 170, endpoints: 5, shards: 3, objects: 50, streams: 0.4, disconnects: 0.3, impatient: 0.3, anyShardShare: 0.3},
-		faults: []fault{{slow, 0.4, 4 * second, 9 * second}, {erring, 0.4, 11 * second, 16 * second}, {hanging, 0.2, 15 * second, 20 * second}},
-		digest: "70bb322cd76de6ad226e4f58"},
+		description: "Streaming answers, clients that leave, short time-outs, requests for any endpoint: what is called off and what stays.",
+		load:        load{duration: 22 * second, requestsPerSecond: 170, endpoints: 5, shards: 3, objects: 50, streamedShare: 0.4, disconnectShare: 0.3, shortTimeoutShare: 0.3, anyShardShare: 0.3},
+		faults:      []fault{{slow, 0.4, 4 * second, 9 * second}, {returningErrors, 0.4, 11 * second, 16 * second}, {hanging, 0.2, 15 * second, 20 * second}},
+		digest:      "70bb322cd76de6ad226e4f58"},
 	{name: "no cancel", seed: 23, adjust: func(s *Settings) { s.CanCancel = false; s.Gateways = 8; s.MaxRetryAfter = 0 },
-		story:  "Attempts can't be called off, clients get no Retry-After, eight gateways share few endpoints.",
-		load:   load{length: 22 * second, perSecond: 90, endpoints: 3, shards: 1, objects: 40, disconnects: 0.1, clientRetries: 0.4},
-		faults: []fault{{hanging, 0.34, 3 * second, 8 * second}, {losing, 1, 9 * second, 14 * second}, {slow, 0.67, 15 * second, 19 * second}},
-		digest: "b9ee751a3f47726f0b930238"},
+		description: "Attempts can't be called off, clients get no Retry-After, eight gateways share few endpoints.",
+		load:        load{duration: 22 * second, requestsPerSecond: 90, endpoints: 3, shards: 1, objects: 40, disconnectShare: 0.1, clientRetryShare: 0.4},
+		faults:      []fault{{hanging, 0.34, 3 * second, 8 * second}, {losingResponses, 1, 9 * second, 14 * second}, {slow, 0.67, 15 * second, 19 * second}},
+		digest:      "b9ee751a3f47726f0b930238"},
 	{name: "many gateways", seed: 24, adjust: func(s *Settings) { healthChecksOn(s); s.Gateways = 60; s.Ordinal = 2 },
-		story: "Each gateway has one place at each endpoint and sees little traffic: pacing from its own rate, limits of one, " +
+		description: "Each gateway has one place at each endpoint and sees little traffic: pacing from its own rate, limits of one, " +
 			"ejection told by others.",
-		load:   load{length: 30 * second, perSecond: 40, endpoints: 8, shards: 2, objects: 100, reportsUsage: true, clientRetries: 0.5},
+		load:   load{duration: 30 * second, requestsPerSecond: 40, endpoints: 8, shards: 2, objects: 100, loadReports: true, clientRetryShare: 0.5},
 		faults: []fault{{slow, 0.3, 3 * second, 12 * second}, {overloaded, 0.3, 13 * second, 20 * second}, {restarting, 0.3, 21 * second, 22 * second}},
 		digest: "a0a38f3fcb7b39117543e12e"},
 	{name: "nothing open", seed: 25, adjust: func(s *Settings) { s.RetryBudgetFree = 9 },
-		story:  "For some seconds every endpoint drains, then others take their place; some requests name an unknown plan.",
-		load:   load{length: 20 * second, perSecond: 120, endpoints: 4, shards: 2, objects: 50, unknownPlans: 0.02, clientRetries: 0.3, startsCorrected: true},
-		faults: []fault{{draining, 1, 5 * second, 9 * second}, {vanishing, 0.5, 14 * second, 15 * second}},
-		digest: "40fe5a00d72c42ef314e5639"},
+		description: "For some seconds every endpoint drains, then others take their place; some requests name an unknown plan.",
+		load:        load{duration: 20 * second, requestsPerSecond: 120, endpoints: 4, shards: 2, objects: 50, unknownPlanShare: 0.02, clientRetryShare: 0.3, correctsStartTimes: true},
+		faults:      []fault{{draining, 1, 5 * second, 9 * second}, {disappearing, 0.5, 14 * second, 15 * second}},
+		digest:      "40fe5a00d72c42ef314e5639"},
 	{name: "wide limits", seed: 26, adjust: func(s *Settings) { s.Gateways = 1; s.MaxListAge = 40 * second; s.PollEndpointList = true },
-		story: "One gateway before two quick endpoints with many workers, a surge each ten seconds and nothing between: limits up to " +
+		description: "One gateway before two quick endpoints with many workers, a surge each ten seconds and nothing between: limits up to " +
 			"their ceiling, send intervals over a long quiet time, a list that fails for so long that the backoff reaches its cap.",
-		load:   load{length: 50 * second, perSecond: 700, endpoints: 2, shards: 2, objects: 400, workers: 40, workPerUnit: 20 * millisecond, quietSpells: true},
+		load:   load{duration: 50 * second, requestsPerSecond: 700, endpoints: 2, shards: 2, objects: 400, workers: 40, serviceTimePerUnit: 20 * millisecond, idlePeriods: true},
 		faults: []fault{{listDown, 0.1, 2 * second, 45 * second}},
 		digest: "2b00179d13a6d8a8463c4cc3"},
 	{name: "quiet gateways", seed: 27, adjust: func(s *Settings) { s.Gateways = 20 },
-		story:  "Few requests in surges, one at a time at each endpoint: the mean send interval and pacing from it.",
-		load:   load{length: 60 * second, perSecond: 12, endpoints: 3, shards: 1, objects: 60, quietSpells: true},
-		faults: []fault{{slow, 0.7, 10 * second, 35 * second}, {erring, 0.4, 40 * second, 55 * second}},
-		digest: "adca00f5f509322a59041ed9"},
+		description: "Few requests in surges, one at a time at each endpoint: the mean send interval and pacing from it.",
+		load:        load{duration: 60 * second, requestsPerSecond: 12, endpoints: 3, shards: 1, objects: 60, idlePeriods: true},
+		faults:      []fault{{slow, 0.7, 10 * second, 35 * second}, {returningErrors, 0.4, 40 * second, 55 * second}},
+		digest:      "adca00f5f509322a59041ed9"},
 	{name: "lost or late", seed: 28, adjust: unchanged,
-		story:  "Answers that arrive late or never between others that take two to three congestion thresholds: what shows a loss.",
-		load:   load{length: 40 * second, perSecond: 70, endpoints: 3, shards: 1, objects: 60, workPerUnit: 24 * millisecond, workers: 6},
-		faults: []fault{{losing, 1, 3 * second, 38 * second}},
-		digest: "4da13fafda96defa304bbaeb"},
+		description: "Answers that arrive late or never between others that take two to three congestion thresholds: what shows a loss.",
+		load:        load{duration: 40 * second, requestsPerSecond: 70, endpoints: 3, shards: 1, objects: 60, serviceTimePerUnit: 24 * millisecond, workers: 6},
+		faults:      []fault{{losingResponses, 1, 3 * second, 38 * second}},
+		digest:      "4da13fafda96defa304bbaeb"},
 	{name: "lost or late, health checks", seed: 29, adjust: healthChecksOn,
-		story:  "The same where a health check shows it.",
-		load:   load{length: 40 * second, perSecond: 70, endpoints: 3, shards: 1, objects: 60, workPerUnit: 24 * millisecond, workers: 6},
-		faults: []fault{{losing, 1, 3 * second, 38 * second}},
-		digest: "b516979ae871407aac4c35fd"},
+		description: "The same where a health check shows it.",
+		load:        load{duration: 40 * second, requestsPerSecond: 70, endpoints: 3, shards: 1, objects: 60, serviceTimePerUnit: 24 * millisecond, workers: 6},
+		faults:      []fault{{losingResponses, 1, 3 * second, 38 * second}},
+		digest:      "b516979ae871407aac4c35fd"},
 }
 
 // The decisions of the scheduler stay what they were in the landed version a32f63c, on which these digests were recorded
 // (amd64: a compiler that fuses floating-point operations may round otherwise). A digest that differs is a decision that
 // changed: a change that is meant says so in its commit and records the digests anew.
 func TestGoldenDecisions(t *testing.T) {
-	for _, day := range goldenDays {
-		t.Run(day.name, func(t *testing.T) {
+	for _, scenario := range goldenScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			got, calls := play(day)
-			t.Logf("%s: %v", day.story, calls)
-			if got != day.digest {
-				t.Errorf("digest of the decisions %s, want %s", got, day.digest)
+			got, calls := playScenario(scenario)
+			t.Logf("%s: %v", scenario.description, calls)
+			if got != scenario.digest {
+				t.Errorf("digest of the decisions %s, want %s", got, scenario.digest)
 			}
 		})
 	}
 }
 
 // One day is played twice. The driver must bring no chance of its own, or a digest would say nothing.
-func TestGoldenDriverRepeats(t *testing.T) {
-	first, _ := play(goldenDays[0])
-	second, _ := play(goldenDays[0])
+func TestGoldenDriverIsDeterministic(t *testing.T) {
+	first, _ := playScenario(goldenScenarios[0])
+	second, _ := playScenario(goldenScenarios[0])
 	if first != second {
 		t.Errorf("two runs of one day differ: %s and %s", first, second)
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -105,8 +105,8 @@
 	return request
 }
 
-// endOldest gives the oldest attempt in flight its outcome.
-func (h *harness) endOldest(outcome Outcome, over bool) {
+// endOldestAttempt gives the oldest attempt in flight its outcome.
+func (h *harness) endOldestAttempt(outcome Outcome, over bool) {
 	attempt := h.sent[0]
 	h.sent = h.sent[1:]
 	h.scheduler.AttemptEnded(attempt, AttemptResult{Outcome: outcome, Duration: h.now - attempt.sentAt, RequestOver: over})
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -5,8 +5,8 @@
 // Active health checks tell whether an endpoint that left an attempt unanswered is slow, or only that answer was lost. They are
 // sent only where settings allow them and gossip, so that one gateway's check serves all.
 
-// quickAnswer: an answer or a health check within so many congestion thresholds shows an endpoint that is well.
-const quickAnswer = 2
+// quickResponse: an answer or a health check within so many congestion thresholds shows an endpoint that is well.
+const quickResponse = 2
 
 // checkHealth sends a health check, unless one is in flight.
 func (s *Scheduler) checkHealth(e *Endpoint, now time.Duration) {
@@ -21,10 +21,10 @@
 func (s *Scheduler) HealthChecked(e *Endpoint, outcome Outcome, duration time.Duration) {
 	now := s.runtime.Now()
 	e.checkInFlight = false
-	running := s.suspensions.running(e.checkSentAt, e.checkSentAt+duration)
-	timedOut := outcome == TimedOut && running == duration
-	quick := outcome == Served && running <= quickAnswer*s.congestionThreshold
-	late := timedOut || outcome == Served && running > s.shortestObjective
+	elapsed := s.suspensions.runningTime(e.checkSentAt, e.checkSentAt+duration)
+	timedOut := outcome == TimedOut && elapsed == duration
+	quick := outcome == Served && elapsed <= quickResponse*s.congestionThreshold
+	late := timedOut || outcome == Served && elapsed > s.shortestObjective
 	switch {
 	case quick:
 		e.consecutiveFailures = 0
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -8,7 +8,7 @@
 
 // attemptAllowed tells whether an attempt of r at e, beginning now, keeps idempotency and order.
 func (s *Scheduler) attemptAllowed(r *Request, e *Endpoint, now time.Duration) bool {
-	if !r.itsTurn(now) {
+	if !r.orderAllows(now) {
 		return false
 	}
 	for _, earlier := range r.attempts {
--- a/policy/lostanswer.go
+++ b/policy/lostanswer.go
@@ -11,16 +11,16 @@
 // endpoint may be slow for this request alone, and a retry would double its work.
 
 const (
-	// overdueThresholds and overdueWork: an attempt is overdue after so many congestion thresholds and so many times its own work.
-	overdueThresholds = 2
-	overdueWork       = 6
+	// overdueThresholds and overdueServiceTimes: an attempt is overdue after so many congestion thresholds and so many times its own work.
+	overdueThresholds   = 2
+	overdueServiceTimes = 6
 )
 
 // overdue tells whether an attempt takes far longer than its own work, as of a time.
 func (s *Scheduler) overdue(attempt *Attempt, asOf time.Duration) bool {
 	r := attempt.Request
-	work := time.Duration(overdueWork * r.class.workPerUnit * r.units * float64(time.Second))
-	return s.suspensions.running(attempt.sentAt, asOf) > overdueThresholds*s.congestionThreshold+work
+	serviceTime := time.Duration(overdueServiceTimes * r.class.serviceTimePerUnit * r.units * float64(time.Second))
+	return s.suspensions.runningTime(attempt.sentAt, asOf) > overdueThresholds*s.congestionThreshold+serviceTime
 }
 
 // presumeLost finds attempts that were overdue at an endpoint when something was sent there that was answered quickly.
@@ -30,19 +30,19 @@
 	}
 	for _, attempt := range slices.Clone(e.attempts) {
 		r := attempt.Request
-		if attempt.canceledAsLost || r.over || r.streaming || !s.overdue(attempt, quickSentAt) {
+		if attempt.canceledAsLost || r.finished || r.streaming || !s.overdue(attempt, quickSentAt) {
 			continue
 		}
 		attempt.presumedLost = attempt.presumedLost || !s.sharedHealthChecks
-		if s.cancelLost(attempt, now) {
+		if s.shouldCancelLost(attempt, now) {
 			attempt.presumedLost, attempt.canceledAsLost = true, true
 			s.runtime.Cancel(attempt)
 		}
 	}
 }
 
-// cancelLost tells whether an attempt that is presumed lost is canceled: only where a retry may follow.
-func (s *Scheduler) cancelLost(attempt *Attempt, now time.Duration) bool {
+// shouldCancelLost tells whether an attempt that is presumed lost is canceled: only where a retry may follow.
+func (s *Scheduler) shouldCancelLost(attempt *Attempt, now time.Duration) bool {
 	r := attempt.Request
 	halfTimePassed := now-r.receivedAt >= r.deadline-now
 	return (s.sharedHealthChecks || halfTimePassed) && len(r.attempts) < s.settings.MaxAttempts &&
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -11,12 +11,12 @@
 
 // orderingKey is the order of one object.
 type orderingKey struct {
-	waiting   []*Request // the first may run
-	restUntil time.Duration
+	waiting       []*Request // the first may run
+	cooldownUntil time.Duration
 }
 
-// joinOrder puts a request of an ordered class behind the others with its key.
-func (s *Scheduler) joinOrder(r *Request) {
+// joinOrderingQueue puts a request of an ordered class behind the others with its key.
+func (s *Scheduler) joinOrderingQueue(r *Request) {
 	if !r.class.Ordered || r.object == "" {
 		return
 	}
@@ -27,32 +27,32 @@
 	r.ordering.waiting = append(r.ordering.waiting, r)
 }
 
-// itsTurn tells whether a request may run as far as order goes. A retry need not wait for its own key's rest.
-func (r *Request) itsTurn(now time.Duration) bool {
+// orderAllows tells whether a request may run as far as order goes. A retry need not wait for its own key's rest.
+func (r *Request) orderAllows(now time.Duration) bool {
 	key := r.ordering
 	if key == nil {
 		return true
 	}
-	return key.waiting[0] == r && (now >= key.restUntil || len(r.attempts) > 0)
+	return key.waiting[0] == r && (now >= key.cooldownUntil || len(r.attempts) > 0)
 }
 
-// coolOrder lets the key rest after an outcome after which the request may still run.
-func (s *Scheduler) coolOrder(r *Request, outcome Outcome, now time.Duration) {
+// startOrderingCooldown lets the key rest after an outcome after which the request may still run.
+func (s *Scheduler) startOrderingCooldown(r *Request, outcome Outcome, now time.Duration) {
 	if r.ordering != nil && (outcome == TimedOut || outcome == ConnectionReset || outcome == Canceled) {
-		r.ordering.restUntil = max(r.ordering.restUntil, now+s.settings.OrderingCooldown)
+		r.ordering.cooldownUntil = max(r.ordering.cooldownUntil, now+s.settings.OrderingCooldown)
 	}
 }
 
-// leaveOrder lets the next request of a key run, once this one is over and none of its attempts is in flight.
-func (s *Scheduler) leaveOrder(r *Request) {
+// leaveOrderingQueue lets the next request of a key run, once this one is over and none of its attempts is in flight.
+func (s *Scheduler) leaveOrderingQueue(r *Request) {
 	if r.ordering != nil && r.inFlight == 0 {
 		r.ordering.waiting = without(r.ordering.waiting, r)
 	}
 }
 
-// forgetOrder drops keys that nobody waits for.
-func (s *Scheduler) forgetOrder(now time.Duration) {
+// removeIdleOrderingKeys drops keys that nobody waits for.
+func (s *Scheduler) removeIdleOrderingKeys(now time.Duration) {
 	maps.DeleteFunc(s.orderingKeys, func(_ string, key *orderingKey) bool {
-		return len(key.waiting) == 0 && key.restUntil <= now
+		return len(key.waiting) == 0 && key.cooldownUntil <= now
 	})
 }
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -26,15 +26,15 @@
 	// meanSampleCap is the most that one sample counts in the mean interval, in demand periods.
 	meanSampleCap = 4
 	// unboundedDuration stands for the duration of an attempt that never ended: it opens the interval as far as one outcome can.
-	unboundedDuration = never / 4
+	unboundedDuration = maxDuration / 4
 )
 
 // pace is what is known of the rate at which an endpoint takes attempts from this gateway.
 type pace struct {
-	minSendInterval  time.Duration // 0: none
-	paceChangedAt    time.Duration
-	lastSentAt       time.Duration
-	meanSendInterval time.Duration
+	minSendInterval   time.Duration // 0: none
+	intervalChangedAt time.Duration
+	lastSentAt        time.Duration
+	meanSendInterval  time.Duration
 }
 
 // updatePace moves the interval by how long an attempt took against the congestion threshold. An outcome of an attempt that was
@@ -47,15 +47,15 @@
 	if interval <= s.congestionThreshold/minIntervalDivisor {
 		interval = 0
 	}
-	opens := factor > 1 && interval > e.minSendInterval
-	closes := factor <= 1 && attempt.sentAt >= e.paceChangedAt
-	if opens || closes {
-		e.paceChangedAt, e.minSendInterval = now, interval
+	lengthens := factor > 1 && interval > e.minSendInterval
+	shortens := factor <= 1 && attempt.sentAt >= e.intervalChangedAt
+	if lengthens || shortens {
+		e.intervalChangedAt, e.minSendInterval = now, interval
 	}
 }
 
-// openingInterval is the interval that an outcome starts from: the one in force, or one from this gateway's own rate.
-func (s *Scheduler) openingInterval(e *Endpoint) time.Duration {
+// baseInterval is the interval that an outcome starts from: the one in force, or one from this gateway's own rate.
+func (s *Scheduler) baseInterval(e *Endpoint) time.Duration {
 	fromOwnRate := min(e.meanSendInterval, s.congestionThreshold*time.Duration(s.gateways)/maxIntervalThresholds)
 	return max(e.minSendInterval, fromOwnRate, s.congestionThreshold/minIntervalDivisor)
 }
@@ -71,8 +71,8 @@
 	return c.due && sinceSent >= e.minSendInterval/dueIntervalDivisor && e.consecutiveFailures == 0
 }
 
-// noteSent takes an attempt that was sent into the mean interval.
-func (p *pace) noteSent(now time.Duration) {
+// recordSent takes an attempt that was sent into the mean interval.
+func (p *pace) recordSent(now time.Duration) {
 	p.meanSendInterval += (min(now-p.lastSentAt, meanSampleCap*demandPeriod) - p.meanSendInterval) / meanIntervalDivisor
 	p.lastSentAt = now
 }
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -10,43 +10,43 @@
 
 // tokenBucket holds units that may be sent at once and fills at a rate.
 type tokenBucket struct {
-	level    float64 // units; below 0 after a request larger than what was there
-	rate     float64 // units a second
-	depth    float64 // units
-	filledAt time.Duration
+	tokens     float64 // units; below 0 after a request larger than what was there
+	rate       float64 // units a second
+	capacity   float64 // units
+	refilledAt time.Duration
 }
 
-// startBucket is a volume's bucket at its first request. A gateway that restarts can't know what it spent before, so the bucket
+// newTokenBucket is a volume's bucket at its first request. A gateway that restarts can't know what it spent before, so the bucket
 // holds only its part of the plan's initial burst: gateways that are killed in a surge would otherwise spend the burst twice.
-func startBucket(plan *ServicePlan, gateways float64, now time.Duration) tokenBucket {
+func newTokenBucket(plan *ServicePlan, gateways float64, now time.Duration) tokenBucket {
 	return tokenBucket{
-		level:    plan.InitialBurst / gateways,
-		rate:     plan.Limit / gateways,
-		depth:    plan.Burst / gateways,
-		filledAt: now,
+		tokens:     plan.InitialBurst / gateways,
+		rate:       plan.Limit / gateways,
+		capacity:   plan.Burst / gateways,
+		refilledAt: now,
 	}
 }
 
 // fill brings the bucket up to date and returns its level.
-func (b *tokenBucket) fill(now time.Duration) float64 {
-	b.level = min(b.level+b.rate*(now-b.filledAt).Seconds(), b.depth)
-	b.filledAt = now
-	return b.level
+func (b *tokenBucket) refill(now time.Duration) float64 {
+	b.tokens = min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.capacity)
+	b.refilledAt = now
+	return b.tokens
 }
 
 // resplit changes over how many gateways the limit is split. A part that shrinks loses what it holds in proportion; one that
 // grows fills at its rate, since another gateway may have spent what it gained.
-func (b *tokenBucket) resplit(plan *ServicePlan, before, after float64, now time.Duration) {
-	b.fill(now)
-	b.level *= math.Min(1, before/after)
+func (b *tokenBucket) rescale(plan *ServicePlan, before, after float64, now time.Duration) {
+	b.refill(now)
+	b.tokens *= math.Min(1, before/after)
 	b.rate = plan.Limit / after
-	b.depth = plan.Burst / after
+	b.capacity = plan.Burst / after
 }
 
 // allowance is the units that a volume may send now.
 func (v *Volume) allowance(now time.Duration) float64 {
 	if v.plan.Limit > 0 {
-		return v.limit.fill(now)
+		return v.limit.refill(now)
 	}
 	return math.Inf(1)
 }
@@ -54,7 +54,7 @@
 // charge takes a request's units from its volume's limit, once: a retry is not charged again.
 func (r *Request) charge() {
 	if !r.charged && r.Volume.plan.Limit > 0 {
-		r.Volume.limit.level -= r.units
+		r.Volume.limit.tokens -= r.units
 	}
 	r.charged = true
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -30,7 +30,7 @@
 	queued             bool
 	streaming          bool // the answer has begun to reach the client
 	charged            bool // the volume's limit has paid for it
-	over               bool
+	finished           bool
 	giveUp             GiveUp
 }
 
@@ -62,8 +62,8 @@
 	r.firstReceivedAt = s.matchClientRetry(r, arrival.Retry)
 	r.latencyObjectiveAt = min(r.firstReceivedAt+class.LatencyObjective, r.deadline)
 	r.queue = s.queueOf(r.Volume, r.shard)
-	s.joinOrder(r)
-	r.queue.count(now, r.units)
+	s.joinOrderingQueue(r)
+	r.queue.countOutstanding(now, r.units)
 	s.enqueue(r)
 	s.scheduleGiveUp(r, now)
 	s.serveQueue(r.queue)
@@ -90,8 +90,8 @@
 
 // ClientDisconnected ends a request whose client has gone; no answer is owed.
 func (s *Scheduler) ClientDisconnected(r *Request) {
-	if !r.over {
-		s.rememberGivenUp(r)
+	if !r.finished {
+		s.recordGivenUp(r)
 		s.finish(r)
 	}
 }
@@ -111,12 +111,12 @@
 // finish ends a request, whatever its answer.
 func (s *Scheduler) finish(r *Request) {
 	s.dequeue(r)
-	r.over = true
-	r.queue.count(s.runtime.Now(), -r.units)
+	r.finished = true
+	r.queue.countOutstanding(s.runtime.Now(), -r.units)
 	if !r.streaming {
 		s.cancelAttempts(r, nil)
 	}
-	s.leaveOrder(r)
+	s.leaveOrderingQueue(r)
 }
 
 // cancelAttempts cancels what is in flight for a request, except one.
@@ -139,8 +139,8 @@
 	units  float64
 }
 
-// rememberGivenUp keeps when a request that gets no good answer was first received, for the client's own retry.
-func (s *Scheduler) rememberGivenUp(r *Request) {
+// recordGivenUp keeps when a request that gets no good answer was first received, for the client's own retry.
+func (s *Scheduler) recordGivenUp(r *Request) {
 	s.givenUp[r.fingerprint] = append(s.givenUp[r.fingerprint], r.firstReceivedAt)
 }
 
@@ -156,11 +156,11 @@
 	return earlier[0]
 }
 
-// forgetGivenUp drops what no client can still retry.
-func (s *Scheduler) forgetGivenUp(now time.Duration) {
+// removeExpiredGivenUp drops what no client can still retry.
+func (s *Scheduler) removeExpiredGivenUp(now time.Duration) {
 	for fingerprint, received := range s.givenUp {
-		keep := fingerprint.class.Timeout + s.settings.MaxRetryAfter + demandPeriod
-		if len(received) == 0 || now-received[len(received)-1] > keep {
+		retention := fingerprint.class.Timeout + s.settings.MaxRetryAfter + demandPeriod
+		if len(received) == 0 || now-received[len(received)-1] > retention {
 			delete(s.givenUp, fingerprint)
 		}
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -17,8 +17,8 @@
 	return r.inFlight == 0 && len(r.attempts) < s.settings.MaxAttempts && e.consecutiveFailures == 0 && s.retryBudget.allows(now)
 }
 
-// retryHopeless tells that no further attempt of r can be made: no time or no attempt is left, or no endpoint may run it.
-func (s *Scheduler) retryHopeless(r *Request, now time.Duration) bool {
+// retryImpossible tells that no further attempt of r can be made: no time or no attempt is left, or no endpoint may run it.
+func (s *Scheduler) retryImpossible(r *Request, now time.Duration) bool {
 	if now >= r.deadline-s.timerMargin || len(r.attempts) >= s.settings.MaxAttempts {
 		return true
 	}
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -18,7 +18,7 @@
 	// sweepsPerThreshold is how many times within a congestion threshold queues are swept.
 	sweepsPerThreshold = 4
 	// never is longer than any wait.
-	never = time.Duration(math.MaxInt64)
+	maxDuration = time.Duration(math.MaxInt64)
 )
 
 // Scheduler decides for one gateway. It is not safe for concurrent use: all calls, timers included, come from one goroutine.
@@ -50,8 +50,8 @@
 // class is a request class with what its answers have shown.
 type class struct {
 	RequestClass
-	costPerUnit float64 // mean seconds that an answer takes for a unit
-	workPerUnit float64 // the same where nothing was before it at the endpoint
+	responseTimePerUnit float64 // mean seconds that an answer takes for a unit
+	serviceTimePerUnit  float64 // the same where nothing was before it at the endpoint
 }
 
 // shard holds what belongs together: the endpoints with its data and the queues for them.
@@ -87,7 +87,7 @@
 }
 
 func (s *Scheduler) addClasses() {
-	s.shortestObjective = never
+	s.shortestObjective = maxDuration
 	for _, c := range s.settings.Classes {
 		s.classes[c.Name] = &class{RequestClass: c}
 		s.shortestObjective = min(s.shortestObjective, c.LatencyObjective)
@@ -95,14 +95,14 @@
 	s.congestionThreshold = max(time.Duration(float64(s.shortestObjective)*congestionShare), minCongestionThreshold)
 	s.suspensions.tolerance = max(time.Duration(float64(s.congestionThreshold)*suspendedShare), 2*s.timerMargin)
 	for _, c := range s.classes {
-		c.costPerUnit = s.congestionThreshold.Seconds() / s.settings.TypicalUnits
-		c.workPerUnit = s.congestionThreshold.Seconds() / s.settings.TypicalUnits / 2
+		c.responseTimePerUnit = s.congestionThreshold.Seconds() / s.settings.TypicalUnits
+		c.serviceTimePerUnit = s.congestionThreshold.Seconds() / s.settings.TypicalUnits / 2
 	}
 }
 
 func (s *Scheduler) addPlans() {
 	for _, plan := range s.settings.Plans {
-		plan.Weight = math.Max(plan.Weight, minWeight)
+		plan.Weight = math.Max(plan.Weight, minVolumeWeight)
 		s.plans[plan.Name] = &plan
 	}
 }
@@ -131,8 +131,8 @@
 	for _, v := range s.volumes {
 		s.measureDemand(v, now)
 	}
-	s.forgetGivenUp(now)
-	s.forgetOrder(now)
+	s.removeExpiredGivenUp(now)
+	s.removeIdleOrderingKeys(now)
 	for _, e := range s.endpoints {
 		s.splitLimit(e)
 		s.fillEndpoint(e)
@@ -146,8 +146,8 @@
 	now := s.runtime.Now()
 	s.suspensions.sweepStarted(now)
 	for _, e := range s.endpoints {
-		if now-e.limitMovedAt >= limitPeriods*s.congestionThreshold {
-			s.moveLimit(e, now)
+		if now-e.limitUpdatedAt >= limitPeriods*s.congestionThreshold {
+			s.updateLimit(e, now)
 		}
 	}
 	for _, v := range s.volumes {
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -25,7 +25,7 @@
 	h.advance(600 * millisecond)
 	h.receive("row", "plain", "k", 0, 2)
 	h.advance(390 * millisecond)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	// Output:
 	//     0ms send 1.0 to a
 	//   496ms reject 2, retry after 50ms
@@ -37,12 +37,12 @@
 func Example_notIdempotent() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("once", "plain", "x", 0, 2)
-	h.endOldest(ConnectFailed, false)
+	h.endOldestAttempt(ConnectFailed, false)
 	h.receive("read", "plain", "x", 0, 2)
 	h.advance(110 * millisecond)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.advance(20 * millisecond)
-	h.endOldest(ErrorResponse, false)
+	h.endOldestAttempt(ErrorResponse, false)
 	// Output:
 	//     0ms send 1.0 to a
 	//     0ms log: endpoint a: first failure: connect-failed after 0s, 0 in flight
@@ -74,8 +74,8 @@
 		h.receive("read", "plain", "x", 0, 2)
 	}
 	h.advance(20 * millisecond)
-	h.endOldest(Served, true)
-	h.endOldest(ErrorResponse, true)
+	h.endOldestAttempt(Served, true)
+	h.endOldestAttempt(ErrorResponse, true)
 	h.advance(980 * millisecond)
 	h.receive("read", "plain", "x", 0, 2)
 	h.advance(200 * millisecond)
@@ -116,7 +116,7 @@
 	h.receive("tag", "plain", "x", 0, 1)
 	fmt.Println(h.sent[0].StartBy)
 	h.advance(100 * millisecond)
-	h.endOldest(ErrorResponse, false)
+	h.endOldestAttempt(ErrorResponse, false)
 	fmt.Println(h.sent[0].StartBy)
 	// Output:
 	//     0ms send 1.0 to a
@@ -134,7 +134,7 @@
 	h.update("b", 1, true, 0)
 	h.scheduler.EndEndpointList()
 	fmt.Println(len(h.scheduler.endpoints))
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.scheduler.BeginEndpointList(false)
 	h.scheduler.EndEndpointList()
 	h.advance(time.Second)
@@ -157,13 +157,13 @@
 	lost := h.sent[0]
 	h.sent = h.sent[1:]
 	h.advance(20 * millisecond)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.receive("read", "plain", "w", 0, 2)
 	h.advance(220 * millisecond)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.receive("read", "plain", "z", 0, 2)
 	h.advance(20 * millisecond)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.scheduler.AttemptEnded(lost, AttemptResult{Outcome: Canceled, Duration: h.now})
 	// Output:
 	//     0ms send 1.0 to a
@@ -178,8 +178,8 @@
 func Example_connectionReset() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("read", "plain", "x", 0, 2)
-	h.endOldest(ConnectionReset, false)
-	h.endOldest(ConnectionReset, false)
+	h.endOldestAttempt(ConnectionReset, false)
+	h.endOldestAttempt(ConnectionReset, false)
 	h.advance(200 * millisecond)
 	// Output:
 	//     0ms send 1.0 to a
@@ -193,7 +193,7 @@
 	h.receive("row", "plain", "k", 0, 2)
 	h.receive("row", "plain", "k", 0, 2)
 	h.receive("row", "plain", "j", 0, 2)
-	h.endOldest(ConnectionReset, true)
+	h.endOldestAttempt(ConnectionReset, true)
 	h.advance(400 * millisecond)
 	// Output:
 	//     0ms send 1.0 to a
@@ -207,7 +207,7 @@
 	for range 4 {
 		h.receive("read", "capped", "x", 0, 2)
 	}
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.advance(480 * millisecond)
 	h.receive("read", "capped", "x", 0, 2)
 	h.advance(400 * millisecond)
@@ -224,13 +224,13 @@
 	h := startScheduler(smallSettings(), "a")
 	h.receive("read", "plain", "x", 0, 2)
 	h.advance(180 * millisecond)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.receive("read", "plain", "y", 0, 2)
 	h.receive("read", "plain", "w", 0, 2)
 	h.receive("read", "gold", "z", 0, 2)
 	h.advance(40 * millisecond)
 	fmt.Println(h.scheduler.endpoints[0].minSendInterval)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	fmt.Println(h.scheduler.endpoints[0].minSendInterval)
 	// Output:
 	//     0ms send 1.0 to a
@@ -250,7 +250,7 @@
 	h := startScheduler(s, "a")
 	a := h.endpoints["a"]
 	h.receive("read", "plain", "x", 0, 2)
-	h.endOldest(Rejected, false)
+	h.endOldestAttempt(Rejected, false)
 	h.advance(210 * millisecond)
 	h.scheduler.HealthChecked(a, Served, 300*millisecond)
 	h.advance(210 * millisecond)
@@ -262,7 +262,7 @@
 	a.minSendInterval = 0
 	h.advance(300 * millisecond)
 	h.scheduler.HealthChecked(a, Served, 40*millisecond)
-	h.endOldest(Canceled, false)
+	h.endOldestAttempt(Canceled, false)
 	fmt.Println(a.minSendInterval, a.consecutiveFailures)
 	// Output:
 	//     0ms send 1.0 to a
@@ -293,8 +293,8 @@
 	h.receive("read", "plain", "x", 0, 4)
 	h.receive("read", "plain", "x", 0, 3)
 	h.receive("read", "plain", "x", 0, 2)
-	h.endOldest(NotSent, true)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(NotSent, true)
+	h.endOldestAttempt(Served, true)
 	// Output:
 	//     0ms log: endpoint a: draining, 0 in flight
 	//   112ms reject 1, retry after 100ms
@@ -312,7 +312,7 @@
 	h.receive("read", "plain", "x", 0, 2)
 	h.receive("read", "gold", "z", 0, 2)
 	for range 4 {
-		h.endOldest(NotSent, true)
+		h.endOldestAttempt(NotSent, true)
 	}
 	// Output:
 	//     0ms send 1.0 to a
@@ -327,8 +327,8 @@
 	s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 1, 0, 5*time.Second
 	h := startScheduler(s, "a")
 	h.receive("read", "plain", "x", 0, 2)
-	h.endOldest(ErrorResponse, false)
-	h.endOldest(ErrorResponse, false)
+	h.endOldestAttempt(ErrorResponse, false)
+	h.endOldestAttempt(ErrorResponse, false)
 	h.advance(300 * millisecond)
 	h.scheduler.endpoints[0].smoothedLatency = 90 * millisecond
 	h.advance(100 * millisecond)
@@ -354,7 +354,7 @@
 	h.advance(100 * millisecond)
 	show()
 	for range 4 {
-		h.endOldest(ErrorResponse, true)
+		h.endOldestAttempt(ErrorResponse, true)
 	}
 	h.advance(100 * millisecond)
 	show()
@@ -395,10 +395,12 @@
 	h := startScheduler(smallSettings(), "a")
 	h.advance(8000 * millisecond)
 	h.receive("read", "capped", "x", 0, 2)
-	h.endOldest(Served, true)
+	h.endOldestAttempt(Served, true)
 	h.advance(2000 * millisecond)
 	v := h.volumes["cappedx"]
-	show := func() { fmt.Printf("%.1f of %.1f, %.1f a second\n", v.limit.fill(h.now), v.limit.depth, v.limit.rate) }
+	show := func() {
+		fmt.Printf("%.1f of %.1f, %.1f a second\n", v.limit.refill(h.now), v.limit.capacity, v.limit.rate)
+	}
 	show()
 	h.scheduler.SetVolumeGateways(v, 4)
 	show()
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -15,7 +15,7 @@
 func (s *Scheduler) serveQueue(queue *volumeQueue) {
 	free := slices.Clone(s.endpointsOf(queue.shard))
 	for len(queue.waiting) > 0 {
-		free = slices.DeleteFunc(free, func(e *Endpoint) bool { return s.freePlaces(e) <= 0 })
+		free = slices.DeleteFunc(free, func(e *Endpoint) bool { return s.freeSlots(e) <= 0 })
 		if len(free) == 0 {
 			return
 		}
@@ -28,7 +28,7 @@
 
 // fillEndpoint sends requests to an endpoint while it has free places and takes them.
 func (s *Scheduler) fillEndpoint(e *Endpoint) {
-	for s.freePlaces(e) > 0 {
+	for s.freeSlots(e) > 0 {
 		if !s.sendNext(e) {
 			return
 		}
@@ -40,8 +40,8 @@
 	return e.smoothedLatency * time.Duration(e.inFlight+1)
 }
 
-// freePlaces is how many more attempts an endpoint may have in flight from this gateway.
-func (s *Scheduler) freePlaces(e *Endpoint) int {
+// freeSlots is how many more attempts an endpoint may have in flight from this gateway.
+func (s *Scheduler) freeSlots(e *Endpoint) int {
 	now := s.runtime.Now()
 	if !e.accepting || now < e.ejectedUntil {
 		return 0
@@ -86,7 +86,7 @@
 		Number:          len(r.attempts),
 		StartBy:         r.startBy(),
 		sentAt:          now,
-		minSendInterval: s.openingInterval(e),
+		minSendInterval: s.baseInterval(e),
 		mayHaveRun:      true,
 	}
 	r.attempts = append(r.attempts, attempt)
@@ -97,6 +97,6 @@
 		e.slowStartAttempts = append(e.slowStartAttempts, attempt)
 	}
 	s.runtime.Send(attempt)
-	e.noteSent(now)
+	e.recordSent(now)
 	e.limitReached = e.limitReached || e.inFlight >= e.limit
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -68,6 +68,6 @@
 			inFlight += attempt.Request.units
 		}
 	}
-	warmth := (now - e.startedAt).Seconds() / budget.duration.Seconds()
-	return math.Max(budget.units*(1+budget.growth*warmth), budget.perServed*served) - inFlight
+	warmUpProgress := (now - e.startedAt).Seconds() / budget.duration.Seconds()
+	return math.Max(budget.units*(1+budget.growth*warmUpProgress), budget.perServed*served) - inFlight
 }
--- a/policy/suspension.go
+++ b/policy/suspension.go
@@ -36,7 +36,7 @@
 }
 
 // running is how long the process ran between two times.
-func (l *suspensionLog) running(from, to time.Duration) time.Duration {
+func (l *suspensionLog) runningTime(from, to time.Duration) time.Duration {
 	elapsed := to - from
 	for _, s := range l.recent {
 		elapsed -= max(min(to, s.to)-max(from, s.from), 0)
--- a/policy/suspension_test.go
+++ b/policy/suspension_test.go
@@ -6,14 +6,14 @@
 )
 
 // suspend lets the process not run for a while: its timers fire late.
-func (h *harness) suspend(d time.Duration) {
+func (h *harness) suspendProcess(d time.Duration) {
 	h.now += d
 	h.advance(0)
 }
 
 // The process is suspended while attempts are in flight, again and again, at an endpoint that answers at once. The endpoint is not
 // taken for a slow one: the next request is sent at once, and no limit has narrowed.
-func TestSuspendedWhileInFlight(t *testing.T) {
+func TestSuspensionDoesNotCountAsLatency(t *testing.T) {
 	for _, outcome := range []Outcome{Served, ErrorResponse} {
 		h := startScheduler(smallSettings(), "a")
 		h.quiet = true
@@ -22,8 +22,8 @@
 			if len(h.sent) != 1 {
 				t.Fatal("a request to an idle endpoint waits")
 			}
-			h.suspend(400 * millisecond)
-			h.endOldest(outcome, true)
+			h.suspendProcess(400 * millisecond)
+			h.endOldestAttempt(outcome, true)
 		}
 		h.receive("read", "plain", "o", 0, 1)
 		if len(h.sent) != 1 {
--- a/policy/volume.go
+++ b/policy/volume.go
@@ -32,9 +32,9 @@
 
 	weightTag float64 // mClock's, in units over weight
 
-	units       float64 // waiting and in flight
-	unitSeconds float64 // the same over time, since the last demand period
-	countedAt   time.Duration
+	outstandingUnits float64 // waiting and in flight
+	unitSeconds      float64 // the same over time, since the last demand period
+	countedAt        time.Duration
 
 	demand          float64 // of this gateway
 	demandElsewhere float64 // of the other gateways, as far as known
@@ -50,7 +50,7 @@
 	v.plan = plan
 	v.gateways = math.Max(1, float64(gateways))
 	v.reservation = plan.Reservation / v.gateways
-	v.limit = startBucket(plan, v.gateways, now)
+	v.limit = newTokenBucket(plan, v.gateways, now)
 	s.volumes = append(s.volumes, v)
 }
 
@@ -61,7 +61,7 @@
 	if v.plan == nil || n == v.gateways {
 		return
 	}
-	v.limit.resplit(v.plan, v.gateways, n, s.runtime.Now())
+	v.limit.rescale(v.plan, v.gateways, n, s.runtime.Now())
 	v.gateways = n
 }
 
@@ -81,8 +81,8 @@
 }
 
 // count adds units to what is outstanding and keeps its integral over time, so that time spent waiting here counts as demand.
-func (q *volumeQueue) count(now time.Duration, units float64) {
-	q.unitSeconds += q.units * (now - q.countedAt).Seconds()
+func (q *volumeQueue) countOutstanding(now time.Duration, units float64) {
+	q.unitSeconds += q.outstandingUnits * (now - q.countedAt).Seconds()
 	q.countedAt = now
-	q.units += units
+	q.outstandingUnits += units
 }
