--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Load shedding: a request that can't be answered in time is given up early, while its client still has time to ask again. It is
-// rejected, with Retry-After, where that promises nothing untrue, and fails otherwise.
+// Load shedding: a request that can't complete in time is given up early, while its client still has time to retry. It is rejected
+// with Retry-After if a retry is harmless, and fails otherwise.
 
-// scheduleGiveUp sets the two timers of a request. One without an attempt when its latency objective passes, or by half of its time,
-// is given up then: it frees the connection that a waiting request holds, and the client has time to ask again. The deadline's timer
-// is set at once, so that it can't be missed.
+// scheduleGiveUp sets the two timers of a request. The first one gives up a request that has had no attempt by its latency objective
+// or by half of the time to its deadline: this frees the connection that the waiting request occupies and leaves the client time to
+// retry. The deadline's timer is set at once rather than after the first one, so that the deadline can't be missed.
 func (s *Scheduler) scheduleGiveUp(r *Request, now time.Duration) {
 	objective := max(r.latencyObjectiveAt-now, s.congestionThreshold)
 	s.runtime.After(min(objective, (r.deadline-now)/2)-s.timerMargin, func() {
@@ -25,7 +25,7 @@
 	})
 }
 
-// giveUp ends a request without the answer that it asked for.
+// giveUp ends a request without the response that the client requested.
 func (s *Scheduler) giveUp(r *Request, cause GiveUpCause) {
 	r.giveUp = GiveUp{cause, s.holdOf(r, s.runtime.Now())}
 	s.recordGivenUp(r)
@@ -38,8 +38,8 @@
 	}
 }
 
-// canReject tells whether a rejection would be true: it says that asking again is harmless. So it is for a class whose repeats are
-// harmless or known to every endpoint, or while no attempt may have run.
+// canReject reports whether a rejection is safe: it tells the client that a retry is harmless. That holds if repeats of the class are
+// harmless or recognized by every endpoint, or if no attempt may have run.
 func (r *Request) canReject() bool {
 	switch {
 	case r.class.Idempotency == Idempotent:
@@ -51,8 +51,8 @@
 	}
 }
 
-// shedLate gives up the requests of a queue that can't be answered in time any more, or not within their latency objective while
-// the endpoints are congested.
+// shedLate gives up the requests of a queue that can no longer meet their deadline or, while the endpoints are congested, their
+// latency objective.
 func (s *Scheduler) shedLate(queue *volumeQueue, now time.Duration) {
 	for _, r := range slices.Clone(queue.waiting) {
 		latency := s.lowestLatency(queue.shard)
@@ -65,11 +65,11 @@
 	}
 }
 
-// noEndpointLatency is the latency taken for a shard without an accepting endpoint, in congestion thresholds: what waits there is given
-// up when its latency objective passes.
+// noEndpointLatency is the latency assumed for a shard without an accepting endpoint, in congestion thresholds: above one, so that
+// requests waiting there are given up when they miss their latency objective.
 const noEndpointLatency = 2
 
-// lowestLatency is the least latency that the accepting endpoints of a shard show.
+// lowestLatency returns the lowest smoothed latency of the accepting endpoints of a shard.
 func (s *Scheduler) lowestLatency(shardNumber int) time.Duration {
 	lowest := maxDuration
 	for _, e := range s.endpointsOf(shardNumber) {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// Attempt is one try of a request at an endpoint. It begins with Runtime.Send and ends with exactly one AttemptEnded.
+// Attempt is one execution of a request at an endpoint. It begins with Runtime.Send and ends with exactly one AttemptEnded.
 type Attempt struct {
 	Request  *Request
 	Endpoint *Endpoint
-	Number   int           // 0 for the first attempt of its request
-	StartBy  time.Duration // it must not begin later, or its idempotency key may be forgotten; 0: any time
+	Number   int           // index among the attempts of its request, from 0
+	StartBy  time.Duration // latest start; after it the endpoint may have dropped the idempotency key; 0: no bound
 
 	sentAt          time.Duration
-	minSendInterval time.Duration // the endpoint's when it was sent
+	minSendInterval time.Duration // base of pacing updates from this attempt; see baseInterval
 	ended           bool
-	mayHaveRun      bool // at the endpoint, or may yet
+	mayHaveRun      bool // the endpoint may have run it, or may still run it
 	served          bool
-	presumedLost    bool // its answer, as a later attempt that was answered, or a quick health check, showed
-	canceledAsLost  bool
+	presumedLost    bool // its response is presumed lost: the endpoint quickly served a later attempt or health check
+	canceledAsLost  bool // canceled so that the request can be retried
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
 const (
-	// Served means that the endpoint answered as asked.
+	// Served means that the endpoint returned the requested response.
 	Served Outcome = iota
-	// ErrorResponse means that the endpoint answered with an error; the request may have run.
+	// ErrorResponse means that the endpoint returned an error; the request may have run.
 	ErrorResponse
-	// Rejected means that the endpoint shed the request unseen; it never ran.
+	// Rejected means that the endpoint shed the request without processing it; it never ran.
 	Rejected
-	// TimedOut means that no answer came by the deadline; the request may still run.
+	// TimedOut means that no response arrived by the deadline; the request may still run.
 	TimedOut
-	// ConnectFailed means that the request was not sent whole, mostly since no connection came up; it never ran.
+	// ConnectFailed means that the request was not sent completely, mostly because no connection was established; it never ran.
 	ConnectFailed
 	// ConnectionReset means that the connection broke; the request may have run.
 	ConnectionReset
 	// Canceled means that the gateway stopped waiting; the request may still run.
 	Canceled
-	// NotSent means that nothing left the gateway; the request never ran.
+	// NotSent means that no byte of the request left the gateway; it never ran.
 	NotSent
 )
 
-// String names an outcome in logs and metrics.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string {
 	switch o {
 	case Served:
@@ -67,7 +67,7 @@
 	}
 }
 
-// MayHaveRun tells whether the request may have had its effect, or may yet.
+// MayHaveRun reports whether the endpoint may have run the request, or may still run it.
 func (o Outcome) MayHaveRun() bool {
 	switch o {
 	case Served, ErrorResponse, TimedOut, ConnectionReset, Canceled:
@@ -77,21 +77,22 @@
 	}
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
 	Outcome     Outcome
-	Duration    time.Duration // since it was sent
-	RequestOver bool          // the request has its final answer
+	Duration    time.Duration // time since the attempt was sent
+	RequestOver bool          // the client has the final response
 	Load        LoadReport
 }
 
-// LoadReport is what an answer says of a volume's use through all gateways; zero values: nothing reported.
+// LoadReport is the use of a volume through all gateways, as reported by an endpoint with a response; zero values: not reported.
 type LoadReport struct {
-	ServedElsewhere float64 // units served for other gateways since the endpoint's last report to this one
+	ServedElsewhere float64 // units served for other gateways since the endpoint's last report to this gateway
 	Utilization     float64 // 1 + percent of the plan's nominal rate, so that 0 means not reported
 }
 
-// AttemptEnded takes an attempt's outcome: it is accounted, fed into latency, pace and outlier detection, and the request goes on.
+// AttemptEnded reports the outcome of an attempt. It releases the attempt's slot, updates latency, pace and outlier detection, and
+// then completes the request, retries it or gives it up.
 func (s *Scheduler) AttemptEnded(attempt *Attempt, result AttemptResult) {
 	now, r, e := s.runtime.Now(), attempt.Request, attempt.Endpoint
 	result.Duration = s.suspensions.runningTime(attempt.sentAt, attempt.sentAt+result.Duration)
@@ -107,7 +108,7 @@
 	}
 }
 
-// account releases the places that an attempt held.
+// account releases the slot that an attempt occupied.
 func (s *Scheduler) account(attempt *Attempt, outcome Outcome, now time.Duration) {
 	r, e := attempt.Request, attempt.Endpoint
 	attempt.ended = true
@@ -119,10 +120,10 @@
 	s.startOrderingCooldown(r, outcome, now)
 }
 
-// observe feeds an outcome into what is known of the endpoint. Only work done feeds latency: failures that come fast would widen
-// the limit of an endpoint that breaks down.
+// observe updates the endpoint's measurements with an outcome. Failures don't count as latency samples: fast ones would widen the
+// limit of an endpoint that breaks down.
 func (s *Scheduler) observe(attempt *Attempt, result AttemptResult, now time.Duration) {
-	if attempt.presumedLost && !s.sharedHealthChecks { // the later attempt that showed the loss has fed them already
+	if attempt.presumedLost && !s.sharedHealthChecks { // already counted when the attempt was presumed lost
 		if attempt.served {
 			attempt.Request.Volume.served += attempt.Request.units
 		}
@@ -138,8 +139,8 @@
 	}
 }
 
-// How fast the figures of a request class follow its answers. Work follows the quickest answers, which met nothing before them:
-// it falls twenty times faster than it rises.
+// Gains of the moving averages of a request class. The service time follows the fastest responses, which did not wait behind others
+// at the endpoint, so it falls twenty times faster than it rises.
 const (
 	serviceTimeGainDown = 0.1
 	serviceTimeGainUp   = 0.005
@@ -161,8 +162,8 @@
 	r.class.responseTimePerUnit += responseTimeGain * (duration.Seconds()/r.units - r.class.responseTimePerUnit)
 }
 
-// observeNoResponse: the endpoint may still hold the request, so its age counts as a latency sample; without it the limit of an
-// endpoint that hangs would stay wide.
+// observeNoResponse records an attempt that ended without a response. The endpoint may still be processing it, so its age counts as
+// a latency sample; otherwise an endpoint that hangs would keep a wide limit.
 func (s *Scheduler) observeNoResponse(attempt *Attempt, duration, now time.Duration) {
 	e := attempt.Endpoint
 	e.addLatencySample(duration)
@@ -175,12 +176,12 @@
 	}
 }
 
-// serviceTime is the time that the request's own work takes at an endpoint with nothing before it.
+// serviceTime returns the estimated time that the request takes at an idle endpoint.
 func (r *Request) serviceTime() time.Duration {
 	return time.Duration(r.class.serviceTimePerUnit * r.units * float64(time.Second))
 }
 
-// continueRequest ends a request or queues it for a retry after one of its attempts has ended.
+// continueRequest ends a request, or queues it for a retry, after one of its attempts has ended.
 func (s *Scheduler) continueRequest(r *Request, over bool, now time.Duration) {
 	switch {
 	case r.finished:
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// The concurrency limit: each endpoint has a limit on attempts in flight that all gateways estimate alike from latency, and each
-// gateway has its share of it. While latency stays under the congestion threshold a limit that is used widens, above it it
-// narrows. The share follows what the volumes of this gateway are entitled to there.
+// Concurrency limit: each endpoint has a limit on the attempts in flight from all gateways. Every gateway estimates this limit from
+// latency, independently but by the same rule, and uses its own share of it. The limit widens while it is used and latency stays
+// under the congestion threshold; it narrows while latency is above the threshold. The share follows the entitlements of this
+// gateway's volumes at the endpoint.
 
 const (
-	// initialFleetLimit is the limit of all gateways at an endpoint about which nothing is known.
+	// initialFleetLimit is the limit for all gateways together at an endpoint without measurements, in attempts in flight.
 	initialFleetLimit = 8.0
-	// maxLimit bounds the limit, for all gateways together and for one.
+	// maxLimit bounds both the limit for all gateways together and that for one gateway, in attempts in flight.
 	maxLimit = 32
-	// limitGain is how much of the way to its new value a limit moves in one step.
+	// limitGain is the weight of the new value when the limit is updated; the old value has the rest.
 	limitGain = 0.5
-	// maxGrowth is the most that a limit grows in one step.
+	// maxGrowth bounds the relative growth of a limit in one update.
 	maxGrowth = 0.25
-	// limitPeriods is how many congestion thresholds lie between two steps of a limit.
+	// limitPeriods is the interval between two updates of a limit, in congestion thresholds.
 	limitPeriods = 2
-	// latencyGain is how fast the smoothed latency follows an answer.
+	// latencyGain is the weight of a new sample in the smoothed latency.
 	latencyGain = 0.1
-	// idleLatencyDecay is the part of the way back to the threshold that the smoothed latency goes in a step without answers.
+	// idleLatencyDecay divides the distance from the smoothed latency to the congestion threshold; an update without samples moves
+	// the smoothed latency by the quotient.
 	idleLatencyDecay = 8
 )
 
-// concurrency is the limit of one endpoint as this gateway knows it.
+// concurrency is the concurrency limit of one endpoint as estimated by this gateway.
 type concurrency struct {
-	fleetLimit     float64 // attempts in flight from all gateways: the paper's Q
-	limitShare     float64 // of this gateway, 0 to 1
-	limit          int     // attempts in flight from this gateway, at least 1
+	fleetLimit     float64 // limit on attempts in flight from all gateways: the paper's Q
+	limitShare     float64 // this gateway's share of fleetLimit, 0 to 1
+	limit          int     // limit on attempts in flight from this gateway, at least 1
 	limitUpdatedAt time.Duration
-	limitReached   bool // since the last step
+	limitReached   bool // the limit was reached since its last update
 
 	smoothedLatency time.Duration
-	latencySum      time.Duration // of the samples since the last step
+	latencySum      time.Duration // sum of the samples since the last update of the limit
 	latencySamples  int
 }
 
@@ -55,16 +57,16 @@
 	c.smoothedLatency += time.Duration(latencyGain * float64(latency-c.smoothedLatency))
 }
 
-// updateLimit moves an endpoint's limit by the latency since the last step. Attempts in flight for longer than the threshold count
-// with their age, or an endpoint that hangs would keep its limit.
+// updateLimit updates an endpoint's limit from the latency since the last update. Attempts in flight for longer than the threshold
+// count with their age; otherwise an endpoint that hangs would keep its limit.
 func (s *Scheduler) updateLimit(e *Endpoint, now time.Duration) {
 	s.sampleInFlight(e, now)
-	if e.latencySamples == 0 { // an endpoint that gets nothing is not slow for ever
+	if e.latencySamples == 0 { // an endpoint without traffic must not stay marked as slow
 		e.smoothedLatency += (s.congestionThreshold - e.smoothedLatency) / idleLatencyDecay
 	} else {
 		mean := e.latencySum.Seconds() / float64(e.latencySamples)
 		ratio := math.Min(s.congestionThreshold.Seconds()/mean, 1+maxGrowth/limitGain)
-		if ratio < 1 || e.limitReached { // low latency at an idle endpoint says nothing of a wider limit
+		if ratio < 1 || e.limitReached { // low latency below the limit does not justify a wider one
 			updated := (1-limitGain)*e.fleetLimit + limitGain*ratio*e.fleetLimit
 			e.fleetLimit = math.Min(math.Max(updated, 1), maxLimit)
 		}
@@ -75,8 +77,8 @@
 	e.limitReached = e.inFlight >= e.limit
 }
 
-// sampleInFlight takes the age of attempts in flight for long as latency samples. Overdue ones lead to a health check where
-// gateways share them, and open the send interval elsewhere.
+// sampleInFlight counts the age of attempts in flight for longer than the congestion threshold as latency samples. These attempts
+// lengthen the send interval; where gateways share health checks, overdue ones trigger a health check instead.
 func (s *Scheduler) sampleInFlight(e *Endpoint, now time.Duration) {
 	for _, attempt := range e.attempts {
 		age := s.suspensions.runningTime(attempt.sentAt, now)
@@ -92,9 +94,10 @@
 	}
 }
 
-// splitLimit sets this gateway's share of an endpoint's limit by the paper's divvy: each volume's claim lies between its
-// reservation and its demand, by weight; the share is what this gateway's demand gets of all. It is an equal part at least: a
-// gateway whose demand has just begun has measured none yet. The shares' sum may be above 1 meanwhile.
+// splitLimit sets this gateway's share of an endpoint's limit by the paper's divvy. Each volume claims between its reservation and
+// its demand, by weight; this gateway's share is the part of the grants that belongs to its own demand. The share is at least an
+// equal part, because a gateway whose demand has just begun has not measured any yet. Until it has, the shares of all gateways may
+// add up to more than 1.
 func (s *Scheduler) splitLimit(e *Endpoint) {
 	queues := s.shardOf(e.shard).queues
 	claims := make([]claim, len(queues))
@@ -113,7 +116,8 @@
 	e.limit = limitOf(e.fleetLimit, e.limitShare)
 }
 
-// limitOf is a gateway's share of a limit in whole attempts: one at least, or a gateway could never learn that an endpoint is well.
+// limitOf returns a gateway's share of a limit in whole attempts, at least one: without any attempt a gateway could not detect that
+// an endpoint has recovered.
 func limitOf(fleetLimit, share float64) int {
 	return int(math.Min(math.Max(math.Round(fleetLimit*share), 1), maxLimit))
 }
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Demand: by Little's law a volume's demand at a shard is the mean number of units outstanding over a period, waiting here
-// included, over the congestion threshold: units a second. What other gateways demand is taken from load reports; before the
-// first one they are taken to use the plan's nominal rate.
+// Demand: by Little's law, a volume's demand at a shard is the mean number of units outstanding over a demand period, including
+// those waiting in this gateway, divided by the congestion threshold, in units per second. The demand through other gateways comes
+// from load reports; before the first report this gateway assumes that the others use the plan's nominal rate.
 
 const (
-	// servedRateGain is how fast the served rate follows what was served in a period.
+	// servedRateGain is the weight of the last demand period in the smoothed served rate.
 	servedRateGain = 0.5
-	// idleDemand is a queue's least demand where demand elsewhere is spread over a volume's queues.
+	// idleDemand is the minimum demand of a queue when the demand through other gateways is divided among a volume's queues, in
+	// units per second.
 	idleDemand = 0.01
 )
 
-// measureDemand sets a volume's demand, and its part of the reservation by the demand of this gateway against the others'.
+// measureDemand updates the demand of a volume and divides its reservation between this gateway and the others by their demand.
 func (s *Scheduler) measureDemand(v *Volume, now time.Duration) {
 	v.servedRate += servedRateGain * (v.served/demandPeriod.Seconds() - v.servedRate)
 	v.served = 0
@@ -36,7 +37,8 @@
 	v.reservation = divvy(v.plan.Reservation, claims)[0].granted
 }
 
-// estimateElsewhere sets the demand of the other gateways for a queue; here is that of this gateway over all the volume's queues.
+// estimateElsewhere estimates the demand of a queue through other gateways; here is the demand through this gateway over all queues
+// of the volume.
 func (q *volumeQueue) estimateElsewhere(here float64) {
 	v := q.volume
 	queues := float64(len(v.queues))
@@ -50,8 +52,8 @@
 	}
 }
 
-// applyLoadReport takes what an answer says of the volume's use through other gateways. With few requests of a volume a report
-// covers a long time: the rate is over the time since the last one.
+// applyLoadReport updates the use of a volume through other gateways from a load report. A volume with few requests gets reports at
+// long intervals, so the rate is averaged over the time since the last one.
 func (s *Scheduler) applyLoadReport(r *Request, load LoadReport, now time.Duration) {
 	v, queue := r.Volume, r.queue
 	if load.Utilization > 0 {
--- a/policy/divvy.go
+++ b/policy/divvy.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// The paper's divvy: an amount is split among claims by weight, each between its minimum and its maximum. Where all demand is met
-// what is left is split by weight, too.
+// Divvy, as in the paper: an amount is divided among claims by weight, each between its minimum and its maximum. If the amount
+// exceeds the sum of all maximums, the remainder is divided by weight, too.
 
-// claim is one part of a divvy.
+// claim is one party in a divvy.
 type claim struct {
 	minimum float64
 	maximum float64
 	weight  float64
-	granted float64 // the result
+	granted float64 // amount granted by divvy
 }
 
 const (
-	// divvySteps halve the interval in which the level of equal shares lies.
+	// divvySteps is the number of bisection steps that find the common level of all claims.
 	divvySteps = 40
-	// minVolumeWeight keeps weights away from zero.
+	// minVolumeWeight is the minimum weight of a volume; a weight of zero would divide by zero.
 	minVolumeWeight = 0.01
-	// tiny keeps divisors away from zero.
+	// epsilon is the minimum divisor where a divisor may be zero.
 	epsilon = 1e-9
 )
 
@@ -42,7 +42,7 @@
 	return claims
 }
 
-// fairLevel finds the amount for each unit of weight at which the claims together take the whole amount.
+// fairLevel finds the amount per unit of weight at which the grants add up to the whole amount.
 func fairLevel(amount float64, claims []claim) float64 {
 	low, high := 0.0, 0.0
 	for _, c := range claims {
@@ -62,7 +62,7 @@
 	return high
 }
 
-// at is what a claim takes at a level.
+// grantAt returns what a claim is granted at a level.
 func (c claim) grantAt(level float64) float64 {
 	return math.Min(math.Max(level*c.weight, c.minimum), c.maximum)
 }
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Ejection: where gateways share health checks, an endpoint that is overloaded is ejected for all of them, since a little from each
-// of many would keep it so. One gateway checks it for all until a check comes back soon; then the ejection ends, and each gateway
-// sends again at a rate that starts low and rises.
+// Ejection: where gateways share health checks, an overloaded endpoint is ejected by all of them, since few requests from each of
+// many gateways would keep it overloaded. One gateway checks its health for all. When a check returns quickly the ejection ends, and
+// each gateway resumes sending at a low rate that then rises.
 
-// ejectionPeriods is how long an ejection lasts unless it is renewed, in demand periods: a gateway that checks for all may be gone.
+// ejectionPeriods is the duration of an ejection, in demand periods. The checking gateway renews the ejection; it expires if that
+// gateway stops.
 const ejectionPeriods = 2
 
-// ejectionReason is why an endpoint was ejected, for the log.
+// ejectionReason is the reason for an ejection in the log.
 type ejectionReason string
 
 const (
@@ -17,7 +18,7 @@
 	lateHealthCheck ejectionReason = "its health check is late"
 )
 
-// ejectForAll ejects an endpoint at all gateways and checks it for them.
+// ejectForAll ejects an endpoint at all gateways and starts health checks for all of them.
 func (s *Scheduler) ejectForAll(e *Endpoint, reason ejectionReason, now time.Duration) {
 	if now >= e.ejectedUntil {
 		s.log("endpoint %s: ejected, %s, %d in flight", e.Name, reason, e.inFlight)
@@ -34,13 +35,14 @@
 	})
 }
 
-// eject keeps this gateway from an endpoint for a while.
+// eject stops this gateway from sending to an endpoint until the ejection ends or expires.
 func (s *Scheduler) eject(e *Endpoint, now time.Duration) {
 	e.ejectedUntil = now + ejectionPeriods*demandPeriod
 	e.smoothedLatency = max(e.smoothedLatency, s.shortestObjective)
 }
 
-// endEjection lets an endpoint have requests again, at first one for each gateway, each at a time of its own.
+// endEjection resumes sending to an endpoint, first with one request from each gateway, at random times so that these do not
+// arrive together.
 func (s *Scheduler) endEjection(e *Endpoint, now time.Duration) {
 	e.ejectedUntil = 0
 	e.checkedByThisGateway = false
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The endpoint list: which endpoints there are, which accept attempts and when they started. Draining has no exception: nothing
-// is sent to an endpoint that is listed as draining or removed. A removed endpoint is forgotten at the first list after nothing
-// is in flight there, since replacements have new names and a long run would keep them all.
+// The endpoint list contains the endpoints, whether each accepts attempts, and when each started. Draining is strict: nothing is
+// sent to an endpoint that is listed as draining or removed. A removed endpoint is deleted at the first list after its last attempt
+// has ended; replacements have new names, so without deletion the list would grow without bound.
 
-// Endpoint is one storage endpoint. Name is set by the gateway; the rest belongs to the scheduler.
+// Endpoint is one storage endpoint. The gateway sets Name; the scheduler owns the other fields.
 type Endpoint struct {
 	Name string
 
@@ -17,11 +17,11 @@
 	shard      int
 	startedAt  time.Duration // 0: long ago
 	accepting  bool          // listed as serving
-	listed     bool          // named by the last complete list
-	registered bool          // to the scheduler
+	listed     bool          // not removed by the endpoint list
+	registered bool          // added to Scheduler.endpoints
 
 	inFlight int
-	attempts []*Attempt // in flight
+	attempts []*Attempt // attempts in flight
 
 	concurrency
 	pace
@@ -34,13 +34,13 @@
 // EndpointUpdate is one entry of the endpoint list.
 type EndpointUpdate struct {
 	Zone      string
-	Shard     int           // of the data that the endpoint holds; taken when it is new, a change is ignored until it is removed
+	Shard     int           // shard of the endpoint's data; fixed when the endpoint is added, later changes are ignored until it is removed
 	Serving   bool          // false: draining or removed
 	Removed   bool          // no longer part of the fleet
-	StartedAt time.Duration // on the runtime's clock; 0: not known, long ago
+	StartedAt time.Duration // on the runtime's clock; 0: unknown, long ago
 }
 
-// BeginEndpointList opens a list. A complete one removes what it does not name.
+// BeginEndpointList starts a list. Endpoints that a complete list does not contain are removed.
 func (s *Scheduler) BeginEndpointList(complete bool) {
 	s.listFailures = 0
 	if !complete {
@@ -51,7 +51,7 @@
 	}
 }
 
-// UpdateEndpoint takes one entry of the list; it takes effect at once.
+// UpdateEndpoint applies one entry of the list at once.
 func (s *Scheduler) UpdateEndpoint(e *Endpoint, update EndpointUpdate) {
 	if !e.registered {
 		s.addEndpoint(e, update.Shard)
@@ -71,7 +71,7 @@
 	s.log("endpoint %s: %s, %d in flight", e.Name, state, e.inFlight)
 }
 
-// EndEndpointList closes a list: what it removed stops, and free places are filled.
+// EndEndpointList ends a list: it stops sending to endpoints that a complete list does not contain, and fills free slots.
 func (s *Scheduler) EndEndpointList() {
 	for _, e := range slices.Clone(s.endpoints) {
 		if !e.listed && e.accepting {
@@ -88,8 +88,8 @@
 // maxBackoffDoublings bounds the backoff after failed polls to 8 demand periods.
 const maxBackoffDoublings = 3
 
-// EndpointListFailed notes that a poll or a watch failed. The next poll follows after a backoff with jitter, since all gateways
-// see a failure of discovery at the same moment.
+// EndpointListFailed reports that a poll or a watch failed. The next poll follows after a backoff with jitter, since all gateways
+// see an outage of the discovery service at the same time.
 func (s *Scheduler) EndpointListFailed() {
 	s.listFailures++
 	wait := min(demandPeriod<<min(s.listFailures, maxBackoffDoublings), s.settings.MaxListAge/2)
@@ -114,8 +114,9 @@
 	at.endpoints = without(at.endpoints, e)
 }
 
-// updateStartTime notes when an endpoint started. A later start begins a new life: failures, ejection and send interval of the old one are
-// dropped; its limit and latency stay, as the best guess there is. An earlier one puts right a start that was taken for a fresh one until more was known.
+// updateStartTime records when an endpoint started. A later time means a restart: the endpoint's failures, ejection and send
+// interval are reset, while its limit and latency stay as the best available estimates. An earlier time corrects an endpoint that
+// was assumed to have just started until its real start time was known.
 func (s *Scheduler) updateStartTime(e *Endpoint, startedAt time.Duration) {
 	switch {
 	case startedAt > e.startedAt:
@@ -131,7 +132,7 @@
 	}
 }
 
-// shardOf finds a shard, or makes it.
+// shardOf returns the shard with a number, and creates it if it does not exist.
 func (s *Scheduler) shardOf(number int) *shard {
 	if s.shards[number] == nil {
 		s.shards[number] = &shard{}
@@ -139,7 +140,7 @@
 	return s.shards[number]
 }
 
-// endpointsOf is the endpoints that may serve a shard; a negative number is data that any endpoint may take.
+// endpointsOf returns the endpoints that may serve a shard; a negative number means that any endpoint may.
 func (s *Scheduler) endpointsOf(shardNumber int) []*Endpoint {
 	if shardNumber < 0 {
 		return s.endpoints
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// Fair queueing, after mClock: each volume has a reservation tag, each of its queues a weight tag. A request whose reservation is
-// due goes first, the lowest tag before others; what is left goes by weight, the lowest tag first. Before tags comes urgency: what
-// can still meet its latency objective, then what can wait for it, then what will miss it.
+// Fair queueing, after mClock: each volume has a reservation tag, each of its queues a weight tag. Requests under a due reservation
+// go first, lowest reservation tag first; the others share the remaining capacity by weight, lowest weight tag first. Urgency takes
+// precedence over both tags: first requests that must go now to meet their latency objective, then those that meet it even if
+// they wait, then those that will miss it.
 
-// urgency orders requests before any tag does.
+// urgency orders requests before their tags are compared.
 type urgency int
 
 const (
-	// urgent requests must go now to meet their latency objective.
+	// urgent requests must be sent now to meet their latency objective.
 	urgent urgency = iota
-	// deferrable requests meet it even if they wait for deferrableObjectives of the shortest objective.
+	// deferrable requests have more time left than deferrableObjectives times the shortest latency objective.
 	deferrable
-	// objectiveMissed: the answer will be late, whatever is done.
+	// objectiveMissed requests will miss their latency objective even if they are sent now.
 	objectiveMissed
 )
 
-// deferrableObjectives is how many of the shortest latency objectives a deferrable request can wait.
+// deferrableObjectives is the time left, in shortest latency objectives, above which a request is deferrable.
 const deferrableObjectives = 2
 
-// candidate is the request of one queue that may go next to an endpoint.
+// candidate is the request of one queue that may be sent next to an endpoint.
 type candidate struct {
 	request *Request
 	urgency urgency
-	due     bool    // under its volume's reservation
-	tag     float64 // reservation tag in seconds where due, else weight tag
+	due     bool    // covered by a due reservation of its volume
+	tag     float64 // reservation tag in seconds if due, else weight tag
 }
 
-// before tells whether a candidate goes before another one.
+// before reports whether a candidate precedes another one.
 func (c candidate) before(other candidate) bool {
 	if c.urgency != other.urgency {
 		return c.urgency < other.urgency
@@ -43,8 +44,8 @@
 	return c.tag < other.tag
 }
 
-// advanceTags moves the tags by which a request was chosen. A reservation that was not used for over a demand period is not made
-// up for, and a weight tag never lies behind the endpoint's virtual time.
+// advanceTags advances the tag by which a request was chosen. Credit from an unused reservation lasts for one demand period, and
+// a weight tag never falls behind the endpoint's virtual time.
 func (r *Request) advanceTags(e *Endpoint, due bool, now time.Duration) {
 	v, queue := r.Volume, r.queue
 	if due {
@@ -56,15 +57,15 @@
 	queue.weightTag += r.units / v.plan.Weight
 }
 
-// anyShard is the number of the queues whose requests any endpoint may take.
+// anyShard is the shard number of requests that any endpoint may serve.
 const anyShard = -1
 
-// nextFor chooses the request that goes next to an endpoint, among the queues of its shard and those for any endpoint.
+// nextFor chooses the next request for an endpoint, among the queues of its shard and those for any endpoint.
 func (s *Scheduler) nextFor(e *Endpoint, now time.Duration) (best candidate, found bool) {
 	allowance := s.slowStartAllowance(e, now)
 	for _, shardNumber := range [2]int{e.shard, anyShard} {
 		sinceSent := now - e.lastSentAt
-		if shardNumber == anyShard { // it must not take the turn of what only this endpoint can serve
+		if shardNumber == anyShard { // requests for any endpoint must not take the slots of those that only this endpoint can serve
 			sinceSent /= 2
 		}
 		for _, queue := range s.shardOf(shardNumber).queues {
@@ -77,7 +78,7 @@
 	return best, found
 }
 
-// candidateOf is the request of a queue that goes first to an endpoint, with its tag.
+// candidateOf returns the first eligible request of a queue for an endpoint, with its tag.
 func (s *Scheduler) candidateOf(queue *volumeQueue, e *Endpoint, now time.Duration, allowance float64) (candidate, bool) {
 	r, urgency := s.firstEligible(queue, e, now, allowance)
 	if r == nil {
@@ -92,8 +93,9 @@
 	return c, true
 }
 
-// firstEligible is the request of a queue that goes first to an endpoint: the most urgent one, of these the one whose units are worth most
-// for the time that they take, of these the one that came last, which has the most time left. Requests that an allowance, idempotency, order or the retry budget hold back are passed over.
+// firstEligible chooses the request of a queue that is sent first to an endpoint: the most urgent one; among equally urgent ones the
+// one with the highest value per unit of response time; among these the latest arrival, which has the most time left. It skips
+// requests delayed by an allowance, idempotency, ordering or retry limits.
 func (s *Scheduler) firstEligible(queue *volumeQueue, e *Endpoint, now time.Duration, allowance float64) (best *Request, bestUrgency urgency) {
 	bestValue, volumeAllowance := 0.0, queue.volume.allowance(now)
 	for _, r := range queue.waiting {
@@ -109,7 +111,7 @@
 	return best, bestUrgency
 }
 
-// rank is what a unit of the request is worth for the time that units of its class take, and how urgent the request is.
+// rank returns the value of a unit of the request relative to the response time per unit of its class, and the request's urgency.
 func (s *Scheduler) rank(r *Request, e *Endpoint, now time.Duration) (value float64, u urgency) {
 	value = r.class.PriorityWeight / r.class.responseTimePerUnit
 	switch {
--- a/policy/giveup.go
+++ b/policy/giveup.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Why a request was given up: the rule that ended it, and what held it back until then. Logs and metrics show both; nothing is
-// decided by them.
+// Reasons for giving up a request: the rule that ended it, and the condition that kept it from being sent until then. They appear
+// in logs and metrics only; no decision depends on them.
 
-// GiveUp says why a request ended without the answer that it asked for.
+// GiveUp describes why a request ended without the response that the client requested.
 type GiveUp struct {
 	Cause GiveUpCause
 	Hold  Hold
@@ -17,43 +17,43 @@
 // GiveUpCause is the rule that ended a request.
 type GiveUpCause string
 
-// The causes.
+// Causes of giving up.
 const (
-	NotSentInTime   GiveUpCause = "not-sent-in-time"  // no attempt by its latency objective, or by half of its time
-	DeadlinePassed  GiveUpCause = "deadline-passed"   // no answer by its deadline
-	CannotBeInTime  GiveUpCause = "cannot-be-in-time" // by the latency that its endpoints show
-	NoRetryPossible GiveUpCause = "no-retry-possible" // no attempt, no time or no endpoint is left after a failed attempt
+	NotSentInTime   GiveUpCause = "not-sent-in-time"  // no attempt by its latency objective, or by half of the time to its deadline
+	DeadlinePassed  GiveUpCause = "deadline-passed"   // no response by its deadline
+	CannotBeInTime  GiveUpCause = "cannot-be-in-time" // the latency of its endpoints makes a response in time impossible
+	NoRetryPossible GiveUpCause = "no-retry-possible" // an attempt failed and no attempt, no time or no endpoint is left
 )
 
-// Hold is what kept a request from being sent, at the endpoint that came nearest to taking it.
+// Hold is the condition that kept a request from being sent at the endpoint that came closest to accepting it.
 type Hold string
 
-// The holds, in the order in which a request meets them.
+// Holds, in the order in which they are checked.
 const (
-	NoEndpoint       Hold = "no-endpoint"       // its shard has none
-	NotAccepting     Hold = "not-accepting"     // the endpoint drains or is removed
-	Ejected          Hold = "ejected"           // by all gateways
-	ConcurrencyLimit Hold = "concurrency-limit" // this gateway's places are taken
-	SlowStart        Hold = "slow-start"        // the endpoint's budget is used
-	RateLimit        Hold = "rate-limit"        // the volume's is used
-	UnsafeNow        Hold = "unsafe-now"        // an attempt might have a wrong effect, or overtake another request
-	RetryLimit       Hold = "retry-limit"       // attempts or retry budget are used, or the endpoint has just failed
-	Pace             Hold = "pace"              // the interval since the last attempt is too short, or only what can be in time may go
-	InFlight         Hold = "in-flight"         // nothing: it was sent and has no answer yet
-	NotHeld          Hold = "none"              // nothing
+	NoEndpoint       Hold = "no-endpoint"       // the shard has no endpoint
+	NotAccepting     Hold = "not-accepting"     // the endpoint is draining or removed
+	Ejected          Hold = "ejected"           // the endpoint is ejected by all gateways
+	ConcurrencyLimit Hold = "concurrency-limit" // all slots of this gateway at the endpoint are in use
+	SlowStart        Hold = "slow-start"        // this gateway's slow-start budget of the endpoint is in use
+	RateLimit        Hold = "rate-limit"        // the volume's rate limit is exhausted
+	UnsafeNow        Hold = "unsafe-now"        // an attempt could have a wrong effect or overtake an earlier request
+	RetryLimit       Hold = "retry-limit"       // attempts or retry budget are exhausted, or the endpoint has just failed
+	Pace             Hold = "pace"              // the send interval has not passed, or is reserved for requests that can meet their latency objective
+	InFlight         Hold = "in-flight"         // no hold: the request was sent and has no response yet
+	NotHeld          Hold = "none"              // no hold
 )
 
-// holdOrder ranks the holds: a request that met a later one came nearer to being sent.
+// holdOrder ranks the holds: a request with a higher-ranked hold came closer to being sent.
 var holdOrder = map[Hold]int{NoEndpoint: 0, NotAccepting: 1, Ejected: 2, ConcurrencyLimit: 3, SlowStart: 4, RateLimit: 5,
 	UnsafeNow: 6, RetryLimit: 7, Pace: 8, NotHeld: 9}
 
-// maxExaminedEndpoints bounds the endpoints of a shard at which a hold is looked for.
+// maxExaminedEndpoints bounds the number of endpoints of a shard that are examined for holds.
 const maxExaminedEndpoints = 16
 
-// GiveUp is why the request was given up; its fields are empty if it was not.
+// GiveUp returns why the request was given up; its fields are empty if it was not.
 func (r *Request) GiveUp() GiveUp { return r.giveUp }
 
-// holdOf tells what keeps a request from being sent now.
+// holdOf returns the condition that keeps a request from being sent now.
 func (s *Scheduler) holdOf(r *Request, now time.Duration) Hold {
 	if r.inFlight > 0 {
 		return InFlight
@@ -68,7 +68,7 @@
 	return nearest
 }
 
-// holdAtEndpoint tells what keeps a request from being sent to one endpoint now.
+// holdAtEndpoint returns the condition that keeps a request from being sent to one endpoint now.
 func (s *Scheduler) holdAtEndpoint(r *Request, e *Endpoint, now time.Duration) Hold {
 	_, urgency := s.rank(r, e, now)
 	switch {
@@ -92,7 +92,7 @@
 	return NotHeld
 }
 
-// allowanceAt is what allowance would return, without filling the bucket: filling it in more steps rounds otherwise.
+// allowanceAt returns what allowance would return, without refilling the bucket: refilling it in more steps would round differently.
 func (v *Volume) allowanceAt(now time.Duration) float64 {
 	if v.plan.Limit <= 0 {
 		return math.Inf(1)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -1,7 +1,7 @@
 package policy
 
-// Gossip between gateways: one letter and the endpoint's name. A lost message costs little: an ejection is renewed while it lasts
-// and ends by itself.
+// Gossip between gateways. A message is one letter for its kind, then the endpoint's name. Losing a message does little harm: an
+// ejection is renewed while it lasts and expires by itself.
 const (
 	gossipEjected   = 's'
 	gossipRecovered = 'f'
@@ -11,8 +11,8 @@
 	s.runtime.SendGossip(append([]byte{kind}, e.Name...))
 }
 
-// GossipReceived takes what another gateway found at an endpoint. Of two that check one endpoint the one with the lower number
-// goes on. A message of another form is ignored.
+// GossipReceived applies another gateway's finding about an endpoint. If two gateways check the same endpoint, the one with the
+// lower ordinal continues. Messages of unknown kinds or about unknown endpoints are ignored.
 func (s *Scheduler) GossipReceived(sender int, message []byte) {
 	if len(message) == 0 {
 		return
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Active health checks tell whether an endpoint that left an attempt unanswered is slow, or only that answer was lost. They are
-// sent only where settings allow them and gossip, so that one gateway's check serves all.
+// Active health checks distinguish a slow endpoint from a lost response after an attempt without one. They are sent only where the
+// settings allow both health checks and gossip, so that one gateway's check serves all gateways.
 
-// quickResponse: an answer or a health check within so many congestion thresholds shows an endpoint that is well.
+// quickResponse is the latency up to which a response or a health check proves an endpoint healthy, in congestion thresholds.
 const quickResponse = 2
 
 // checkHealth sends a health check, unless one is in flight.
@@ -17,7 +17,7 @@
 	}
 }
 
-// HealthChecked takes the outcome of a health check.
+// HealthChecked reports the outcome of a health check.
 func (s *Scheduler) HealthChecked(e *Endpoint, outcome Outcome, duration time.Duration) {
 	now := s.runtime.Now()
 	e.checkInFlight = false
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Idempotency: no request may have its effect twice. An attempt that may have run allows another one only where the class says
-// that a repeat is harmless or known: by its idempotency key, for the class's window since the attempt was sent, at the endpoints
-// that share the memory of keys.
+// Idempotency: no request may take effect twice. After an attempt that may have run, another one is allowed only if repeats of the
+// class are harmless or are recognized by their idempotency key. The endpoints that share the storage of keys recognize a key for the
+// idempotency window of the class, counted from when the attempt was sent.
 
-// attemptAllowed tells whether an attempt of r at e, beginning now, keeps idempotency and order.
+// attemptAllowed reports whether an attempt of r at e that starts now keeps idempotency and order.
 func (s *Scheduler) attemptAllowed(r *Request, e *Endpoint, now time.Duration) bool {
 	if !r.orderAllows(now) {
 		return false
@@ -19,7 +19,7 @@
 	return true
 }
 
-// repeatIsSafe tells whether an endpoint would know a repeat of an earlier attempt that may have run.
+// repeatIsSafe reports whether a repeat at e of an earlier attempt that may have run is harmless or recognized.
 func (c *class) repeatIsSafe(earlier *Attempt, e *Endpoint, now time.Duration) bool {
 	switch c.Idempotency {
 	case Idempotent:
@@ -31,7 +31,7 @@
 	}
 }
 
-// sharesKeys tells whether one endpoint knows the idempotency keys that another has seen.
+// sharesKeys reports whether one endpoint recognizes the idempotency keys that another one has received.
 func (c *class) sharesKeys(one, other *Endpoint) bool {
 	switch c.IdempotencyScope {
 	case ScopeZone:
@@ -43,8 +43,8 @@
 	}
 }
 
-// startBy is until when the next attempt may begin, 0: any time. It is handed to the gateway with the attempt, since one that
-// waits for its connection could otherwise begin when its idempotency key is forgotten.
+// startBy returns the latest start of the next attempt, 0: no bound. The gateway enforces it, since an attempt that waits for a
+// connection could otherwise start after the endpoint has dropped the idempotency key.
 func (r *Request) startBy() (startBy time.Duration) {
 	if r.class.Idempotency != IdempotentByKey {
 		return 0
--- a/policy/lostanswer.go
+++ b/policy/lostanswer.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Lost answers: a connection that fell silent leaves an attempt in flight until its deadline. When an endpoint answers a later
-// request or a health check quickly, an attempt that is overdue there is presumed lost: it no longer occupies a place, and it is
-// canceled so that its request can be retried. Without a health check it is canceled only after half of its request's time: the
+// Lost responses: if a connection silently fails, its attempt stays in flight until the deadline. When an endpoint quickly answers a
+// later request or a health check, an attempt that is overdue there is presumed lost: it no longer occupies a slot, and it is
+// canceled so that its request can be retried. Without health checks it is canceled only after half of its request's time: the
 // endpoint may be slow for this request alone, and a retry would double its work.
 
 const (
-	// overdueThresholds and overdueServiceTimes: an attempt is overdue after so many congestion thresholds and so many times its own work.
+	// An attempt is overdue after overdueThresholds congestion thresholds plus overdueServiceTimes times its own service time.
 	overdueThresholds   = 2
 	overdueServiceTimes = 6
 )
 
-// overdue tells whether an attempt takes far longer than its own work, as of a time.
+// overdue reports whether an attempt has been in flight far longer than its service time, as of a given time.
 func (s *Scheduler) overdue(attempt *Attempt, asOf time.Duration) bool {
 	r := attempt.Request
 	serviceTime := time.Duration(overdueServiceTimes * r.class.serviceTimePerUnit * r.units * float64(time.Second))
 	return s.suspensions.runningTime(attempt.sentAt, asOf) > overdueThresholds*s.congestionThreshold+serviceTime
 }
 
-// presumeLost finds attempts that were overdue at an endpoint when something was sent there that was answered quickly.
+// presumeLost finds the attempts at an endpoint that were already overdue at quickSentAt, when a request or health check was sent
+// that was answered quickly.
 func (s *Scheduler) presumeLost(e *Endpoint, quickSentAt, now time.Duration) {
 	if !s.settings.CanCancel {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// shouldCancelLost tells whether an attempt that is presumed lost is canceled: only where a retry may follow.
+// shouldCancelLost reports whether an attempt that is presumed lost is canceled: only if a retry may follow.
 func (s *Scheduler) shouldCancelLost(attempt *Attempt, now time.Duration) bool {
 	r := attempt.Request
 	halfTimePassed := now-r.receivedAt >= r.deadline-now
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Ordering: requests of an ordered class that name one object run one at a time, in the order in which they arrived. After an
-// attempt that may still run the key rests for OrderingCooldown, so that what follows is not overtaken by it. The order holds
-// among the requests of this gateway; it can't know others'.
+// Ordering: requests of an ordered class for the same object run one at a time, in order of arrival. After an attempt that may still
+// run, its key has a cooldown of OrderingCooldown, so that this attempt can't overtake later requests. The order covers the requests
+// of this gateway only; other gateways' requests are unknown here.
 
-// orderingKey is the order of one object.
+// orderingKey is the queue of ordered requests for one object.
 type orderingKey struct {
 	waiting       []*Request // the first may run
 	cooldownUntil time.Duration
 }
 
-// joinOrderingQueue puts a request of an ordered class behind the others with its key.
+// joinOrderingQueue appends a request of an ordered class to the queue of its key.
 func (s *Scheduler) joinOrderingQueue(r *Request) {
 	if !r.class.Ordered || r.object == "" {
 		return
@@ -27,7 +27,7 @@
 	r.ordering.waiting = append(r.ordering.waiting, r)
 }
 
-// orderAllows tells whether a request may run as far as order goes. A retry need not wait for its own key's rest.
+// orderAllows reports whether order allows a request to run. A retry need not wait for the cooldown of its own key.
 func (r *Request) orderAllows(now time.Duration) bool {
 	key := r.ordering
 	if key == nil {
@@ -36,21 +36,21 @@
 	return key.waiting[0] == r && (now >= key.cooldownUntil || len(r.attempts) > 0)
 }
 
-// startOrderingCooldown lets the key rest after an outcome after which the request may still run.
+// startOrderingCooldown starts the cooldown of a key after an outcome that leaves the request possibly running.
 func (s *Scheduler) startOrderingCooldown(r *Request, outcome Outcome, now time.Duration) {
 	if r.ordering != nil && (outcome == TimedOut || outcome == ConnectionReset || outcome == Canceled) {
 		r.ordering.cooldownUntil = max(r.ordering.cooldownUntil, now+s.settings.OrderingCooldown)
 	}
 }
 
-// leaveOrderingQueue lets the next request of a key run, once this one is over and none of its attempts is in flight.
+// leaveOrderingQueue lets the next request of a key run, once this one is finished and has no attempt in flight.
 func (s *Scheduler) leaveOrderingQueue(r *Request) {
 	if r.ordering != nil && r.inFlight == 0 {
 		r.ordering.waiting = without(r.ordering.waiting, r)
 	}
 }
 
-// removeIdleOrderingKeys drops keys that nobody waits for.
+// removeIdleOrderingKeys deletes keys without waiting requests whose cooldown has passed.
 func (s *Scheduler) removeIdleOrderingKeys(now time.Duration) {
 	maps.DeleteFunc(s.orderingKeys, func(_ string, key *orderingKey) bool {
 		return len(key.waiting) == 0 && key.cooldownUntil <= now
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Outlier detection: an endpoint that rejects, can't be reached, resets connections or does not answer fails. After a failure
-// retries avoid it (retry.go) and its send interval opens (pacing.go); where gateways share health checks, one that rejects is
-// ejected for all of them (ejection.go).
+// Outlier detection: an endpoint fails if it rejects attempts, can't be reached, resets connections or does not respond. After a
+// failure, retries avoid the endpoint (retry.go) and its send interval lengthens (pacing.go). Where gateways share health checks, an
+// endpoint that rejects an attempt is ejected by all of them (ejection.go).
 
-// outlierState is what is held against one endpoint.
+// outlierState is the failure and health-check state of one endpoint.
 type outlierState struct {
 	consecutiveFailures  int
-	consecutiveResets    int // the same, a first connection reset included
+	consecutiveResets    int // rejections, failed connects and resets in a row, including a first reset
 	ejectedUntil         time.Duration
-	checkedByThisGateway bool // for all gateways
+	checkedByThisGateway bool // this gateway checks the endpoint's health for all gateways
 	checkInFlight        bool
 	checkSentAt          time.Duration
 }
 
 func (o *outlierState) markHealthy() { o.consecutiveFailures, o.consecutiveResets = 0, 0 }
 
-// observeFailure takes a rejection, a failed connect or a reset. The first reset in a row says nothing: one connection may break
-// anywhere on the way.
+// observeFailure records a rejection, a failed connect or a reset. A first reset in a row does not count as a failure: a single
+// connection may break anywhere on its path.
 func (s *Scheduler) observeFailure(attempt *Attempt, result AttemptResult, now time.Duration) {
 	e := attempt.Endpoint
 	e.consecutiveResets++
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// Pacing: a send rate below one request at a time. An endpoint's answers set the minimum interval between two attempts: slow ones
-// lengthen it, starting from this gateway's own rate, quick ones shorten it. This guards against overload by many gateways with one
-// place each at an endpoint, however few their requests, and against a full or dead endpoint that looks free since it fails fast. A
-// reservation that is due waits for a part of the interval only.
+// Pacing keeps the send rate to an endpoint below one request at a time. The latency of responses sets the minimum interval between
+// two attempts: slow responses lengthen it, starting from this gateway's own send rate, and quick ones shorten it. This prevents
+// overload by many gateways with one slot each at an endpoint, however few requests each of them has. It also limits the rate to a
+// full or dead endpoint that looks idle because its failures are fast. A due reservation waits for only a part of the interval.
 
 const (
-	// minPaceFactor and maxPaceFactor bound how far one outcome moves the interval.
+	// minPaceFactor and maxPaceFactor bound the factor by which one outcome changes the interval.
 	minPaceFactor = 0.125
 	maxPaceFactor = 3
-	// maxIntervalThresholds is the longest interval, in congestion thresholds for each gateway. One over it is the longest that an
-	// interval opens from, by this gateway's own rate, in the same unit.
+	// maxIntervalThresholds is the longest interval, in congestion thresholds per gateway. Its inverse, in the same unit, is the
+	// longest initial interval that is derived from this gateway's own send rate.
 	maxIntervalThresholds = 16
-	// minIntervalDivisor divides the congestion threshold into the shortest interval; a shorter one is none.
+	// minIntervalDivisor divides the congestion threshold into the interval at or below which pacing is off.
 	minIntervalDivisor = 4
-	// dueIntervalDivisor divides the interval into what a due reservation waits for.
+	// dueIntervalDivisor divides the interval into the part for which a due reservation waits.
 	dueIntervalDivisor = 4
 	// meanIntervalDivisor is the inverse of a new sample's weight in the mean interval.
 	meanIntervalDivisor = 4
-	// meanSampleCap is the most that one sample counts in the mean interval, in demand periods.
+	// meanSampleCap bounds one sample of the mean interval, in demand periods.
 	meanSampleCap = 4
-	// unboundedDuration stands for the duration of an attempt that never ended: it opens the interval as far as one outcome can.
+	// unboundedDuration is the assumed duration of a failed attempt: it lengthens the interval by the largest factor.
 	unboundedDuration = maxDuration / 4
 )
 
-// pace is what is known of the rate at which an endpoint takes attempts from this gateway.
+// pace is the rate at which this gateway sends to one endpoint.
 type pace struct {
-	minSendInterval   time.Duration // 0: none
+	minSendInterval   time.Duration // minimum interval between two attempts; 0: none
 	intervalChangedAt time.Duration
 	lastSentAt        time.Duration
 	meanSendInterval  time.Duration
 }
 
-// updatePace moves the interval by how long an attempt took against the congestion threshold. An outcome of an attempt that was
-// sent before the last change may open the interval, but not close it.
+// updatePace changes the interval by the ratio of an attempt's duration to the congestion threshold. The outcome of an attempt that
+// was sent before the last change may lengthen the interval, but not shorten it.
 func (s *Scheduler) updatePace(attempt *Attempt, took, now time.Duration) {
 	e := attempt.Endpoint
 	factor := math.Min(math.Max(took.Seconds()/s.congestionThreshold.Seconds(), minPaceFactor), maxPaceFactor)
@@ -54,15 +54,15 @@
 	}
 }
 
-// baseInterval is the interval that an outcome starts from: the one in force, or one from this gateway's own rate.
+// baseInterval returns the interval from which pacing adjusts: the current one, or one derived from this gateway's own send rate.
 func (s *Scheduler) baseInterval(e *Endpoint) time.Duration {
 	fromOwnRate := min(e.meanSendInterval, s.congestionThreshold*time.Duration(s.gateways)/maxIntervalThresholds)
 	return max(e.minSendInterval, fromOwnRate, s.congestionThreshold/minIntervalDivisor)
 }
 
-// paceAllows tells whether a candidate may go, so long after the last attempt.
+// paceAllows reports whether a candidate may be sent, given the time since the last attempt.
 func (e *Endpoint) paceAllows(sinceSent time.Duration, c candidate) bool {
-	if c.urgency == objectiveMissed && e.minSendInterval > 0 { // a turn is for what can be in time
+	if c.urgency == objectiveMissed && e.minSendInterval > 0 { // a paced endpoint serves only requests that can meet their latency objective
 		return false
 	}
 	if sinceSent >= e.minSendInterval {
@@ -71,7 +71,7 @@
 	return c.due && sinceSent >= e.minSendInterval/dueIntervalDivisor && e.consecutiveFailures == 0
 }
 
-// recordSent takes an attempt that was sent into the mean interval.
+// recordSent updates the mean interval with an attempt sent now.
 func (p *pace) recordSent(now time.Duration) {
 	p.meanSendInterval += (min(now-p.lastSentAt, meanSampleCap*demandPeriod) - p.meanSendInterval) / meanIntervalDivisor
 	p.lastSentAt = now
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Rate limits: a volume's limit holds over all gateways together, at any time, restarts and membership changes included. Each
-// gateway has a token bucket with its part of the limit and fills it at its part of the rate; it can't know what others send.
+// Rate limits: a volume's limit holds over all gateways together at all times, including restarts and membership changes. Each
+// gateway has a token bucket with its part of the limit, since it does not know what the others send.
 
-// tokenBucket holds units that may be sent at once and fills at a rate.
+// tokenBucket is a token bucket; one token is one unit that may be sent.
 type tokenBucket struct {
-	tokens     float64 // units; below 0 after a request larger than what was there
-	rate       float64 // units a second
-	capacity   float64 // units
+	tokens     float64 // units; negative after a request larger than the tokens available
+	rate       float64 // units per second
+	capacity   float64 // maximum of tokens, in units
 	refilledAt time.Duration
 }
 
-// newTokenBucket is a volume's bucket at its first request. A gateway that restarts can't know what it spent before, so the bucket
-// holds only its part of the plan's initial burst: gateways that are killed in a surge would otherwise spend the burst twice.
+// newTokenBucket returns the bucket of a volume at its first request. It holds only this gateway's part of the plan's initial burst:
+// a restarted gateway does not know what it sent before, and gateways killed during a surge would otherwise spend the burst twice.
 func newTokenBucket(plan *ServicePlan, gateways float64, now time.Duration) tokenBucket {
 	return tokenBucket{
 		tokens:     plan.InitialBurst / gateways,
@@ -27,15 +27,15 @@
 	}
 }
 
-// fill brings the bucket up to date and returns its level.
+// refill adds the tokens due since the last refill and returns the tokens available.
 func (b *tokenBucket) refill(now time.Duration) float64 {
 	b.tokens = min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.capacity)
 	b.refilledAt = now
 	return b.tokens
 }
 
-// resplit changes over how many gateways the limit is split. A part that shrinks loses what it holds in proportion; one that
-// grows fills at its rate, since another gateway may have spent what it gained.
+// rescale changes the number of gateways among which the limit is divided. If this gateway's part shrinks, its tokens shrink in
+// proportion; if the part grows, tokens accrue only at the new rate, since another gateway may have spent the difference already.
 func (b *tokenBucket) rescale(plan *ServicePlan, before, after float64, now time.Duration) {
 	b.refill(now)
 	b.tokens *= math.Min(1, before/after)
@@ -43,7 +43,7 @@
 	b.capacity = plan.Burst / after
 }
 
-// allowance is the units that a volume may send now.
+// allowance returns the units that a volume may send now.
 func (v *Volume) allowance(now time.Duration) float64 {
 	if v.plan.Limit > 0 {
 		return v.limit.refill(now)
@@ -51,7 +51,7 @@
 	return math.Inf(1)
 }
 
-// charge takes a request's units from its volume's limit, once: a retry is not charged again.
+// charge takes a request's units from its volume's limit once; retries are not charged again.
 func (r *Request) charge() {
 	if !r.charged && r.Volume.plan.Limit > 0 {
 		r.Volume.limit.tokens -= r.units
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The life of a request: received and queued; in flight as one or more attempts; perhaps streaming; over. Every transition
-// happens in a function of this file. A request that is over is never answered again; its attempts may still be in flight.
+// The life cycle of a request: queued; in flight as one or more attempts; possibly streaming; finished. All transitions are in this
+// file. A finished request is never answered again, but its attempts may still be in flight.
 
-// Request is one request that a client sent to this gateway. ID and Volume are set by the gateway before RequestReceived; the
-// rest belongs to the scheduler. A Request must not be reused.
+// Request is one request that a client sent to this gateway. The gateway sets ID and Volume before RequestReceived; the scheduler
+// owns the other fields. A Request must not be reused.
 type Request struct {
 	ID     int64
 	Volume *Volume
@@ -19,35 +19,35 @@
 	object             string
 	shard              int
 	receivedAt         time.Duration
-	firstReceivedAt    time.Duration // when the client first asked, this being a retry of its own
-	latencyObjectiveAt time.Duration // an answer after it is late
-	deadline           time.Duration // no answer may go out after it
+	firstReceivedAt    time.Duration // receipt of the client's first request, if this one is its retry
+	latencyObjectiveAt time.Duration // latest time of a response that meets the latency objective
+	deadline           time.Duration // latest time of any response
 	queue              *volumeQueue
 	fingerprint        retryFingerprint
-	ordering           *orderingKey // nil: runs in any order
-	attempts           []*Attempt   // all that were sent
-	inFlight           int          // of these, without an outcome
+	ordering           *orderingKey // nil: not ordered
+	attempts           []*Attempt   // all attempts sent
+	inFlight           int          // attempts without an outcome
 	queued             bool
-	streaming          bool // the answer has begun to reach the client
-	charged            bool // the volume's limit has paid for it
+	streaming          bool // the response has begun to reach the client
+	charged            bool // the units are deducted from the volume's limit
 	finished           bool
 	giveUp             GiveUp
 }
 
-// RequestArrival describes a request as it reached this gateway.
+// RequestArrival describes a request as received by this gateway.
 type RequestArrival struct {
 	Class    string
 	Plan     string
-	Object   string // ordering key, for classes whose requests run in order
-	Shard    int    // negative: any endpoint may serve it
-	Gateways int    // through which the volume is used; bound at the volume's first request
+	Object   string // ordering key, for ordered classes
+	Shard    int    // shard of the object; negative: any endpoint may serve the request
+	Gateways int    // number of gateways that serve the volume; used only for the volume's first request
 	Units    float64
 	Deadline time.Duration // on the runtime's clock
-	Retry    bool          // the client says that it asked before
+	Retry    bool          // the client marked the request as a retry
 }
 
-// RequestReceived takes on a request that is now owed one final answer. It fails, with nothing taken on, for a class or plan
-// that the settings don't have.
+// RequestReceived accepts a request, which then gets exactly one final response, unless its client disconnects. It returns an error,
+// and accepts nothing, if the settings lack the request's class or plan.
 func (s *Scheduler) RequestReceived(r *Request, arrival RequestArrival) error {
 	class, plan := s.classes[arrival.Class], s.plans[arrival.Plan]
 	if class == nil || plan == nil {
@@ -70,25 +70,25 @@
 	return nil
 }
 
-// UnknownNameError says that a request names a class or a service plan that the settings don't have.
+// UnknownNameError reports that a request names a class or a service plan that the settings lack.
 type UnknownNameError struct {
 	Class string
 	Plan  string
 }
 
-// Error names both in the settings' words, for whoever wrote them.
+// Error names both in the terms of the settings file.
 func (e *UnknownNameError) Error() string {
 	return fmt.Sprintf("unknown queue type %q or plan %q", e.Class, e.Plan)
 }
 
-// ResponseStarted notes that the answer of an attempt has begun to stream: from now on the request is between endpoint and
-// client, and its other attempts are canceled.
+// ResponseStarted reports that the response of an attempt has begun to stream to the client. It cancels the other attempts; from then
+// on only the endpoint and the client determine how the request ends.
 func (s *Scheduler) ResponseStarted(attempt *Attempt) {
 	attempt.Request.streaming = true
 	s.cancelAttempts(attempt.Request, attempt)
 }
 
-// ClientDisconnected ends a request whose client has gone; no answer is owed.
+// ClientDisconnected ends a request whose client has disconnected; no response is sent.
 func (s *Scheduler) ClientDisconnected(r *Request) {
 	if !r.finished {
 		s.recordGivenUp(r)
@@ -108,7 +108,7 @@
 	}
 }
 
-// finish ends a request, whatever its answer.
+// finish ends a request, with or without a response.
 func (s *Scheduler) finish(r *Request) {
 	s.dequeue(r)
 	r.finished = true
@@ -119,7 +119,7 @@
 	s.leaveOrderingQueue(r)
 }
 
-// cancelAttempts cancels what is in flight for a request, except one.
+// cancelAttempts cancels the attempts of a request that are in flight, except one.
 func (s *Scheduler) cancelAttempts(r *Request, except *Attempt) {
 	if !s.settings.CanCancel {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// retryFingerprint is what a client's retry has in common with its first request.
+// retryFingerprint identifies a client's retry: it consists of the properties that the retry shares with the first request.
 type retryFingerprint struct {
 	volume *Volume
 	class  *class
@@ -139,14 +139,14 @@
 	units  float64
 }
 
-// recordGivenUp keeps when a request that gets no good answer was first received, for the client's own retry.
+// recordGivenUp records when a request that ends without the requested response was first received, for matchClientRetry.
 func (s *Scheduler) recordGivenUp(r *Request) {
 	s.givenUp[r.fingerprint] = append(s.givenUp[r.fingerprint], r.firstReceivedAt)
 }
 
-// matchClientRetry is when the client first asked; a match is used up. Its retry of what this gateway gave up counts from there, so that it does not
-// go before what can still be in time: this guards against retry storms. Where clients don't mark retries, an equal new request
-// may be taken for one.
+// matchClientRetry returns when the client first sent this request. The retry of a request that this gateway gave up keeps the time
+// of the first one, so that it does not precede requests that can still meet their latency objective: this guards against retry
+// storms. Each record matches once. Where clients don't mark retries, a new request with equal properties may be taken for a retry.
 func (s *Scheduler) matchClientRetry(r *Request, markedRetry bool) time.Duration {
 	earlier := s.givenUp[r.fingerprint]
 	if len(earlier) == 0 || s.settings.ClientsMarkRetries && !markedRetry {
@@ -156,7 +156,7 @@
 	return earlier[0]
 }
 
-// removeExpiredGivenUp drops what no client can still retry.
+// removeExpiredGivenUp deletes records of requests that no client can still retry.
 func (s *Scheduler) removeExpiredGivenUp(now time.Duration) {
 	for fingerprint, received := range s.givenUp {
 		retention := fingerprint.class.Timeout + s.settings.MaxRetryAfter + demandPeriod
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// Retries: a request is attempted again only while none of its attempts is in flight, within the settings' attempts, at an
-// endpoint that does not fail just now, and within the retry budget. Whether a retry could have a wrong effect is decided by
-// idempotency.go.
+// Retries: a request is retried only while none of its attempts is in flight, within the maximum number of attempts, at an endpoint
+// without a recent failure, and within the retry budget. idempotency.go decides whether a retry could take effect twice.
 
-// retryAllowed tells whether the next attempt of r may go to e; a first attempt always may.
+// retryAllowed reports whether the retry limits allow the next attempt of r at e; they always allow a first attempt.
 func (s *Scheduler) retryAllowed(r *Request, e *Endpoint, now time.Duration) bool {
 	if len(r.attempts) == 0 {
 		return true
@@ -17,7 +16,7 @@
 	return r.inFlight == 0 && len(r.attempts) < s.settings.MaxAttempts && e.consecutiveFailures == 0 && s.retryBudget.allows(now)
 }
 
-// retryImpossible tells that no further attempt of r can be made: no time or no attempt is left, or no endpoint may run it.
+// retryImpossible reports that r can't be retried: no time or no attempt is left, or no endpoint may run it.
 func (s *Scheduler) retryImpossible(r *Request, now time.Duration) bool {
 	if now >= r.deadline-s.timerMargin || len(r.attempts) >= s.settings.MaxAttempts {
 		return true
@@ -26,15 +25,15 @@
 	return !slices.ContainsFunc(s.endpointsOf(r.shard), allowed)
 }
 
-// retryBudget bounds retries by the requests received, so that retries don't multiply the load when endpoints fail. Within a
-// sliding window there are at most free + ratio x requests of them.
+// retryBudget bounds retries relative to the requests received, so that retries don't multiply the load when endpoints fail. Within
+// a sliding window, the number of retries is at most free + ratio x the number of requests received.
 type retryBudget struct {
 	enabled  bool
 	free     float64
 	ratio    float64
 	window   time.Duration
-	requests []time.Duration // when they were received, oldest first
-	retries  []time.Duration // when they were sent, oldest first
+	requests []time.Duration // times of receipt, oldest first
+	retries  []time.Duration // times of sending, oldest first
 }
 
 func (b *retryBudget) requestReceived(now time.Duration) {
@@ -49,7 +48,8 @@
 	}
 }
 
-// allows tells whether one more retry is within the budget. A retry exactly one window old still counts, a request doesn't.
+// allows reports whether one more retry is within the budget. A retry exactly one window old still counts, a request of that age
+// does not.
 func (b *retryBudget) allows(now time.Duration) bool {
 	if !b.enabled {
 		return true
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// demandPeriod is how often demand is measured and capacity is divided among volumes and gateways.
+	// demandPeriod is the interval (taken from the paper) at which demand is measured and capacity is divided among volumes and gateways.
 	demandPeriod = time.Second
-	// congestionShare is the congestion threshold as a part of the shortest latency objective.
+	// congestionShare is the congestion threshold as a fraction of the shortest latency objective.
 	congestionShare = 0.25
-	// minCongestionThreshold keeps periods that derive from the threshold above the resolution of timers.
+	// minCongestionThreshold keeps periods that derive from the threshold above the timer resolution.
 	minCongestionThreshold = time.Millisecond
-	// sweepsPerThreshold is how many times within a congestion threshold queues are swept.
+	// sweepsPerThreshold is the number of sweeps per congestion threshold.
 	sweepsPerThreshold = 4
-	// never is longer than any wait.
+	// maxDuration is longer than any wait.
 	maxDuration = time.Duration(math.MaxInt64)
 )
 
-// Scheduler decides for one gateway. It is not safe for concurrent use: all calls, timers included, come from one goroutine.
+// Scheduler makes all decisions of one gateway. It is not safe for concurrent use: all calls, including timers, must come from one
+// goroutine.
 type Scheduler struct {
 	runtime  Runtime
 	settings Settings
 	rng      *rand.Rand
 
 	startedAt           time.Duration
-	gateways            float64       // that serve now, at least 1
-	congestionThreshold time.Duration // latency beyond which an endpoint is congested: the paper's Lc
-	shortestObjective   time.Duration // the shortest latency objective of all classes
-	timerMargin         time.Duration // how much sooner a deadline's timer is set
-	sharedHealthChecks  bool          // health checks and gossip are allowed: one gateway checks an outlier for all
+	gateways            float64       // number of gateways in service, at least 1
+	congestionThreshold time.Duration // latency above which an endpoint is congested: the paper's Lc
+	shortestObjective   time.Duration // shortest latency objective of all classes
+	timerMargin         time.Duration // how much earlier than its deadline a timer is set
+	sharedHealthChecks  bool          // health checks and gossip are allowed, so that one gateway checks an outlier for all
 	slowStart           slowStartBudget
 	retryBudget         retryBudget
 	suspensions         suspensionLog
@@ -43,24 +44,24 @@
 	endpoints    []*Endpoint
 	shards       map[int]*shard
 	orderingKeys map[string]*orderingKey
-	givenUp      map[retryFingerprint][]time.Duration // when requests that were given up were first received
-	listFailures int                                  // in a row
+	givenUp      map[retryFingerprint][]time.Duration // times at which requests that were given up were first received
+	listFailures int                                  // consecutive failures
 }
 
-// class is a request class with what its answers have shown.
+// class is a request class with measurements from its responses.
 type class struct {
 	RequestClass
-	responseTimePerUnit float64 // mean seconds that an answer takes for a unit
-	serviceTimePerUnit  float64 // the same where nothing was before it at the endpoint
+	responseTimePerUnit float64 // mean response time in seconds per unit
+	serviceTimePerUnit  float64 // response time at an idle endpoint, in seconds per unit
 }
 
-// shard holds what belongs together: the endpoints with its data and the queues for them.
+// shard holds the endpoints with a shard's data and the queues for them.
 type shard struct {
 	endpoints []*Endpoint
 	queues    []*volumeQueue
 }
 
-// New makes the scheduler of a gateway that knows nothing yet, and sets its first timers.
+// New creates the scheduler of a gateway, without any measurements, and starts its timers.
 func New(runtime Runtime, settings Settings) *Scheduler {
 	settings.TypicalUnits = math.Max(settings.TypicalUnits, 1)
 	s := &Scheduler{
@@ -116,16 +117,16 @@
 	s.scheduleSweep(s.runtime.Now())
 }
 
-// SetGateways says how many gateways serve, this one included, and over how many the slow-start budgets of endpoints are split:
-// every gateway that may still be sending counts there, also one that is not heard of. 0: this gateway has no share yet and sends
-// nothing to endpoints in slow start.
+// SetGateways sets the number of gateways in service, this one included, and the number of shares into which the slow-start budgets
+// of endpoints are divided. That number must include every gateway that may still be sending, even an unreachable one. With 0 shares
+// this gateway sends nothing to endpoints in slow start.
 func (s *Scheduler) SetGateways(serving, slowStartShares int) {
 	s.gateways = math.Max(1, float64(serving))
 	s.slowStart.split(slowStartShares)
 }
 
-// runDemandPeriod runs once in a demand period, the paper's: demand.go measures, then concurrency.go splits the limits anew. What
-// nobody can ask for any more is forgotten then, too.
+// runDemandPeriod runs once per demand period: it measures demand (demand.go), divides the limits (concurrency.go) and deletes
+// expired state.
 func (s *Scheduler) runDemandPeriod() {
 	now := s.runtime.Now()
 	for _, v := range s.volumes {
@@ -140,8 +141,8 @@
 	s.runtime.After(demandPeriod, s.runDemandPeriod)
 }
 
-// sweep runs sweepsPerThreshold times in a congestion threshold: concurrency.go moves limits, admission.go sheds what can't be
-// answered in time any more, and queues that waited for a pace, a rate limit or slow start are served.
+// sweep runs sweepsPerThreshold times per congestion threshold: it updates limits (concurrency.go), sheds requests that can't
+// complete in time (admission.go), and serves queues that were waiting for pace, a rate limit or slow start.
 func (s *Scheduler) sweep() {
 	now := s.runtime.Now()
 	s.suspensions.sweepStarted(now)
@@ -170,7 +171,7 @@
 
 func (s *Scheduler) log(format string, args ...any) { s.runtime.Log(fmt.Sprintf(format, args...)) }
 
-// without returns the list without its first element equal to x.
+// without removes the first element equal to x from the list, in place, and returns the list.
 func without[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// Endpoint selection: which endpoint gets the next request, and when one may be sent at all. An endpoint has a free place while it
-// accepts attempts, is not ejected and has fewer in flight than its limit. When a request comes, its queue is offered to the endpoints with a
-// free place, the one that is expected to answer soonest first; when a place becomes free, its endpoint takes the next request of
-// all queues that it serves (fairqueue.go).
+// Endpoint selection: an endpoint has a free slot while it accepts attempts, is not ejected and has fewer attempts in flight than its
+// limit. When a request arrives, its queue is offered to the endpoints with a free slot in order of expected latency. When a slot
+// becomes free, its endpoint takes the next request of all queues that it serves (fairqueue.go).
 
-// serveQueue offers a queue's requests to the endpoints with a free place, the one that is expected to answer soonest first.
+// serveQueue offers a queue's requests to the endpoints with a free slot, lowest expected latency first.
 func (s *Scheduler) serveQueue(queue *volumeQueue) {
 	free := slices.Clone(s.endpointsOf(queue.shard))
 	for len(queue.waiting) > 0 {
@@ -20,13 +19,13 @@
 			return
 		}
 		soonest := slices.MinFunc(free, func(a, b *Endpoint) int { return cmp.Compare(a.expectedLatency(), b.expectedLatency()) })
-		if !s.sendNext(soonest) { // held back by pace or slow start: another one may do
+		if !s.sendNext(soonest) { // nothing was eligible here, such as during slow start: try the other endpoints
 			free = without(free, soonest)
 		}
 	}
 }
 
-// fillEndpoint sends requests to an endpoint while it has free places and takes them.
+// fillEndpoint sends requests to an endpoint until it has no free slot or no request is eligible.
 func (s *Scheduler) fillEndpoint(e *Endpoint) {
 	for s.freeSlots(e) > 0 {
 		if !s.sendNext(e) {
@@ -35,12 +34,12 @@
 	}
 }
 
-// expectedLatency is when one more request would be answered, from now.
+// expectedLatency estimates the latency of one more request.
 func (e *Endpoint) expectedLatency() time.Duration {
 	return e.smoothedLatency * time.Duration(e.inFlight+1)
 }
 
-// freeSlots is how many more attempts an endpoint may have in flight from this gateway.
+// freeSlots returns how many more attempts this gateway may have in flight at an endpoint.
 func (s *Scheduler) freeSlots(e *Endpoint) int {
 	now := s.runtime.Now()
 	if !e.accepting || now < e.ejectedUntil {
@@ -55,12 +54,12 @@
 		allOverdue = allOverdue && s.overdue(attempt, now)
 	}
 	if s.settings.CanCancel && !s.sharedHealthChecks && allOverdue {
-		return max(free, 1) // without health checks one more request shows whether what is in flight was lost
+		return max(free, 1) // one more request shows whether the responses of the overdue attempts were lost
 	}
 	return free
 }
 
-// sendNext sends the next request to an endpoint with a free place; it tells whether there was one.
+// sendNext sends the next request to an endpoint with a free slot and reports whether it found one.
 func (s *Scheduler) sendNext(e *Endpoint) bool {
 	now := s.runtime.Now()
 	next, ok := s.nextFor(e, now)
@@ -78,7 +77,7 @@
 	return true
 }
 
-// send begins an attempt.
+// send starts an attempt.
 func (s *Scheduler) send(r *Request, e *Endpoint, now time.Duration) {
 	attempt := &Attempt{
 		Request:         r,
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Slow start: an endpoint that has just started breaks down when it is sent much more than it can do, by all gateways together,
-// within the overload window. Each gateway keeps what it has in flight there to its share of a budget that starts low and rises
-// as the endpoint warms up, or to a part of what the endpoint has served within the window, if that is more.
+// Slow start: a recently started endpoint breaks down if all gateways together send much more than its capacity within the overload
+// window. Each gateway therefore limits its units in flight there to its share of a budget that rises as the endpoint warms up, or
+// to a fraction of the units that the endpoint served within the window, whichever is more.
 
-// slowStartBudget is the budget by settings and the number of gateways.
+// slowStartBudget holds the parameters of the budget and this gateway's share.
 type slowStartBudget struct {
-	duration   time.Duration // from an endpoint's start until it is warm
-	window     time.Duration // in which overload counts
-	fleetUnits float64       // that an endpoint bears from all gateways right after its start
-	units      float64       // this gateway's share of them
-	growth     float64       // of the share over the duration: a warm endpoint bears 1+growth times as much
-	perServed  float64       // units in flight for each unit served within the window
+	duration   time.Duration // time from an endpoint's start until it is warm
+	window     time.Duration // sliding window in which overload counts
+	fleetUnits float64       // units that all gateways together may have in flight right after an endpoint's start
+	units      float64       // this gateway's share of fleetUnits
+	growth     float64       // relative growth of the share over duration: a warm endpoint takes 1+growth times as much
+	perServed  float64       // units in flight allowed per unit served within the window
 }
 
-// minSlowStartShare keeps growth finite where settings give no share.
+// minSlowStartShare keeps growth finite if the settings have no share.
 const minSlowStartShare = 0.01
 
 func newSlowStartBudget(settings Settings) slowStartBudget {
@@ -34,7 +34,7 @@
 	}
 }
 
-// split sets this gateway's share; with no share nothing goes to a warming endpoint.
+// split sets this gateway's share of the budget; with 0 shares it sends nothing to a warming endpoint.
 func (b *slowStartBudget) split(shares int) {
 	b.units = 0
 	if shares > 0 {
@@ -42,12 +42,12 @@
 	}
 }
 
-// warming tells whether an endpoint is in slow start.
+// warming reports whether an endpoint is in slow start.
 func (b *slowStartBudget) warming(e *Endpoint, now time.Duration) bool {
 	return e.startedAt > 0 && now-e.startedAt < b.duration
 }
 
-// slowStartAllowance is how many units an endpoint may still take from this gateway; without limit once it is warm.
+// slowStartAllowance returns the units that an endpoint may still take from this gateway; infinite once it is warm.
 func (s *Scheduler) slowStartAllowance(e *Endpoint, now time.Duration) float64 {
 	budget := &s.slowStart
 	if !budget.warming(e, now) {
@@ -58,13 +58,13 @@
 		return attempt.ended && attempt.sentAt <= now-budget.window
 	})
 	if e.startedAt <= s.startedAt && now < s.startedAt+budget.window {
-		return 0 // a gateway that has just started can't know what it sent before its start: its share may be in flight
+		return 0 // attempts from before the gateway's restart may still use its share of the budget
 	}
 	inFlight, served := 0.0, 0.0
 	for _, attempt := range e.slowStartAttempts {
 		if attempt.served {
 			served += attempt.Request.units
-		} else { // a failure is no proof that its work is done
+		} else { // a failed attempt may still be running
 			inFlight += attempt.Request.units
 		}
 	}
--- a/policy/suspension.go
+++ b/policy/suspension.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Suspension: an operating system may keep the whole process from running, for a moment or for seconds. What is measured across
-// such an interval says nothing of an endpoint: an answer that came at once is read when the process runs again. So the time in
-// which the process did not run counts neither as latency nor towards an attempt that is overdue. Deadlines and all other waits are
-// real time. The sweep, which is due often, shows a suspension by being late.
+// Suspension: the operating system may suspend the whole process, for a moment or for seconds. A response that arrives meanwhile is
+// read only after the process resumes, so the measured duration says nothing about the endpoint. The scheduler therefore subtracts
+// suspensions from latencies and from the age of overdue attempts. Deadlines and all other waits are in real time. A suspension is
+// detected by a sweep that starts late, since sweeps are frequent.
 
-// suspendedShare is how late a sweep has to be, as a part of the congestion threshold: what is shorter can't make a quick answer look
-// congested.
+// suspendedShare is the lateness of a sweep from which it counts as a suspension, as a fraction of the congestion threshold. A
+// shorter suspension can't make a quick response look congested.
 const suspendedShare = 0.5
 
-// maxSuspensions bounds those that are remembered, newest last.
+// maxSuspensions is the number of recent suspensions that are kept.
 const maxSuspensions = 32
 
 // suspension is an interval in which the process did not run.
 type suspension struct{ from, to time.Duration }
 
-// suspensionLog remembers the suspensions of the process.
+// suspensionLog records the recent suspensions of the process, newest last.
 type suspensionLog struct {
-	tolerance  time.Duration // by which a sweep may be late
+	tolerance  time.Duration // lateness up to which a sweep counts as on time
 	sweepDueAt time.Duration
 	recent     []suspension
 }
 
-// sweepStarted notes a suspension if the sweep that starts now is late.
+// sweepStarted records a suspension if the sweep that starts now is late.
 func (l *suspensionLog) sweepStarted(now time.Duration) {
 	if now-l.sweepDueAt <= l.tolerance {
 		return
@@ -35,7 +35,7 @@
 	l.recent = append(l.recent, suspension{l.sweepDueAt, now})
 }
 
-// running is how long the process ran between two times.
+// runningTime returns how long the process ran between two times.
 func (l *suspensionLog) runningTime(from, to time.Duration) time.Duration {
 	elapsed := to - from
 	for _, s := range l.recent {
--- a/policy/volume.go
+++ b/policy/volume.go
@@ -6,38 +6,38 @@
 )
 
 // Volume is one volume with its service plan, as this gateway knows it. Its zero value is ready for RequestReceived, which binds
-// it to the plan of its first request; the gateway makes one per volume.
+// it to the plan of its first request; the gateway creates one per volume.
 type Volume struct {
 	plan     *ServicePlan
-	gateways float64 // through which it is used
+	gateways float64 // number of gateways that serve the volume
 	queues   []*volumeQueue
 
-	demand      float64 // through all gateways, requests outstanding by Little's law
-	reservation float64 // this gateway's part, units a second
+	demand      float64 // demand through all gateways, in units per second, by Little's law
+	reservation float64 // this gateway's part of the reservation, in units per second
 	limit       tokenBucket
 
-	reservationTag time.Duration // mClock's: when the next request under the reservation is due
+	reservationTag time.Duration // mClock's reservation tag: when the next request under the reservation is due
 
-	served          float64 // units since the last demand period
-	servedRate      float64 // units a second, smoothed
-	reportedRate    float64 // through all gateways, from utilization
+	served          float64 // units served since the last demand period
+	servedRate      float64 // smoothed rate of units served, per second
+	reportedRate    float64 // units per second through all gateways, from reported utilization
 	hasReportedRate bool
 }
 
-// volumeQueue is the requests of one volume for one shard.
+// volumeQueue holds the requests of one volume for one shard.
 type volumeQueue struct {
 	volume  *Volume
 	shard   int
 	waiting []*Request
 
-	weightTag float64 // mClock's, in units over weight
+	weightTag float64 // mClock's weight tag, in units divided by weight
 
-	outstandingUnits float64 // waiting and in flight
-	unitSeconds      float64 // the same over time, since the last demand period
+	outstandingUnits float64 // units waiting and in flight
+	unitSeconds      float64 // integral of outstandingUnits over time since the last demand period
 	countedAt        time.Duration
 
-	demand          float64 // of this gateway
-	demandElsewhere float64 // of the other gateways, as far as known
+	demand          float64 // demand through this gateway, in units per second
+	demandElsewhere float64 // estimated demand through the other gateways, in units per second
 	reportedAt      time.Duration
 	hasReport       bool
 }
@@ -54,8 +54,8 @@
 	s.volumes = append(s.volumes, v)
 }
 
-// SetVolumeGateways says through how many gateways a volume is used from now on. Its limit is split anew so that all gateways
-// together stay within it meanwhile.
+// SetVolumeGateways sets the number of gateways that serve a volume. The volume's limit is divided anew, in such a way that all
+// gateways together stay within it during the change.
 func (s *Scheduler) SetVolumeGateways(v *Volume, gateways int) {
 	n := math.Max(1, float64(gateways))
 	if v.plan == nil || n == v.gateways {
@@ -65,7 +65,7 @@
 	v.gateways = n
 }
 
-// queueOf finds a volume's queue for a shard, or makes it.
+// queueOf returns a volume's queue for a shard, and creates it if it does not exist.
 func (s *Scheduler) queueOf(v *Volume, shardNumber int) *volumeQueue {
 	for _, queue := range v.queues {
 		if queue.shard == shardNumber {
@@ -80,7 +80,7 @@
 	return queue
 }
 
-// count adds units to what is outstanding and keeps its integral over time, so that time spent waiting here counts as demand.
+// countOutstanding adds units to the outstanding ones and updates their integral over time, so that waiting here counts as demand.
 func (q *volumeQueue) countOutstanding(now time.Duration, units float64) {
 	q.unitSeconds += q.outstandingUnits * (now - q.countedAt).Seconds()
 	q.countedAt = now
