--- a/policy/golden_driver_test.go
+++ b/policy/golden_driver_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// The golden driver plays a seeded day in virtual time: clients, storage endpoints with faults, list events, health
-// checks, gossip and restarts, all of our own making. It keeps a digest of every call that the scheduler makes, with its
-// time and its order. Log text is left out.
+// The golden driver simulates a seeded scenario in virtual time: clients, storage endpoints with faults, changes of the endpoint
+// list, health checks, gossip and restarts, all of it synthetic. It computes a digest of every call that the scheduler makes, with
+// its time and order, except for log lines.
 
 // goldenScenario is one row of the golden test.
 type goldenScenario struct {
@@ -26,7 +26,7 @@
 	digest      string
 }
 
-// load says what clients ask for and how often things happen beside the requests.
+// load describes the requests of the clients and how often other events occur.
 type load struct {
 	duration           time.Duration
 	requestsPerSecond  float64
@@ -34,25 +34,25 @@
 	shards             int
 	objects            int
 	anyShardShare      float64       // share of requests that any endpoint may serve
-	disconnectShare    float64       // share of clients that close early
-	streamedShare      float64       // share of answers that stream
-	clientRetryShare   float64       // share of rejected requests that come again
-	shortTimeoutShare  float64       // share of requests with a short time-out
-	correctsStartTimes bool          // endpoints come back after a while, with a new start
+	disconnectShare    float64       // share of clients that disconnect early
+	streamedShare      float64       // share of responses that are streamed
+	clientRetryShare   float64       // share of rejected requests that clients retry
+	shortTimeoutShare  float64       // share of requests with a short timeout
+	correctsStartTimes bool          // replaced endpoints get an earlier start time after a while
 	membershipChanges  bool          // the number of gateways changes
-	loadReports        bool          // answers tell the volume's use over all gateways
-	workers            int           // of each endpoint, where not two to four
-	idlePeriods        bool          // nobody asks for seven seconds of each ten
-	serviceTimePerUnit time.Duration // work of a unit; 0: 8 ms
-	unknownPlanShare   float64       // share of requests with a plan that nobody knows
+	loadReports        bool          // responses report the volume's use over all gateways
+	workers            int           // workers per endpoint; 0: two to four
+	idlePeriods        bool          // no requests for seven seconds of each ten
+	serviceTimePerUnit time.Duration // service time of a unit; 0: 8 ms
+	unknownPlanShare   float64       // share of requests with an unknown plan
 	startsWarming      bool          // all endpoints started shortly before this gateway
 }
 
-// fault is something wrong with a share of the endpoints for a while.
+// fault is a fault of a share of the endpoints for a limited time.
 type fault struct {
-	kind     faultKind
-	share    float64 // of the endpoints
-	from, to time.Duration
+	kind       faultKind
+	share      float64 // share of the endpoints that are affected
+	start, end time.Duration
 }
 
 type faultKind int
@@ -64,24 +64,24 @@
 	unreachable
 	resetting
 	returningErrors
-	losingResponses // some answers arrive late or never
+	losingResponses // some responses arrive late or never
 	draining
 	restarting
-	disappearing // taken off the list without a drain
+	disappearing // removed from the list without a drain
 	listDown
 )
 
-// storage is one storage endpoint as the driver plays it.
+// storageEndpoint is a simulated storage endpoint.
 type storageEndpoint struct {
-	endpoint  Endpoint
-	shard     int
-	workers   []time.Duration // busy until
-	faults    map[faultKind]bool
-	serving   bool
-	startedAt time.Duration
+	endpoint         Endpoint
+	shard            int
+	workersBusyUntil []time.Duration // for each worker, when its queued work ends
+	faults           map[faultKind]bool
+	serving          bool
+	startedAt        time.Duration
 }
 
-// sentAttempt is an attempt that the scheduler began.
+// sentAttempt is an attempt that the scheduler sent.
 type sentAttempt struct {
 	attempt  *Attempt
 	endpoint *storageEndpoint
@@ -89,7 +89,7 @@
 	ended    bool
 }
 
-// clientRequest is a request that a client made.
+// clientRequest is a request sent by a client.
 type clientRequest struct {
 	request    Request
 	class      string
@@ -125,7 +125,7 @@
 	return last
 }
 
-// goldenRuntime is the runtime that the scheduler sees on a golden day.
+// goldenRuntime is the Runtime of a golden scenario.
 type goldenRuntime struct {
 	scenario  goldenScenario
 	now       time.Duration
@@ -143,7 +143,7 @@
 	calls     map[string]int
 }
 
-// play runs a day and returns its digest and how often the scheduler made each call.
+// playScenario runs a scenario and returns its digest and how often the scheduler made each call.
 func playScenario(scenario goldenScenario) (string, map[string]int) {
 	w := &goldenRuntime{scenario: scenario, now: time.Hour, rng: rand.New(rand.NewSource(scenario.seed)), settings: goldenSettings(scenario.seed),
 		byName: map[string]*storageEndpoint{}, volumes: map[string]*Volume{}, requests: map[int64]*clientRequest{}, digest: sha256.New(),
@@ -160,7 +160,7 @@
 	w.sendList(true)
 	w.after(0, w.scheduleArrival)
 	for _, f := range scenario.faults {
-		w.after(f.from, func() { w.runFault(f) })
+		w.after(f.start, func() { w.runFault(f) })
 	}
 	if scenario.load.membershipChanges {
 		w.after(3*time.Second, w.changeMembership)
@@ -178,7 +178,7 @@
 	heap.Push(&w.queue, event{w.now + max(wait, 0), w.sequence, run})
 }
 
-// record takes a call of the scheduler into the digest.
+// record adds a call of the scheduler to the digest. The digest includes the name of the call.
 func (w *goldenRuntime) record(call string, args ...any) {
 	w.calls[call]++
 	fmt.Fprintln(w.digest, append([]any{int64(w.now), call}, args...)...)
@@ -244,7 +244,7 @@
 func (w *goldenRuntime) CheckHealth(endpoint *Endpoint) {
 	w.record("check", endpoint.Name)
 	at := w.byName[endpoint.Name]
-	duration, outcome := w.serve(at, 0.1), Served
+	duration, outcome := w.reserveWorker(at, 0.1), Served
 	switch {
 	case at.faults[hanging]:
 		duration, outcome = time.Second, TimedOut
@@ -266,8 +266,8 @@
 }
 func (w *goldenRuntime) exponential(mean float64) float64 { return mean * w.rng.ExpFloat64() }
 
-// serve takes a worker of the endpoint for so many units and returns when they are done, from now.
-func (w *goldenRuntime) serve(at *storageEndpoint, units float64) time.Duration {
+// reserveWorker assigns units to the endpoint's first free worker and returns how long it takes until they are done.
+func (w *goldenRuntime) reserveWorker(at *storageEndpoint, units float64) time.Duration {
 	perUnit := 8 * time.Millisecond
 	if w.scenario.load.serviceTimePerUnit > 0 {
 		perUnit = w.scenario.load.serviceTimePerUnit
@@ -279,17 +279,17 @@
 		perUnit *= 2
 	}
 	earliest := 0
-	for i, busy := range at.workers {
-		if busy < at.workers[earliest] {
+	for i, busy := range at.workersBusyUntil {
+		if busy < at.workersBusyUntil[earliest] {
 			earliest = i
 		}
 	}
-	begin := max(w.now, at.workers[earliest])
-	at.workers[earliest] = begin + time.Duration(float64(perUnit)*units*(0.6+0.8*w.rng.Float64()))
-	return at.workers[earliest] - w.now + w.jitter()
+	begin := max(w.now, at.workersBusyUntil[earliest])
+	at.workersBusyUntil[earliest] = begin + time.Duration(float64(perUnit)*units*(0.6+0.8*w.rng.Float64()))
+	return at.workersBusyUntil[earliest] - w.now + w.jitter()
 }
 
-// serveAttempt plays what the endpoint does with an attempt.
+// serveAttempt simulates an endpoint's reaction to an attempt.
 func (w *goldenRuntime) serveAttempt(client *clientRequest, sent *sentAttempt) {
 	at := sent.endpoint
 	switch {
@@ -303,19 +303,19 @@
 	case at.faults[returningErrors] && w.chance(0.6):
 		w.after(w.jitter(), func() { w.endAttempt(client, sent, ErrorResponse) })
 	case at.faults[losingResponses] && w.chance(0.3):
-		if w.chance(0.5) { // on its way for long, but not lost
+		if w.chance(0.5) { // late, but not lost
 			w.after(time.Duration(400+w.rng.Intn(500))*time.Millisecond, func() { w.endAttempt(client, sent, Served) })
 		}
 	default:
-		wait := w.serve(at, client.units)
+		wait := w.reserveWorker(at, client.units)
 		if w.chance(w.scenario.load.streamedShare) {
-			w.after(wait/2, func() { w.stream(client, sent) })
+			w.after(wait/2, func() { w.startStreaming(client, sent) })
 		}
 		w.after(wait, func() { w.endAttempt(client, sent, Served) })
 	}
 }
 
-func (w *goldenRuntime) stream(client *clientRequest, sent *sentAttempt) {
+func (w *goldenRuntime) startStreaming(client *clientRequest, sent *sentAttempt) {
 	if sent.ended || client.finished || client.streaming {
 		return
 	}
@@ -323,7 +323,7 @@
 	w.scheduler.ResponseStarted(sent.attempt)
 }
 
-// endAttempt reports an attempt's one outcome.
+// endAttempt reports the only outcome of an attempt.
 func (w *goldenRuntime) endAttempt(client *clientRequest, sent *sentAttempt, outcome Outcome) {
 	if sent.ended || outcome == TimedOut && client.streaming && !client.finished {
 		return
@@ -344,7 +344,7 @@
 		Load: LoadReport{ServedElsewhere: elsewhere, Utilization: utilization}})
 }
 
-// arrival makes a client ask and plans the next one; a surge comes every seven seconds.
+// scheduleArrival sends one request and schedules the next one; a surge occurs every seven seconds.
 func (w *goldenRuntime) scheduleArrival() {
 	classes := []string{"read", "read", "read", "bulk", "put", "zoned", "free", "once", "row"}
 	plans := []string{"gold", "plain", "plain", "capped"}
@@ -416,14 +416,14 @@
 	if workers == 0 {
 		workers = 2 + len(w.endpoints)%3
 	}
-	added := &storageEndpoint{endpoint: Endpoint{Name: name}, shard: shard, workers: make([]time.Duration, workers),
+	added := &storageEndpoint{endpoint: Endpoint{Name: name}, shard: shard, workersBusyUntil: make([]time.Duration, workers),
 		faults: map[faultKind]bool{}, serving: true, startedAt: startedAt}
 	w.endpoints = append(w.endpoints, added)
 	w.byName[name] = added
 	return added
 }
 
-// sendList hands the list over, whole or only its changes.
+// sendList sends the endpoint list, complete or as an update.
 func (w *goldenRuntime) sendList(whole bool) {
 	w.scheduler.BeginEndpointList(whole)
 	for _, at := range w.endpoints {
@@ -432,7 +432,7 @@
 	w.scheduler.EndEndpointList()
 }
 
-// runFault plays a fault from its first moment to its end.
+// runFault begins a fault and schedules its end.
 func (w *goldenRuntime) runFault(f fault) {
 	count := max(1, int(f.share*float64(len(w.endpoints))))
 	hit := slices.Clone(w.endpoints[:count])
@@ -447,7 +447,7 @@
 	if f.kind == listDown {
 		w.scheduler.EndpointListFailed()
 	}
-	w.after(f.to-f.from, func() {
+	w.after(f.end-f.start, func() {
 		for _, at := range hit {
 			at.faults[f.kind] = false
 			w.endFaultAt(f.kind, at)
@@ -476,7 +476,7 @@
 	case restarting:
 		at.faults[unreachable] = false
 		at.startedAt = w.now
-		at.workers = make([]time.Duration, len(at.workers))
+		at.workersBusyUntil = make([]time.Duration, len(at.workersBusyUntil))
 		w.sendList(false)
 	case overloaded:
 		if w.settings.Gossip && w.chance(0.5) {
@@ -485,7 +485,8 @@
 	}
 }
 
-// replace takes an endpoint off the list; another one with a new name takes its shard, with a start that is put right later.
+// replaceEndpoint removes an endpoint from the list and adds one with a new name in its shard, whose start time may be corrected
+// later.
 func (w *goldenRuntime) replaceEndpoint(old *storageEndpoint) {
 	w.endpoints = slices.DeleteFunc(w.endpoints, func(one *storageEndpoint) bool { return one == old })
 	added := w.addEndpoint(old.endpoint.Name+"'", old.shard, w.now)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 
 const millisecond = time.Millisecond
 
-// harness is a Runtime that prints what the scheduler does and keeps its timers.
+// harness is a Runtime that prints the scheduler's calls and keeps its timers.
 type harness struct {
 	now       time.Duration
 	scheduler *Scheduler
@@ -105,7 +105,7 @@
 	return request
 }
 
-// endOldestAttempt gives the oldest attempt in flight its outcome.
+// endOldestAttempt ends the oldest attempt in flight with an outcome.
 func (h *harness) endOldestAttempt(outcome Outcome, over bool) {
 	attempt := h.sent[0]
 	h.sent = h.sent[1:]
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// An endpoint never answers: the request is canceled there and rejected before its deadline.
-func Example_finalAnswerInTime() {
+// An endpoint that never responds must not keep the client waiting: the attempt is canceled and the request rejected before its
+// deadline.
+func Example_finalResponseInTime() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("read", "plain", "x", 0, 2)
 	h.advance(2000 * millisecond)
@@ -16,8 +17,8 @@
 	//   996ms reject 1, retry after 50ms
 }
 
-// Three ordered requests with one key, the first of which is never answered. What was not sent when its latency objective passes,
-// or by half of its time, is rejected then; what was sent waits for its answer.
+// Three ordered requests share a key, and the endpoint does not respond to the first. The other two can't be sent: each is rejected
+// when its latency objective or half of the time to its deadline passes. The first, which was sent, keeps waiting for its response.
 func Example_notSentInTime() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("row", "plain", "k", 0, 2)
@@ -32,8 +33,8 @@
 	//   646ms reject 3, retry after 50ms
 }
 
-// A connection that does not come up, then an error response, for a request that must not run twice. It is sent again after the
-// failed connect, since it never ran; after the error it may have run, so it is neither sent again nor rejected: it fails.
+// A request that must not run twice is retried after a failed connect, since it never ran. After an error response it may have run,
+// so it is neither retried nor rejected: it fails.
 func Example_notIdempotent() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("once", "plain", "x", 0, 2)
@@ -51,7 +52,7 @@
 	//   130ms fail 1
 }
 
-// The only endpoint drains before a request comes: nothing is sent there, and the request is rejected in time.
+// Nothing is sent to a draining endpoint: a request for it is rejected in time.
 func Example_draining() {
 	h := startScheduler(smallSettings(), "a")
 	h.scheduler.BeginEndpointList(false)
@@ -64,8 +65,8 @@
 	//   112ms reject 1, retry after 100ms
 }
 
-// An endpoint has just started. It holds no more than this gateway's share of its slow-start budget (2 units at first). An answer
-// frees the budget at once, an error only after the overload window, and the budget grows as the endpoint warms up.
+// An endpoint in slow start gets no more than this gateway's share of its budget (2 units at first). A served attempt frees its units
+// at once, an error only after the overload window, and the budget grows as the endpoint warms up.
 func Example_slowStart() {
 	h := startScheduler(smallSettings(), "a")
 	h.advance(5000 * millisecond)
@@ -87,8 +88,8 @@
 	//  6025ms send 4.0 to a
 }
 
-// A gateway restarts while an endpoint is in slow start. It may have sent its share a moment ago, so it sends nothing there for one
-// overload window. An endpoint that started later than the gateway is not concerned.
+// A gateway restarts while an endpoint is in slow start. Attempts from before the restart may still use its share of the budget, so
+// it sends nothing there for one overload window. An endpoint that started after the gateway is not affected.
 func Example_slowStartAfterRestart() {
 	h := startSchedulerAt(5000*millisecond, smallSettings(), "a", "b")
 	h.update("a", 0, true, 4900*millisecond)
@@ -109,8 +110,7 @@
 	//  6006ms reject 2, retry after 50ms
 }
 
-// A request with an idempotency key fails once. It may be sent again only as long as its key is known there: the attempt says by
-// when it must begin.
+// A request with an idempotency key is retried only while the endpoint remembers the key: StartBy is the end of that time.
 func Example_idempotencyWindow() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("tag", "plain", "x", 0, 1)
@@ -125,9 +125,9 @@
 	// 500ms
 }
 
-// An endpoint is replaced while an attempt is in flight there. It is forgotten once that has ended: replacements have new names,
-// and a long run has many.
-func Example_removedEndpoint() {
+// An endpoint is removed from the list while an attempt is in flight there. It is deleted after that attempt has ended; otherwise
+// the endpoints would accumulate, since replacements have new names.
+func Example_removedEndpointIsDeleted() {
 	h := startScheduler(smallSettings(), "a", "b")
 	h.receive("row", "plain", "x", 0, 2)
 	h.scheduler.BeginEndpointList(true)
@@ -146,9 +146,9 @@
 	// 1 0 0
 }
 
-// An answer is lost where no health checks may be sent. The endpoint, full of overdue attempts, gets one request more; once that is
-// answered quickly the overdue one holds no place. It is canceled and sent again only when half of its time has passed.
-func Example_lostAnswerWithoutHealthChecks() {
+// A response is lost, and health checks are not allowed. An endpoint whose attempts are all overdue gets one more request. Once that
+// is answered quickly, the overdue attempt no longer occupies a slot; it is canceled and retried only after half of its time.
+func Example_lostResponseWithoutHealthChecks() {
 	h := startScheduler(smallSettings(), "a")
 	h.scheduler.endpoints[0].limit = 1
 	h.receive("read", "plain", "x", 0, 2)
@@ -174,7 +174,7 @@
 	//   530ms send 1.1 to a
 }
 
-// Connections to an endpoint are reset, twice in a row. The first says nothing of the endpoint, the second counts as a failure.
+// The first connection reset in a row does not count as a failure of the endpoint, the second one does.
 func Example_connectionReset() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("read", "plain", "x", 0, 2)
@@ -187,7 +187,8 @@
 	//     0ms log: endpoint a: first failure: connection-reset after 0s, 0 in flight
 }
 
-// Requests with one ordering key run one at a time, and the key rests after an outcome after which the request may still run.
+// Requests with the same ordering key run one at a time, and a key has a cooldown after an outcome that leaves a request possibly
+// running.
 func Example_ordering() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("row", "plain", "k", 0, 2)
@@ -201,7 +202,7 @@
 	//   300ms send 2.0 to a
 }
 
-// The bucket of a volume's limit starts with this gateway's part of the initial burst and fills at its part of the rate.
+// The token bucket of a volume's limit starts with this gateway's part of the initial burst and refills at its part of the rate.
 func Example_rateLimit() {
 	h := startScheduler(smallSettings(), "a")
 	for range 4 {
@@ -219,7 +220,7 @@
 	//   500ms send 5.0 to a
 }
 
-// A slow answer opens the send interval, a quick one closes it; a reservation that is due waits for a part of it only.
+// A slow response lengthens the send interval, a quick one shortens it; a due reservation waits for only a part of it.
 func Example_pacing() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("read", "plain", "x", 0, 2)
@@ -241,9 +242,9 @@
 	// 0s
 }
 
-// An endpoint rejects: it is ejected at all gateways and checked until a check comes back soon, then it recovers with a send interval.
-// Later an attempt is overdue and a health check quick: its answer was lost, so it is canceled and sent again. What another
-// gateway gossips is believed.
+// An endpoint that rejects an attempt is ejected by all gateways and checked until a check returns quickly; then it resumes with a
+// send interval. Later an attempt is overdue and a health check is quick: the response is presumed lost, so the attempt is canceled
+// and retried. Findings of other gateways are applied.
 func Example_ejection() {
 	s := smallSettings()
 	s.HealthChecks, s.Gossip, s.Ordinal = true, true, 1
@@ -281,7 +282,7 @@
 	// 0s 0
 }
 
-// A client retries what was rejected. The retry keeps the first request's latency objective, so it yields to what can be in time.
+// A client's retry of a rejected request keeps the latency objective of the first one, so it yields to requests that can meet theirs.
 func Example_clientRetry() {
 	h := startScheduler(smallSettings(), "a")
 	h.scheduler.BeginEndpointList(false)
@@ -303,7 +304,7 @@
 	//   200ms send 4.0 to a
 }
 
-// A reservation that is due goes first, then weight decides; what can wait for two of the shortest latency objectives goes after both.
+// A due reservation precedes weights; a request that can wait for two of the shortest latency objectives comes after both.
 func Example_fairQueue() {
 	h := startScheduler(smallSettings(), "a")
 	h.scheduler.endpoints[0].limit = 1
@@ -321,7 +322,7 @@
 	//     0ms send 2.0 to a
 }
 
-// Two errors in a row under a retry budget of one. The second retry waits for the budget and is rejected in time.
+// A request gets two errors in a row with a retry budget of one. The second retry waits for the budget and is rejected in time.
 func Example_retryBudget() {
 	s := smallSettings()
 	s.RetryBudget, s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 1, 0, 5*time.Second
@@ -338,8 +339,8 @@
 	//   312ms reject 1, retry after 90ms
 }
 
-// Eight requests against a limit of four. Waiting requests count as demand, attempts in flight for long narrow the limit, and errors
-// that come fast don't widen it.
+// Eight requests at an endpoint with a limit of four: waiting requests count as demand, long attempts in flight narrow the limit, and
+// fast errors don't widen it.
 func Example_demandAndLimit() {
 	h := startScheduler(smallSettings(), "a")
 	show := func() {
@@ -371,7 +372,8 @@
 	// Q 1.00 of 1.00, window 1, demand 71.7
 }
 
-// The divvy gives all demand and an even part of the rest, or splits by weight between minimum and maximum.
+// If the amount covers all maximums, the divvy grants them and divides the remainder by weight; otherwise it divides the amount by
+// weight between each claim's minimum and maximum.
 func Example_divvy() {
 	show := func(amount float64, claims ...claim) {
 		divvy(amount, claims)
@@ -389,8 +391,8 @@
 	// 0: 6.0;1: 2.0;2: 4.0;
 }
 
-// Gateways come and go. A limit's part shrinks at once, with what it holds, and grows at its rate only; a gateway without a share
-// sends nothing to an endpoint in slow start; a start that was taken for a fresh one is put right.
+// The number of gateways changes. A part of a limit shrinks at once, with its tokens, and grows only at its rate; a gateway without a
+// share sends nothing to an endpoint in slow start; a corrected start time ends a slow start that was assumed wrongly.
 func Example_membershipChange() {
 	h := startScheduler(smallSettings(), "a")
 	h.advance(8000 * millisecond)
--- a/policy/suspension.go
+++ b/policy/suspension.go
@@ -19,9 +19,9 @@
 
 // suspensionLog records the recent suspensions of the process, newest last.
 type suspensionLog struct {
-	tolerance  time.Duration // lateness up to which a sweep counts as on time
-	sweepDueAt time.Duration
-	recent     []suspension
+	tolerance         time.Duration // lateness up to which a sweep counts as on time
+	sweepDueAt        time.Duration
+	recentSuspensions []suspension
 }
 
 // sweepStarted records a suspension if the sweep that starts now is late.
@@ -29,16 +29,16 @@
 	if now-l.sweepDueAt <= l.tolerance {
 		return
 	}
-	if len(l.recent) == maxSuspensions {
-		l.recent = l.recent[1:]
+	if len(l.recentSuspensions) == maxSuspensions {
+		l.recentSuspensions = l.recentSuspensions[1:]
 	}
-	l.recent = append(l.recent, suspension{l.sweepDueAt, now})
+	l.recentSuspensions = append(l.recentSuspensions, suspension{l.sweepDueAt, now})
 }
 
 // runningTime returns how long the process ran between two times.
 func (l *suspensionLog) runningTime(from, to time.Duration) time.Duration {
 	elapsed := to - from
-	for _, s := range l.recent {
+	for _, s := range l.recentSuspensions {
 		elapsed -= max(min(to, s.to)-max(from, s.from), 0)
 	}
 	return elapsed
--- a/policy/suspension_test.go
+++ b/policy/suspension_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// suspend lets the process not run for a while: its timers fire late.
+// suspendProcess simulates a suspension of the process: timers fire late.
 func (h *harness) suspendProcess(d time.Duration) {
 	h.now += d
 	h.advance(0)
 }
 
-// The process is suspended while attempts are in flight, again and again, at an endpoint that answers at once. The endpoint is not
-// taken for a slow one: the next request is sent at once, and no limit has narrowed.
+// Guards against slow-endpoint detection caused by suspensions of the process. The process is suspended repeatedly while attempts are
+// in flight at a fast endpoint: the next request must be sent at once, and the concurrency limit must not narrow.
 func TestSuspensionDoesNotCountAsLatency(t *testing.T) {
 	for _, outcome := range []Outcome{Served, ErrorResponse} {
 		h := startScheduler(smallSettings(), "a")
@@ -20,17 +20,17 @@
 		for range 8 {
 			h.receive("read", "plain", "o", 0, 1)
 			if len(h.sent) != 1 {
-				t.Fatal("a request to an idle endpoint waits")
+				t.Fatal("request to an idle endpoint was not sent at once")
 			}
 			h.suspendProcess(400 * millisecond)
 			h.endOldestAttempt(outcome, true)
 		}
 		h.receive("read", "plain", "o", 0, 1)
 		if len(h.sent) != 1 {
-			t.Error("a request to an idle endpoint waits")
+			t.Error("request to an idle endpoint was not sent at once")
 		}
 		if limit := h.endpoints["a"].limit; limit < int(initialFleetLimit)/2 {
-			t.Errorf("the limit of this gateway has narrowed to %d", limit)
+			t.Errorf("concurrency limit of this gateway narrowed to %d", limit)
 		}
 	}
 }
