--- a/policy/doc.go
+++ b/policy/doc.go
@@ -22,7 +22,8 @@
 //     request. concurrency.go sets the number of slots; an ejection (ejection.go) or a drain (endpoints.go) removes all of them.
 //  3. fairqueue.go chooses the request: the most urgent first; among equally urgent ones, due reservations first, then the lowest
 //     weight tag. ratelimit.go, slowstart.go and pacing.go delay requests beyond a volume's limit, a warming endpoint's budget or an
-//     endpoint's send rate; idempotency.go, ordering.go and retry.go delay attempts that could run twice or out of order.
+//     endpoint's send rate; idempotency.go, ordering.go and retry.go delay attempts that could take effect twice, run out of
+//     order or exceed the retry limits.
 //  4. attempt.go feeds the outcome into latency, pace and outlier detection (outlier.go); then the request completes, is retried or
 //     fails. suspension.go excludes the time in which the process did not run from all measured durations.
 //  5. admission.go sheds requests that can't complete in time: it rejects them with Retry-After if a retry by the client is harmless,
--- a/policy/fairqueue.go
+++ b/policy/fairqueue.go
@@ -65,7 +65,7 @@
 	allowance := s.slowStartAllowance(e, now)
 	for _, shardNumber := range [2]int{e.shard, anyShard} {
 		sinceSent := now - e.lastSentAt
-		if shardNumber == anyShard { // requests for any endpoint must not take the slots of those that only this endpoint can serve
+		if shardNumber == anyShard { // these requests must not displace those that only this endpoint can serve
 			sinceSent /= 2
 		}
 		for _, queue := range s.shardOf(shardNumber).queues {
--- a/policy/giveup.go
+++ b/policy/giveup.go
@@ -21,7 +21,7 @@
 const (
 	NotSentInTime   GiveUpCause = "not-sent-in-time"  // no attempt by its latency objective, or by half of the time to its deadline
 	DeadlinePassed  GiveUpCause = "deadline-passed"   // no response by its deadline
-	CannotBeInTime  GiveUpCause = "cannot-be-in-time" // the latency of its endpoints makes a response in time impossible
+	CannotBeInTime  GiveUpCause = "cannot-be-in-time" // the latency of its endpoints rules out a response in time
 	NoRetryPossible GiveUpCause = "no-retry-possible" // an attempt failed and no attempt, no time or no endpoint is left
 )
 
@@ -36,10 +36,10 @@
 	ConcurrencyLimit Hold = "concurrency-limit" // all slots of this gateway at the endpoint are in use
 	SlowStart        Hold = "slow-start"        // this gateway's slow-start budget of the endpoint is in use
 	RateLimit        Hold = "rate-limit"        // the volume's rate limit is exhausted
-	UnsafeNow        Hold = "unsafe-now"        // an attempt could have a wrong effect or overtake an earlier request
+	UnsafeNow        Hold = "unsafe-now"        // an attempt could take effect twice or overtake an earlier request
 	RetryLimit       Hold = "retry-limit"       // attempts or retry budget are exhausted, or the endpoint has just failed
-	Pace             Hold = "pace"              // the send interval has not passed, or is reserved for requests that can meet their latency objective
-	InFlight         Hold = "in-flight"         // no hold: the request was sent and has no response yet
+	Pace             Hold = "pace"              // the send interval has not passed, or the request would miss its latency objective
+	InFlight         Hold = "in-flight"         // no hold: an attempt is in flight
 	NotHeld          Hold = "none"              // no hold
 )
 
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Active health checks distinguish a slow endpoint from a lost response after an attempt without one. They are sent only where the
-// settings allow both health checks and gossip, so that one gateway's check serves all gateways.
+// After an attempt without a response, an active health check distinguishes a slow endpoint from a lost response. Health checks are
+// sent only where the settings allow both health checks and gossip, so that one gateway's check serves all gateways.
 
 // quickResponse is the latency up to which a response or a health check proves an endpoint healthy, in congestion thresholds.
 const quickResponse = 2
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -11,7 +11,7 @@
 
 // orderingKey is the queue of ordered requests for one object.
 type orderingKey struct {
-	waiting       []*Request // the first may run
+	waiting       []*Request // in order of arrival; only the first may run
 	cooldownUntil time.Duration
 }
 
@@ -36,7 +36,7 @@
 	return key.waiting[0] == r && (now >= key.cooldownUntil || len(r.attempts) > 0)
 }
 
-// startOrderingCooldown starts the cooldown of a key after an outcome that leaves the request possibly running.
+// startOrderingCooldown starts the cooldown of a key after an outcome that does not rule out that the request still runs.
 func (s *Scheduler) startOrderingCooldown(r *Request, outcome Outcome, now time.Duration) {
 	if r.ordering != nil && (outcome == TimedOut || outcome == ConnectionReset || outcome == Canceled) {
 		r.ordering.cooldownUntil = max(r.ordering.cooldownUntil, now+s.settings.OrderingCooldown)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -9,7 +9,7 @@
 // outlierState is the failure and health-check state of one endpoint.
 type outlierState struct {
 	consecutiveFailures  int
-	consecutiveResets    int // rejections, failed connects and resets in a row, including a first reset
+	consecutiveResets    int // rejections, failed connects and resets in a row, including the first reset
 	ejectedUntil         time.Duration
 	checkedByThisGateway bool // this gateway checks the endpoint's health for all gateways
 	checkInFlight        bool
@@ -18,8 +18,8 @@
 
 func (o *outlierState) markHealthy() { o.consecutiveFailures, o.consecutiveResets = 0, 0 }
 
-// observeFailure records a rejection, a failed connect or a reset. A first reset in a row does not count as a failure: a single
-// connection may break anywhere on its path.
+// observeFailure records a rejection, a failed connect or a reset. The first of several consecutive resets does not count as a
+// failure: a single connection may break anywhere on its path.
 func (s *Scheduler) observeFailure(attempt *Attempt, result AttemptResult, now time.Duration) {
 	e := attempt.Endpoint
 	e.consecutiveResets++
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Pacing keeps the send rate to an endpoint below one request at a time. The latency of responses sets the minimum interval between
-// two attempts: slow responses lengthen it, starting from this gateway's own send rate, and quick ones shorten it. This prevents
-// overload by many gateways with one slot each at an endpoint, however few requests each of them has. It also limits the rate to a
-// full or dead endpoint that looks idle because its failures are fast. A due reservation waits for only a part of the interval.
+// Pacing can reduce the send rate to an endpoint below that of one attempt at a time. The latency of responses sets the minimum
+// interval between two attempts: slow responses lengthen it, starting from this gateway's own send rate, and quick ones shorten it.
+// This prevents overload by many gateways with one slot each at an endpoint, however few requests each of them has. It also limits
+// the rate to a full or dead endpoint that looks idle because its failures are fast. A due reservation waits for only a part of the
+// interval.
 
 const (
 	// minPaceFactor and maxPaceFactor bound the factor by which one outcome changes the interval.
@@ -62,7 +63,7 @@
 
 // paceAllows reports whether a candidate may be sent, given the time since the last attempt.
 func (e *Endpoint) paceAllows(sinceSent time.Duration, c candidate) bool {
-	if c.urgency == objectiveMissed && e.minSendInterval > 0 { // a paced endpoint serves only requests that can meet their latency objective
+	if c.urgency == objectiveMissed && e.minSendInterval > 0 { // the pace is reserved for requests in time
 		return false
 	}
 	if sinceSent >= e.minSendInterval {
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -174,7 +174,7 @@
 	//   530ms send 1.1 to a
 }
 
-// The first connection reset in a row does not count as a failure of the endpoint, the second one does.
+// The first of two consecutive connection resets does not count as a failure of the endpoint, the second one does.
 func Example_connectionReset() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("read", "plain", "x", 0, 2)
@@ -187,8 +187,8 @@
 	//     0ms log: endpoint a: first failure: connection-reset after 0s, 0 in flight
 }
 
-// Requests with the same ordering key run one at a time, and a key has a cooldown after an outcome that leaves a request possibly
-// running.
+// Requests with the same ordering key run one at a time, and a key has a cooldown after an outcome that does not rule out that the
+// request still runs.
 func Example_ordering() {
 	h := startScheduler(smallSettings(), "a")
 	h.receive("row", "plain", "k", 0, 2)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -19,7 +19,7 @@
 			return
 		}
 		soonest := slices.MinFunc(free, func(a, b *Endpoint) int { return cmp.Compare(a.expectedLatency(), b.expectedLatency()) })
-		if !s.sendNext(soonest) { // nothing was eligible here, such as during slow start: try the other endpoints
+		if !s.sendNext(soonest) { // blocked here by pace or slow start: try another endpoint
 			free = without(free, soonest)
 		}
 	}
@@ -54,7 +54,7 @@
 		allOverdue = allOverdue && s.overdue(attempt, now)
 	}
 	if s.settings.CanCancel && !s.sharedHealthChecks && allOverdue {
-		return max(free, 1) // one more request shows whether the responses of the overdue attempts were lost
+		return max(free, 1) // without health checks, one more request shows whether the responses of the overdue attempts were lost
 	}
 	return free
 }
