--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -458,7 +458,7 @@
 
 // next wakes the loop for its next timer.
 func (h *host) next() {
-	at, ok := h.core.Next()
+	at, ok := h.core.NextTimer()
 	if !ok || h.wake > h.w.now && h.wake <= at {
 		return
 	}
@@ -477,7 +477,7 @@
 	var lines []engine.EndpointEntry
 	for _, b := range h.w.bricks {
 		l := h.w.s.Fleet.Brick[b.no]
-		x := engine.EndpointEntry{Name: b.name, Address: b.address, Zone: l.Zone, Shard: int(l.Cell), Serving: b.up || b.silent, Removed: !b.up && !b.silent, HasStart: true,
+		x := engine.EndpointEntry{Name: b.name, Address: b.address, Zone: l.Zone, Shard: int(l.Cell), Serving: b.up || b.silent, Removed: !b.up && !b.silent, HasAge: true,
 			Age: h.w.now - b.started}
 		lines = append(lines, x)
 	}
@@ -870,7 +870,7 @@
 	if b != nil && b.up {
 		w.at(w.now+b.way, func() {
 			h.in(func(c *engine.Core) {
-				c.Greeted(engine.Greeting{Endpoint: b.name, Address: b.address, HasStart: true, Age: w.now - b.started})
+				c.Greeted(engine.Greeting{Endpoint: b.name, Address: b.address, HasAge: true, Age: w.now - b.started})
 			})
 		})
 	}
--- a/internal/controlplane/server/endpoints.go
+++ b/internal/controlplane/server/endpoints.go
@@ -56,7 +56,7 @@
 	for i, entry := range entries {
 		reports[i] = endpointstate.Report{Name: entry.Name, Address: entry.Address, Zone: entry.Zone, Shard: entry.Shard,
 			Serving: entry.Serving && !entry.Removed, Removed: entry.Removed, ObservedAt: observedAt}
-		if entry.HasStart {
+		if entry.HasAge {
 			reports[i].Started = observedAt - max(entry.Age, 0)
 		}
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -81,7 +81,7 @@
 		return entry, fmt.Errorf("state %q; allowed: serving, draining, gone", state)
 	}
 	if started != 0 {
-		entry.HasStart = true
+		entry.HasAge = true
 		entry.Age = time.Duration(clock-started) * time.Microsecond
 	}
 	return entry, nil
--- a/internal/endpointconn/conn.go
+++ b/internal/endpointconn/conn.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.name, err)
 	}
-	greeting := engine.Greeting{Endpoint: e.name, Address: e.address, HasStart: hello.Get(lineproto.FieldAge) != "", Age: age,
+	greeting := engine.Greeting{Endpoint: e.name, Address: e.address, HasAge: hello.Get(lineproto.FieldAge) != "", Age: age,
 		Draining: hello.Get(lineproto.FieldState) == lineproto.StateDraining}
 	e.connector.loop.Post(func(core *engine.Core) { core.Greeted(greeting) })
 	e.mu.Lock()
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -37,16 +37,16 @@
 	Shard               int
 	Serving             bool          // false: draining or gone
 	Removed             bool          // no longer part of the fleet
-	HasStart            bool          // Age is known
+	HasAge              bool          // Age is known
 	Age                 time.Duration // since its start, by the clock of whoever made the list
-	Started             time.Duration // on the engine's clock, only for AuthoritativeList; 0: not known, long ago
+	StartedAt           time.Duration // on the engine's clock, only for AuthoritativeList; 0: not known, long ago
 	Unreadable          bool          // only for AuthoritativeList: only Name and Started could be read
 }
 
 // Greeting is how an endpoint introduces itself on a new connection.
 type Greeting struct {
 	Endpoint, Address string
-	HasStart          bool          // Age is known
+	HasAge            bool          // Age is known
 	Age               time.Duration // since its start, by its own clock
 	Draining          bool          // it takes nothing new
 }
@@ -83,7 +83,7 @@
 			c.suspendEndpoint(entry)
 			continue
 		}
-		c.EndpointChanged(entry.Name, entry.Address, entry.Zone, entry.Shard, entry.Serving, entry.Removed, entry.Started)
+		c.EndpointChanged(entry.Name, entry.Address, entry.Zone, entry.Shard, entry.Serving, entry.Removed, entry.StartedAt)
 	}
 	c.endpointsChanged = true
 	c.applyEndpointChanges()
@@ -94,12 +94,12 @@
 func (c *Core) suspendEndpoint(entry EndpointEntry) {
 	if known := c.endpoints[entry.Name]; known != nil {
 		c.outbound.Log("unreadable endpoint list entry, endpoint suspended: " + entry.Name)
-		c.EndpointChanged(entry.Name, known.address, known.zone, known.shard, false, false, entry.Started)
+		c.EndpointChanged(entry.Name, known.address, known.zone, known.shard, false, false, entry.StartedAt)
 	}
 }
 
-// KnownEndpoints takes endpoints that the settings name. They count as long as nothing newer is known.
-func (c *Core) KnownEndpoints(entries []EndpointEntry) {
+// ConfiguredEndpoints takes endpoints that the settings name. They count as long as nothing newer is known.
+func (c *Core) ConfiguredEndpoints(entries []EndpointEntry) {
 	c.fleet.Configured(c.reports(entries), c.now)
 	c.applyEndpointChanges()
 }
@@ -124,7 +124,7 @@
 // Greeted reports that an endpoint introduced itself on a new connection.
 func (c *Core) Greeted(greeting Greeting) {
 	startedAt := time.Duration(0)
-	if greeting.HasStart {
+	if greeting.HasAge {
 		startedAt = c.now - max(greeting.Age, 0)
 		if known := c.endpoints[greeting.Endpoint]; known != nil {
 			c.observeEndpoint(EndpointChange{
@@ -274,7 +274,7 @@
 			Removed:    entry.Removed,
 			ObservedAt: c.now,
 		}
-		if entry.HasStart {
+		if entry.HasAge {
 			reports[i].Started = c.now - max(entry.Age, 0)
 		}
 	}
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -18,7 +18,7 @@
 	list := func(entry EndpointEntry, age time.Duration) {
 		entry.Name, entry.Address = "a", "1"
 		if age != noStart {
-			entry.HasStart, entry.Age = true, age
+			entry.HasAge, entry.Age = true, age
 		}
 		e.EndpointList(endpointstate.Generation{}, false, []EndpointEntry{entry})
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -62,7 +62,7 @@
 // run lets time pass.
 func (e *testEngine) run(duration time.Duration) {
 	for until := e.Now() + duration; ; {
-		dueAt, ok := e.Next()
+		dueAt, ok := e.NextTimer()
 		if !ok || dueAt > until {
 			e.Advance(until)
 			return
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -62,7 +62,7 @@
 }
 
 func (l *Loop) untilNextTimer(c *Core) time.Duration {
-	dueAt, ok := c.Next()
+	dueAt, ok := c.NextTimer()
 	if !ok {
 		return idleWait
 	}
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -16,7 +16,7 @@
 }
 
 // Advance moves the clock to now, never back, and fires the timers that are due, in order. The owner calls it before
-// each event and when Next is due.
+// each event and when NextTimer is due.
 func (c *Core) Advance(now time.Duration) {
 	c.now = max(c.now, now)
 	for len(c.timers) > 0 && c.timers[0].dueAt <= c.now {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Next returns when the next timer is due; ok is false if there is none.
-func (c *Core) Next() (dueAt time.Duration, ok bool) {
+// NextTimer returns when the next timer is due; ok is false if there is none.
+func (c *Core) NextTimer() (dueAt time.Duration, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	if len(conf.Brick) > 0 {
-		core.KnownEndpoints(configuredEndpoints(conf.Brick))
+		core.ConfiguredEndpoints(configuredEndpoints(conf.Brick))
 	}
 	g.join(core)
 	if err := g.persister.open(core); err != nil {
--- a/internal/httpgateway/config/config_test.go
+++ b/internal/httpgateway/config/config_test.go
@@ -29,8 +29,8 @@
 		t.Errorf("%+v", c)
 	}
 	l := c.KnownEndpoints
-	if l.Revision != 41 || !l.Complete || len(l.Entries) != 3 || l.Entries[0].Started != 1700000000*time.Second || !l.Entries[0].Serving ||
-		l.Entries[1].Serving || l.Entries[1].Removed || !l.Entries[2].Removed || l.Entries[1].Started != 0 {
+	if l.Revision != 41 || !l.Complete || len(l.Entries) != 3 || l.Entries[0].StartedAt != 1700000000*time.Second || !l.Entries[0].Serving ||
+		l.Entries[1].Serving || l.Entries[1].Removed || !l.Entries[2].Removed || l.Entries[1].StartedAt != 0 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -74,7 +74,7 @@
 		var parser fastjson.Parser
 		if list, err := ParseList(&parser, text); err == nil {
 			for _, e := range list.Entries {
-				if e.Name == "" || e.Started < 0 || !e.Removed && !e.Unreadable && e.Shard < 0 || e.Unreadable && e.Serving {
+				if e.Name == "" || e.StartedAt < 0 || !e.Removed && !e.Unreadable && e.Shard < 0 || e.Unreadable && e.Serving {
 					t.Fatalf("%+v", e)
 				}
 			}
--- a/internal/httpgateway/config/list.go
+++ b/internal/httpgateway/config/list.go
@@ -92,7 +92,7 @@
 	} else if !entry.Removed {
 		return entry, errors.New("cell: no whole number from 0")
 	}
-	entry.Started = startOf(member)
+	entry.StartedAt = startOf(member)
 	return entry, nil
 }
 
--- a/internal/httpgateway/config/stored_data_test.go
+++ b/internal/httpgateway/config/stored_data_test.go
@@ -38,7 +38,7 @@
 	}
 	want := &Config{Name: "host-1", Listen: "127.0.0.1:7001", Discovery: "[::1]:7002", Limits: Limits{Cores: 0.25, MemoryMB: 64, Sockets: 256},
 		KnownEndpoints: List{Revision: 41, Complete: true, Entries: []engine.EndpointEntry{
-			{Name: "brick-1", Address: "127.0.0.1:7301", Zone: "north", Shard: 3, Serving: true, Started: 1_790_000_000_123 * time.Millisecond},
+			{Name: "brick-1", Address: "127.0.0.1:7301", Zone: "north", Shard: 3, Serving: true, StartedAt: 1_790_000_000_123 * time.Millisecond},
 			{Name: "brick-2", Address: "[::1]:7302", Zone: "south", Shard: 4},
 			{Name: "brick-3", Shard: -1, Removed: true}}},
 		Settings: storedSettings(), ConnectTimeout: 250 * time.Millisecond, EndpointIdleTimeout: 30 * time.Second}
--- a/internal/httpgateway/samedecisions_test.go
+++ b/internal/httpgateway/samedecisions_test.go
@@ -233,7 +233,7 @@
 			}
 		}
 		at, f := outbound.dueAt[first], outbound.due[first]
-		if next, ok := outbound.core.Next(); ok && next <= at { // what it brings may be due before the rest
+		if next, ok := outbound.core.NextTimer(); ok && next <= at { // what it brings may be due before the rest
 			outbound.core.Advance(next)
 			continue
 		}
--- a/internal/httpgateway/slowstart_test.go
+++ b/internal/httpgateway/slowstart_test.go
@@ -20,7 +20,7 @@
 	s := &gateway.config.Settings
 	s.SlowStartShare, s.SlowStartTime, s.SlowStartUnits, s.OverloadFactor, s.OverloadWindow = 0.2, 10*time.Second, 4, 2, time.Second
 	gateway.config.KnownEndpoints.Entries = []engine.EndpointEntry{{Name: "b0", Address: endpoint.listener.Addr().String(), Serving: true,
-		Started: time.Duration(time.Now().Add(-24 * time.Hour).UnixNano())}}
+		StartedAt: time.Duration(time.Now().Add(-24 * time.Hour).UnixNano())}}
 	gateway.start()
 	time.Sleep(s.OverloadWindow)     // a gateway that has just started sends nothing to endpoints that it may have filled before
 	gateway.agent.sendList(8, false) // nothing has changed until here
--- a/internal/httpgateway/starttimes/starttimes.go
+++ b/internal/httpgateway/starttimes/starttimes.go
@@ -55,13 +55,13 @@
 		case entry.Removed:
 			delete(s.endpoints, entry.Name)
 		case entry.Unreadable && !listed:
-		case entry.Unreadable, listed && before.reported == entry.Started:
+		case entry.Unreadable, listed && before.reported == entry.StartedAt:
 			s.endpoints[entry.Name] = before
-			entry.Started = before.local
+			entry.StartedAt = before.local
 		default:
-			local := localStart(entry.Started, listed, readings)
-			s.endpoints[entry.Name] = startTime{reported: entry.Started, local: local}
-			entry.Started = local
+			local := localStart(entry.StartedAt, listed, readings)
+			s.endpoints[entry.Name] = startTime{reported: entry.StartedAt, local: local}
+			entry.StartedAt = local
 		}
 		translated[i] = entry
 	}
--- a/internal/httpgateway/starttimes/starttimes_test.go
+++ b/internal/httpgateway/starttimes/starttimes_test.go
@@ -15,7 +15,7 @@
 
 // oneEntry is a list of one endpoint, s.
 func oneEntry(started time.Duration) []engine.EndpointEntry {
-	return []engine.EndpointEntry{{Name: "s", Started: started, Serving: true}}
+	return []engine.EndpointEntry{{Name: "s", StartedAt: started, Serving: true}}
 }
 
 // The wall clock is stepped by an hour, before or after an endpoint restarts and reports its start. Were the start taken as
@@ -44,11 +44,11 @@
 		if row.before != 0 {
 			d.Translate(true, oneEntry(row.before), ClockReadings{Now: now - hour, Wall: now - hour})
 		}
-		got := d.Translate(false, oneEntry(row.reported), ClockReadings{Now: now, Wall: now + row.step, Confirmed: row.confirmed})[0].Started
+		got := d.Translate(false, oneEntry(row.reported), ClockReadings{Now: now, Wall: now + row.step, Confirmed: row.confirmed})[0].StartedAt
 		if diff := got - row.want; diff < -row.tolerance || diff > row.tolerance {
 			t.Errorf("%s: %v before now, wanted %v", row.name, now-got, now-row.want)
 		}
-		again := d.Translate(true, oneEntry(row.reported), ClockReadings{Now: now + time.Minute, Wall: now + time.Minute - hour})[0].Started
+		again := d.Translate(true, oneEntry(row.reported), ClockReadings{Now: now + time.Minute, Wall: now + time.Minute - hour})[0].StartedAt
 		if again != got {
 			t.Errorf("%s: moved by %v when reported again after a step", row.name, again-got)
 		}
