--- a/cmd/weirhaven-gateway/main.go
+++ b/cmd/weirhaven-gateway/main.go
@@ -17,8 +17,8 @@
 	}
 	parsed := kong.Parse(&arguments, kong.Name("weirhaven-gateway"), kong.Description("Data plane of the storage gateway."))
 	if parsed.Command() == "platform" {
-		parsed.FatalIfErrorf(arguments.Platform.Execute(gateway.Start))
+		parsed.FatalIfErrorf(arguments.Platform.Execute(gateway.NewScheduler))
 		return
 	}
-	parsed.FatalIfErrorf(arguments.Host.Execute(gateway.Start))
+	parsed.FatalIfErrorf(arguments.Host.Execute(gateway.NewScheduler))
 }
--- a/internal/capacity/verify/verify_test.go
+++ b/internal/capacity/verify/verify_test.go
@@ -15,7 +15,7 @@
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "edge" { // never the tests again, whatever stands behind it
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
-		if err := c.Execute(gateway.Start); err != nil {
+		if err := c.Execute(gateway.NewScheduler); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -51,7 +51,7 @@
 	if c.Baseline == "direct" {
 		return c.Execute(direct.Start)
 	}
-	return c.Execute(gateway.Start)
+	return c.Execute(gateway.NewScheduler)
 }
 
 type controllerRun struct{ server.Command }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -98,7 +98,7 @@
 	now := time.Duration(time.Now().UnixNano())
 	f := endpointstate.New(rules, noSink{}, func(string) {})
 	f.Restore(all, last, now)
-	fmt.Print(gateway.Table(f.Beliefs(), hosts, last, now))
+	fmt.Print(gateway.FormatFleet(f.Beliefs(), hosts, last, now))
 	return nil
 }
 
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -45,7 +45,7 @@
 	}
 	ctx, stop := lifecycle.Context(c.Bound)
 	defer stop()
-	return Run(ctx, conf, Options{Log: log, Start: start, Ready: func(clients, peers string) {
+	return Run(ctx, conf, Options{Log: log, NewScheduler: start, Ready: func(clients, peers string) {
 		fmt.Printf("READY %s %s\n", clients, peers)
 	}})
 }
--- a/internal/gateway/fleetview.go
+++ b/internal/gateway/fleetview.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// Table formats what is believed of the fleet for an operator. Ages are reckoned from now, on the clock of the beliefs.
-func Table(beliefs []endpointstate.Belief, members []membership.Member, last endpointstate.Generation, now time.Duration) string {
+// FormatFleet formats the beliefs about the fleet as a table for an operator. It computes ages relative to now, on the clock of the
+// beliefs.
+func FormatFleet(beliefs []endpointstate.Belief, members []membership.Member, last endpointstate.Generation, now time.Duration) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "list %d of %q\n", last.Number, last.Epoch)
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,16 +19,18 @@
 type Options struct {
 	// Log takes the log; nil: slog.Default.
 	Log *slog.Logger
-	// Start makes the scheduler; nil: Start. Tests and baselines put another one here.
-	Start func(policy.Runtime, policy.Settings) engine.Scheduler
+	// NewScheduler returns the scheduler to use; nil: the package function NewScheduler. Tests and baselines set another one.
+	NewScheduler func(policy.Runtime, policy.Settings) engine.Scheduler
 	// Objects is called with the address (host:port) of the object API, if there is one. May be nil.
 	Objects func(address string)
 	// Ready is called once requests are served, with the address for clients and the one for peers (empty: none). May be nil.
 	Ready func(clients, peers string)
 }
 
-// Start makes the scheduler of package policy.
-func Start(runtime policy.Runtime, s policy.Settings) engine.Scheduler { return policy.New(runtime, s) }
+// NewScheduler returns a new scheduler of package policy.
+func NewScheduler(runtime policy.Runtime, s policy.Settings) engine.Scheduler {
+	return policy.New(runtime, s)
+}
 
 // Gateway is one gateway while it runs. Its fields are set before its goroutines start, but for those said to be guarded.
 type Gateway struct {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -521,7 +521,7 @@
 		return &blockingScheduler{policy.New(h, s), block, blocked}
 	}
 	go func() {
-		done <- Run(ctx, e, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Start: start, Ready: func(a, _ string) { ready <- a }})
+		done <- Run(ctx, e, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), NewScheduler: start, Ready: func(a, _ string) { ready <- a }})
 	}()
 	c := dial(t, <-ready)
 	c.submit(1, "read")
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -51,7 +51,7 @@
 		c.sendResult(m.ID, text, err)
 		return
 	}
-	table := Table(view.beliefs, view.members, view.generation, c.gateway.loop.Now())
+	table := FormatFleet(view.beliefs, view.members, view.generation, c.gateway.loop.Now())
 	c.sendResult(m.ID, []byte(table), nil)
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -24,8 +24,8 @@
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	if o.Start == nil {
-		o.Start = Start
+	if o.NewScheduler == nil {
+		o.NewScheduler = NewScheduler
 	}
 	g := newGateway(conf, o.Log)
 	if err := g.listen(ctx); err != nil {
@@ -35,7 +35,7 @@
 	if err := g.peers.open(ctx); err != nil {
 		return err
 	}
-	core, err := g.assemble(ctx, o.Start)
+	core, err := g.assemble(ctx, o.NewScheduler)
 	if g.capture != nil {
 		defer g.capture.Close()
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 	if len(os.Args) > 1 && os.Args[1] == "edge" {
 		wrong, _ := strconv.Atoi(os.Getenv("WRONG"))
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
-		start := gateway.Start
+		start := gateway.NewScheduler
 		if wrong > 0 {
 			start = func(h policy.Runtime, s policy.Settings) engine.Scheduler { return newWrong(wrong, h, s) }
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -26,7 +26,7 @@
 		os.Exit(m.Run())
 	}
 	fault := faults[os.Getenv(faultVariable)]
-	start := gateway.Start
+	start := gateway.NewScheduler
 	if fault.decider != nil {
 		start = fault.decider
 	}
