--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -7,54 +7,55 @@
 	"weirhaven/policy"
 )
 
-// EndpointConn is the connection to one endpoint. Calls come from the Core's owner and return at once. An attempt or
-// health check that the endpoint doesn't answer is reported by Core.AttemptEnded or Core.HealthChecked once the
-// connection knows how it ended. Each is reported once at most, never from within a call of EndpointConn.
+// EndpointConn is the connection to one endpoint. Calls come from the Core's owner and must not block. The connection
+// reports each attempt and health check to Core.AttemptEnded or Core.HealthChecked at most once, as soon as it knows the
+// outcome, also without a response of the endpoint. It never reports from within a call of EndpointConn.
 type EndpointConn interface {
-	// Send sends attempt number (0: the first) of a request as id. remaining is how long the request still has. If the
-	// attempt has not begun by startBy, on the engine's clock, it must not; 0: no such time.
+	// Send sends attempt number (0: the first) of a request under the ID id. remaining is the time until the request's
+	// deadline. The attempt must not begin after startBy, on the engine's clock; 0: no bound.
 	Send(id uint64, request *Request, number int, remaining, startBy time.Duration)
-	// Cancel asks the endpoint to stop an attempt whose outcome is not waited for any more.
+	// Cancel asks the endpoint to stop an attempt whose outcome is no longer needed.
 	Cancel(id uint64)
-	// Withdraw reports whether no byte of the attempt was written; then none ever will be.
+	// Withdraw removes an attempt of which no byte was written, so that none ever is; it reports whether it did.
 	Withdraw(id uint64) bool
-	// RequestGreeting asks the endpoint for a greeting, on a new connection if need be.
+	// RequestGreeting asks the endpoint for a greeting, on a new connection if necessary.
 	RequestGreeting()
-	// Abandon gives up waiting for an attempt or health check that timed out.
+	// Abandon drops an attempt or health check that timed out.
 	Abandon(id uint64)
-	// CheckHealth sends a health check as id.
+	// CheckHealth sends a health check under the ID id.
 	CheckHealth(id uint64)
-	// Close ends the connection and whatever is in flight on it.
+	// Close ends the connection and everything in flight on it.
 	Close()
 }
 
-// AttemptReport is how an attempt ended, as its connection saw it.
+// AttemptReport is the outcome of an attempt as its connection observed it.
 type AttemptReport struct {
-	Endpoint string // to which the attempt was sent
+	Endpoint string // name of the endpoint that the attempt was sent to
 	ID       uint64 // as in EndpointConn.Send
 	Outcome  policy.Outcome
-	// SeenAt is when the connection saw the outcome, on the engine's clock; 0: now. Time that the report then waited for
-	// the loop's turn doesn't count against the endpoint.
+	// SeenAt is the time on the engine's clock at which the connection observed the outcome; 0: now. The time that the
+	// report then spends in the loop's queue does not count as the endpoint's latency.
 	SeenAt time.Duration
-	Body   []byte // only of policy.Served
+	Body   []byte // response body; only with policy.Served
 	Load   policy.LoadReport
 }
 
-// attempt is one attempt from the scheduler's Send until its outcome.
+// attempt is an attempt from the scheduler's Send until its outcome.
 type attempt struct {
 	*policy.Attempt // the scheduler's view of it
 	id              uint64
 	owner           *openRequest
-	target          *endpoint // nil: the endpoint was dropped before the attempt
+	target          *endpoint // nil: the endpoint was removed before the attempt
 	sentAt          time.Duration
-	recordIndex     int // in the attempts of the owner's record
+	recordIndex     int // index in the owner's record.Attempts
 	ended           bool
 }
 
-// hasConn reports whether there is a connection that may know of the attempt.
+// hasConn reports whether the attempt's endpoint has a connection.
 func (a *attempt) hasConn() bool { return a.target != nil && a.target.conn != nil }
 
-// send carries out the scheduler's Send. One that can't be sent ends as policy.NotSent, once the scheduler has returned.
+// send carries out the scheduler's Send. An attempt that can't be sent ends as policy.NotSent after the scheduler has
+// returned.
 func (c *Core) send(scheduled *policy.Attempt) {
 	open := c.requests[scheduled.Request.ID]
 	c.lastID++
@@ -77,17 +78,18 @@
 		c.counts.Retries++
 	}
 	remaining := open.deadline - c.now
-	c.schedule(remaining, timer{expires: a})
+	c.schedule(remaining, timer{attempt: a})
 	a.target.conn.Send(a.id, open.request, scheduled.Number, remaining, scheduled.StartBy)
 }
 
-// canSend holds the limits that no scheduler may pass, however it decides.
+// canSend enforces the limits that apply whatever the scheduler decides.
 func (c *Core) canSend(a *attempt) bool {
 	open := a.owner
 	return !open.done && open.deadline > c.now && open.attemptsSent < c.maxAttempts && a.hasConn() && !c.stopping
 }
 
-// checkOverlap counts an attempt that begins while another of its request is in flight and settings forbid that.
+// checkOverlap counts an attempt that begins while another attempt of its request is in flight although the settings
+// forbid hedging.
 func (c *Core) checkOverlap(sent *attempt) {
 	if !c.hedgingDisabled || !slices.ContainsFunc(sent.owner.inFlight, func(a *attempt) bool { return a != sent && !a.ended }) {
 		return
@@ -118,7 +120,7 @@
 	c.finishLater(a, policy.Canceled)
 }
 
-// withdraw ends an attempt as policy.NotSent if nothing of it was written; it reports whether that is so.
+// withdraw ends an attempt as policy.NotSent if no byte of it was written; it reports whether it did.
 func (c *Core) withdraw(a *attempt) bool {
 	if a.ended || !a.hasConn() || !a.target.conn.Withdraw(a.id) {
 		return false
@@ -127,13 +129,13 @@
 	return true
 }
 
-// finishLater ends an attempt once the scheduler has returned.
+// finishLater ends an attempt after the scheduler has returned.
 func (c *Core) finishLater(a *attempt, outcome policy.Outcome) {
 	c.deferCall(func() { c.finishAttempt(a, AttemptReport{Outcome: outcome, SeenAt: c.now}) })
 }
 
-// ResponseStarted reports that an endpoint has begun to stream the response of the attempt id. From then on the response
-// is the client's: the attempt has no timeout and the request no retry.
+// ResponseStarted reports that an endpoint has begun to stream the response to the attempt id. Part of the response may
+// have reached the client then, so the attempt no longer times out and the request is not retried.
 func (c *Core) ResponseStarted(endpointName string, id uint64) {
 	a := c.attempts[id]
 	if a == nil || a.Endpoint.Name != endpointName || a.owner.done || a.owner.responseStarted {
@@ -148,7 +150,7 @@
 	c.runDeferred()
 }
 
-// AttemptEnded reports how an attempt ended. A report on an attempt that is over already, or that went to another
+// AttemptEnded takes the outcome of an attempt. A report on an attempt that has already ended, or that was sent to another
 // endpoint, is counted and dropped.
 func (c *Core) AttemptEnded(report AttemptReport) {
 	a := c.attempts[report.ID]
@@ -167,7 +169,7 @@
 	c.runDeferred()
 }
 
-// finishAttempt is the one place where an attempt ends.
+// finishAttempt ends an attempt; every attempt ends here.
 func (c *Core) finishAttempt(a *attempt, report AttemptReport) {
 	if a.ended {
 		c.counts.LateOutcomes++
@@ -175,7 +177,7 @@
 	}
 	open := a.owner
 	if report.Outcome == policy.TimedOut && open.responseStarted && !open.done {
-		return // a stream has no timeout
+		return // a streamed response does not time out
 	}
 	report.SeenAt = min(max(report.SeenAt, a.sentAt), c.now)
 	c.closeAttempt(a, report)
@@ -188,7 +190,7 @@
 	switch {
 	case report.Outcome == policy.Served:
 		c.respond(open, Response{Result: Served, Body: report.Body})
-	case open.responseStarted && !open.done: // the client has part of the response: a retry can't mend it
+	case open.responseStarted && !open.done: // the client may have part of the response: no retry is possible
 		c.respond(open, Response{Result: Failed, Reason: "the answer broke off"})
 	}
 	c.scheduler.AttemptEnded(a.Attempt, policy.AttemptResult{Outcome: report.Outcome, Duration: report.SeenAt - a.sentAt, RequestOver: open.done,
@@ -197,7 +199,7 @@
 	c.endpointAttemptEnded(a.target, report.Outcome)
 }
 
-// closeAttempt takes an attempt out of what is in flight.
+// closeAttempt removes an attempt from those in flight and counts its outcome.
 func (c *Core) closeAttempt(a *attempt, report AttemptReport) {
 	a.ended = true
 	delete(c.attempts, a.id)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -9,69 +9,71 @@
 	"weirhaven/policy"
 )
 
-// Outbound is how a Core reaches everything but endpoints. Calls come from the Core's owner and must not block.
+// Outbound connects a Core to its surroundings: it makes connections to endpoints and sends messages to the discovery
+// service, other gateways and the log. Calls come from the Core's owner and must not block.
 type Outbound interface {
-	// Connect returns the connection to the endpoint of that name at that address; it need not be up yet.
+	// Connect returns the connection to the named endpoint at address; it need not be established yet.
 	Connect(name, address string) EndpointConn
 	// RequestEndpointList asks the discovery service for the endpoint list or its changes.
 	RequestEndpointList()
-	// SendGossip sends a gossip message of the scheduler to every other gateway; it may be lost.
-	SendGossip(note []byte)
+	// SendGossip sends the scheduler's gossip message to every other gateway; it may be lost.
+	SendGossip(message []byte)
 	// SendMembership sends a membership message to one gateway; it may be lost.
 	SendMembership(address string, m membership.Message)
-	// SendEndpoints reports endpoint states to one gateway; it may be lost. now is the Core's clock, to which the reports' times refer.
+	// SendEndpoints sends reports of endpoint states to one gateway; they may be lost. now is the present time on the
+	// Core's clock, on which the reports' times are.
 	SendEndpoints(address string, now time.Duration, reports []endpointstate.Report)
-	// MembersChanged passes on all gateways of the fleet whenever one of them changes.
+	// MembersChanged reports the complete list of the fleet's gateways after a change of one of them.
 	MembersChanged(all []membership.Member)
 	// Log writes one line to the gateway's log.
 	Log(line string)
 }
 
-// VolumeLookup returns the service plan of a volume and the number of gateways through which it is used; ok is false for
-// a volume that is not configured.
+// VolumeLookup returns the service plan of a volume and the number of gateways that use the volume; ok is false if the
+// volume is not configured.
 type VolumeLookup func(name string) (plan string, gateways int, ok bool)
 
-// Core is the state of one gateway beside its scheduler. It is not safe for concurrent use: every method is called by
-// its owner, a Loop or a simulation.
+// Core is the state of one gateway, except the state of its scheduler. It is not safe for concurrent use: only its owner,
+// a Loop or a simulation, may call its methods.
 type Core struct {
-	// OnOverlap, if not nil, is called with the trace of each request of which a second attempt began beside another one
-	// although the settings forbid hedging. Set it before the first event.
+	// OnOverlap, if not nil, is called with the trace of a request when one of its attempts begins while another is in
+	// flight although the settings forbid hedging. Set it before the first event.
 	OnOverlap func(trace string)
 
 	scheduler          Scheduler
 	outbound           Outbound
-	lookupVolume       VolumeLookup             // nil: each request carries its plan
-	timeoutByClass     map[string]time.Duration // of a request, by class
-	maxAttempts        int                      // of a request
-	hedgingDisabled    bool                     // settings allow no second attempt of a request while one is in flight
+	lookupVolume       VolumeLookup             // nil: each request names its own plan
+	timeoutByClass     map[string]time.Duration // request timeout by class
+	maxAttempts        int                      // maximum number of attempts of a request
+	hedgingDisabled    bool                     // the settings forbid a second attempt of a request while one is in flight
 	healthCheckTimeout time.Duration
-	stopping           bool // nothing is sent any more
+	stopping           bool // Stop was called; no attempt is sent
 
 	now      time.Duration
 	timerSeq uint64
 	timers   timerHeap
-	deferred []func() // what the scheduler's own calls caused; runs once it has returned
+	deferred []func() // effects of the scheduler's own calls; run after the scheduler has returned
 	rng      *rand.Rand
 
-	lastID   uint64 // of requests, attempts and health checks alike
+	lastID   uint64 // last ID given out; requests, attempts and health checks share one sequence
 	requests map[int64]*openRequest
 	attempts map[uint64]*attempt
 	volumes  map[string]*volumeEntry
 
 	endpoints          map[string]*endpoint
 	fleet              *endpointstate.Fleet
-	endpointsChanged   bool          // the scheduler got an update since its last EndEndpointList
-	nextPeerReportAt   time.Duration // when endpoint states are reported to other gateways next
-	peerReportPosition int           // where the next report goes on among all endpoints
+	endpointsChanged   bool          // the scheduler got an endpoint update since the last EndEndpointList
+	nextPeerReportAt   time.Duration // time of the next report of endpoint states to other gateways
+	peerReportPosition int           // rotating position of the next report among all endpoints
 
-	group *membership.Group // nil: this gateway is alone, the settings say how many there are
+	group *membership.Group // nil: no membership; the settings give the number of gateways
 
 	counts   Counts
-	observer Observer // nil: nobody observes
+	observer Observer // nil: none
 }
 
-// New returns a Core with the scheduler that start makes; start gets the runtime through which the scheduler acts.
-// The clock stands at now. A health check without answer times out after healthCheckTimeout. lookupVolume may be nil.
+// New returns a Core whose clock stands at now, with the scheduler that start makes; start gets the runtime through which
+// the scheduler acts. An unanswered health check times out after healthCheckTimeout. lookupVolume may be nil.
 func New(s policy.Settings, rules endpointstate.Rules, start func(policy.Runtime, policy.Settings) Scheduler, outbound Outbound,
 	lookupVolume VolumeLookup, healthCheckTimeout, now time.Duration) *Core {
 	c := &Core{
@@ -82,7 +84,7 @@
 		hedgingDisabled:    !s.Hedging,
 		healthCheckTimeout: healthCheckTimeout,
 		now:                now,
-		// Another seed than the scheduler's: two generators of one seed would draw the same numbers.
+		// Differs from the scheduler's seed: two generators with one seed would draw the same numbers.
 		rng:       rand.New(rand.NewSource(s.Seed + 1)),
 		requests:  map[int64]*openRequest{},
 		attempts:  map[uint64]*attempt{},
@@ -98,16 +100,16 @@
 	return c
 }
 
-// Now returns the Core's clock, as the last Advance left it.
+// Now returns the time on the Core's clock, as set by the last Advance.
 func (c *Core) Now() time.Duration { return c.now }
 
-// GossipReceived passes a scheduler's message from the gateway with that ordinal to the scheduler.
+// GossipReceived passes a gossip message from the scheduler of the gateway with the ordinal sender to this scheduler.
 func (c *Core) GossipReceived(sender int, data []byte) {
 	c.scheduler.GossipReceived(sender, data)
 	c.runDeferred()
 }
 
-// Stop closes all connections; nothing is sent from then on.
+// Stop closes all connections. No attempt is sent afterwards.
 func (c *Core) Stop() {
 	c.stopping = true
 	for _, endpoint := range c.endpoints {
@@ -117,16 +119,16 @@
 	}
 }
 
-// deferCall runs call once the scheduler has returned.
+// deferCall queues call to run after the scheduler has returned.
 func (c *Core) deferCall(call func()) { c.deferred = append(c.deferred, call) }
 
-// runDeferred runs what came up while the scheduler acted, in order, and what that causes in turn.
+// runDeferred runs the deferred calls in order, including those that they defer in turn.
 func (c *Core) runDeferred() {
 	for len(c.deferred) > 0 {
 		call := c.deferred[0]
 		c.deferred[0] = nil
 		if c.deferred = c.deferred[1:]; len(c.deferred) == 0 {
-			c.deferred = nil // a long queue's memory is not kept
+			c.deferred = nil // frees the memory of a long queue
 		}
 		call()
 	}
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,10 +1,10 @@
-// Package engine runs one scheduler (package policy) in a gateway: it turns what happens outside into calls of the
-// scheduler and carries out what the scheduler asks for.
+// Package engine runs one scheduler (package policy) in a gateway: it translates external events into calls of the
+// scheduler and carries out the scheduler's own calls.
 //
-// Core is the state machine: no clock, no goroutine, no I/O. Whoever owns it moves its clock with Advance and reports
-// events by the other methods. Everything that leaves a Core goes through three interfaces whose calls return at once.
+// Core is the state machine: it has no clock, no goroutine and no I/O. Its owner moves its clock with Advance and reports
+// events through the other methods. A Core acts on the outside only through three interfaces, whose calls must not block.
 // Loop is the goroutine that owns a Core in a real gateway; a simulation in virtual time owns one directly. All calls of
-// one Core come from its owner, one at a time.
+// a Core's methods come from its owner, one at a time.
 //
 //	events in                                     scheduler (interface Scheduler)
 //	  Submit, ClientDisconnected           ->       RequestReceived, ClientDisconnected
@@ -21,12 +21,13 @@
 //
 // Invariants:
 //
-//   - A request that was submitted gets exactly one response, or none if its client disconnected first.
-//   - An attempt is in flight from the scheduler's Send until finishAttempt; the scheduler learns its outcome once.
-//     Reports after that are counted as late and dropped.
-//   - Nothing is written for a request after its response or its client's departure, unless it was being written already.
-//   - The scheduler is never entered again while it acts: what its own calls cause waits in Core.deferred until it returns.
+//   - A submitted request gets exactly one response, or none if its client disconnected first.
+//   - An attempt is in flight from the scheduler's Send until finishAttempt, which reports its outcome to the scheduler
+//     once. Later reports are counted as late and dropped.
+//   - No attempt begins to be written after its request's response or after its client disconnected. An attempt that is
+//     being written by then may be completed.
+//   - The scheduler is never re-entered: the effects of its own calls wait in Core.deferred until it returns.
 //
-// The engine knows nothing of protocols and sockets, and takes no decision: it does not choose endpoints, retry, reject,
-// limit or order requests. Times are on the owner's clock, as durations since that clock's zero, which lies far in the past.
+// The engine has no knowledge of protocols and sockets, and makes no decisions: it does not choose endpoints, retry,
+// reject, limit or order requests. Times are durations since the zero of the owner's clock, which lies far in the past.
 package engine
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// urgentQueueLength bounds the events of PostUrgent that wait.
+	// urgentQueueLength is the capacity of PostUrgent's queue, in events.
 	urgentQueueLength = 256
-	// maxBatch is how many queued events run before the loop looks at its context and resets its timer.
+	// maxBatch bounds the events that run before the loop checks its context and resets its timer again.
 	maxBatch = 64
-	// idleWait is the timer's wait while the Core has no timer.
+	// idleWait is the duration of the loop's timer while the Core has no timer set.
 	idleWait = time.Hour
 )
 
-// Loop is the goroutine that owns a Core in a real gateway. Events reach it as functions through bounded queues. All
-// methods but Run are safe for concurrent use. An event itself must not call Post or PostUrgent: with a full queue it would
-// wait for its own loop.
+// Loop is the goroutine that owns a Core in a real gateway. Events are functions that it receives through bounded queues.
+// All methods but Run are safe for concurrent use. An event must not call Post or PostUrgent: if the queue is full, the
+// call deadlocks.
 type Loop struct {
 	events chan func(*Core)
-	urgent chan func(*Core) // before the next of events
+	urgent chan func(*Core) // events that run before the next one of events
 	clock  clock.Clock
 	done   chan struct{}
 }
 
-// NewLoop returns a Loop whose queue holds queueLength events. Its clock runs from now on; events wait until Run.
+// NewLoop returns a Loop whose queue holds queueLength events. Its clock runs from now on; queued events wait for Run.
 func NewLoop(queueLength int) *Loop {
 	return &Loop{
 		events: make(chan func(*Core), queueLength),
@@ -36,10 +36,10 @@
 	}
 }
 
-// Now returns the process's clock, to which the Core's is set before each event.
+// Now returns the time on the process's clock. The Core's clock is advanced to it before each event.
 func (l *Loop) Now() time.Duration { return l.clock.Now() }
 
-// Run owns c until ctx ends, and calls its Stop then. Events that are queued at that time are dropped. Call it once.
+// Run owns c until ctx ends, then calls c.Stop and drops the events that are still queued. Call Run once.
 func (l *Loop) Run(ctx context.Context, c *Core) {
 	defer close(l.done)
 	timer := time.NewTimer(idleWait)
@@ -69,7 +69,7 @@
 	return max(dueAt-l.Now(), 0)
 }
 
-// runBatch runs an event and up to maxBatch more that are queued already: the timer need not be reset for each.
+// runBatch runs an event and up to maxBatch more that are already queued, without resetting the timer for each of them.
 func (l *Loop) runBatch(c *Core, event func(*Core)) {
 	for more := min(len(l.events), maxBatch); ; more-- {
 		l.runUrgent(c)
@@ -81,7 +81,7 @@
 	}
 }
 
-// runUrgent runs what must not wait behind the queue.
+// runUrgent runs all queued urgent events.
 func (l *Loop) runUrgent(c *Core) {
 	for {
 		select {
@@ -98,8 +98,8 @@
 	event(c)
 }
 
-// Post queues an event that must not be lost. It waits while the queue is full, and returns false, the event not queued,
-// only once the loop has ended. An event that was queued runs unless the loop ends first.
+// Post queues an event and blocks while the queue is full. It returns false, without queuing the event, only after the
+// loop has ended. A queued event runs unless the loop ends first.
 func (l *Loop) Post(event func(*Core)) bool {
 	select {
 	case l.events <- event:
@@ -109,7 +109,7 @@
 	}
 }
 
-// TryPost queues an event unless the queue is full; it reports whether it did, and never waits.
+// TryPost queues an event unless the queue is full; it reports whether it did, and never blocks.
 func (l *Loop) TryPost(event func(*Core)) bool {
 	select {
 	case l.events <- event:
@@ -119,8 +119,8 @@
 	}
 }
 
-// PostUrgent queues an event that runs before all of Post and TryPost: one after which what is queued must not begin, such
-// as that a client has disconnected or that an endpoint drains. Otherwise it is like Post.
+// PostUrgent is like Post, but its events run before all events of Post and TryPost. It is for events that invalidate
+// queued ones, such as a client's disconnect or the drain of an endpoint.
 func (l *Loop) PostUrgent(event func(*Core)) bool {
 	select {
 	case l.urgent <- event:
@@ -130,5 +130,5 @@
 	}
 }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} { return l.done }
--- a/internal/engine/runtime.go
+++ b/internal/engine/runtime.go
@@ -6,8 +6,8 @@
 	"weirhaven/policy"
 )
 
-// Scheduler is the scheduler as the engine calls it; *policy.Scheduler is one. Its methods are called by the Core's
-// owner, and never while it is in a call of its policy.Runtime.
+// Scheduler is the set of scheduler methods that the engine calls; *policy.Scheduler implements it. They are called by
+// the Core's owner, and never from within one of the scheduler's own calls of its policy.Runtime.
 type Scheduler interface {
 	BeginEndpointList(complete bool)
 	UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate)
@@ -23,7 +23,7 @@
 	SetVolumeGateways(volume *policy.Volume, gateways int)
 }
 
-// schedulerRuntime is the Core as its scheduler sees it: a policy.Runtime.
+// schedulerRuntime implements policy.Runtime on a Core.
 type schedulerRuntime Core
 
 func (r *schedulerRuntime) core() *Core { return (*Core)(r) }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -7,16 +7,16 @@
 	"weirhaven/policy"
 )
 
-// timer is something to do at a time: to call fire, or else to end an attempt whose request has run out of time.
+// timer is a call of fire at a point in time or, without fire, the timeout of an attempt.
 type timer struct {
 	dueAt   time.Duration
 	seq     uint64 // timers due at the same time fire in the order in which they were set
 	fire    func()
-	expires *attempt // instead of fire; spares a closure for each attempt
+	attempt *attempt // set instead of fire, which saves a closure for each attempt
 }
 
-// Advance moves the clock to now, never back, and fires the timers that are due, in order. The owner calls it before
-// each event and when NextTimer is due.
+// Advance moves the clock to now, never backwards, and fires the due timers in order. The owner calls it before each
+// event and at the time that NextTimer returns.
 func (c *Core) Advance(now time.Duration) {
 	c.now = max(c.now, now)
 	for len(c.timers) > 0 && c.timers[0].dueAt <= c.now {
@@ -24,14 +24,14 @@
 		switch {
 		case due.fire != nil:
 			due.fire()
-		case !due.expires.ended:
-			c.finishAttempt(due.expires, AttemptReport{Outcome: policy.TimedOut, SeenAt: c.now})
+		case !due.attempt.ended:
+			c.finishAttempt(due.attempt, AttemptReport{Outcome: policy.TimedOut, SeenAt: c.now})
 		}
 		c.runDeferred()
 	}
 }
 
-// NextTimer returns when the next timer is due; ok is false if there is none.
+// NextTimer returns the due time of the next timer; ok is false if no timer is set.
 func (c *Core) NextTimer() (dueAt time.Duration, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
@@ -39,14 +39,14 @@
 	return c.timers[0].dueAt, true
 }
 
-// schedule sets a timer. A wait of 0 or less fires at the next Advance, not at once.
+// schedule sets a timer. With a wait of 0 or less, it fires at the next Advance, not immediately.
 func (c *Core) schedule(wait time.Duration, t timer) {
 	c.timerSeq++
 	t.dueAt, t.seq = c.now+max(wait, 0), c.timerSeq
 	heap.Push(&c.timers, t)
 }
 
-// timerHeap is a container/heap of timers, the earliest first.
+// timerHeap is a container/heap of timers, earliest first.
 type timerHeap []timer
 
 // Len implements heap.Interface.
@@ -67,7 +67,7 @@
 func (h *timerHeap) Pop() any {
 	timers := *h
 	last := timers[len(timers)-1]
-	timers[len(timers)-1] = timer{} // or the array would keep what the timer refers to
+	timers[len(timers)-1] = timer{} // lets the garbage collector free what the timer refers to
 	*h = timers[:len(timers)-1]
 	return last
 }
