--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -2,19 +2,19 @@
 
 import "weirhaven/policy"
 
-// Counts are a Core's running totals since its start, and gauges where said so.
+// Counts are a Core's totals since its start; fields marked as gauges are present values.
 type Counts struct {
-	Received           int64 // requests handed to the scheduler
-	Served             int64 // requests by their result
+	Received           int64 // requests passed to the scheduler
+	Served             int64 // requests by result
 	Rejected           int64
 	Failed             int64
 	ClientDisconnected int64
 
-	Attempts           int64 // sent to a connection
-	Retries            int64 // of Attempts, those after a request's first
-	LateOutcomes       int64 // reports on attempts and health checks that were over; dropped
-	MismatchedOutcomes int64 // reports that name another endpoint than the attempt's; dropped
-	Overlapping        int64 // attempts begun beside another one that settings forbid; must stay 0
+	Attempts           int64 // attempts sent to a connection
+	Retries            int64 // attempts other than a request's first
+	LateOutcomes       int64 // dropped reports on attempts and health checks that had ended
+	MismatchedOutcomes int64 // dropped reports that name another endpoint than the attempt's
+	Overlapping        int64 // attempts begun while another of the request was in flight, against the settings; must stay 0
 
 	Open     int                       // gauge: requests without a result
 	InFlight int                       // gauge: attempts without an outcome
@@ -29,7 +29,7 @@
 	return counts
 }
 
-// countResult counts a request that is over.
+// countResult counts the result of a request that has ended.
 func (c *Core) countResult(result Result) {
 	c.counts.Open--
 	switch result {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// endpointTickInterval is how often the age of endpoint states is looked at.
+	// endpointTickInterval is the interval at which endpoint states are checked for expiry.
 	endpointTickInterval = time.Second
-	// greetingJitter spreads greetings requested at the same tick, here and at other gateways.
+	// greetingJitter spreads the greeting requests of one tick, of this gateway and others, over time.
 	greetingJitter = 200 * time.Millisecond
-	// answerReportInterval is how often answers of an endpoint are passed on as a sign of life.
-	answerReportInterval = time.Second
+	// responseReportInterval is the minimum interval between two reports to the endpoint states that an endpoint responds.
+	responseReportInterval = time.Second
 )
 
-// endpoint is an endpoint that the scheduler was notified of, until it is removed and nothing is in flight there.
+// endpoint is an endpoint known to the scheduler. It is kept until it is removed and has no attempt in flight.
 type endpoint struct {
-	policy.Endpoint   // the scheduler's view of it
-	conn              EndpointConn
-	address           string
-	zone              string
-	shard             int
-	inFlight          int  // attempts
-	removed           bool // from the fleet
-	serving           bool // as the scheduler was notified
-	answerReportedAt  time.Duration
-	healthCheckID     uint64 // 0: none under way
-	healthCheckSentAt time.Duration
+	policy.Endpoint    // the scheduler's view of it
+	conn               EndpointConn
+	address            string
+	zone               string
+	shard              int
+	inFlight           int  // number of attempts in flight
+	removed            bool // no longer part of the fleet
+	serving            bool // state last reported to the scheduler
+	responseReportedAt time.Duration
+	healthCheckID      uint64 // ID of the health check in flight; 0: none
+	healthCheckSentAt  time.Duration
 }
 
 // EndpointEntry is one entry of an endpoint list.
 type EndpointEntry struct {
 	Name, Address, Zone string
 	Shard               int
-	Serving             bool          // false: draining or gone
+	Serving             bool          // false: draining or removed
 	Removed             bool          // no longer part of the fleet
 	HasAge              bool          // Age is known
-	Age                 time.Duration // since its start, by the clock of whoever made the list
-	StartedAt           time.Duration // on the engine's clock, only for AuthoritativeList; 0: not known, long ago
-	Unreadable          bool          // only for AuthoritativeList: only Name and Started could be read
+	Age                 time.Duration // time since the endpoint's start, by the clock of the list's author
+	StartedAt           time.Duration // start time on the engine's clock; only for AuthoritativeList; 0: unknown, long ago
+	Unreadable          bool          // only Name and StartedAt could be read; only for AuthoritativeList
 }
 
-// Greeting is how an endpoint introduces itself on a new connection.
+// Greeting is an endpoint's greeting on a new connection.
 type Greeting struct {
 	Endpoint, Address string
 	HasAge            bool          // Age is known
-	Age               time.Duration // since its start, by its own clock
-	Draining          bool          // it takes nothing new
+	Age               time.Duration // time since the endpoint's start, by its own clock
+	Draining          bool          // the endpoint accepts no new requests
 }
 
-// EndpointList takes a list of the discovery service, or its changes if whole is false. What reaches the scheduler is up
-// to the endpoint states: they weigh it against what else is known.
-func (c *Core) EndpointList(generation endpointstate.Generation, whole bool, entries []EndpointEntry) {
-	c.scheduler.BeginEndpointList(false) // the endpoint states report one by one what a whole list no longer names
-	c.fleet.ListReceived(generation, whole, c.reports(entries), c.now)
+// EndpointList takes an endpoint list of the discovery service, or only its changes if complete is false. The endpoint
+// states combine it with other information and decide what the scheduler is notified of.
+func (c *Core) EndpointList(generation endpointstate.Generation, complete bool, entries []EndpointEntry) {
+	c.scheduler.BeginEndpointList(false) // the endpoint states report each endpoint that a complete list omits
+	c.fleet.ListReceived(generation, complete, c.reports(entries), c.now)
 	c.endpointsChanged = true
 	c.applyEndpointChanges()
 }
 
-// EndpointListUnchanged reports that the discovery service is there and has nothing new.
+// EndpointListUnchanged reports that the discovery service answered that its list has not changed.
 func (c *Core) EndpointListUnchanged() { c.fleet.ListUnchanged(c.now) }
 
-// EndpointListFailed reports that the discovery service could not be asked, or that its watch broke.
+// EndpointListFailed reports that a poll of the discovery service failed or that its watch broke.
 func (c *Core) EndpointListFailed() {
 	c.scheduler.EndpointListFailed()
 	c.runDeferred()
 }
 
-// AuthoritativeList takes a list, or its changes if whole is false, of a source that is always right: the scheduler gets
-// each entry as it stands, past the endpoint states.
-func (c *Core) AuthoritativeList(whole bool, entries []EndpointEntry) {
-	c.scheduler.BeginEndpointList(whole)
-	if whole {
+// AuthoritativeList takes an endpoint list, or only its changes if complete is false, from a source that is trusted
+// without checks: each entry goes to the scheduler as it is, bypassing the endpoint states.
+func (c *Core) AuthoritativeList(complete bool, entries []EndpointEntry) {
+	c.scheduler.BeginEndpointList(complete)
+	if complete {
 		for _, endpoint := range c.endpoints {
 			endpoint.removed = true
 		}
@@ -89,8 +89,8 @@
 	c.applyEndpointChanges()
 }
 
-// suspendEndpoint takes an endpoint whose entry can't be read for one that drains: the entry may say so, and an endpoint
-// that drains must get nothing new. An endpoint that is not known stays so.
+// suspendEndpoint treats an endpoint whose entry can't be read as draining: the entry may say that it drains, and a
+// draining endpoint must get no new requests. An unknown endpoint is ignored.
 func (c *Core) suspendEndpoint(entry EndpointEntry) {
 	if known := c.endpoints[entry.Name]; known != nil {
 		c.outbound.Log("unreadable endpoint list entry, endpoint suspended: " + entry.Name)
@@ -98,30 +98,30 @@
 	}
 }
 
-// ConfiguredEndpoints takes endpoints that the settings name. They count as long as nothing newer is known.
+// ConfiguredEndpoints takes the endpoints named in the settings. They are used until newer information is received.
 func (c *Core) ConfiguredEndpoints(entries []EndpointEntry) {
 	c.fleet.Configured(c.reports(entries), c.now)
 	c.applyEndpointChanges()
 }
 
-// Restore takes back endpoint states that a former run saved, with the generation of the last list in them.
+// Restore loads the endpoint states that an earlier run saved; last is the generation of the last list among them.
 func (c *Core) Restore(saved []endpointstate.Belief, last endpointstate.Generation) {
 	c.fleet.Restore(saved, last, c.now)
 	c.requestGreetings()
 	c.applyEndpointChanges()
 }
 
-// Fleet returns the endpoint states, to be read only, and only by the Core's owner.
+// Fleet returns the endpoint states. Only the Core's owner may use them, and only for reading.
 func (c *Core) Fleet() *endpointstate.Fleet { return c.fleet }
 
-// ForgetEndpoint drops what is known of an endpoint, as an operator asks; it reports whether something was.
+// ForgetEndpoint removes an endpoint's state at an operator's request; it reports whether the endpoint was known.
 func (c *Core) ForgetEndpoint(name string) bool {
 	known := c.fleet.Forget(name)
 	c.applyEndpointChanges()
 	return known
 }
 
-// Greeted reports that an endpoint introduced itself on a new connection.
+// Greeted reports an endpoint's greeting on a new connection.
 func (c *Core) Greeted(greeting Greeting) {
 	startedAt := time.Duration(0)
 	if greeting.HasAge {
@@ -142,14 +142,13 @@
 	c.applyEndpointChanges()
 }
 
-// WrongEndpoint reports that another endpoint than the one of that name greeted at its address.
+// WrongEndpoint reports that the greeting received at address came from another endpoint than the one named.
 func (c *Core) WrongEndpoint(name, address string) {
 	c.fleet.WrongEndpoint(name, address, c.now)
 	c.applyEndpointChanges()
 }
 
-// EndpointDraining reports that an endpoint itself announced, on a connection that it had greeted, that it takes nothing
-// new.
+// EndpointDraining reports that an endpoint announced its drain on a connection after its greeting.
 func (c *Core) EndpointDraining(name string) {
 	if known := c.endpoints[name]; known != nil {
 		c.fleet.Greeted(name, known.address, 0, true, c.now)
@@ -157,7 +156,7 @@
 	}
 }
 
-// EndpointChanged implements endpointstate.Sink: the endpoint states call it in the middle of a call of this Core.
+// EndpointChanged implements endpointstate.Sink. The endpoint states call it from within the Core's calls of them.
 func (c *Core) EndpointChanged(name, address, zone string, shard int, serving, removed bool, startedAt time.Duration) {
 	changed := c.endpoints[name]
 	if changed == nil {
@@ -171,7 +170,7 @@
 		c.reconnect(changed, address)
 	}
 	if changed.serving && !serving {
-		c.nextPeerReportAt = c.now // other gateways should learn of a drain at once
+		c.nextPeerReportAt = c.now // report a drain to other gateways immediately
 	}
 	changed.removed, changed.serving, changed.zone, changed.shard = removed, serving, zone, shard
 	c.endpointsChanged = true
@@ -189,7 +188,8 @@
 	changed.address, changed.conn = address, c.outbound.Connect(changed.Name, address)
 }
 
-// withdrawFrom withdraws what still waits for a connection to an endpoint that drains: it would begin after the drain.
+// withdrawFrom withdraws the attempts that still wait for a connection to a draining endpoint, since they would begin
+// after the drain.
 func (c *Core) withdrawFrom(draining *endpoint) {
 	for _, a := range c.attempts {
 		if a.target == draining {
@@ -198,8 +198,8 @@
 	}
 }
 
-// applyEndpointChanges ends a round of calls that may have changed endpoints: the scheduler acts on the changes, and other
-// gateways learn of them.
+// applyEndpointChanges is called after each group of calls that may have changed endpoints. It lets the scheduler act on
+// the changes, drops removed endpoints and reports to other gateways.
 func (c *Core) applyEndpointChanges() {
 	if c.endpointsChanged {
 		c.endpointsChanged = false
@@ -212,22 +212,22 @@
 	c.reportToPeers()
 }
 
-// endpointAttemptEnded takes an attempt off its endpoint's account; nil: the endpoint was dropped before the attempt. An
-// endpoint that served one is there.
+// endpointAttemptEnded counts an ended attempt at its endpoint and, if it was served, reports to the endpoint states that
+// the endpoint responds. target is nil if the endpoint was removed before the attempt.
 func (c *Core) endpointAttemptEnded(target *endpoint, outcome policy.Outcome) {
 	if target == nil {
 		return
 	}
 	target.inFlight--
-	if outcome == policy.Served && c.now-target.answerReportedAt >= answerReportInterval {
-		target.answerReportedAt = c.now
+	if outcome == policy.Served && c.now-target.responseReportedAt >= responseReportInterval {
+		target.responseReportedAt = c.now
 		c.fleet.Answered(target.Name, c.now)
 		c.applyEndpointChanges()
 	}
 	c.dropIfRemoved(target)
 }
 
-// dropIfRemoved forgets an endpoint that was removed, once nothing is in flight there.
+// dropIfRemoved drops an endpoint that was removed and has no attempt in flight.
 func (c *Core) dropIfRemoved(target *endpoint) {
 	if !target.removed || target.inFlight > 0 {
 		return
@@ -240,7 +240,8 @@
 	}
 }
 
-// tickEndpoints lets endpoint states age, and asks endpoints for a greeting whose state is in doubt then.
+// tickEndpoints expires endpoint states and requests greetings from endpoints whose state is in doubt, once per
+// endpointTickInterval.
 func (c *Core) tickEndpoints() {
 	c.fleet.Tick(c.now)
 	c.requestGreetings()
@@ -248,7 +249,7 @@
 	c.schedule(endpointTickInterval, timer{fire: c.tickEndpoints})
 }
 
-// requestGreetings asks each endpoint in doubt for a greeting, at a time of its own.
+// requestGreetings requests a greeting from each endpoint whose state is in doubt, each after its own random delay.
 func (c *Core) requestGreetings() {
 	for _, name := range c.fleet.Doubtful() {
 		jitter := time.Duration(c.rng.Int63n(int64(greetingJitter)))
@@ -260,8 +261,8 @@
 	}
 }
 
-// reports puts entries in the form of the endpoint states, with starts on the engine's clock: only ages count, since the
-// clock of whoever made the list may be wrong.
+// reports converts entries into reports for the endpoint states. It computes start times on the engine's clock from the
+// entries' ages, since the clock of the list's author may be wrong.
 func (c *Core) reports(entries []EndpointEntry) []endpointstate.Report {
 	reports := make([]endpointstate.Report, len(entries))
 	for i, entry := range entries {
--- a/internal/engine/healthcheck.go
+++ b/internal/engine/healthcheck.go
@@ -2,9 +2,9 @@
 
 import "weirhaven/policy"
 
-// checkHealth carries out the scheduler's CheckHealth. Without a connection the check fails once the scheduler has
-// returned. An endpoint has one check under way at most; a new one takes the place of the one before, whose outcome is late
-// then.
+// checkHealth carries out the scheduler's CheckHealth. Without a connection, the check fails after the scheduler has
+// returned. An endpoint has at most one check in flight; a new check replaces the previous one, whose outcome then counts
+// as late.
 func (c *Core) checkHealth(scheduled *policy.Endpoint) {
 	endpoint := c.endpoints[scheduled.Name]
 	if endpoint == nil || endpoint.conn == nil {
@@ -18,7 +18,8 @@
 	endpoint.conn.CheckHealth(id)
 }
 
-// HealthChecked reports how the health check id ended. A report on one that is over is counted and dropped.
+// HealthChecked takes the outcome of the health check id. A report on a check that has already ended is counted and
+// dropped.
 func (c *Core) HealthChecked(endpointName string, id uint64, outcome policy.Outcome) {
 	endpoint := c.endpoints[endpointName]
 	if endpoint == nil || id == 0 || endpoint.healthCheckID != id {
--- a/internal/engine/membership.go
+++ b/internal/engine/membership.go
@@ -8,21 +8,22 @@
 	"weirhaven/internal/fleet/membership"
 )
 
-// minMembershipTick keeps a membership whose next step is already due from firing without end at one instant.
+// minMembershipTick is the shortest wait between two membership ticks. Without it, a membership whose next tick is
+// already due would tick endlessly at one point in time.
 const minMembershipTick = time.Millisecond
 
-// Join lets this gateway find the others, beginning with the addresses in seeds, and count them. Call it once at most,
-// before the first event.
+// Join starts the membership, which discovers and counts the other gateways, beginning with the addresses in seeds. Call
+// it at most once, before the first event.
 func (c *Core) Join(self membership.Member, rules membership.Rules, seeds []string) {
 	rng := rand.New(rand.NewSource(c.rng.Int63()))
 	c.group = membership.New(self, rules, seeds, (*membershipOutbound)(c), rng, c.now)
 	c.tickMembership()
 }
 
-// Membership returns the membership, to be used by the Core's owner only; nil without Join.
+// Membership returns the membership, nil without Join. Only the Core's owner may use it.
 func (c *Core) Membership() *membership.Group { return c.group }
 
-// MembershipReceived takes a membership message of another gateway.
+// MembershipReceived takes a membership message from another gateway.
 func (c *Core) MembershipReceived(message membership.Message) {
 	if c.group != nil {
 		c.group.Receive(message, c.now)
@@ -30,8 +31,8 @@
 	}
 }
 
-// ForgetGateway drops a gateway that sends nothing any more, as an operator asks, so that no capacity is kept for it. It
-// reports whether the gateway was known.
+// ForgetGateway removes a silent gateway at an operator's request, so that no capacity stays reserved for it. It reports
+// whether the gateway was known.
 func (c *Core) ForgetGateway(name string) bool {
 	known := c.group != nil && c.group.Forget(name, c.now)
 	c.runDeferred()
@@ -43,7 +44,7 @@
 	c.schedule(max(c.group.NextTick()-c.now, minMembershipTick), timer{fire: c.tickMembership})
 }
 
-// membershipOutbound is the Core as the membership sees it: a membership.Outbound.
+// membershipOutbound implements membership.Outbound on a Core.
 type membershipOutbound Core
 
 // Send implements membership.Outbound.
@@ -54,8 +55,8 @@
 // Log implements membership.Outbound.
 func (m *membershipOutbound) Log(line string) { m.outbound.Log(line) }
 
-// MembershipChanged implements membership.Outbound. The scheduler is notified later: the membership is in the middle of a
-// call of this Core.
+// MembershipChanged implements membership.Outbound. It defers the notification of the scheduler, since the membership
+// calls it from within the Core's calls.
 func (m *membershipOutbound) MembershipChanged(counts membership.Counts) {
 	c := (*Core)(m)
 	c.deferCall(func() {
--- a/internal/engine/observer.go
+++ b/internal/engine/observer.go
@@ -6,54 +6,53 @@
 	"weirhaven/policy"
 )
 
-// Observer is notified of requests that are over and of changes of endpoints, such as to capture a gateway's load. Calls
-// come from the Core's owner and must not block.
+// Observer is notified of ended requests and of endpoint changes, for example to capture a gateway's load. Calls come
+// from the Core's owner and must not block.
 type Observer interface {
-	// Enabled reports whether requests are observed; one that is submitted while it is false is not recorded.
+	// Enabled reports whether requests are observed. A request submitted while it returns false is not recorded.
 	Enabled() bool
-	// RequestEnded passes on a request that is over, with all its attempts. The record is the observer's.
+	// RequestEnded takes the record of a request that has ended, with all its attempts. The observer owns the record.
 	RequestEnded(record *RequestRecord)
-	// EndpointChanged passes on an endpoint's state, whether or not Enabled.
+	// EndpointChanged takes an endpoint's new state, also while Enabled returns false.
 	EndpointChanged(change EndpointChange)
 }
 
-// RequestRecord is a request that is over. Times are on the engine's clock.
+// RequestRecord describes a request that has ended. Times are on the engine's clock.
 type RequestRecord struct {
 	Volume, Plan, Class, Object string
 	Shard                       int // -1: a new object
 	BodyBytes                   int
-	Units                       float64       // of work, as the scheduler charges it
-	Retry                       bool          // the client marked it as one
-	ReceivedAt                  time.Duration // by the engine
-	Duration                    time.Duration // until the result
+	Units                       float64       // work, as charged by the scheduler
+	Retry                       bool          // the client marked the request as a retry
+	ReceivedAt                  time.Duration // time of Submit
+	Duration                    time.Duration // time until the result
 	Timeout                     time.Duration
 	Result                      Result
-	Attempts                    []AttemptRecord // in the order in which they were sent
+	Attempts                    []AttemptRecord // in sending order
 }
 
 // AttemptRecord is one attempt of a RequestRecord.
 type AttemptRecord struct {
 	Endpoint string
 	SentAt   time.Duration // on the engine's clock
-	Duration time.Duration // until the outcome
+	Duration time.Duration // time until the outcome
 	Outcome  policy.Outcome
 }
 
-// EndpointChange is the state of an endpoint as this gateway uses it from ChangedAt on. Times are on the engine's clock.
+// EndpointChange is the state in which this gateway uses an endpoint from ChangedAt on. Times are on the engine's clock.
 type EndpointChange struct {
 	Endpoint, Zone string
 	Shard          int
-	Serving        bool          // false: draining or removed; nothing new is sent
-	Removed        bool          // it is no longer part of the fleet
-	StartedAt      time.Duration // 0: not known, long ago
+	Serving        bool          // false: draining or removed; no new attempts are sent
+	Removed        bool          // no longer part of the fleet
+	StartedAt      time.Duration // 0: unknown, long ago
 	ChangedAt      time.Duration
 }
 
-// Observe makes o the observer of what happens from now on. A Core has one observer at most. Call it before the first
-// event.
+// Observe sets the Core's observer. A Core has at most one. Call Observe before the first event.
 func (c *Core) Observe(o Observer) { c.observer = o }
 
-// newRecord returns the record of a request that is being submitted, nil if nobody observes it.
+// newRecord returns a record for a request that is being submitted, nil if it is not observed.
 func (c *Core) newRecord(request *Request, plan string, timeout time.Duration) *RequestRecord {
 	if c.observer == nil || !c.observer.Enabled() {
 		return nil
@@ -73,14 +72,14 @@
 	}
 }
 
-// recordResult notes how a request ended.
+// recordResult records the result of a request.
 func (c *Core) recordResult(open *openRequest, result Result) {
 	if open.record != nil {
 		open.record.Result, open.record.Duration = result, c.now-open.record.ReceivedAt
 	}
 }
 
-// recordAttempt notes that an attempt goes out.
+// recordAttempt records the start of an attempt.
 func (c *Core) recordAttempt(a *attempt) {
 	if record := a.owner.record; record != nil {
 		a.recordIndex = len(record.Attempts)
@@ -88,11 +87,11 @@
 	}
 }
 
-// recordOutcome notes how an attempt ended.
+// recordOutcome records the outcome of an attempt.
 func recordOutcome(a *attempt, report AttemptReport) {
 	if record := a.owner.record; record != nil {
-		noted := &record.Attempts[a.recordIndex]
-		noted.Duration, noted.Outcome = report.SeenAt-a.sentAt, report.Outcome
+		attemptRecord := &record.Attempts[a.recordIndex]
+		attemptRecord.Duration, attemptRecord.Outcome = report.SeenAt-a.sentAt, report.Outcome
 	}
 }
 
--- a/internal/engine/peerreports.go
+++ b/internal/engine/peerreports.go
@@ -7,24 +7,24 @@
 	"weirhaven/internal/fleet/endpointstate"
 )
 
-// Gateways report endpoint states to each other, so that one that can't reach the discovery service still learns of drains
-// and starts.
+// Gateways report endpoint states to each other, so that a gateway that can't reach the discovery service still receives
+// drains and starts.
 const (
 	peerReportInterval = 2 * time.Second
-	// peerReportEntries bounds a report; it has to fit a datagram.
+	// peerReportEntries is the maximum number of endpoints in a report, which must fit in a datagram.
 	peerReportEntries = 48
-	// peerReportFanout is to how many gateways, drawn at random, each report goes.
+	// peerReportFanout is the number of randomly drawn gateways that each report goes to.
 	peerReportFanout = 3
 )
 
-// EndpointsFromPeer takes another gateway's report, with times on this engine's clock.
+// EndpointsFromPeer takes another gateway's reports of endpoint states. Their times are on this engine's clock.
 func (c *Core) EndpointsFromPeer(reports []endpointstate.Report) {
 	c.fleet.PeerReported(reports, c.now)
 	c.applyEndpointChanges()
 }
 
-// reportToPeers sends a report if it is time: drained endpoints first, then as many of the others as fit, in turn from
-// report to report.
+// reportToPeers sends a report to other gateways when one is due. A report contains the drained endpoints first, then as
+// many of the others as fit, rotating from report to report.
 func (c *Core) reportToPeers() {
 	if c.group == nil || c.now < c.nextPeerReportAt {
 		return
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -9,46 +9,46 @@
 	"weirhaven/policy"
 )
 
-// Request is a request as a client sent it. Whoever makes one fills it in and hands it to Core.Submit; from then on it
-// belongs to the Core, but for the methods and fields that say otherwise.
+// Request is a client's request. The front end fills it in and passes it to Core.Submit; from then on it belongs to the
+// Core, except for the methods and fields documented otherwise.
 type Request struct {
 	Volume, Class, Object string
-	Tag                   string // idempotency key, empty: none; passed on to endpoints
-	Trace                 string // names the request in logs and at endpoints
-	Plan                  string // service plan; used only where the Core has no VolumeLookup
-	Gateways              int    // through which the volume is used; only with Plan
-	Shard                 int    // of the data; -1: a new object, any shard takes it
-	Units                 float64
-	Timeout               time.Duration // 0, or more than that of the class: that of the class
-	ReceivedAt            time.Duration // on the engine's clock, from when the timeout counts; 0: from Submit
-	Header                []byte        // written by the client's front end for connections to endpoints; the engine doesn't read it
-	Retry                 bool          // the client says that it sent this request before
+	Tag                   string        // idempotency key, sent to endpoints; empty: none
+	Trace                 string        // trace ID of the request in logs and at endpoints
+	Plan                  string        // service plan; only used by a Core without VolumeLookup
+	Gateways              int           // number of gateways that use the volume; only used with Plan
+	Shard                 int           // shard of the object; -1: a new object, which any shard accepts
+	Units                 float64       // amount of work
+	Timeout               time.Duration // 0 or longer than the class's timeout: the class's timeout applies
+	ReceivedAt            time.Duration // start of the timeout on the engine's clock; 0: Submit
+	Header                []byte        // request header, from the front end for the endpoint's connection
+	Retry                 bool          // the client marked the request as a retry
 	Body                  []byte
-	// Release, if a connection to an endpoint set it, frees the memory of the response's body. Whoever uses the body
-	// clears the field, and calls it once done.
+	// Release, if set by a connection to an endpoint, frees the memory of the response's body. The user of the body clears
+	// the field and calls the function when done.
 	Release func()
 	// Respond is called once with the result, by the Core's owner, unless the client disconnects first. It must not block.
 	Respond func(Response)
-	// ResponseStarted is called by the Core's owner when a streamed response begins; it must not block. May be nil.
+	// ResponseStarted, if not nil, is called by the Core's owner when a streamed response begins. It must not block.
 	ResponseStarted func()
-	// ClientClosed reports whether the client has closed its connection, noticed or not. May be nil. It is safe for
-	// concurrent use and does not block.
+	// ClientClosed, if not nil, reports whether the client has closed its connection, also before the Core is notified. It
+	// is safe for concurrent use and does not block.
 	ClientClosed func() bool
-	// Deadline is when the client stops waiting, on the engine's clock. Submit sets it.
+	// Deadline is the end of the request's timeout, on the engine's clock. Submit sets it.
 	Deadline time.Duration
 
-	open               *openRequest // nil until it is submitted
-	clientDisconnected bool         // possibly before it was submitted
-	endedAt            atomic.Int64 // ns on the engine's clock; 0: not ended
+	open               *openRequest // nil until Submit
+	clientDisconnected bool         // possibly before Submit
+	endedAt            atomic.Int64 // end of the request on the engine's clock, in nanoseconds; 0: not ended
 }
 
-// End notes that from now, on the engine's clock, nothing is owed for the request any more: its client has disconnected
-// or has its final response. Nothing may be sent for it afterwards. End is safe for concurrent use; the first call
-// counts. A front end may call it ahead of the Core, so that connections learn of it before the loop's turn.
+// End marks the request as ended at now, on the engine's clock: its client has disconnected or has the final response.
+// No attempt may be sent for it afterwards. End is safe for concurrent use; only the first call has an effect. A front
+// end may call it before the Core does, so that connections see the end without waiting for the loop.
 func (r *Request) End(now time.Duration) { r.endedAt.CompareAndSwap(0, int64(now)) }
 
-// EndedAt returns when the request ended, on the engine's clock; ok is false while it has not. It is safe for concurrent
-// use.
+// EndedAt returns the time at which the request ended, on the engine's clock; ok is false until then. It is safe for
+// concurrent use.
 func (r *Request) EndedAt() (endedAt time.Duration, ok bool) {
 	endedAt = time.Duration(r.endedAt.Load())
 	return endedAt, endedAt != 0
@@ -57,57 +57,57 @@
 // Response is the final response to a request.
 type Response struct {
 	Result     Result
-	Body       []byte        // only of Served
-	RetryAfter time.Duration // only of Rejected: when the client should retry; 0: no advice
-	MayHaveRun bool          // only of Failed: an endpoint may have run the request, or may run it still
-	Reason     string        // only of Failed, for the client to read; empty if the scheduler decided it
-	GiveUp     policy.GiveUp // why the scheduler gave the request up; empty if it did not
+	Body       []byte        // only with Served
+	RetryAfter time.Duration // only with Rejected: recommended wait before the client retries; 0: no recommendation
+	MayHaveRun bool          // only with Failed: an endpoint may have run the request, or may still run it
+	Reason     string        // only with Failed: error message for the client; empty if the scheduler failed the request
+	GiveUp     policy.GiveUp // reason why the scheduler ended the request; empty if it did not
 }
 
-// Result is how a request ended for its client.
+// Result is the result of a request for its client.
 type Result int
 
 // The results of a request.
 const (
 	Served             Result = iota
-	Rejected                  // a retry is harmless: it did not run, or may run again
-	Failed                    // nothing is promised; see Response.MayHaveRun
-	ClientDisconnected        // no response: the client went away first
+	Rejected                  // safe to retry: the request did not run, or is idempotent
+	Failed                    // the request may or may not have run; see Response.MayHaveRun
+	ClientDisconnected        // no response: the client disconnected first
 )
 
-// String returns the result as metrics and logs name it.
+// String returns the result's name in metrics and logs.
 func (r Result) String() string {
 	return [...]string{"served", "rejected", "failed", "client-disconnected"}[r]
 }
 
-// openRequest is a request from Submit until it has its result and no attempt is in flight.
+// openRequest is a request from Submit until it has a result and no attempt in flight.
 type openRequest struct {
 	policy.Request  // the scheduler's view of it
 	request         *Request
 	deadline        time.Duration
 	inFlight        []*attempt
 	attemptsSent    int
-	mayHaveRun      bool // at an endpoint, by the outcomes so far
-	done            bool // it has its result
+	mayHaveRun      bool // an ended attempt may have run at its endpoint
+	done            bool // it has a result
 	responseStarted bool
-	record          *RequestRecord // nil: not observed, or passed on already
+	record          *RequestRecord // nil: not observed, or already passed to the observer
 }
 
-// volumeEntry is a volume, made when its first request arrives.
+// volumeEntry is a volume's state, made when its first request arrives.
 type volumeEntry struct {
 	policy.Volume
 	gateways int
 }
 
-// volumeUse is how a request uses its volume.
+// volumeUse is the volume of a request and its parameters.
 type volumeUse struct {
-	key      string // in Core.volumes
+	key      string // key in Core.volumes
 	plan     string
 	gateways int
 }
 
-// Submit hands a request to the scheduler. One that can't be handed over fails at once. One whose client has disconnected
-// already is dropped.
+// Submit passes a request to the scheduler. A request with an unknown volume or class fails immediately, and so does one
+// that the scheduler refuses. A request whose client has already disconnected is dropped.
 func (c *Core) Submit(request *Request) {
 	if request.clientDisconnected {
 		return
@@ -140,8 +140,8 @@
 	c.runDeferred()
 }
 
-// volumeUse looks up a request's volume. Where each request carries its plan, the plan is part of the key: one request
-// with a wrong plan must not bind the volume to it for all others.
+// volumeUse looks up a request's volume. Where each request names its own plan, the plan is part of the key, so that a
+// request with a wrong plan does not change the plan of the volume's other requests.
 func (c *Core) volumeUse(request *Request) (volumeUse, error) {
 	if c.lookupVolume == nil {
 		return volumeUse{key: request.Volume + " " + request.Plan, plan: request.Plan, gateways: request.Gateways}, nil
@@ -157,7 +157,7 @@
 func (c *Core) timeoutOf(request *Request) (time.Duration, error) {
 	timeout, ok := c.timeoutByClass[request.Class]
 	if !ok {
-		return 0, fmt.Errorf("unknown queue type %q", request.Class) // the protocol's word for a class
+		return 0, fmt.Errorf("unknown queue type %q", request.Class) // the protocol calls a class a queue type
 	}
 	if request.Timeout > 0 {
 		timeout = min(timeout, request.Timeout)
@@ -165,7 +165,7 @@
 	return timeout, nil
 }
 
-// volume returns a request's volume and notifies the scheduler if it is used through another number of gateways now.
+// volume returns a request's volume, and notifies the scheduler if the number of gateways that use it has changed.
 func (c *Core) volume(use volumeUse) *policy.Volume {
 	entry := c.volumes[use.key]
 	if entry == nil {
@@ -179,7 +179,7 @@
 	return &entry.Volume
 }
 
-// open makes the state of a request that goes to the scheduler next.
+// open makes the state of a request before it goes to the scheduler.
 func (c *Core) open(request *Request, use volumeUse, timeout time.Duration) *openRequest {
 	volume := c.volume(use)
 	c.lastID++
@@ -200,8 +200,8 @@
 	return open
 }
 
-// ClientDisconnected ends a request whose client went away: nothing is owed any more, and nothing begins for it. It may
-// come before Submit, and after the response.
+// ClientDisconnected ends a request whose client disconnected: it gets no response and no further attempts. It may be
+// called before Submit and after the response.
 func (c *Core) ClientDisconnected(request *Request) {
 	request.clientDisconnected = true
 	request.End(c.now)
@@ -220,8 +220,8 @@
 	c.runDeferred()
 }
 
-// respond is the one place where a response goes out; a request that has its result already gets no other. Attempts of
-// which nothing was written are withdrawn, also where settings don't let the scheduler cancel any.
+// respond sends a request's response, unless the request already has a result; every response is sent here. It withdraws
+// the attempts of which nothing was written, even if the settings forbid the scheduler to cancel attempts.
 func (c *Core) respond(open *openRequest, response Response) {
 	if open.done {
 		return
@@ -241,7 +241,7 @@
 	open.request.Body = nil
 }
 
-// releaseIfDone forgets a request that has its result and no attempt in flight, and passes its record to the observer.
+// releaseIfDone drops a request that has a result and no attempt in flight, and passes its record to the observer.
 func (c *Core) releaseIfDone(open *openRequest) {
 	if !open.done || len(open.inFlight) > 0 {
 		return
