--- a/internal/httpgateway/upstream/assign.go
+++ b/internal/httpgateway/upstream/assign.go
@@ -8,18 +8,20 @@
 	"weirhaven/internal/engine"
 )
 
-// A dial that takes long may have lost its packets: beside it another one is made after each dialsPerAttempt-th part of the
-// time that an attempt waits for its connection. The slow connection is kept for later attempts.
+// dialsPerAttempt is the number of dials made within ConnectTimeout for one attempt. A slow dial may have lost packets, so
+// another dial is started after each ConnectTimeout/dialsPerAttempt. The slow connection is kept for later attempts.
 const dialsPerAttempt = 4
 
-// maxReuseWait is the longest rest of an idle connection that is waited for in place of opening one more: endpoints hold few.
+// maxReuseWait is the longest remaining reuse delay of an idle connection for which an attempt waits instead of opening another
+// connection: endpoints hold few connections.
 const maxReuseWait = 10 * time.Millisecond
 
-// longAgo as a deadline ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// place finds a connection for an attempt of which nothing was sent. The caller holds mu.
-func (e *endpoint) place(a *attempt) {
+// assignConnection assigns a connection to an attempt of which no byte was written, or starts to wait for one. The caller holds
+// mu.
+func (e *endpoint) assignConnection(a *attempt) {
 	a.conn = nil
 	if e.closed || e.pool.ctx.Err() != nil {
 		e.failUnconnected(a)
@@ -36,7 +38,7 @@
 	e.awaitConnection(a)
 }
 
-// soonAvailable counts connections that an attempt can expect within a moment. The caller holds mu.
+// soonAvailable returns the number of connections expected to be available soon. The caller holds mu.
 func (e *endpoint) soonAvailable() (n int) {
 	for _, c := range e.dialing {
 		if time.Since(c.dialStartedAt) < e.pool.options.ConnectTimeout/dialsPerAttempt {
@@ -52,10 +54,10 @@
 	return n
 }
 
-// mayDial bounds the dials at a time. The caller holds mu.
+// mayDial reports whether the bound on concurrent dials allows another one. The caller holds mu.
 func (e *endpoint) mayDial() bool { return len(e.dialing) < len(e.waiting)+dialsPerAttempt-1 }
 
-// awaitConnection makes one more dial after each interval and at last fails the attempt. The caller holds mu.
+// awaitConnection starts another dial after each interval, and fails the attempt after ConnectTimeout. The caller holds mu.
 func (e *endpoint) awaitConnection(a *attempt) {
 	interval := e.pool.options.ConnectTimeout / dialsPerAttempt
 	intervals := 0
@@ -70,14 +72,14 @@
 			return
 		}
 		if e.mayDial() && e.pool.counts.Open < e.pool.options.MaxConnections/2 {
-			e.dial() // only while there are enough: no other connection ends for it
+			e.dial() // below this bound no other connection is evicted for it
 		}
 		a.connectTimer.Reset(interval)
 	})
 }
 
-// assignIdle gives waiting attempts to idle connections that have rested for long enough: a duplicate of the response before
-// would have come by now. The caller holds mu.
+// assignIdle assigns waiting attempts to idle connections whose reuse delay has passed, that is, on which a duplicate of the
+// previous response would have arrived by now. The caller holds mu.
 func (e *endpoint) assignIdle() {
 	p := e.pool
 	if n := len(e.idle); n > 0 && time.Since(e.idle[n-1].idleSince) > p.idleLimit.Duration() {
@@ -93,10 +95,10 @@
 		a := e.waiting[0]
 		e.stopWaiting(a)
 		c.idleBefore, c.next, a.conn = time.Since(c.idleSince), a, c
-		_ = c.nc.SetReadDeadline(longAgo) // wakes its goroutine
+		_ = c.nc.SetReadDeadline(pastDeadline) // wakes the connection's goroutine
 	}
 	if len(e.waiting) > 0 && len(e.idle) > 0 {
-		time.AfterFunc(delay, func() { // one that fires after Close finds nothing waiting
+		time.AfterFunc(delay, func() { // after Close no attempt is waiting
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			e.assignIdle()
@@ -104,8 +106,8 @@
 	}
 }
 
-// dial opens one more connection, and closes an idle one for it if there are MaxConnections; false: none was idle. The
-// caller holds mu.
+// dial starts to open a connection. If MaxConnections are open, it evicts an idle one first, and returns false if none is idle.
+// The caller holds mu.
 func (e *endpoint) dial() bool {
 	p := e.pool
 	if p.counts.Open >= p.options.MaxConnections && !p.evict() {
@@ -121,7 +123,7 @@
 	return true
 }
 
-// failUnconnected reports an attempt that never had a connection. The caller holds mu.
+// failUnconnected reports an attempt that got no connection. The caller holds mu.
 func (e *endpoint) failUnconnected(a *attempt) {
 	e.stopWaiting(a)
 	outcome := e.unconnectedOutcome()
@@ -130,7 +132,7 @@
 	})
 }
 
-// stopWaiting takes an attempt off the list of those that wait. The caller holds mu.
+// stopWaiting removes an attempt from the waiting ones. The caller holds mu.
 func (e *endpoint) stopWaiting(a *attempt) {
 	if i := slices.Index(e.waiting, a); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
--- a/internal/httpgateway/upstream/attempt.go
+++ b/internal/httpgateway/upstream/attempt.go
@@ -9,29 +9,30 @@
 	"weirhaven/internal/http1"
 )
 
-// attempt is an attempt until it is reported or canceled. What changes after Send is guarded by Pool.mu.
+// attempt is an attempt that is neither reported nor canceled. Pool.mu guards the fields that change after Send.
 type attempt struct {
 	id            uint64
 	request       *engine.Request
-	header, body  []byte        // the request's own, which drops its body with the final response
-	deadline      time.Duration // on the loop's clock: the client, or the scheduler, waits no longer
-	startBy       time.Duration // on the loop's clock: it must have begun by then; 0: no such limit
-	reservedBytes int64         // of Pool.responseMemory
+	header, body  []byte        // header and body of the request, which drops its body with the final response
+	deadline      time.Duration // time on the loop's clock after which neither the client nor the scheduler waits
+	startBy       time.Duration // time on the loop's clock before which the write must start; 0: no such limit
+	reservedBytes int64         // bytes acquired from Pool.responseMemory
 
 	ctx          context.Context
 	cancel       context.CancelFunc // ends ctx when the attempt is canceled or reported
-	conn         *conn              // that it is on; nil: it waits for one
-	connectTimer *time.Timer        // while it waits
-	started      bool               // its bytes are being written, or were
+	conn         *conn              // assigned connection; nil: waiting for one
+	connectTimer *time.Timer        // set while the attempt waits for a connection
+	started      bool               // whether its write was started
 	reported     bool
 }
 
-// encode returns the attempt's bytes. remaining is the deadline that the endpoint is given, at least a millisecond.
+// encode returns the attempt as an HTTP/1.1 request. remaining is the time until the deadline; the endpoint gets it in
+// milliseconds, at least one.
 func (a *attempt) encode(remaining time.Duration) []byte {
 	message := make([]byte, 0, len(a.header)+96+len(a.body))
 	message = append(message, a.header...)
 	message = http1.AppendField(message, "X-Remaining-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
-	if len(a.body) > 0 || message[0] == 'P' { // a PUT has a length also where its body is empty
+	if len(a.body) > 0 || message[0] == 'P' { // a PUT has a length even if its body is empty
 		return http1.AppendBody(message, a.body)
 	}
 	return append(message, "\r\n"...)
--- a/internal/httpgateway/upstream/conn.go
+++ b/internal/httpgateway/upstream/conn.go
@@ -13,22 +13,22 @@
 	"weirhaven/policy"
 )
 
-// conn is one connection to an endpoint. It is owned by one goroutine, run, which Pool.Close joins; others hand it an
-// attempt (next) or close it, under Pool.mu.
+// conn is one connection to an endpoint. Its goroutine, run, owns it, and Pool.Close waits for that goroutine. Other goroutines
+// assign an attempt to it (next) or close it while they hold Pool.mu.
 type conn struct {
 	endpoint      *endpoint
-	nc            net.Conn // nil: not up yet
+	nc            net.Conn // nil until the connection is established
 	reader        *http1.Reader
 	dialStartedAt time.Time
 	cancelDial    context.CancelFunc
-	next          *attempt      // handed over while it was idle
-	closed        bool          // or about to be
-	served        bool          // a response came on it
-	idleSince     time.Time     // zero: it was never idle
-	idleBefore    time.Duration // how long it was idle before the attempt that it has
+	next          *attempt      // attempt assigned while the connection was idle
+	closed        bool          // closed, or canceled while dialing
+	served        bool          // at least one response was received
+	idleSince     time.Time     // start of the latest idle period; zero: never idle
+	idleBefore    time.Duration // length of the idle period before the current attempt
 }
 
-// run brings a connection up and sends attempts on it, one after the other, until it ends.
+// run establishes the connection and sends attempts on it, one at a time, until the connection ends.
 func (c *conn) run(ctx context.Context) {
 	p := c.endpoint.pool
 	defer func() {
@@ -54,8 +54,8 @@
 	}
 }
 
-// connected takes a connection into use and returns the attempt that it gets, nil if none waits. If the dial failed, an
-// attempt for which no other connection comes fails with it.
+// connected handles the result of a dial. It returns the attempt assigned to the new connection; nil: no attempt is waiting, or
+// the dial failed. If a failed dial leaves more waiting attempts than connections dialing or idle, the oldest one fails.
 func (c *conn) connected(nc net.Conn, err error) *attempt {
 	e, p := c.endpoint, c.endpoint.pool
 	p.mu.Lock()
@@ -86,13 +86,12 @@
 	return nil
 }
 
-// removeFromDialing is called under mu.
+// removeFromDialing removes the connection from those being dialed. The caller holds mu.
 func (c *conn) removeFromDialing() {
 	c.endpoint.dialing = slices.DeleteFunc(c.endpoint.dialing, func(other *conn) bool { return other == c })
 }
 
-// exchange sends an attempt, reads its response and reports its outcome. It reports whether the connection may be used
-// again.
+// exchange sends an attempt, reads the response and reports the outcome. It returns whether the connection may be reused.
 func (c *conn) exchange(a *attempt) bool {
 	now := c.endpoint.pool.options.Loop.Now
 	started, complete, err := c.send(a)
@@ -107,7 +106,7 @@
 		return false
 	}
 	c.recordUse(a, false)
-	trailing := c.reader.Buffered() > 0 // what follows a response belongs to no attempt
+	trailing := c.reader.Buffered() > 0 // bytes after the response belong to no attempt
 	if trailing {
 		c.recordUnsolicited(0)
 	}
@@ -117,8 +116,8 @@
 	return reusable
 }
 
-// sendFailed reports an attempt that was not sent, or whose connection broke while it was sent. An endpoint runs an attempt
-// only once it has all of it; one that it has may run though the connection broke.
+// sendFailed reports an attempt that was not sent, or whose connection broke during the write. An endpoint runs an attempt only
+// after it has received all of it, so an attempt that was written completely may run although the connection broke.
 func (c *conn) sendFailed(a *attempt, started, complete bool) {
 	outcome := policy.NotSent
 	if started {
@@ -131,8 +130,8 @@
 	c.endpoint.report(a, engine.AttemptReport{Outcome: outcome, SeenAt: c.endpoint.pool.options.Loop.Now()})
 }
 
-// close closes a connection from whichever goroutine; one that is not up yet counts as open until its socket is gone. The
-// caller holds mu.
+// close closes the connection; any goroutine may call it. A connection that is still being dialed counts as open until the
+// dial has ended. The caller holds mu.
 func (c *conn) close() {
 	if c.closed {
 		return
@@ -145,8 +144,8 @@
 	}
 }
 
-// handlePanic reports the attempt on a connection whose goroutine met a fault of this program. Other connections are not
-// harmed: the panic ends this one alone. An attempt that had started may have run.
+// handlePanic reports the attempt on this connection after a panic in its goroutine. The panic ends only this connection. An
+// attempt whose write was started may have run.
 func (c *conn) handlePanic(cause any) {
 	p := c.endpoint.pool
 	p.options.Log.Error("panic on an upstream connection", "endpoint", c.endpoint.name, "cause", cause, "stack", string(debug.Stack()))
@@ -162,8 +161,8 @@
 	c.endpoint.report(lost, engine.AttemptReport{Outcome: outcome, SeenAt: p.options.Loop.Now()})
 }
 
-// lostAttempt returns the attempt on this connection, nil if there is none. If the connection never came up it is written
-// off here; the attempts that wait are given another.
+// lostAttempt returns the attempt on this connection, nil if there is none. If the connection was never established, it is
+// removed from the counts here; waiting attempts get another connection.
 func (c *conn) lostAttempt() (lost *attempt) {
 	p := c.endpoint.pool
 	p.mu.Lock()
--- a/internal/httpgateway/upstream/dial.go
+++ b/internal/httpgateway/upstream/dial.go
@@ -11,18 +11,17 @@
 	"weirhaven/policy"
 )
 
-// A dial that fails on this machine is repeated after minRedialInterval, then after twice as long each time, up to
-// maxRedialInterval.
+// A dial that fails with a local error is repeated after minRedialInterval; the interval doubles up to maxRedialInterval.
 const (
 	minRedialInterval = 5 * time.Millisecond
 	maxRedialInterval = 50 * time.Millisecond
-	// maxLocalFailure is how long dials may fail on this machine before that counts as the endpoint's failure: the endpoint
-	// may be cut off from here.
+	// maxLocalFailure is the time after which local errors of dials count as failures of the endpoint: it may be unreachable
+	// from this machine.
 	maxLocalFailure = time.Second
 )
 
-// localErrors are errors of system calls that tell nothing about the endpoint: this machine or process was short of
-// something for a moment.
+// localErrors are system call errors caused by this machine or process, such as a temporary lack of resources. They say nothing
+// about the endpoint's health.
 var localErrors = []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EMFILE,
 	syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EPERM, syscall.EACCES, syscall.EINTR, syscall.ECONNABORTED}
 
@@ -35,8 +34,8 @@
 	return false
 }
 
-// connect dials the endpoint. If the dial fails on this machine, a healthy endpoint would look down and its shard would lose
-// capacity; so such a dial is repeated within the time that an attempt waits for its connection. Nothing was sent yet.
+// connect dials the endpoint. It repeats a dial that fails with a local error until ConnectTimeout has passed: otherwise a healthy
+// endpoint would be taken for failed and its shard would lose capacity. Repeating is safe because nothing was sent yet.
 func (c *conn) connect(ctx context.Context) (net.Conn, error) {
 	p := c.endpoint.pool
 	for interval := minRedialInterval; ; interval = min(2*interval, maxRedialInterval) {
@@ -60,7 +59,7 @@
 	}
 }
 
-// recordLocalFailure notes whether the last dial failed on this machine.
+// recordLocalFailure records whether the latest dial failed with a local error.
 func (e *endpoint) recordLocalFailure(failed bool) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -72,7 +71,7 @@
 	}
 }
 
-// unconnectedOutcome is the outcome of an attempt that got no connection. The caller holds mu.
+// unconnectedOutcome returns the outcome of an attempt that got no connection. The caller holds mu.
 func (e *endpoint) unconnectedOutcome() policy.Outcome {
 	if !e.localFailureSince.IsZero() && time.Since(e.localFailureSince) < maxLocalFailure {
 		return policy.NotSent
--- a/internal/httpgateway/upstream/endpoint.go
+++ b/internal/httpgateway/upstream/endpoint.go
@@ -8,28 +8,28 @@
 	"weirhaven/policy"
 )
 
-// endpoint is the way to one storage endpoint. It implements engine.EndpointConn, whose methods the engine calls from its
-// loop; none blocks. All mutable fields are guarded by pool.mu.
+// endpoint holds the connections to one storage endpoint and the attempts in flight there. It implements engine.EndpointConn;
+// the engine calls the methods from its loop, and none of them blocks. pool.mu guards all mutable fields.
 type endpoint struct {
 	pool          *Pool
 	name, address string
 
-	inFlight map[uint64]*attempt // sent here by the engine and neither reported nor canceled
-	waiting  []*attempt          // of these, those without a connection, oldest first
-	dialing  []*conn             // connections that are not up yet
-	idle     []*conn             // connections without an attempt; the one used last is the last
-	closed   bool                // the endpoint left the list: what is in flight may end, nothing new begins
+	inFlight map[uint64]*attempt // attempts that the engine has sent and that are neither reported nor canceled, by id
+	waiting  []*attempt          // attempts in flight without a connection, oldest first
+	dialing  []*conn             // connections not established yet
+	idle     []*conn             // connections without an attempt, the most recently used last
+	closed   bool                // removed from the list: started attempts may complete, no new one starts
 
-	localFailureSince time.Time // dials fail on this machine since then; zero: they don't
+	localFailureSince time.Time // start of the current series of dials that failed on this machine; zero: none
 }
 
-// Send begins an attempt: on the idle connection used last if one may be used already, else on the first one that is there
-// for it. timeout is what the client has left, or less; the attempt must not begin at startBy or later on the loop's
-// clock (0: no such limit).
+// Send starts an attempt on the most recently used idle connection whose reuse delay has passed, or on the next connection that
+// becomes available. timeout is at most the remaining time of the client. No byte may be written at startBy or later on the
+// loop's clock (0: no such limit).
 func (e *endpoint) Send(id uint64, request *engine.Request, _ int, timeout, startBy time.Duration) {
 	p := e.pool
 	deadline := p.options.Loop.Now() + timeout
-	if request.Deadline > 0 { // the loop may have been held up since it computed the timeout
+	if request.Deadline > 0 { // the loop may have been delayed since it computed the timeout
 		deadline = min(deadline, request.Deadline)
 	}
 	a := &attempt{id: id, request: request, header: request.Header, body: request.Body, deadline: deadline, startBy: startBy}
@@ -38,10 +38,10 @@
 	defer p.mu.Unlock()
 	p.counts.Attempts++
 	e.inFlight[id] = a
-	e.place(a)
+	e.assignConnection(a)
 }
 
-// Cancel gives up an attempt: it is not reported, and its connection, if it has one, is closed.
+// Cancel cancels an attempt: no outcome is reported, and its connection, if any, is closed.
 func (e *endpoint) Cancel(id uint64) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -50,10 +50,10 @@
 	}
 }
 
-// Abandon gives up an attempt whose time is over. HTTP/1.1 has no other way to do that than Cancel's.
+// Abandon cancels an attempt that has timed out. HTTP/1.1 can cancel only by closing the connection, as Cancel does.
 func (e *endpoint) Abandon(id uint64) { e.Cancel(id) }
 
-// Withdraw gives up an attempt of which no byte was written; true: none ever will be. False leaves the attempt as it is.
+// Withdraw cancels an attempt if no byte of it was written. True: no byte will ever be written. False: the attempt is unchanged.
 func (e *endpoint) Withdraw(id uint64) bool {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -75,7 +75,7 @@
 // RequestGreeting does nothing: endpoints of the platform send no greeting.
 func (e *endpoint) RequestGreeting() {}
 
-// Close begins nothing new; attempts whose bytes are being sent may end.
+// Close closes the endpoint: no new attempt starts, and attempts that were started may complete.
 func (e *endpoint) Close() {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -87,17 +87,17 @@
 	for len(e.waiting) > 0 {
 		e.failUnconnected(e.waiting[0])
 	}
-	e.forgetIfDone()
+	e.removeIfDone()
 }
 
-// drop removes an attempt without a report. The caller holds mu.
+// drop removes an attempt without reporting it. The caller holds mu.
 func (e *endpoint) drop(a *attempt) {
 	delete(e.inFlight, a.id)
 	e.release(a)
-	e.forgetIfDone()
+	e.removeIfDone()
 }
 
-// release lets go of what an attempt holds, and closes its connection. The caller holds mu.
+// release frees the resources of an attempt and closes its connection. The caller holds mu.
 func (e *endpoint) release(a *attempt) {
 	a.cancel()
 	e.stopWaiting(a)
@@ -114,8 +114,8 @@
 	e.idle = nil
 }
 
-// forgetIfDone removes a closed endpoint that has nothing in flight. The caller holds mu.
-func (e *endpoint) forgetIfDone() {
+// removeIfDone removes the endpoint from the pool if it is closed and has no attempt in flight. The caller holds mu.
+func (e *endpoint) removeIfDone() {
 	if e.closed && len(e.inFlight) == 0 {
 		delete(e.pool.endpoints, e)
 	}
--- a/internal/httpgateway/upstream/idle/idle.go
+++ b/internal/httpgateway/upstream/idle/idle.go
@@ -1,9 +1,8 @@
-// Package idle learns how long a connection may be idle before an attempt that is sent on it is lost. Machines on the way to
-// an endpoint drop idle connections silently, and sooner than documented; the next attempt then breaks, though the endpoint is
-// healthy.
+// Package idle learns how long a connection may be idle and still be reused. Machines on the path to an endpoint silently drop
+// idle connections, sooner than documented; the next attempt on such a connection fails although the endpoint is healthy.
 //
-// It compares how often connections broke at a reuse, by how long they had been idle, with how often new ones broke at their
-// first use: what breaks at any age says nothing about being idle. It has no clock and no I/O.
+// The package compares the failure rate of reused connections, by idle time, with the failure rate of new connections at their
+// first use: failures that occur at any idle time are not caused by idleness. It has no clock and no I/O.
 package idle
 
 import (
@@ -13,25 +12,27 @@
 )
 
 const (
-	firstBucket = time.Millisecond // the first bucket holds idle times below that; each next one reaches twice as far
+	firstBucket = time.Millisecond // upper bound of the first bucket; each further bucket has twice the bound of the previous one
 	bucketCount = 20
-	// reconnectCost is the share of broken reuses that is accepted: a new connection costs the endpoint a handshake, some
-	// twentieth of the work of an attempt that breaks.
+	// reconnectCost is the accepted share of reuses that fail: a new connection costs the endpoint a handshake, about a
+	// twentieth of the work of a failed attempt.
 	reconnectCost = 0.05
-	// significance is the number of standard deviations beyond the base rate that still counts as chance.
+	// significance is the number of standard deviations above the base rate that is still attributed to chance.
 	significance = 2.5
-	// A bucket that was ruled out stays so without significance until at most minSamples uses of it are known.
+	// minSamples bounds the samples with which a ruled-out bucket is tried again. With more samples it stays ruled out even if
+	// its excess of failures is not significant.
 	minSamples = 3
-	// halfLife is the time after which samples count half, so that a bucket which was ruled out is tried again.
+	// halfLife is the time after which samples count half. Through the decay a bucket that was ruled out is tried again.
 	halfLife = 20 * time.Second
-	// decaySteps is the number of steps in which a half-life is applied, and decayPerStep the factor of each.
+	// decaySteps is the number of decay steps per half-life, and decayPerStep the factor applied in each.
 	decaySteps   = 4
 	decayPerStep = 0.8409
-	// maxCatchUp is the longest time without samples for which decay is still applied step by step.
+	// maxCatchUp is the longest time without samples after which decay is still applied step by step; after a longer one it is
+	// skipped.
 	maxCatchUp = 8 * halfLife
 )
 
-// samples are uses of connections by how they ended, decayed.
+// samples counts uses of connections by result, with decay.
 type samples struct{ survived, broken float64 }
 
 func (s *samples) decay() { s.survived, s.broken = s.survived*decayPerStep, s.broken*decayPerStep }
@@ -44,7 +45,8 @@
 	}
 }
 
-// exceeds reports whether more broke than the base rate, reconnectCost and chance explain. ruledOut: it did so far.
+// exceeds reports whether more uses failed than the base rate, reconnectCost and chance explain. ruledOut: the bucket is
+// currently ruled out.
 func (s samples) exceeds(base samples, ruledOut bool) bool {
 	n := s.survived + s.broken
 	p := min((base.broken+1)/(base.survived+base.broken+10)+reconnectCost, 1)
@@ -57,26 +59,26 @@
 // Limit is the learned bound on how long a connection may be idle. It is not safe for concurrent use.
 type Limit struct {
 	firstUses samples
-	reuses    [bucketCount]samples // by how long the connection had been idle
+	reuses    [bucketCount]samples // by idle time before the use
 	decayedAt time.Duration
 	limit     time.Duration
 	maximum   time.Duration
 }
 
-// New returns a Limit that begins at maximum and never exceeds it.
+// New returns a Limit whose Duration starts at maximum and never exceeds it.
 func New(maximum time.Duration) *Limit { return &Limit{limit: maximum, maximum: maximum} }
 
-// Duration is how long a connection may be idle and still be used.
+// Duration returns how long a connection may be idle and still be reused.
 func (l *Limit) Duration() time.Duration { return l.limit }
 
-// RecordFirstUse records how the first use of a new connection ended. now is any monotonic clock, the same at each call.
+// RecordFirstUse records the result of the first use of a new connection. now is the time on a monotonic clock, the same clock in
+// all calls.
 func (l *Limit) RecordFirstUse(broken bool, now time.Duration) {
 	l.decay(now)
 	l.firstUses.add(broken)
 }
 
-// RecordReuse records how a use ended before which the connection had been idle for so long. It reports whether Duration has
-// changed.
+// RecordReuse records the result of a reuse after the given idle time. It returns whether Duration has changed.
 func (l *Limit) RecordReuse(idle time.Duration, broken bool, now time.Duration) bool {
 	l.decay(now)
 	l.reuses[bucket(idle)].add(broken)
@@ -93,7 +95,7 @@
 	return l.limit != before
 }
 
-// decay lets what was recorded so far fade.
+// decay reduces the weight of the recorded samples according to the time passed.
 func (l *Limit) decay(now time.Duration) {
 	const step = halfLife / decaySteps
 	for ; now-l.decayedAt >= step; l.decayedAt += step {
@@ -108,7 +110,7 @@
 	}
 }
 
-// bucket is the i for which idle is below firstBucket<<i and not below half of that.
+// bucket returns the index i of the bucket for idle: firstBucket<<i/2 <= idle < firstBucket<<i.
 func bucket(idle time.Duration) int {
 	return min(bits.Len64(uint64(max(idle, 0)/firstBucket)), bucketCount-1)
 }
--- a/internal/httpgateway/upstream/idle/idle_test.go
+++ b/internal/httpgateway/upstream/idle/idle_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// simulate uses connections that are idle for up to a second, on a path that drops them after lifetime and breaks a share
-// of them at any age.
+// simulate records uses of connections with exponentially distributed idle times (mean 100 ms), on a path that drops idle
+// connections after lifetime and breaks a share of all connections regardless of idle time.
 func simulate(l *Limit, from time.Duration, uses int, lifetime time.Duration, brokenShare float64) (now time.Duration) {
 	rng := rand.New(rand.NewSource(1))
 	for now = from; uses > 0; uses-- {
@@ -25,8 +25,8 @@
 	return now
 }
 
-// A machine on the path drops connections that were idle for 150 ms, and some connections break at any age. The drop is
-// learnt within a second, and unlearnt once it no longer happens; what breaks at any age leaves the limit as it was.
+// The path drops connections that were idle for 150 ms, and a tenth of the connections break regardless of idle time. The limit
+// adapts within a second and returns to the maximum after the drops stop. Failures unrelated to idle time don't change the limit.
 func Example() {
 	l := New(15 * time.Second)
 	now := simulate(l, time.Hour, 300, time.Hour, 0.1)
--- a/internal/httpgateway/upstream/pool.go
+++ b/internal/httpgateway/upstream/pool.go
@@ -2,12 +2,12 @@
 //
 // Its invariants:
 //
-//   - Every attempt that the engine did not cancel is reported exactly once, with the one outcome that it had.
-//   - Nothing is sent twice: an attempt changes its connection only before its first byte is written.
-//   - All bytes of attempts leave through conn.send, which decides by the state and the clock of that very moment.
-//   - Connections, and bytes of responses whose clients don't have them yet, are bounded by Options.
+//   - Every attempt that the engine did not cancel is reported exactly once, with its outcome.
+//   - No attempt is sent twice: it moves to another connection only before its first byte is written.
+//   - Only conn.send writes attempts. It checks the state and the clock immediately before each write.
+//   - Options bounds the number of connections and the bytes of response bodies not yet delivered to clients.
 //
-// It doesn't know why an attempt is sent to an endpoint and doesn't retry: that is the scheduler's.
+// The package neither selects endpoints nor retries: the scheduler does both.
 package upstream
 
 import (
@@ -29,37 +29,37 @@
 type Loop interface {
 	// Now reads the loop's clock.
 	Now() time.Duration
-	// Post queues an event and may block until there is space for it; false: the loop has ended and drops it.
+	// Post queues an event. It may block until the queue has space, and returns false if the loop has ended and dropped the event.
 	Post(f func(*engine.Core)) bool
 }
 
-// Options are what a pool is made with.
+// Options configure a pool.
 type Options struct {
 	Loop           Loop
-	MaxConnections int                                                         // open at a time, to all endpoints together
-	ResponseMemory int64                                                       // bytes of response bodies held until their clients have them; at least MaxResponseBody
-	ConnectTimeout time.Duration                                               // how long an attempt waits for its connection
-	IdleTimeout    time.Duration                                               // after which a connection without an attempt is closed; the pool may learn a shorter one
+	MaxConnections int                                                         // maximum of open connections, to all endpoints together
+	ResponseMemory int64                                                       // maximum size in bytes of response bodies not yet delivered to clients; at least MaxResponseBody
+	ConnectTimeout time.Duration                                               // maximum time that an attempt waits for a connection
+	IdleTimeout    time.Duration                                               // idle time after which a connection is closed; the pool may learn a shorter one
 	Dial           func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
-	BeforeWrite    func()                                                      // for tests: called between the last look at the clock and the write of an attempt; may be nil
+	BeforeWrite    func()                                                      // test hook, called between the last clock reading and the write of an attempt; may be nil
 	Log            *slog.Logger
-	Recorder       *metrics.Recorder // nil: one of its own
+	Recorder       *metrics.Recorder // nil: the pool creates one
 }
 
-// MaxResponseBody is the longest body of a response, in bytes. The platform's page says 64 KiB; its endpoints send several
-// times that.
+// MaxResponseBody is the maximum size of a response body, in bytes. The platform documents 64 KiB, but its endpoints send
+// several times as much.
 const MaxResponseBody = 1 << 20
 
 // Counts are totals since the start.
 type Counts struct {
 	Opened      int64 // connections dialed
 	Attempts    int64 // attempts accepted from the engine
-	Stale       int64 // idle connections that had ended when an attempt was about to be sent
-	Malformed   int64 // responses that could not be parsed
-	Unsolicited int64 // connections on which bytes came that belong to no attempt
-	Evicted     int64 // idle connections closed to make place for a new one
-	Exhausted   int64 // dials not made since all connections were in use
-	Open        int   // connections that count against MaxConnections now
+	Stale       int64 // idle connections found closed or unusable when an attempt was about to be sent
+	Malformed   int64 // malformed responses
+	Unsolicited int64 // times that bytes which belong to no attempt arrived on a connection
+	Evicted     int64 // idle connections closed to stay within MaxConnections
+	Exhausted   int64 // dials not made because all connections were in use
+	Open        int   // current number of connections that count towards MaxConnections
 }
 
 // Pool holds the connections to all endpoints. Its methods are safe for concurrent use.
@@ -67,10 +67,10 @@
 	options        Options
 	ctx            context.Context
 	cancel         context.CancelFunc
-	tasks          sync.WaitGroup // one for each connection's goroutine and each report from none
+	tasks          sync.WaitGroup // the connections' goroutines, and reports sent from goroutines of their own
 	responseMemory *semaphore.Weighted
 
-	mu                sync.Mutex // guards all below and all mutable state of endpoints, connections and attempts
+	mu                sync.Mutex // guards the fields below and the mutable state of endpoints, connections and attempts
 	endpoints         map[*endpoint]bool
 	counts            Counts
 	idleLimit         *idle.Limit
@@ -78,10 +78,11 @@
 	malformedLoggedAt time.Time
 }
 
-// minDialTimeout bounds a dial where ConnectTimeout is shorter: a connection that comes up late serves later attempts.
+// minDialTimeout is the minimum timeout of a dial, even if ConnectTimeout is shorter: a connection that is established late
+// serves later attempts.
 const minDialTimeout = 2 * time.Second
 
-// New makes a pool without connections. It is to be closed with Close.
+// New returns a pool without connections. The caller must call Close.
 func New(options Options) *Pool {
 	if options.Dial == nil {
 		dialer := net.Dialer{Timeout: max(options.ConnectTimeout, minDialTimeout), KeepAlive: -1}
@@ -98,14 +99,14 @@
 	return p
 }
 
-// Counts returns the totals so far.
+// Counts returns the current totals.
 func (p *Pool) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Close ends all connections and waits for their goroutines. The loop must have ended.
+// Close closes all connections and waits for their goroutines. The loop must have ended.
 func (p *Pool) Close() {
 	p.cancel()
 	p.mu.Lock()
@@ -119,7 +120,7 @@
 	p.tasks.Wait()
 }
 
-// Connect returns the way to one endpoint. It opens no connection.
+// Connect returns the engine's interface to one endpoint. It opens no connection.
 func (p *Pool) Connect(name, address string) engine.EndpointConn {
 	e := &endpoint{pool: p, name: name, address: address, inFlight: map[uint64]*attempt{}}
 	p.mu.Lock()
@@ -128,7 +129,7 @@
 	return e
 }
 
-// evict closes the connection that has been idle for longest, to whichever endpoint, and reports whether there was one.
+// evict closes the longest idle connection to any endpoint, and reports whether there was an idle one.
 // The caller holds mu.
 func (p *Pool) evict() bool {
 	var from *endpoint
--- a/internal/httpgateway/upstream/report.go
+++ b/internal/httpgateway/upstream/report.go
@@ -5,14 +5,14 @@
 	"weirhaven/internal/httpgateway/metrics"
 )
 
-// report hands an attempt's outcome to the loop, unless it was canceled; the endpoint's name and the attempt's id are filled
-// in here. Two reports would end a request twice, so whoever removes the attempt from inFlight, under mu, is the one that
-// reports; a second report of the same attempt is counted as a violation. The caller does not hold mu: the loop may block.
+// report posts an attempt's outcome to the loop, unless the attempt was canceled, and fills in the endpoint's name and the
+// attempt's id. Two reports would end a request duplicate, so only the goroutine that removes the attempt from inFlight, under mu,
+// reports it; a second report of the same attempt is counted as a violation. The caller must not hold mu: Post may block.
 func (e *endpoint) report(a *attempt, report engine.AttemptReport) {
 	p := e.pool
-	current, twice := e.remove(a)
+	current, duplicate := e.remove(a)
 	a.cancel()
-	if twice {
+	if duplicate {
 		p.options.Recorder.RecordViolation(metrics.OneOutcome, a.request.Trace, "an attempt was reported twice")
 	}
 	release := func() { p.responseMemory.Release(a.reservedBytes) }
@@ -27,7 +27,7 @@
 	posted := p.options.Loop.Post(func(core *engine.Core) {
 		a.request.Release = release
 		core.AttemptEnded(report)
-		if a.request.Release != nil { // nobody takes the body
+		if a.request.Release != nil { // no request took the body over
 			a.request.Release = nil
 			release()
 		}
@@ -37,17 +37,17 @@
 	}
 }
 
-// remove takes an attempt out of those in flight; current is false if it was canceled, twice is true if it was reported
-// before.
-func (e *endpoint) remove(a *attempt) (current, twice bool) {
+// remove removes an attempt from those in flight; current is false if it was canceled, duplicate is true if it was already
+// reported.
+func (e *endpoint) remove(a *attempt) (current, duplicate bool) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
 	current = e.inFlight[a.id] == a
 	if current {
 		delete(e.inFlight, a.id)
 	}
-	twice = current && a.reported
+	duplicate = current && a.reported
 	a.reported = a.reported || current
-	e.forgetIfDone()
-	return current, twice
+	e.removeIfDone()
+	return current, duplicate
 }
--- a/internal/httpgateway/upstream/response.go
+++ b/internal/httpgateway/upstream/response.go
@@ -11,8 +11,8 @@
 	"weirhaven/policy"
 )
 
-// readResponse reads the response to the attempt that was sent. Its body is read only once there is memory for it: endpoints
-// may send more at a time than this process may hold.
+// readResponse reads the response to the attempt that was sent. It reads the body only after it has reserved memory for it:
+// endpoints may together send more than the limit on response memory.
 func (c *conn) readResponse(a *attempt) (*http1.Head, []byte, error) {
 	if err := c.reader.Await(); err != nil {
 		return nil, nil, err
@@ -22,10 +22,10 @@
 		return nil, nil, err
 	}
 	reserve := head.Length
-	if reserve < 0 { // the length is not known before the body's end
+	if reserve < 0 { // no length given: known only at the end of the body
 		reserve = MaxResponseBody
 	}
-	if reserve > 0 && reserve <= MaxResponseBody { // else no body is read
+	if reserve > 0 && reserve <= MaxResponseBody { // otherwise there is no body, or it is rejected as too large
 		if err := c.endpoint.pool.responseMemory.Acquire(a.ctx, reserve); err != nil {
 			return nil, nil, err
 		}
@@ -35,7 +35,7 @@
 	return head, body, err
 }
 
-// responseFailed reports an attempt without a whole response: it may have run.
+// responseFailed reports an attempt without a complete response. The attempt may have run.
 func (c *conn) responseFailed(a *attempt, seenAt time.Duration, err error) {
 	outcome := policy.ConnectionReset
 	var malformed *http1.Error
@@ -47,8 +47,8 @@
 	c.endpoint.report(a, engine.AttemptReport{Outcome: outcome, SeenAt: seenAt})
 }
 
-// outcomeOf is the outcome of an attempt that got a whole response. An endpoint that rejects an attempt, and so did not run
-// it, marks that in the header; 503 and 504 without the mark may come from a proxy on the way.
+// outcomeOf returns the outcome of an attempt with a complete response. An endpoint that rejects an attempt without running it
+// sets X-Turned-Away; a 503 or 504 without that field may come from an intermediate proxy.
 func outcomeOf(head *http1.Head) policy.Outcome {
 	switch {
 	case head.Status == 200:
@@ -59,7 +59,7 @@
 	return policy.ErrorResponse
 }
 
-// parseLoad reads the units that an endpoint serves for other gateways; what can't be read is taken as absent, 0.
+// parseLoad parses the units that an endpoint serves for other gateways. It returns 0 for an absent or invalid value.
 func parseLoad(text string) float64 {
 	units, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(units >= 0) || math.IsInf(units, 0) {
@@ -70,7 +70,7 @@
 
 const malformedLogInterval = time.Second
 
-// recordMalformed counts a response that can't be parsed, and logs why at a bounded rate.
+// recordMalformed counts a malformed response and logs the cause, at most once per malformedLogInterval.
 func (c *conn) recordMalformed(cause error) {
 	p := c.endpoint.pool
 	p.mu.Lock()
--- a/internal/httpgateway/upstream/reuse.go
+++ b/internal/httpgateway/upstream/reuse.go
@@ -9,8 +9,8 @@
 	"weirhaven/internal/httpgateway/socket"
 )
 
-// becomeIdle puts a connection among the idle ones and reports whether it is kept. It is called before the outcome of its
-// attempt is reported, so that the attempt which the scheduler sends next finds it there.
+// becomeIdle adds the connection to the idle ones, and returns false if it must be closed instead. The caller reports the
+// attempt's outcome afterwards, so that the next attempt of the scheduler can use this connection.
 func (c *conn) becomeIdle() bool {
 	p := c.endpoint.pool
 	p.mu.Lock()
@@ -25,9 +25,9 @@
 	return true
 }
 
-// awaitAttempt waits until the idle connection gets an attempt; nil: it ended. An endpoint that has closed it, or has sent
-// what nobody asked for, is noticed here before anything is written, so the attempt goes on another connection without
-// having been sent.
+// awaitAttempt waits until the idle connection is assigned an attempt; nil: the connection has ended. If the endpoint has closed
+// the connection or has sent unsolicited bytes, this is detected before anything is written, and the attempt is assigned another
+// connection.
 func (c *conn) awaitAttempt() *attempt {
 	err := c.reader.Await()
 	if err == nil {
@@ -53,12 +53,12 @@
 	}
 	p.counts.Stale++
 	c.close()
-	e.place(a)
+	e.assignConnection(a)
 	return nil
 }
 
-// recordUse lets the pool learn how long a connection may be idle; broken: the connection ended under the attempt. A
-// canceled attempt shows nothing, since its connection was closed here.
+// recordUse records how a use of the connection ended, from which the pool learns the idle limit; broken: the connection broke
+// during the attempt. A canceled attempt is not counted, since this process closed its connection.
 func (c *conn) recordUse(a *attempt, broken bool) {
 	p := c.endpoint.pool
 	p.mu.Lock()
@@ -74,8 +74,8 @@
 	}
 }
 
-// recordUnsolicited lets the pool learn how late a duplicate of a response may come: bytes came so long after the response
-// before, and belong to no attempt.
+// recordUnsolicited records that bytes which belong to no attempt arrived so long after the previous response. From this the pool
+// learns the reuse delay, as the bytes may be a duplicate of that response.
 func (c *conn) recordUnsolicited(after time.Duration) {
 	p := c.endpoint.pool
 	p.mu.Lock()
--- a/internal/httpgateway/upstream/reusedelay/reusedelay_test.go
+++ b/internal/httpgateway/upstream/reusedelay/reusedelay_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A duplicate that came 40 ms after its response makes connections rest for longer; one that came with it changes nothing.
-// What was learnt fades, never below the shortest delay.
+// A duplicate that arrives 40 ms after its response increases the delay; one that arrives with its response does not. The delay
+// decays to its minimum.
 func Example() {
 	const ms = time.Millisecond
 	d, now := New(), time.Hour
--- a/internal/httpgateway/upstream/send.go
+++ b/internal/httpgateway/upstream/send.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// schedulingSlack is how long this process may be suspended between reading its clock and writing; the checks allow for it.
+	// schedulingSlack is the tolerance of the invariant checks: this process may be suspended for so long between reading its
+	// clock and writing.
 	schedulingSlack = 150 * time.Millisecond
-	// maxEncodingAge is the longest time between encoding an attempt's remaining time and its write; the field counts in
-	// milliseconds.
+	// maxEncodingAge is the maximum time between encoding the remaining time of an attempt and writing it. The encoded value
+	// is in milliseconds.
 	maxEncodingAge = 5 * time.Millisecond
-	// maxSendAfterEnd is the longest time after its client left, or was answered, within which an attempt may begin.
+	// maxSendAfterEnd is the maximum time between the end of a request (client disconnected or final response sent) and the
+	// start of one of its attempts.
 	maxSendAfterEnd = 100 * time.Millisecond
-	// writeOverrun is how long past its deadline an attempt's connection may still be in use; the engine cancels it before.
+	// writeOverrun is the time after an attempt's deadline at which I/O on its connection fails; the engine cancels the attempt
+	// earlier.
 	writeOverrun = time.Second
 )
 
-// send is the one place where bytes of an attempt leave. An attempt may have waited for its connection while its client
-// left, its request was answered, its deadline passed or its endpoint began to drain; were it sent then, the endpoint would
-// do work that nobody waits for, or run a write that was reported as not run. The guard holds since it reads the state, under
-// the lock under which attempts are given up, and the clock right before the write. Where this process was suspended between
-// the two, or after the remaining time was encoded, both are done anew.
+// send writes an attempt; no other function does. While the attempt waited for its connection, its client may have disconnected,
+// its request may have got a response, its deadline may have passed, or its endpoint may have begun to drain. If it were sent
+// then, the endpoint would do useless work, or run a write that was reported as not run. So send checks the state, under the lock
+// that cancellation takes too, and the clock immediately before the write. If the process was suspended after the remaining time
+// was encoded, send encodes and checks again.
 //
-// started is false if not a byte was written; complete is true if all were.
+// started is false if no byte was written; complete is true if all bytes were written.
 func (c *conn) send(a *attempt) (started, complete bool, err error) {
 	now := c.endpoint.pool.options.Loop.Now
 	for {
@@ -50,7 +53,7 @@
 	}
 }
 
-// start decides whether an attempt may be sent now, and marks it as started if so.
+// start reports whether the attempt may be sent now, and marks it as started if so.
 func (c *conn) start(a *attempt) bool {
 	p := c.endpoint.pool
 	if clientClosed := a.request.ClientClosed; clientClosed != nil && clientClosed() {
@@ -65,7 +68,8 @@
 	return a.started
 }
 
-// checkSend counts the invariants that a write violated which began at startedAt and gave its endpoint remaining.
+// checkSend records a violation for each invariant broken by a write that started at startedAt and sent remaining as the time
+// left.
 func (c *conn) checkSend(a *attempt, remaining, startedAt time.Duration) {
 	recorder, request := c.endpoint.pool.options.Recorder, a.request.Trace
 	if endedAt, ended := a.request.EndedAt(); ended && startedAt-endedAt > maxSendAfterEnd {
--- a/internal/httpgateway/upstream/send_test.go
+++ b/internal/httpgateway/upstream/send_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// reportingLoop is a loop that only notes that an outcome was reported.
+// reportingLoop is a Loop that runs no events and only signals that an outcome was reported.
 type reportingLoop struct {
 	clock.Clock
 	reported chan bool
@@ -30,9 +30,9 @@
 	return true
 }
 
-// An attempt waits for its connection. Meanwhile its client disconnects, or has its final response, or a time limit passes;
-// the engine's loop has had no turn to cancel the attempt. Then the connection comes up. Not a byte may be sent: the endpoint
-// would do work that nobody waits for. The attempt is reported all the same.
+// While an attempt waits for its connection, its request ends (client disconnected or final response sent) or a time limit passes,
+// and the engine's loop has not canceled the attempt yet when the connection is established. No byte of the attempt may be sent, as the endpoint would do useless work,
+// and the attempt must still be reported.
 func TestSendGuard(t *testing.T) {
 	for name, row := range map[string]struct {
 		sent    bool
@@ -40,12 +40,12 @@
 		startBy func(now time.Duration) time.Duration
 		change  func(request *engine.Request, now time.Duration)
 	}{
-		"nothing happened":                     {sent: true, timeout: time.Second},
-		"client disconnected, noticed":         {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.End(now) }},
-		"client disconnected, not noticed yet": {timeout: time.Second, change: func(request *engine.Request, _ time.Duration) { request.ClientClosed = func() bool { return true } }},
-		"deadline passed":                      {timeout: 20 * time.Millisecond},
-		"the request's deadline passed":        {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.Deadline = now + time.Millisecond }},
-		"its own time limit passed":            {timeout: time.Second, startBy: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
+		"no change":                       {sent: true, timeout: time.Second},
+		"client disconnected, detected":   {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.End(now) }},
+		"client disconnected, undetected": {timeout: time.Second, change: func(request *engine.Request, _ time.Duration) { request.ClientClosed = func() bool { return true } }},
+		"attempt timeout passed":          {timeout: 20 * time.Millisecond},
+		"request deadline passed":         {timeout: time.Second, change: func(request *engine.Request, now time.Duration) { request.Deadline = now + time.Millisecond }},
+		"start limit passed":              {timeout: time.Second, startBy: func(now time.Duration) time.Duration { return now + 20*time.Millisecond }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,8 +89,8 @@
 	}
 }
 
-// suspendedLoop is a loop whose process is suspended once, right before the reading of its clock with that number. Readings
-// count from arm on.
+// suspendedLoop is a Loop that simulates one suspension of the process, immediately before the clock reading with the number
+// beforeReading. Readings are counted after arm was called.
 type suspendedLoop struct {
 	reportingLoop
 	beforeReading int
@@ -113,11 +113,11 @@
 		s.readings++
 	}
 	s.mu.Unlock()
-	return s.real()
+	return s.currentTime()
 }
 
-// real is the time, without a reading that counts.
-func (s *suspendedLoop) real() time.Duration {
+// currentTime returns the loop's time without counting a reading.
+func (s *suspendedLoop) currentTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
@@ -127,8 +127,8 @@
 	return now
 }
 
-// The process is suspended while it sends an attempt, between any two readings of its clock. The endpoint is told no more time
-// than the client has left: it would work for nobody.
+// The process is suspended while it sends an attempt, between any two clock readings. The remaining time sent to the endpoint must
+// not exceed that of the client by more than schedulingSlack; otherwise the endpoint would work after the client has given up.
 func TestSuspendedWhileSending(t *testing.T) {
 	for beforeReading := 1; beforeReading <= 6; beforeReading++ {
 		t.Run(fmt.Sprint("before reading ", beforeReading), func(t *testing.T) {
@@ -144,7 +144,7 @@
 					loop.arm()
 					return nc, err
 				}})
-			deadline := loop.real() + 5*time.Second
+			deadline := loop.currentTime() + 5*time.Second
 			p.Connect("s", l.Addr().String()).Send(1, &engine.Request{Header: []byte("GET / HTTP/1.1\r\nHost: x\r\n"), Deadline: deadline}, 0, 5*time.Second, 0)
 			nc, err := l.Accept()
 			if err != nil {
@@ -154,9 +154,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			toldMs, _ := http1.ParseDigits(head.Get("X-Remaining-Ms"))
-			if excess := time.Duration(toldMs)*time.Millisecond - (deadline - loop.real()); excess > schedulingSlack {
-				t.Errorf("the endpoint was told %v more than is left", excess)
+			remainingMs, _ := http1.ParseDigits(head.Get("X-Remaining-Ms"))
+			if excess := time.Duration(remainingMs)*time.Millisecond - (deadline - loop.currentTime()); excess > schedulingSlack {
+				t.Errorf("the endpoint was sent a remaining time %v too long", excess)
 			}
 			nc.Close()
 			<-loop.reported
