--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -11,8 +11,8 @@
 	"weirhaven/internal/pb"
 )
 
-// openCapture lets the loop's requests be recorded, if the settings say where. A folder that can't be written costs the capture,
-// not the service.
+// openCapture sets up the capture of requests, if the settings name a folder. If the folder can't be written, the gateway serves
+// without a capture.
 func (g *Gateway) openCapture(core *engine.Core) error {
 	conf := g.conf.Capture
 	if conf == nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// controlCapture starts or stops the capture, as an operator orders, and returns its status. The texts are the protocol's.
+// controlCapture executes an operator's capture command and returns the capture's status. The texts are part of the protocol.
 func (g *Gateway) controlCapture(action string) (status string, err error) {
 	if g.capture == nil {
 		return "", errors.New("this host has no capture: setting capture names no folder, or it can't be written")
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -11,8 +11,8 @@
 	"weirhaven/internal/lineproto"
 )
 
-// Bound of the responses that may be queued to one client, in bytes: some bodies of the allowed size, and slack. A client that
-// reads too slowly for it is disconnected.
+// The responses queued to one client are limited to queuedBodies bodies of the maximum size plus slackBytes. A client that reads
+// so slowly that its queue exceeds this limit is disconnected.
 const (
 	queuedBodies = 4
 	slackBytes   = 1 << 20
@@ -25,7 +25,7 @@
 	sender  *lineproto.Sender
 
 	mu       sync.Mutex
-	requests map[uint64]*engine.Request // in flight, by the client's id; nil once the connection has ended
+	requests map[uint64]*engine.Request // requests in flight, by the client's id; nil once the connection has ended
 }
 
 func newClientConn(g *Gateway, conn net.Conn) *clientConn {
@@ -33,7 +33,8 @@
 		sender: lineproto.NewSender(queuedBodies*g.limits.MaxBody+slackBytes, g.limits.StallTimeout)}
 }
 
-// run reads until the connection ends, at the latest when shutDown closes it; the requests then in flight have lost their client.
+// run serves the connection until it ends, at the latest when shutDown closes it. The client of the requests still in flight then
+// counts as disconnected.
 func (c *clientConn) run() {
 	defer func() { _ = c.conn.Close() }()
 	limits := c.gateway.limits
@@ -55,14 +56,14 @@
 	}
 }
 
-// endedNormally reports whether a connection ended as connections do: at the client's end, at this one's, or with any error of the
-// network, timeouts and resets included. What is left are messages that can't be read.
+// endedNormally reports whether a connection was closed by either side or by a network error, including timeouts and resets. All
+// other errors are malformed messages.
 func endedNormally(err error) bool {
 	var netErr net.Error
 	return err == nil || errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr)
 }
 
-// read takes messages until the connection ends, and returns why it does.
+// read handles messages until the connection ends, and returns the cause.
 func (c *clientConn) read(reader *lineproto.Reader) error {
 	for {
 		m, err := reader.Read()
@@ -89,7 +90,7 @@
 	}
 }
 
-// awaitsResponse reports whether a read merely timed out between two messages while the client waits for responses.
+// awaitsResponse reports whether err is only a read timeout between two messages while responses are pending.
 func (c *clientConn) awaitsResponse(reader *lineproto.Reader, err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout() && c.inFlight() > 0 && !errors.Is(err, io.ErrUnexpectedEOF) && !reader.Buffered()
@@ -101,7 +102,7 @@
 	return len(c.requests)
 }
 
-// takeRequest removes a request in flight; nil: there is none by that id.
+// takeRequest removes and returns the request in flight with that id; nil: there is none.
 func (c *clientConn) takeRequest(id uint64) *engine.Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,7 @@
 	return request
 }
 
-// takeRequests removes all requests in flight, and lets no other in.
+// takeRequests removes and returns all requests in flight. Call it only after reading has ended: no request may be added later.
 func (c *clientConn) takeRequests() map[uint64]*engine.Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,13 +120,14 @@
 	return requests
 }
 
-// disconnected tells the loop that a request has lost its client, ahead of what is queued: nothing should be sent for it.
+// disconnected notifies the loop, ahead of queued events, that the client of a request has disconnected or canceled it, so that no
+// more attempts are sent.
 func (c *clientConn) disconnected(request *engine.Request) {
 	c.gateway.loop.PostUrgent(func(core *engine.Core) { core.ClientDisconnected(request) })
 }
 
-// sendBad tells the client what it did wrong; what it sent had no effect. With id 0 that ends the connection, and a normal end needs
-// no message.
+// sendBad reports a malformed or rejected message, which had no effect, to the client. Without an id, err may be the cause for which
+// the connection ended; a normal end is not reported.
 func (c *clientConn) sendBad(id uint64, err error) {
 	if err == nil || id == 0 && endedNormally(err) {
 		return
@@ -134,6 +136,6 @@
 	c.send(m.Start(lineproto.VerbMalformed, id).Text(lineproto.FieldReason, err.Error()).End(nil))
 }
 
-// send queues a message. An error is dropped: the connection is closed then, or its client reads nothing, and its next response
-// disconnects it.
+// send queues a message. It ignores errors: either the connection is closed, or the queue is full and the next response will
+// disconnect the client.
 func (c *clientConn) send(m *lineproto.Builder) { _, _ = c.sender.Send(m.Buffer) }
--- a/internal/gateway/command.go
+++ b/internal/gateway/command.go
@@ -15,15 +15,15 @@
 
 // Command is the command line of a gateway.
 type Command struct {
-	Config string `required:"" type:"existingfile" help:"Settings, protobuf text format (proto/edge.proto)."`
-	Bound  bool   `help:"End when standard input ends, so that no gateway outlives whoever started it."`
-	Level  string `help:"Least level logged: debug, info, warn, error. Over that of the settings."`
-	Form   string `help:"text or json. Over that of the settings."`
+	Config string `required:"" type:"existingfile" help:"Settings file in protobuf text format (proto/edge.proto)."`
+	Bound  bool   `help:"Stop when standard input is closed, so that the gateway does not outlive its parent process."`
+	Level  string `help:"Minimum log level: debug, info, warn, error. Overrides the settings."`
+	Form   string `help:"Log format: text or json. Overrides the settings."`
 }
 
-// Execute runs a gateway until SIGTERM or SIGINT. It prints READY with the addresses for clients and for peers once it serves. start
-// makes the scheduler.
-func (c *Command) Execute(start func(policy.Runtime, policy.Settings) engine.Scheduler) error {
+// Execute runs a gateway until SIGTERM or SIGINT. Once the gateway serves, it prints READY and the addresses for clients and for
+// peers. newScheduler returns the scheduler to use.
+func (c *Command) Execute(newScheduler func(policy.Runtime, policy.Settings) engine.Scheduler) error {
 	conf, err := settings.LoadGateway(c.Config)
 	if err != nil {
 		return err
@@ -45,12 +45,13 @@
 	}
 	ctx, stop := lifecycle.Context(c.Bound)
 	defer stop()
-	return Run(ctx, conf, Options{Log: log, NewScheduler: start, Ready: func(clients, peers string) {
+	return Run(ctx, conf, Options{Log: log, NewScheduler: newScheduler, Ready: func(clients, peers string) {
 		fmt.Printf("READY %s %s\n", clients, peers)
 	}})
 }
 
-// Logger returns a log to w of the level (empty: info) and form (empty: text) that l names. Other texts are errors.
+// Logger returns a logger that writes to w with the level (empty: info) and the format (empty: text) of l. It rejects unknown
+// levels and formats.
 func Logger(w io.Writer, l *pb.Log) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if l.GetLevel() != "" {
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -11,17 +11,17 @@
 	"weirhaven/internal/settings"
 )
 
-// controlPlane passes on what the control plane's snapshot says: endpoints go to the loop as reports, volumes to the volume table,
-// and the planned number of gateways to the membership. Requests never wait for it.
+// controlPlane applies the control plane's snapshot: endpoints go to the loop as reports, volumes to the volume table, and the
+// planned number of gateways to the membership. Requests never wait for the control plane.
 type controlPlane struct {
 	gateway  *Gateway
 	plans    map[string]bool  // service plans that the scheduler knows
 	follower *client.Follower // nil: no control plane
-	early    []*pb.Item       // the saved snapshot, until the loop runs
+	early    []*pb.Item       // items of the saved snapshot, kept until the loop runs
 }
 
-// openControlPlane reads the saved snapshot. Service plans that only it names are added to the settings, since the scheduler
-// takes plans only at its start.
+// openControlPlane loads the saved snapshot. It adds service plans that only the snapshot contains to the settings, since the
+// scheduler accepts plans only at its start.
 func (g *Gateway) openControlPlane() error {
 	p := &controlPlane{gateway: g, plans: map[string]bool{}}
 	g.controlPlane = p
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// applyEarly applies the saved snapshot once the loop runs: as too old to be trusted, so that each endpoint is doubted until something
-// fresh reports it.
+// applyEarly applies the saved snapshot once the loop runs. It gives the reports an age past their validity, so that each endpoint
+// is doubted until a fresh report arrives.
 func (p *controlPlane) applyEarly() {
 	items := p.early
 	p.early = nil
@@ -57,7 +57,8 @@
 	}
 }
 
-// Changed takes changes of the snapshot, from the follower's goroutine; fresh is false for the saved one, during client.Open.
+// Changed receives changes of the snapshot. The follower's goroutine calls it; client.Open calls it with the saved snapshot, and
+// fresh is false then.
 func (p *controlPlane) Changed(items []*pb.Item, fresh bool) {
 	if !fresh {
 		p.early = items
@@ -66,7 +67,7 @@
 	p.apply(items, 0)
 }
 
-// apply passes changes on that were true that long ago.
+// apply applies changes that were observed age ago.
 func (p *controlPlane) apply(items []*pb.Item, age time.Duration) {
 	for _, name := range p.gateway.volumes.apply(items, p.plans) {
 		p.gateway.log.Warn("volume on an unknown service plan; restart the gateway to take the plan over", "volume", name)
@@ -92,7 +93,7 @@
 	})
 }
 
-// snapshotReports are a snapshot's endpoints as reports, true at observedAt.
+// snapshotReports returns the endpoints among a snapshot's items as reports observed at observedAt.
 func snapshotReports(items []*pb.Item, observedAt time.Duration) (all []endpointstate.Report) {
 	for _, item := range items {
 		e := item.GetBrick()
@@ -104,7 +105,7 @@
 		if snapshot.Drained(e) {
 			r.Serving, r.Removed = false, false
 			if e.Drained > 0 {
-				r.Started = time.Duration(max(e.Started, e.Drained)) // the drain is of the process that it speaks of
+				r.Started = time.Duration(max(e.Started, e.Drained)) // the drain applies to the process that was running when it was reported
 			}
 		}
 		all = append(all, r)
@@ -112,7 +113,7 @@
 	return all
 }
 
-// reportDrains reports the drains that this gateway knows to the control plane.
+// reportDrains reports the drains known to this gateway to the control plane.
 func (p *controlPlane) reportDrains(beliefs []endpointstate.Belief) {
 	if p.follower == nil {
 		return
--- a/internal/gateway/fleetview.go
+++ b/internal/gateway/fleetview.go
@@ -12,14 +12,14 @@
 	"weirhaven/internal/pb"
 )
 
-// fleetView is what is believed of the fleet at one moment.
+// fleetView is a copy of the beliefs about the fleet.
 type fleetView struct {
 	beliefs    []endpointstate.Belief
-	members    []membership.Member // none without peers
+	members    []membership.Member // empty if the gateway has no peers
 	generation endpointstate.Generation
 }
 
-// fleetView asks the loop for what is believed; false: the loop has ended.
+// fleetView gets the current beliefs from the loop; false: the loop has ended.
 func (g *Gateway) fleetView() (view fleetView, ok bool) {
 	answer := make(chan fleetView, 1)
 	if !g.loop.Post(func(c *engine.Core) {
@@ -45,7 +45,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "list %d of %q\n", last.Number, last.Epoch)
 	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "ENDPOINT\tADDRESS\tZONE\tSHARD\tTRUST\tOBSERVED\tSOURCE\tUPTIME\tREASON") // to memory: no write fails
+	_, _ = fmt.Fprintln(table, "ENDPOINT\tADDRESS\tZONE\tSHARD\tTRUST\tOBSERVED\tSOURCE\tUPTIME\tREASON") // writes to memory don't fail
 	for _, b := range beliefs {
 		uptime, observed := "long", "-"
 		if b.Started > 0 {
@@ -66,8 +66,8 @@
 	return text.String()
 }
 
-// describeFleet is what is believed as settings of the capacity planner. What a gateway can't know an operator adds: kinds of endpoints
-// and their cores, how much a gateway carries, shards of volumes that no capture shows.
+// describeFleet returns the beliefs as settings of the capacity planner. An operator has to add what a gateway does not know: the
+// kinds of endpoints and their cores, the capacity of a gateway, and shards of volumes that appear in no capture.
 func (g *Gateway) describeFleet(view fleetView) *pb.CapacityFleet {
 	const kind = "brick"
 	conf := g.conf
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,15 +15,15 @@
 	"weirhaven/policy"
 )
 
-// Options are what a gateway may be given in addition to its settings. The zero value is ready to use.
+// Options configure a gateway in addition to its settings. The zero value is ready to use.
 type Options struct {
-	// Log takes the log; nil: slog.Default.
+	// Log is the logger; nil: slog.Default.
 	Log *slog.Logger
 	// NewScheduler returns the scheduler to use; nil: the package function NewScheduler. Tests and baselines set another one.
 	NewScheduler func(policy.Runtime, policy.Settings) engine.Scheduler
-	// Objects is called with the address (host:port) of the object API, if there is one. May be nil.
+	// Objects is called with the address (host:port) of the object API, if the settings enable it. May be nil.
 	Objects func(address string)
-	// Ready is called once requests are served, with the address for clients and the one for peers (empty: none). May be nil.
+	// Ready is called once requests are served, with the listen addresses for clients and for peers (empty: none). May be nil.
 	Ready func(clients, peers string)
 }
 
@@ -32,7 +32,7 @@
 	return policy.New(runtime, s)
 }
 
-// Gateway is one gateway while it runs. Its fields are set before its goroutines start, but for those said to be guarded.
+// Gateway is a running gateway. Its fields are set before its goroutines start, except for those marked as guarded.
 type Gateway struct {
 	conf     *pb.Edge
 	limits   settings.Limits
@@ -46,11 +46,11 @@
 	volumes      *volumeTable
 	controlPlane *controlPlane
 	persister    *persister
-	capture      *capture.Writer // nil: the load is not recorded
+	capture      *capture.Writer // nil: no capture
 	objects      *objectServer   // nil: no object API
 
-	shuttingDown atomic.Bool    // no request is accepted any more
-	wg           sync.WaitGroup // all goroutines but the loop's
+	shuttingDown atomic.Bool    // set when new requests are no longer accepted
+	wg           sync.WaitGroup // all goroutines except the loop's
 
 	mu          sync.Mutex
 	connections map[*clientConn]bool // guarded by mu
@@ -64,7 +64,7 @@
 	return g
 }
 
-// Counts asks the loop for its totals; they are zero once the loop has ended.
+// Counts returns the loop's totals, or zeros if the loop has ended.
 func (g *Gateway) Counts() engine.Counts {
 	answer := make(chan engine.Counts, 1)
 	if g.loop.Post(func(c *engine.Core) { answer <- c.Counts() }) {
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -12,14 +12,14 @@
 	"weirhaven/internal/pb"
 )
 
-// Bounds of what another gateway may say. Datagrams can be forged, so whatever is past them is dropped.
+// Bounds on the values in messages from other gateways. Datagrams can be forged, so values past the bounds are dropped.
 const (
 	maxNameLength = 64
 	maxOrdinal    = 1<<16 - 1
 	maxPlanned    = 1<<16 - 1
 )
 
-// encodeMembership returns the body of a GOSSIP message; nil: it can't be encoded.
+// encodeMembership returns the body of a GOSSIP message, or nil if it can't be encoded.
 func encodeMembership(m membership.Message) []byte {
 	g := &pb.Gossip{Kind: int32(m.Kind), Seq: m.Seq, From: memberpb.Encode(m.From), About: m.Target, Total: int64(m.Total), Sums: m.Checksums}
 	for _, update := range m.Updates {
@@ -32,8 +32,7 @@
 	return body
 }
 
-// decodeMembership reads the body of a GOSSIP message; false: no gateway would send it. Updates that none would send are left
-// out.
+// decodeMembership parses the body of a GOSSIP message; false: it is invalid. Invalid updates are left out.
 func decodeMembership(body []byte) (m membership.Message, ok bool) {
 	g := &pb.Gossip{}
 	if proto.Unmarshal(body, g) != nil || g.Kind < int32(membership.Ping) || g.Kind > int32(membership.Sync) {
@@ -51,18 +50,18 @@
 	return m, true
 }
 
-// isPlausible reports whether a gateway may be such a member.
+// isPlausible reports whether a member's values are within the bounds.
 func isPlausible(m membership.Member) bool {
 	_, err := netip.ParseAddrPort(m.Address)
 	return err == nil && m.Name != "" && len(m.Name) <= maxNameLength && m.Ordinal >= 0 && m.Ordinal <= maxOrdinal &&
 		m.Planned >= 0 && m.Planned <= maxPlanned && m.State >= membership.Alive && m.State <= membership.Departed
 }
 
-// startUnknown stands on the wire for an endpoint whose start is not known.
+// startUnknown is the encoded uptime of an endpoint whose start time is unknown.
 const startUnknown = -1
 
-// encodeReports returns the body of a LINES message; nil: it can't be encoded. Times go as ages, so that gateways need no common
-// clock and an old report stays old however often it is passed on.
+// encodeReports returns the body of a LINES message, or nil if it can't be encoded. Times are encoded as ages, so that gateways need
+// no common clock and a report keeps its age however often it is forwarded.
 func encodeReports(reports []endpointstate.Report, now time.Duration) []byte {
 	m := &pb.Lines{}
 	for _, r := range reports {
@@ -80,7 +79,7 @@
 	return body
 }
 
-// decodeReports puts another gateway's reports on this one's clock. What no gateway would send is left out.
+// decodeReports converts the reports of another gateway to this gateway's clock. Invalid reports are left out.
 func decodeReports(body []byte, now time.Duration) (reports []endpointstate.Report) {
 	m := &pb.Lines{}
 	if proto.Unmarshal(body, m) != nil {
@@ -92,7 +91,7 @@
 			continue
 		}
 		r := endpointstate.Report{Name: encoded.Name, Address: encoded.Address, Zone: encoded.Zone, Shard: int(encoded.Cell),
-			Serving: encoded.Serving && !encoded.Gone, Removed: encoded.Gone, ObservedAt: max(now-time.Duration(encoded.Age), 1)} // 0 would be: unknown
+			Serving: encoded.Serving && !encoded.Gone, Removed: encoded.Gone, ObservedAt: max(now-time.Duration(encoded.Age), 1)} // 0 means unknown
 		if encoded.Up >= 0 {
 			r.Started = max(now-time.Duration(encoded.Up), 1)
 		}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// acceptBackoff is the time from an accept that failed to the next: without it the loop would spin while, say, the process is out of
+// acceptBackoff is the delay after a failed accept. Without it the accept loop would spin, for example while the process is out of
 // file descriptors.
 const acceptBackoff = 100 * time.Millisecond
 
-// accept serves client connections until the listener is closed or ctx ends. The first of a row of connections that are rejected
-// for their number is logged.
+// accept serves client connections until the listener is closed or ctx ends. Of consecutive connections rejected for the limit only
+// the first is logged.
 func (g *Gateway) accept(ctx context.Context) {
 	rejecting := false
 	for {
@@ -26,10 +26,10 @@
 		c := g.addConnection(conn)
 		if c == nil {
 			if !rejecting {
-				g.log.Warn("client connection rejected: as many are open as bounds.connections allows", "limit", g.limits.Connections)
+				g.log.Warn("client connection rejected: limit bounds.connections reached", "limit", g.limits.Connections)
 			}
 			rejecting = true
-			_ = conn.Close() // nothing was written
+			_ = conn.Close() // nothing was written, so an error has no effect
 			continue
 		}
 		rejecting = false
@@ -40,7 +40,7 @@
 	}
 }
 
-// retryAccept waits after an accept that failed. It returns false once no more connections are to be accepted.
+// retryAccept waits after a failed accept. It returns false if the listener is closed or ctx has ended.
 func (g *Gateway) retryAccept(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 		return false
@@ -54,7 +54,7 @@
 	}
 }
 
-// addConnection registers a connection; nil: there are too many, or the gateway is shutting down.
+// addConnection registers a connection; nil: the limit is reached, or the gateway is shutting down.
 func (g *Gateway) addConnection(conn net.Conn) *clientConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/objects.go
+++ b/internal/gateway/objects.go
@@ -22,12 +22,12 @@
 	"weirhaven/internal/tlskeys"
 )
 
-// What the settings of objects mean where they are absent.
+// Defaults of the settings in objects.
 const (
 	defaultExtent    = 256 << 10 // bytes
 	defaultUnit      = 64 << 10  // bytes
-	defaultWindow    = 8         // extents in flight
-	defaultRequests  = 256       // at once
+	defaultWindow    = 8         // extents in flight per request
+	defaultRequests  = 256       // concurrent requests
 	defaultUploadAge = 24 * time.Hour
 	defaultLooseAge  = time.Hour
 	defaultSkew      = 15 * time.Minute
@@ -35,7 +35,7 @@
 
 const maxHeaderBytes = 64 << 10
 
-// Shards that serve are read from the loop each second; orphaned extents are swept each sweepTicks seconds.
+// The set of serving shards is read from the loop every objectTick; orphaned extents are removed every sweepTicks ticks.
 const (
 	objectTick = time.Second
 	sweepTicks = 10
@@ -48,10 +48,11 @@
 	gate     *gate.Gate
 	server   *http.Server
 	listener net.Listener
-	shards   atomic.Pointer[[]uint32] // with an endpoint that serves, ascending
+	shards   atomic.Pointer[[]uint32] // shards with a serving endpoint, ascending
 }
 
-// openObjects listens for object requests; nil without an error: the settings name no object API.
+// openObjects opens the index and listens for object requests. It returns nil without an error if the settings enable no object
+// API.
 func (g *Gateway) openObjects(ctx context.Context) (*objectServer, error) {
 	conf := g.conf.Objects
 	if conf == nil {
@@ -72,7 +73,7 @@
 	return o, nil
 }
 
-// readAccessKeys reads the access keys. Without any, objects are served on loopback only.
+// readAccessKeys reads the access keys. Without a key file, the object API may listen on loopback only.
 func readAccessKeys(conf *pb.ObjectApi) (api.Keys, error) {
 	if conf.Access != "" {
 		return api.ReadKeys(conf.Access)
@@ -83,7 +84,7 @@
 	return nil, nil
 }
 
-// listen makes the gate and the HTTP server, and listens.
+// listen creates the gate and the HTTP server, and opens the listener.
 func (o *objectServer) listen(ctx context.Context, conf *pb.ObjectApi, keys api.Keys) error {
 	g := o.gateway
 	extent := int64(cmp.Or(conf.Extent, defaultExtent))
@@ -108,12 +109,13 @@
 	return nil
 }
 
-// run serves until ctx ends. If the server fails before that, the index stays open until then: requests in flight still use it.
+// run serves until ctx ends. If the server fails earlier, the index stays open until ctx ends, since requests in flight still use
+// it.
 func (o *objectServer) run(ctx context.Context) {
 	o.gateway.log.Info("serving objects", "address", o.listener.Addr().String())
-	defer func() { _ = o.index.Close() }() // each change is durable by itself
+	defer func() { _ = o.index.Close() }() // every change is already durable
 	served := make(chan error, 1)
-	go func() { served <- o.server.Serve(o.listener) }() // ends with the server's Close or Shutdown
+	go func() { served <- o.server.Serve(o.listener) }() // returns on the server's Close or Shutdown
 	tick := time.NewTicker(objectTick)
 	defer tick.Stop()
 	o.refreshShards()
@@ -125,7 +127,7 @@
 				o.sweep(ctx)
 			}
 		case <-ctx.Done():
-			_ = o.server.Close() // the process is done with it
+			_ = o.server.Close() // the gateway is stopping: an error has no effect
 			o.logServed(<-served)
 			return
 		case err := <-served:
@@ -137,7 +139,7 @@
 	}
 }
 
-// logServed logs why the server ended, unless it was closed.
+// logServed logs why the server ended, unless it was closed on purpose.
 func (o *objectServer) logServed(err error) {
 	if !errors.Is(err, http.ErrServerClosed) {
 		o.gateway.log.Error("object server failed; objects are not served any more", "err", err)
@@ -154,14 +156,14 @@
 	}
 }
 
-// drain accepts no new requests and lets those in flight complete within the timeout.
+// drain stops accepting requests and waits up to timeout for those in flight to complete.
 func (o *objectServer) drain(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	_ = o.server.Shutdown(ctx) // what is then left, Close ends
+	_ = o.server.Shutdown(ctx) // Close ends the requests that remain
 }
 
-// refreshShards reads from the loop which shards serve.
+// refreshShards updates the set of serving shards from the loop's beliefs.
 func (o *objectServer) refreshShards() {
 	if view, ok := o.gateway.fleetView(); ok {
 		o.setShards(view.beliefs)
@@ -179,9 +181,9 @@
 	o.shards.Store(&shards)
 }
 
-// Submit, ClientDisconnected and Shards are the gate's way to the engine (gate.Engine).
+// Submit, ClientDisconnected and Shards implement gate.Engine.
 
-// Submit submits a request; false: it is not accepted, and never reached the scheduler.
+// Submit submits a request; false: it was not accepted and did not reach the scheduler.
 func (o *objectServer) Submit(request *engine.Request) bool {
 	return !o.gateway.shuttingDown.Load() && o.gateway.loop.TryPost(func(c *engine.Core) { c.Submit(request) })
 }
@@ -191,8 +193,8 @@
 	o.gateway.loop.PostUrgent(func(c *engine.Core) { c.ClientDisconnected(request) })
 }
 
-// Shards returns the shards where a volume's new data may lie: of those that the control plane names for it the ones that serve,
-// else all that serve. false: no such volume.
+// Shards returns the shards on which new data of a volume may be placed: the serving ones among those that the control plane assigns
+// to the volume, or all serving ones if it assigns none. false: unknown volume.
 func (o *objectServer) Shards(volume string) ([]uint32, bool) {
 	if _, _, ok := o.gateway.volumes.lookup(volume); !ok {
 		return nil, false
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -10,7 +10,7 @@
 	"weirhaven/internal/settings"
 )
 
-// operate serves an operator's verbs on a client connection. They are accepted from this machine only.
+// operate handles operator commands on a client connection. They are accepted only from this machine.
 func (c *clientConn) operate(m *lineproto.Message) {
 	if !c.isLocal() {
 		c.sendBad(m.ID, os.ErrPermission)
@@ -27,13 +27,13 @@
 	}
 }
 
-// isLocal reports whether the client is on this machine. RemoteAddr spells ::1 as [::1].
+// isLocal reports whether the client is on this machine. RemoteAddr formats ::1 as [::1].
 func (c *clientConn) isLocal() bool {
 	host, _, _ := strings.Cut(c.conn.RemoteAddr().String(), ":")
 	return strings.HasPrefix(host, "127.") || host == "["
 }
 
-// sendResult sends the result of an operator's verb, or why there is none.
+// sendResult sends the result of an operator command, or its error.
 func (c *clientConn) sendResult(id uint64, body []byte, err error) {
 	if err != nil {
 		c.sendBad(id, err)
@@ -43,7 +43,7 @@
 	c.send(m.Start(lineproto.VerbServed, id).End(body))
 }
 
-// showFleet sends what is believed of the fleet: a table, or the settings of a capacity plan (Form: txtpb).
+// showFleet sends the beliefs about the fleet as a table, or as settings of the capacity planner (Form: txtpb).
 func (c *clientConn) showFleet(m *lineproto.Message) {
 	view, _ := c.gateway.fleetView()
 	if m.Get(lineproto.FieldForm) == "txtpb" {
@@ -55,7 +55,7 @@
 	c.sendResult(m.ID, []byte(table), nil)
 }
 
-// forget drops what is believed of an endpoint (Brick) or ends the part of a gateway (Host).
+// forget removes the beliefs about an endpoint (Brick), or the membership of a gateway (Host).
 func (c *clientConn) forget(m *lineproto.Message) {
 	endpoint, member := m.Get(lineproto.FieldEndpoint), m.Get(lineproto.FieldGateway)
 	known := make(chan bool, 1)
@@ -72,7 +72,7 @@
 			c.sendBad(m.ID, fmt.Errorf("nothing is known of %q", endpoint+member))
 			return
 		}
-		c.gateway.log.Warn("forgot an endpoint with its drain, or a gateway with its part, by an operator's order",
+		c.gateway.log.Warn("removed an endpoint and its drain, or a member, on an operator's command",
 			"endpoint", endpoint, "member", member)
 		c.sendResult(m.ID, nil, nil)
 	case <-c.gateway.loop.Done():
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -17,25 +17,25 @@
 	"weirhaven/internal/lineproto"
 )
 
-// Bounds of messages between gateways, in bytes. maxDatagram is what is read at most; a body that is larger than maxBody is not sent,
-// which leaves room for the head.
+// Bounds of messages between gateways, in bytes. maxDatagram is the size of the read buffer. A body larger than maxBody is not sent,
+// so that a datagram has space for the head.
 const (
 	maxGossip   = 512
 	maxDatagram = 16 << 10
 	maxBody     = maxDatagram / 2
 )
 
-// peers carries messages between gateways, one datagram each, any of which may be lost.
+// peers sends and receives messages between gateways. Each message is one datagram, which may be lost.
 type peers struct {
 	gateway  *Gateway
-	networks *netipx.IPSet // where peers may be; nil: anywhere
-	conn     *net.UDPConn  // nil: this gateway knows no others
+	networks *netipx.IPSet // allowed addresses of peers; nil: all
+	conn     *net.UDPConn  // nil: this gateway has no peers
 
 	mu        sync.Mutex
-	addresses map[int]netip.AddrPort // guarded by mu: of other gateways, by ordinal
+	addresses map[int]netip.AddrPort // addresses of other gateways by ordinal; guarded by mu
 }
 
-// open listens for peers, if the settings say where.
+// open listens for peers, if the settings give an address.
 func (p *peers) open(ctx context.Context) error {
 	conf := p.gateway.conf
 	if conf.PeerListen == "" {
@@ -50,7 +50,7 @@
 	for _, peer := range conf.Peer {
 		address, err := net.ResolveUDPAddr("udp", peer.Address)
 		if err != nil {
-			_ = conn.Close() // nothing was sent
+			_ = conn.Close() // nothing was sent, so an error has no effect
 			return fmt.Errorf("peer %d: %w", peer.Ordinal, err)
 		}
 		p.addresses[int(peer.Ordinal)] = address.AddrPort()
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// address is where peers reach this gateway; empty: they don't.
+// address returns the address on which this gateway listens for peers; empty: it doesn't listen.
 func (p *peers) address() string {
 	if p.conn == nil {
 		return ""
@@ -70,7 +70,7 @@
 	return p.networks == nil || p.networks.Contains(address.Addr().Unmap())
 }
 
-// membersChanged sets where notes go from now on.
+// membersChanged updates the addresses to which scheduler notes are sent.
 func (p *peers) membersChanged(all []membership.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// broadcast sends a note of the scheduler to every other gateway that is known.
+// broadcast sends a note of the scheduler to every other known gateway.
 func (p *peers) broadcast(note []byte) {
 	if p.conn == nil || len(note) > maxGossip {
 		return
@@ -116,7 +116,7 @@
 	p.sendBody(to, lineproto.VerbEndpointReports, encodeReports(reports, now))
 }
 
-// sendBody sends a message of that body; nil, or one that is too long, is dropped.
+// sendBody sends a message with that body. It drops a nil body and one larger than maxBody.
 func (p *peers) sendBody(to netip.AddrPort, verb string, body []byte) {
 	if body == nil || len(body) > maxBody {
 		return
@@ -125,12 +125,12 @@
 	p.send(to, m.Start(verb, 0).End(body))
 }
 
-// send sends a datagram. What the kernel does not take is lost, as any datagram may be.
+// send sends a datagram. It ignores errors, since any datagram may be lost.
 func (p *peers) send(to netip.AddrPort, m *lineproto.Builder) {
 	_, _ = p.conn.WriteToUDPAddrPort(m.Buffer, to)
 }
 
-// run receives until ctx ends. What can't be read is dropped.
+// run receives messages until ctx ends. It drops malformed ones.
 func (p *peers) run(ctx context.Context) {
 	if p.conn == nil {
 		return
@@ -151,7 +151,7 @@
 	}
 }
 
-// receive passes a message on to the loop, or drops it when the loop is busy.
+// receive passes a message to the loop, or drops it if the loop's queue is full.
 func (p *peers) receive(m *lineproto.Message) {
 	loop := p.gateway.loop
 	switch m.Verb {
--- a/internal/gateway/persistence.go
+++ b/internal/gateway/persistence.go
@@ -11,19 +11,19 @@
 	"weirhaven/internal/fleet/store"
 )
 
-// saveInterval is the time between two saves. A save that finds nothing changed writes nothing.
+// saveInterval is the time between two saves. A save without changes writes nothing.
 const saveInterval = time.Second
 
-// persister keeps on disk what the loop believes of the fleet. A disk that is full, read-only or slow costs the next start its
-// knowledge, never the service of this one.
+// persister saves the loop's beliefs about the fleet to disk. If the disk is full, read-only or slow, the next start lacks these
+// beliefs, but this gateway continues to serve.
 type persister struct {
 	gateway *Gateway
 	store   *store.Store // nil: nothing is saved
 	failing bool         // the last save failed
 }
 
-// open restores what was saved. Only a store that another gateway has open, or whose members can't be read, keeps this one from
-// starting.
+// open opens the store and restores its contents. It returns an error, which prevents the start, only if another gateway has the
+// store open, or if the store was opened but its contents can't be read.
 func (p *persister) open(core *engine.Core) error {
 	file, log := p.gateway.conf.Store, p.gateway.log
 	if file == "" {
@@ -72,12 +72,12 @@
 	return oldest
 }
 
-// run saves until ctx ends, then once more, and closes the store. The loop has to run until run has returned.
+// run saves periodically until ctx ends, then saves once more and closes the store. The loop must not end before run returns.
 func (p *persister) run(ctx context.Context) {
 	if p.store == nil {
 		return
 	}
-	defer func() { _ = p.store.Close() }() // each save is durable by itself
+	defer func() { _ = p.store.Close() }() // every save is already durable
 	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
 	for {
@@ -91,7 +91,7 @@
 	}
 }
 
-// save writes what has changed. The first failure of a row is logged, and the first success after it.
+// save writes the changes. Of consecutive failures it logs the first, and then the first success.
 func (p *persister) save() {
 	view, ok := p.gateway.fleetView()
 	if !ok {
@@ -105,8 +105,8 @@
 	}
 	p.failing = err != nil
 	if p.failing {
-		p.gateway.log.Warn("saving the store fails, will retry", "err", err)
+		p.gateway.log.Warn("saving to the store failed; retrying", "err", err)
 	} else {
-		p.gateway.log.Info("saving the store works again")
+		p.gateway.log.Info("saving to the store succeeds again")
 	}
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -9,17 +9,17 @@
 	"weirhaven/internal/lineproto"
 )
 
-// maxShard bounds the shard that a client may name.
+// maxShard is the largest shard number accepted in a message.
 const maxShard = 1 << 30
 
-// resultVerbs are the verbs of final responses. Nothing is sent to a client that has disconnected.
+// resultVerbs maps results to the verbs of final responses. A client that has disconnected gets no response.
 var resultVerbs = map[engine.Result]string{
 	engine.Served:   lineproto.VerbServed,
 	engine.Rejected: lineproto.VerbRejected,
 	engine.Failed:   lineproto.VerbFailed,
 }
 
-// submit passes a request on to the loop. An error ends the connection: its ids can't be told apart any more.
+// submit passes a request to the loop. An error ends the connection, because an absent or duplicate id makes responses ambiguous.
 func (c *clientConn) submit(m *lineproto.Message) error {
 	if m.ID == 0 {
 		return errors.New("RUN without an id; give each command on a connection a number of its own, from 1")
@@ -42,14 +42,14 @@
 		var started lineproto.Builder
 		c.send(started.Start(lineproto.VerbResponseStarted, id).End(nil))
 	}
-	// What the scheduler never sees is rejected at once; a retry of it is harmless.
+	// A request that does not reach the scheduler is rejected at once, so the client can safely retry it.
 	if c.gateway.shuttingDown.Load() || !c.gateway.loop.TryPost(func(core *engine.Core) { core.Submit(request) }) {
 		request.Respond(engine.Response{Result: engine.Rejected})
 	}
 	return nil
 }
 
-// registration says whether a request may be in flight on its connection.
+// registration is the result of clientConn.register.
 type registration int
 
 const (
@@ -58,6 +58,7 @@
 	tooMany
 )
 
+// register adds a request to those in flight on the connection.
 func (c *clientConn) register(id uint64, request *engine.Request) registration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 	return registered
 }
 
-// parseRequest reads a RUN message. The names of its fields are the protocol's.
+// parseRequest parses a RUN message.
 func parseRequest(m *lineproto.Message) (*engine.Request, error) {
 	shard, shardErr := m.Int(lineproto.FieldShard, -1)
 	units, unitsErr := m.Float(lineproto.FieldUnits, 1)
@@ -92,8 +93,8 @@
 	return request, nil
 }
 
-// respond sends the final response, unless the client has canceled the request or is gone. It runs in the loop, so it never blocks: a
-// client that reads nothing is disconnected.
+// respond sends the final response, unless the client has canceled the request or has disconnected. It runs in the loop and must
+// not block: if the client's queue is full, the client is disconnected.
 func (c *clientConn) respond(id uint64, request *engine.Request, r engine.Response) {
 	if !c.complete(id, request) {
 		return
@@ -101,7 +102,7 @@
 	m := lineproto.Builder{Buffer: make([]byte, 0, responseHeadroom+len(r.Body))}
 	m.Start(resultVerbs[r.Result], id)
 	if r.Result == engine.Rejected && r.RetryAfter > 0 {
-		m.Duration(lineproto.FieldRetryAfter, max(r.RetryAfter, time.Microsecond)) // 0 on the wire would be no advice
+		m.Duration(lineproto.FieldRetryAfter, max(r.RetryAfter, time.Microsecond)) // 0 on the wire means that no retry time is given
 	}
 	if r.Result == engine.Failed {
 		mayHaveRun := "no"
@@ -115,10 +116,10 @@
 	}
 }
 
-// responseHeadroom is the size, in bytes, that the head of a response seldom exceeds.
+// responseHeadroom is the capacity reserved for the head of a response, in bytes; a head is seldom larger.
 const responseHeadroom = 64
 
-// complete removes a request that gets its response; false: it is not in flight any more.
+// complete removes a request that is about to get its response; false: it is no longer in flight.
 func (c *clientConn) complete(id uint64, request *engine.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -16,10 +16,10 @@
 	"weirhaven/policy"
 )
 
-// Run serves until ctx ends, then shuts down gracefully: it accepts no new requests and completes those it holds within their
-// timeouts. It returns an error only if it can't start: an address is taken, another gateway has its store open
-// (store.ErrLocked), or a file that the settings name can't be used. It may add to conf the service plans that the control
-// plane names.
+// Run serves until ctx ends, then shuts down gracefully: it accepts no new requests and completes the open ones within their
+// timeouts. It returns an error only if it can't start: an address is in use, another gateway has the store open
+// (store.ErrLocked), or a file named in the settings can't be used. It may add service plans from the control plane's snapshot to
+// conf.
 func Run(ctx context.Context, conf *pb.Edge, o Options) error {
 	if o.Log == nil {
 		o.Log = slog.Default()
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// assemble makes all parts and the Core, which knows then what the settings, the control plane's snapshot and the store say. Nothing
-// runs yet.
+// assemble creates all parts and the Core, and loads the settings, the control plane's snapshot and the store into them. It starts
+// no goroutine.
 func (g *Gateway) assemble(ctx context.Context, start func(policy.Runtime, policy.Settings) engine.Scheduler) (*engine.Core, error) {
 	conf := g.conf
 	g.loop = engine.NewLoop(g.limits.LoopQueue)
@@ -78,7 +78,7 @@
 	}
 	g.peers.networks = rules.Networks
 	g.volumes = newVolumeTable(conf)
-	if err := g.openControlPlane(); err != nil { // before the settings go to the scheduler: it adds service plans
+	if err := g.openControlPlane(); err != nil { // before the settings are passed to the scheduler, since it adds service plans
 		return nil, err
 	}
 	core := engine.New(settings.Policy(conf, time.Now().UnixNano()), rules, start, outbound{g}, g.volumes.lookup, g.limits.HealthCheckTimeout, g.loop.Now())
@@ -104,8 +104,8 @@
 	return entries
 }
 
-// join makes this gateway a member of the group, if it listens for peers. The time serves as incarnation, so that it is
-// above that of the last life.
+// join makes this gateway a member of the group, if it listens for peers. The current time serves as the incarnation, so that it
+// exceeds the one before a restart.
 func (g *Gateway) join(core *engine.Core) {
 	if g.peers.conn == nil {
 		return
@@ -119,8 +119,8 @@
 	core.Join(self, membership.DefaultRules(), seeds)
 }
 
-// start starts all goroutines. They end with background, but for the persister, which stopPersisting ends and waits for:
-// it has to save once more while the loop still runs.
+// start starts all goroutines. They end when background ends, except for the persister's: stopPersisting stops it and waits for it,
+// because its final save needs the loop.
 func (g *Gateway) start(background context.Context, core *engine.Core) (stopPersisting func()) {
 	go g.loop.Run(background, core) // shutDown waits for loop.Done
 	g.controlPlane.applyEarly()
@@ -148,7 +148,7 @@
 	}
 }
 
-// announce tells where this gateway serves.
+// announce logs and reports the addresses on which this gateway serves.
 func (g *Gateway) announce(o Options) {
 	clients, peers := g.listener.Addr().String(), g.peers.address()
 	g.log.Info("serving", "clients", clients, "peers", peers, "endpoints", len(g.conf.Brick))
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,12 +6,12 @@
 	"weirhaven/internal/settings"
 )
 
-// shutdownSlack is how much longer than the longest request timeout a graceful shutdown waits: responses at the deadline still have to
-// be written.
+// shutdownSlack is added to the longest request timeout to get the time limit of a graceful shutdown, since responses sent at the
+// deadline still have to be written.
 const shutdownSlack = time.Second
 
-// shutDown ends the gateway in the order in which its parts need each other: no new requests, then those held, the last save, the
-// loop, the connections.
+// shutDown stops the parts of the gateway in the order of their dependencies: it rejects new requests, completes the open ones, saves
+// for the last time, and then stops the loop and closes the connections.
 func (g *Gateway) shutDown(stopPersisting, stopLoop func()) {
 	if g.objects != nil {
 		g.objects.drain(g.longestTimeout())
@@ -28,10 +28,10 @@
 		"open", counts.Open, "late_outcomes", counts.LateOutcomes)
 }
 
-// drain rejects new requests and waits until each request held has its response and the responses are written.
+// drain rejects new requests and waits until all open requests have got their responses and these are written.
 func (g *Gateway) drain() {
 	g.shuttingDown.Store(true)
-	_ = g.listener.Close() // nothing more is accepted, whatever it returns
+	_ = g.listener.Close() // no connection is accepted afterwards, even if it fails
 	g.log.Info("graceful shutdown started", "open", g.Counts().Open)
 	deadline := time.After(g.longestTimeout() + shutdownSlack)
 	tick := time.NewTicker(5 * time.Millisecond)
@@ -46,7 +46,7 @@
 	}
 }
 
-// longestTimeout is the longest request timeout of all request classes.
+// longestTimeout returns the longest request timeout of all request classes.
 func (g *Gateway) longestTimeout() (longest time.Duration) {
 	for _, class := range g.conf.QueueType {
 		longest = max(longest, settings.Duration(class.CommandTimeout, 0))
@@ -70,6 +70,6 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.connections {
-		_ = c.conn.Close() // its reader ends, whatever this returns
+		_ = c.conn.Close() // ends the connection's reader, even if it fails
 	}
 }
--- a/internal/gateway/statelog.go
+++ b/internal/gateway/statelog.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// logState logs what the gateway holds at each interval until ctx ends.
+// logState logs memory use and totals at each interval until ctx ends.
 func (g *Gateway) logState(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -7,15 +7,15 @@
 	"weirhaven/internal/pb"
 )
 
-// volumeTable is what is known of volumes: the settings, and over them what the control plane says. It is read by the loop for each
-// request and replaced whole.
+// volumeTable contains the volumes of the settings, overridden by those of the control plane. The loop reads it for each request;
+// updates replace the whole map.
 type volumeTable struct {
-	entries atomic.Pointer[map[string]volumeEntry] // by name
+	entries atomic.Pointer[map[string]volumeEntry] // volumes by name
 }
 
 type volumeEntry struct {
 	plan     string // service plan
-	gateways int    // through which the volume is used
+	gateways int    // number of gateways through which the volume is used
 }
 
 func newVolumeTable(conf *pb.Edge) *volumeTable {
@@ -34,8 +34,8 @@
 	return entry.plan, entry.gateways, ok
 }
 
-// apply takes the volumes among changes of the control plane's snapshot. It returns those on a plan that is not among the plans,
-// which change nothing. It may not be called concurrently.
+// apply updates the table with the volumes among changes of the control plane's snapshot. It ignores volumes whose service plan is
+// not in plans, and returns their names. It must not be called concurrently.
 func (t *volumeTable) apply(items []*pb.Item, plans map[string]bool) (unknownPlan []string) {
 	var next map[string]volumeEntry
 	for _, item := range items {
