--- a/internal/controlplane/statemachine/doc.go
+++ b/internal/controlplane/statemachine/doc.go
@@ -1,34 +1,34 @@
-// Package statemachine holds the controller's decisions: what it may write and when, what it must learn from gateways before that,
-// which gateway is sent a snapshot next, where new objects are placed.
+// Package statemachine implements the controller's decisions: what it may write and when, what it must learn from gateways before
+// that, which gateway receives a snapshot next, and where new objects are placed.
 //
-// It does no I/O, reads no clock and starts no goroutine. Time comes in as an argument, a span on one monotonic clock; what must
-// survive a restart goes out through Persister and counts only once that call has returned without an error. A State is used by one
-// goroutine at a time.
+// The package does no I/O, reads no clock and starts no goroutine. The caller passes the current time of one monotonic clock as an
+// argument. State that must survive a restart is written through Persister and takes effect only after that call has returned without
+// an error. A State must not be used by several goroutines at the same time.
 //
 // # Invariants
 //
-// One writer. At most one controller holds the lease. A controller holds it while more than half of the gateways have acknowledged a
-// heartbeat sent within the lease duration; each gateway acknowledges heartbeats of the highest term that it has seen only, so two
-// controllers never count the same gateway. The span is counted from the sending of the heartbeat, so delays on the way shorten a
-// lease and never prolong it. After its first majority a controller waits for a lease and a quarter before it writes: whoever held
-// the lease before has lost it by then, with clocks that differ in speed by up to a fifth.
+// Single writer. At most one controller holds the lease. A controller holds it while more than half of the gateways have acknowledged
+// a heartbeat sent within the lease duration. Each gateway acknowledges only heartbeats of the highest term that it has seen, so two
+// controllers never count the same gateway. The lease duration starts when the heartbeat is sent, so network delay shortens a lease
+// and never prolongs it. After it first reaches a majority, a controller waits for 1.25 lease durations before it writes. By then the
+// lease of a previous holder has expired, even if the clock rates differ by up to a fifth.
 //
-// Terms rise. Each start takes a term above all known terms and persists it before it is used. A term is a number, the controller's
-// name and a random life: two starts without a disk, or two controllers of one name, still differ. A controller whose gateways follow
-// a higher term stands back.
+// Increasing terms. Each start takes a term above all known terms and persists it before using it. A term consists of a number, the
+// controller's name and a random incarnation, so that two starts without a disk, or two controllers with the same name, have
+// different terms. A controller whose gateways follow a higher term stops writing and sending snapshots.
 //
-// Generations rise. Each write makes one new generation, persisted before any gateway hears of it. A disk that was lost or replaced
-// by an older copy can't make generations fall: nothing is written before more than half of the gateways have reported what they hold
-// (or, after the recovery timeout, all that are connected), and numbering goes on above the highest generation reported.
+// Increasing generations. Each write creates one new generation, which is persisted before it is sent to any gateway. Losing the disk
+// or restoring an older copy cannot decrease the generation: the controller writes nothing before more than half of the gateways (or,
+// after the recovery timeout, all connected ones) have reported their records, and then continues above the highest reported generation.
 //
-// Drains stay. A drain of an endpoint is merged into every later record of it, whatever the endpoint list says; only a later start
-// of the endpoint lifts it. Reports add drains and never remove one.
+// Persistent drains. A drain of an endpoint is merged into every later record of the endpoint, whatever the endpoint list says. Only a
+// later start of the endpoint lifts the drain. Gateway reports can add drains but never remove one.
 //
-// Failed writes are unknown. What failed to persist may have reached the disk all the same. It stays uncertain until it is written
-// again, as it is held here or as a tombstone.
+// Failed writes. A write that returned an error may have reached the disk nevertheless. Its records count as uncertain until they are
+// written again, either with their current content or as tombstones.
 //
 // # Terms
 //
-// A record (pb.Item) is one endpoint, volume, plan, placement or the number of gateways. The snapshot is the set of records that a
-// gateway should hold; it is sent in full or as the changes since a generation. A tombstone is the record of what was removed.
+// A record (pb.Item) describes an endpoint, a volume, a plan, a placement or the number of gateways. The snapshot is the set of
+// records that a gateway should hold; it is sent in full or as the changes since a generation. A tombstone marks a removed record.
 package statemachine
--- a/internal/controlplane/statemachine/explore_test.go
+++ b/internal/controlplane/statemachine/explore_test.go
@@ -13,13 +13,13 @@
 	"weirhaven/internal/pb"
 )
 
-// The exhaustive search explores a small world: two controllers, two gateways, three changes.
+// exploreConfig configures the controllers of the exhaustive search, which simulates two controllers, two gateways and three changes.
 var exploreConfig = Config{MinGateways: 2, Lease: time.Second, RecoveryTimeout: time.Second, MaxSnapshotsInFlight: 2, MaxTombstones: 3, MaxRecords: 100}
 
 const (
-	exploreStep       = time.Second * 5 / 8 // of the lease; what "time passes" adds
+	exploreStep       = time.Second * 5 / 8 // time added by timePasses, in relation to a lease of 1 s
 	exploreMaxChanges = 3
-	exploreMaxAge     = 8 // steps; what is older is alike
+	exploreMaxAge     = 8 // in steps; greater ages are treated as equal
 )
 
 type actionKind int
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("%v: controller %d gateway %d", a.kind, a.controller, a.gateway)
 }
 
-// actions is all that may happen, in any order.
+// actions returns all actions that can be taken in any state.
 func actions() []action {
 	all := []action{{timePasses, 0, 0}}
 	for c := range 2 {
@@ -60,29 +60,31 @@
 	return all
 }
 
-// violation is an invariant that does not hold.
-type violation struct{ text string }
+// invariantViolation is the panic value for a violated invariant.
+type invariantViolation struct{ text string }
 
-// panicker turns a failure of the world into a panic that replay recovers.
+// panicker turns a failure of the simulation into a panic that replay recovers.
 type panicker struct{}
 
-func (panicker) Fatalf(format string, args ...any) { panic(violation{fmt.Sprintf(format, args...)}) }
+func (panicker) Fatalf(format string, args ...any) {
+	panic(invariantViolation{fmt.Sprintf(format, args...)})
+}
 
-// smallWorld is a world in which actions are replayed.
-type smallWorld struct {
-	*world
-	running []*controller
-	disks   []*disk
-	changes int
-	before  []Position // of each gateway: its highest term and generation
+// smallSimulation is a simulation in which actions are replayed.
+type smallSimulation struct {
+	*simulation
+	running  []*controller
+	disks    []*disk
+	changes  int
+	previous []Position // highest term and generation of each gateway so far
 }
 
-func newSmallWorld() *smallWorld {
-	lives := uint64(0)
-	w := &smallWorld{
-		world:  newWorld(panicker{}, 2, func() uint64 { lives++; return lives }),
-		disks:  []*disk{newDisk(), newDisk()},
-		before: make([]Position, 2),
+func newSmallSimulation() *smallSimulation {
+	incarnations := uint64(0)
+	w := &smallSimulation{
+		simulation: newSimulation(panicker{}, 2, func() uint64 { incarnations++; return incarnations }),
+		disks:      []*disk{newDisk(), newDisk()},
+		previous:   make([]Position, 2),
 	}
 	for i, d := range w.disks {
 		w.running = append(w.running, w.start(exploreConfig, controllerName(i), d, 1))
@@ -92,29 +94,30 @@
 
 func controllerName(i int) string { return []string{"a", "b"}[i] }
 
-// replay replays actions from the beginning and checks the invariants after each: those of world.check; no gateway's generation or
-// term falls; two gateways that were sent one generation under one term hold the same. text is the violation; empty: none.
-func replay(trace []action) (w *smallWorld, text string) {
+// replay replays actions in a new simulation and checks the invariants after each one: those of simulation.check, that no gateway's
+// generation or term decreases, and that two gateways that received the same generation under the same term hold the same records.
+// text describes the violation; it is empty if there is none.
+func replay(trace []action) (w *smallSimulation, text string) {
 	defer func() {
 		if p := recover(); p != nil {
-			v, ok := p.(violation)
+			v, ok := p.(invariantViolation)
 			if !ok {
 				panic(p)
 			}
 			text = v.text
 		}
 	}()
-	w = newSmallWorld()
+	w = newSmallSimulation()
 	for _, a := range trace {
 		w.perform(a)
 		w.check()
-		w.checkNoneWentBack()
+		w.checkMonotonic()
 		w.checkSameGenerationSameRecords()
 	}
 	return w, ""
 }
 
-func (w *smallWorld) perform(a action) {
+func (w *smallSimulation) perform(a action) {
 	p := w.running[a.controller]
 	switch a.kind {
 	case timePasses:
@@ -140,11 +143,11 @@
 	case deliverOne:
 		w.deliver(p, a.gateway, 1)
 	case connectionLost:
-		w.cut(p, a.gateway)
+		w.disconnect(p, a.gateway)
 	}
 }
 
-func (w *smallWorld) deliver(p *controller, gateway, messages int) {
+func (w *smallSimulation) deliver(p *controller, gateway, messages int) {
 	if p.connections[gateway] == nil {
 		w.connect(p, gateway)
 	}
@@ -153,27 +156,27 @@
 	}
 }
 
-func (w *smallWorld) checkNoneWentBack() {
+func (w *smallSimulation) checkMonotonic() {
 	for i, g := range w.gateways {
-		generation, term, before := g.snapshot.Generation(), g.snapshot.Term(), w.before[i]
+		generation, term, before := g.snapshot.Generation(), g.snapshot.Term(), w.previous[i]
 		if generation < before.Generation || snapshot.CompareTerms(term, before.Term) < 0 {
-			w.t.Fatalf("gateway %d went back: generation %d after %d, term %v after %v", i, generation, before.Generation, term, before.Term)
+			w.t.Fatalf("gateway %d: generation %d after %d, term %v after %v", i, generation, before.Generation, term, before.Term)
 		}
-		w.before[i] = Position{Generation: generation, Term: term}
+		w.previous[i] = Position{Generation: generation, Term: term}
 	}
 }
 
-func (w *smallWorld) checkSameGenerationSameRecords() {
+func (w *smallSimulation) checkSameGenerationSameRecords() {
 	a, b := w.gateways[0], w.gateways[1]
 	sameSource := a.snapshotTerm != nil && snapshot.CompareTerms(a.snapshotTerm, b.snapshotTerm) == 0
 	if a.snapshot.Generation() == b.snapshot.Generation() && a.snapshot.Generation() > 0 && sameSource &&
-		a.snapshot.Digest() != b.snapshot.Digest() && !w.outOfStep() {
-		w.t.Fatalf("two gateways hold generation %d of one term, and not the same", a.snapshot.Generation())
+		a.snapshot.Digest() != b.snapshot.Digest() && !w.outOfSync() {
+		w.t.Fatalf("two gateways hold different records at generation %d of the same term", a.snapshot.Generation())
 	}
 }
 
-// outOfStep tells whether a gateway knows that what it holds does not fit, or has not yet received its controller's snapshot.
-func (w *smallWorld) outOfStep() bool {
+// outOfSync reports whether a gateway needs the full snapshot or has not yet received the current snapshot of its controller.
+func (w *smallSimulation) outOfSync() bool {
 	for i, g := range w.gateways {
 		if g.needsFull || g.following == nil {
 			return true
@@ -186,11 +189,11 @@
 	return false
 }
 
-// fingerprint tells states apart: all that the future depends on, times as ages.
-func (w *smallWorld) fingerprint() string {
+// fingerprint identifies a state of the simulation. It contains everything that affects later states, with times given as ages.
+func (w *smallSimulation) fingerprint() string {
 	var b strings.Builder
 	for i, p := range w.controllers {
-		if p.up {
+		if p.running {
 			w.fingerprintController(&b, i, p)
 		}
 	}
@@ -203,7 +206,7 @@
 	return b.String()
 }
 
-func (w *smallWorld) fingerprintController(b *strings.Builder, i int, p *controller) {
+func (w *smallSimulation) fingerprintController(b *strings.Builder, i int, p *controller) {
 	fmt.Fprint(b, i%2, p.term, p.generation, p.changesKnownSince, p.Records(), p.phase, p.recovered, w.age(p.startedAt), w.age(p.majoritySince),
 		w.age(p.supersededAt), p.lastHeartbeat, "|")
 	for e := range w.gateways {
@@ -222,15 +225,15 @@
 	fmt.Fprint(b, desired)
 }
 
-// age is the age of a time in the search's steps; -1: never.
-func (w *smallWorld) age(at time.Duration) int {
+// age returns the age of a time in steps of the search, or -1 for the zero time.
+func (w *smallSimulation) age(at time.Duration) int {
 	if at == 0 {
 		return -1
 	}
 	return min(int((w.now-at)/exploreStep), exploreMaxAge)
 }
 
-// leaseHeld leads to controller 0 holding the lease and both gateways its snapshot.
+// leaseHeld returns a trace after which controller 0 holds the lease and both gateways hold its snapshot.
 func leaseHeld() []action {
 	trace := []action{{changeDesired, 0, 0}}
 	for range 5 {
@@ -239,13 +242,14 @@
 	return trace
 }
 
-// beginnings are where the search starts: at nothing; with the lease held; with its holder come back from nothing; with the other
-// controller connected to one of the gateways.
-func beginnings() [][]action {
+// initialTraces returns the traces from which the search starts: no actions; the lease held; its holder restarted without its disk;
+// the other controller connected to one of the gateways.
+func initialTraces() [][]action {
 	return [][]action{nil, leaseHeld(), append(leaseHeld(), action{restartFromNothing, 0, 0}), append(leaseHeld(), action{deliverAll, 1, 0})}
 }
 
-// exploreStates is how many states the search visits. EXPLORE=n in the environment: n thousand (a run of two minutes: EXPLORE=120).
+// exploreStates returns the number of states that the search visits: 4000, or n thousand with EXPLORE=n in the environment. A run with
+// EXPLORE=120 takes two minutes.
 func exploreStates(t *testing.T) int {
 	text := os.Getenv("EXPLORE")
 	if text == "" {
@@ -258,12 +262,12 @@
 	return thousands * 1000
 }
 
-// Restarts, lost disks, lost connections and delays may come in any order, and a fault in the rules of the lease or of terms may need
-// one certain order to show. The search goes through all orders up to a depth, and beyond it until the bound of states is reached.
+// TestExplore checks the invariants for all orders of restarts, lost disks, lost connections and delays up to a certain depth, since a
+// fault in the rules for leases or terms may only appear in one specific order. It continues beyond that depth up to the state limit.
 func TestExplore(t *testing.T) {
 	limit := exploreStates(t)
 	seen := map[string]bool{}
-	level := beginnings()
+	level := initialTraces()
 	states, completeDepth := 0, 0
 	for depth := 1; len(level) > 0 && states < limit; depth++ {
 		var next [][]action
@@ -290,15 +294,15 @@
 		level = next
 	}
 	if w, _ := replay(leaseHeld()); w.controllers[0].Phase() != HoldingLease || w.gateways[1].snapshot.Generation() == 0 {
-		t.Error("the search does not begin where it should")
+		t.Error("in the initial trace, controller 0 does not hold the lease or gateway 1 has no snapshot")
 	}
 	t.Logf("%d states, all orders of up to %d actions", states, completeDepth)
 	if completeDepth < 2 {
-		t.Errorf("only %d deep", completeDepth)
+		t.Errorf("the search covered only %d levels completely", completeDepth)
 	}
 }
 
-// describe lists a trace, an action a line.
+// describe lists the actions of a trace, one per line.
 func describe(trace []action) string {
 	var b strings.Builder
 	for i, a := range trace {
--- a/internal/controlplane/statemachine/lease.go
+++ b/internal/controlplane/statemachine/lease.go
@@ -9,21 +9,21 @@
 	"weirhaven/internal/pb"
 )
 
-// heartbeatRetentionLeases is for how many lease durations the sending time of a heartbeat is remembered; an acknowledgement of an
-// older one renews nothing.
+// heartbeatRetentionLeases is the number of lease durations for which the sending time of a heartbeat is kept. The acknowledgement of
+// an older heartbeat does not renew the lease.
 const heartbeatRetentionLeases = 4
 
-// olderLeaseWait is how long a majority must have stood before the first write: the lease of a previous holder has run out by then,
-// though its clock be a fifth slower.
-func (s *State) olderLeaseWait() time.Duration { return s.config.Lease * 5 / 4 }
+// previousLeaseWait returns how long a majority must have lasted before the first write. By then the lease of a previous holder has
+// expired, even if its clock is slower by a fifth.
+func (s *State) previousLeaseWait() time.Duration { return s.config.Lease * 5 / 4 }
 
-// gatewayCount is the number of gateways of which a majority is taken.
+// gatewayCount returns the number of gateways of which a majority is needed.
 func (s *State) gatewayCount() int { return max(s.config.MinGateways, len(s.gateways)) }
 
-// Majority is how many gateways must agree: more than half.
+// Majority returns the smallest number of gateways that is more than half of them.
 func (s *State) Majority() int { return s.gatewayCount()/2 + 1 }
 
-// NextHeartbeat starts a new heartbeat, to be sent to all gateways, and returns its number.
+// NextHeartbeat starts a new heartbeat and returns its number. The caller sends it to all gateways.
 func (s *State) NextHeartbeat(now time.Duration) uint64 {
 	s.lastHeartbeat++
 	s.heartbeatSentAt[s.lastHeartbeat] = now
@@ -36,17 +36,18 @@
 	return s.lastHeartbeat
 }
 
-// LatestHeartbeat is the number of the latest heartbeat; 0: none yet.
+// LatestHeartbeat returns the number of the latest heartbeat, or 0 if there has been none.
 func (s *State) LatestHeartbeat() uint64 { return s.lastHeartbeat }
 
-// Acknowledge takes a gateway's acknowledgement: it follows a term, holds all up to a generation and received a heartbeat. One of
-// another term renews nothing, since that gateway's vote is another controller's; a higher term supersedes this controller.
+// Acknowledge handles a gateway's acknowledgement, which contains the term that the gateway follows, the generation that it holds and
+// the latest heartbeat that it received. An acknowledgement of another term does not renew the lease, since that gateway counts for
+// another controller's majority. A higher term supersedes this controller.
 func (s *State) Acknowledge(name string, term *pb.Tenure, generation, heartbeat uint64, now time.Duration) {
 	g := s.gateways[name]
 	if g == nil {
 		return
 	}
-	g.lastHeardAt = now
+	g.lastMessageAt = now
 	if order := snapshot.CompareTerms(term, s.term); order != 0 {
 		if order > 0 {
 			s.supersededAt = now
@@ -64,7 +65,7 @@
 	s.updatePhase(now)
 }
 
-// leaseRenewals is how many gateways acknowledged a heartbeat sent within the lease duration before now.
+// leaseRenewals returns how many gateways have acknowledged a heartbeat sent less than a lease duration before now.
 func (s *State) leaseRenewals(now time.Duration) (renewals int) {
 	for _, g := range s.gateways {
 		if g.leaseRenewedAt > 0 && now-g.leaseRenewedAt < s.config.Lease {
@@ -74,7 +75,7 @@
 	return renewals
 }
 
-// updateMajority notes since when a majority renews the lease.
+// updateMajority records the time since which a majority has renewed the lease without interruption.
 func (s *State) updateMajority(renewals int, now time.Duration) {
 	switch {
 	case renewals < s.Majority():
--- a/internal/controlplane/statemachine/phase.go
+++ b/internal/controlplane/statemachine/phase.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Phase says whether the controller may write, and if not why.
+// Phase is the phase of a controller. It determines whether the controller may write and send snapshots.
 type Phase int
 
 const (
-	// Recovering means that not enough gateways have reported what they hold. Nothing is written and no snapshot is sent.
+	// Recovering means that not enough gateways have reported their records. The controller writes nothing and sends no snapshot.
 	Recovering Phase = iota
-	// WaitingForLease means that no majority renews the lease, or an older lease may still be held. Snapshots are sent, nothing is written.
+	// WaitingForLease means that no majority renews the lease, or that the lease of another controller may not have expired yet.
+	// The controller sends snapshots but writes nothing.
 	WaitingForLease
-	// HoldingLease means that snapshots are sent and changes are written.
+	// HoldingLease means that the controller writes changes and sends snapshots.
 	HoldingLease
-	// Superseded means that a gateway follows a controller of a higher term. Nothing is written and no snapshot is sent.
+	// Superseded means that a gateway follows a controller with a higher term. The controller writes nothing and sends no snapshot.
 	Superseded
 )
 
-// String is the phase as operators see it; it goes over the wire in pb.StatusTold.
+// String returns the name of the phase that is shown to operators and sent in pb.StatusTold.
 func (p Phase) String() string {
 	return [...]string{"recovering", "without the lease", "holding the lease", "outranked"}[p]
 }
 
-// supersededLeases is how many lease durations a controller stands back after a gateway last followed a higher term: long enough for
-// that gateway to return here if the other controller is gone.
+// supersededLeases is the number of lease durations for which a controller stays in Superseded after a gateway last followed a higher
+// term. It gives that gateway time to reconnect to this controller if the other one has failed.
 const supersededLeases = 3
 
-// Tick lets time pass; it returns the phase at now.
+// Tick advances the time to now and returns the phase at that time.
 func (s *State) Tick(now time.Duration) Phase {
 	s.updatePhase(now)
 	return s.phase
 }
 
-// updatePhase moves the phase on by what is known at now. Every event ends with it.
+// updatePhase computes the phase at now. Every event handler calls it last.
 func (s *State) updatePhase(now time.Duration) {
 	s.updateRecovery(now)
 	renewals := s.leaseRenewals(now)
@@ -58,13 +59,13 @@
 		return Recovering
 	case s.majoritySince == 0:
 		return WaitingForLease
-	case s.phase != HoldingLease && now-s.majoritySince < s.olderLeaseWait():
+	case s.phase != HoldingLease && now-s.majoritySince < s.previousLeaseWait():
 		return WaitingForLease
 	}
 	return HoldingLease
 }
 
-// WriteBlockedReason says for operators what keeps the controller from writing at now; empty: nothing does.
+// WriteBlockedReason describes for operators why the controller cannot write at now. It is empty if the controller can write.
 func (s *State) WriteBlockedReason(now time.Duration) string {
 	switch s.phase {
 	case Recovering:
@@ -75,7 +76,7 @@
 		if renewals := s.leaseRenewals(now); renewals < s.Majority() {
 			return fmt.Sprintf("%d gateways renewed the lease, %d are needed", renewals, s.Majority())
 		}
-		return fmt.Sprintf("an older lease may be held for another %v", (s.olderLeaseWait() - (now - s.majoritySince)).Round(time.Millisecond))
+		return fmt.Sprintf("an older lease may be held for another %v", (s.previousLeaseWait() - (now - s.majoritySince)).Round(time.Millisecond))
 	}
 	return ""
 }
--- a/internal/controlplane/statemachine/placement.go
+++ b/internal/controlplane/statemachine/placement.go
@@ -11,23 +11,23 @@
 )
 
 var (
-	// ErrNoLease is returned where a placement is requested and the lease isn't held.
+	// ErrNoLease is returned if a placement is requested while the controller does not hold the lease.
 	ErrNoLease = errors.New("the lease is not held")
-	// ErrUnknownVolume is returned where a placement in a volume that doesn't exist is requested.
+	// ErrUnknownVolume is returned if a placement is requested in a volume that does not exist.
 	ErrUnknownVolume = errors.New("unknown volume")
-	// ErrNoServingEndpoint is returned where no shard of the volume has a serving endpoint.
+	// ErrNoServingEndpoint is returned if no shard of the volume has a serving endpoint.
 	ErrNoServingEndpoint = errors.New("no serving endpoint")
 )
 
-// Place chooses the shard of a new object or extent and persists it before it returns. The same name is given the same shard again,
-// also when that was requested by another gateway or the lease is not held; a caller that finds no endpoint of the shard serving any
-// more asks under a new name. The shard is:
+// Place chooses the shard for a new object or extent and persists the placement before it returns. A repeated request for the same
+// name returns the existing placement, even if another gateway requested it or the lease is not held. If no endpoint of that shard is
+// serving any more, the caller must request a placement under a new name.
 //
-//   - one that the volume may use, with at least one endpoint that serves and is not drained;
-//   - in another zone than request.ButZone, if there is such a shard;
-//   - of these, the one with the fewest placements for each serving endpoint, then the lowest number.
+// Place considers the shards that the volume may use and that have at least one serving endpoint that is not drained. It prefers
+// shards with such an endpoint outside the zone request.ButZone, then the fewest placements per serving endpoint, then the lowest
+// shard number.
 //
-// The error wraps ErrNoLease, ErrUnknownVolume, ErrNoServingEndpoint or snapshot.ErrTooManyRecords, or is the Persister's.
+// The error wraps ErrNoLease, ErrUnknownVolume, ErrNoServingEndpoint, snapshot.ErrTooManyRecords or the Persister's error.
 func (s *State) Place(request *pb.PlaceAsk, now time.Duration) (*pb.Item, error) {
 	key := snapshot.Key{Kind: pb.Item_PLACE, Name: request.Volume + "/" + request.Name}
 	if own := s.records[key]; own != nil && !own.Gone {
@@ -58,13 +58,13 @@
 	return record, nil
 }
 
-// shardCandidate is a shard where an object may be placed.
+// shardCandidate is a shard in which an object may be placed.
 type shardCandidate struct {
-	endpoints   int  // that serve
-	outsideZone bool // one of them is outside the zone to avoid
+	endpoints   int  // number of serving endpoints
+	outsideZone bool // at least one of the endpoints is outside the zone to avoid
 }
 
-// candidateShards are the shards that a volume may use (all, if it names none) with an endpoint that serves, by shard.
+// candidateShards returns the candidates by shard: the shards that a volume may use (all, if it lists none) with a serving endpoint.
 func (s *State) candidateShards(volume *pb.PlanVolume, avoidZone string) map[uint32]shardCandidate {
 	candidates := map[uint32]shardCandidate{}
 	for key, record := range s.records {
@@ -84,7 +84,7 @@
 	return candidates
 }
 
-// chooseShard is the best candidate by the order that Place gives.
+// chooseShard returns the best candidate in the order described at Place.
 func (s *State) chooseShard(candidates map[uint32]shardCandidate) (best uint32, found bool) {
 	for shard := range candidates {
 		if !found || s.betterShard(candidates, shard, best) {
@@ -94,7 +94,8 @@
 	return best, found
 }
 
-// betterShard compares two candidates. The loads, placements an endpoint, are compared by cross products: no division.
+// betterShard reports whether shard a is a better candidate than shard b. The loads, which are placements per endpoint, are
+// cross-multiplied to avoid a division.
 func (s *State) betterShard(candidates map[uint32]shardCandidate, a, b uint32) bool {
 	if candidates[a].outsideZone != candidates[b].outsideZone {
 		return candidates[a].outsideZone
--- a/internal/controlplane/statemachine/random_faults_test.go
+++ b/internal/controlplane/statemachine/random_faults_test.go
@@ -11,10 +11,10 @@
 	"weirhaven/internal/pb"
 )
 
-// Controllers are killed, cut off, restarted from their disk, from an older copy of it or from none, or started twice by mistake;
-// disks fill up; endpoints come, go and drain; objects are placed. Whatever the order: no gateway goes back, no drain is forgotten, no
-// two controllers hold the lease, no name is placed twice while the disk is not lost. Once things are quiet, one controller holds the
-// lease and all gateways hold its snapshot.
+// TestInvariantsUnderRandomFaults kills and disconnects controllers, restarts them from their disk, an older copy of it or an empty
+// one, starts a second controller by mistake, fills disks, adds, removes and drains endpoints and places objects, in random order. No
+// gateway's generation may decrease, no drain may be lost, no two controllers may hold the lease, and no name may be placed twice unless
+// a disk was lost. After the faults have ended, one controller must hold the lease and all gateways must hold its snapshot.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newRandomFaults(t)
@@ -27,21 +27,22 @@
 }
 
 type randomFaults struct {
-	*world
-	main    *controller
-	disk    *disk
-	oldDisk *disk // an older copy of it
+	*simulation
+	main      *controller
+	disk      *disk
+	olderDisk *disk // older copy of disk
 }
 
 func newRandomFaults(t *rapid.T) *randomFaults {
-	f := &randomFaults{world: newWorld(t, 5, distinctIncarnations(t)), disk: newDisk()}
+	f := &randomFaults{simulation: newSimulation(t, 5, distinctIncarnations(t)), disk: newDisk()}
 	f.main = f.startWithVolume(t, "a", f.disk)
-	f.oldDisk = f.disk.copy()
+	f.olderDisk = f.disk.copy()
 	return f
 }
 
-// distinctIncarnations draws one that no controller of this run has: controllers draw 64 random bits, so that no two meet, while rapid
-// favors small numbers and would give two the same. A number that is taken is replaced by the next that is not.
+// distinctIncarnations returns a function that draws an incarnation that no other controller of this run has. Controllers draw 64 random
+// bits, which practically never collide, whereas rapid favors small numbers and would draw the same one twice. A number that is taken
+// is replaced by the next free one.
 func distinctIncarnations(t *rapid.T) func() uint64 {
 	taken := map[uint64]bool{}
 	return func() uint64 {
@@ -56,7 +57,7 @@
 
 func (f *randomFaults) startWithVolume(t *rapid.T, name string, d *disk) *controller {
 	clockRate := rapid.SampledFrom([]float64{0.95, 1, 1.05}).Draw(t, "speed")
-	d.full = false // it would not start
+	d.full = false // a controller cannot start with a full disk
 	p := f.start(testConfig, name, d, clockRate)
 	p.SetDesired(&pb.Item{Kind: pb.Item_VOLUME, Name: "v", Volume: &pb.PlanVolume{Plan: "p", Hosts: 2}})
 	return p
@@ -82,20 +83,20 @@
 		f.learnDrain(i, endpoint, rapid.Int64Range(1, 6).Draw(t, "drained"))
 	case 4:
 		for _, p := range f.controllers {
-			f.cut(p, i)
+			f.disconnect(p, i)
 		}
-	case 5: // killed, at whatever it was doing; its disk stays
+	case 5: // the controller is killed and restarted from its disk
 		f.restart(t, f.disk)
 	case 6:
-		f.restart(t, f.oldDisk.copy())
+		f.restart(t, f.olderDisk.copy())
 		f.lostDisk = true
 	case 7:
 		f.restart(t, newDisk())
 		f.lostDisk = true
-	case 8: // a second controller by mistake, with a disk of its own
+	case 8: // a second controller is started by mistake, with its own disk
 		f.startWithVolume(t, "b", newDisk())
 	case 9:
-		f.oldDisk = f.disk.copy()
+		f.olderDisk = f.disk.copy()
 	case 10:
 		f.place(t, i, fmt.Sprint("o", rapid.IntRange(0, 3).Draw(t, "object")))
 	case 11:
@@ -113,10 +114,10 @@
 	}
 }
 
-// place asks every controller that runs for a placement.
+// place requests a placement from every running controller.
 func (f *randomFaults) place(t *rapid.T, i int, name string) {
 	for _, p := range f.controllers {
-		if !p.up {
+		if !p.running {
 			continue
 		}
 		placement, err := p.Place(&pb.PlaceAsk{Edge: gatewayName(i), Volume: "v", Name: name}, f.clock(p))
@@ -126,19 +127,19 @@
 		f.gateways[i].snapshot.AddPlacement(proto.Clone(placement).(*pb.Item))
 		shard := placement.Place.Cell
 		if before, ok := f.placements[name]; ok && before != shard && !f.lostDisk && len(f.controllers) == 1 {
-			t.Fatalf("object %s was placed in shard %d and %d", name, before, shard)
+			t.Fatalf("object %s was placed in shards %d and %d", name, before, shard)
 		}
 		f.placements[name] = shard
 	}
 }
 
-// advance lets time pass, with heartbeats, writes and messages every 50 ms.
+// advance advances the time, with heartbeats, writes and messages every 50 ms.
 func (f *randomFaults) advance(t *rapid.T, span time.Duration) {
 	const interval = 50 * time.Millisecond
 	for range int(span / interval) {
 		f.now += interval
 		for _, p := range f.controllers {
-			if !p.up {
+			if !p.running {
 				continue
 			}
 			p.NextHeartbeat(f.clock(p))
@@ -158,7 +159,7 @@
 	}
 }
 
-// quiesce ends all faults and checks that the main controller and the gateways agree after a while.
+// quiesce ends all faults and checks that the main controller and the gateways hold the same records 12 s later.
 func (f *randomFaults) quiesce(t *rapid.T) {
 	f.disk.full = false
 	for _, p := range f.controllers {
--- a/internal/controlplane/statemachine/recovery.go
+++ b/internal/controlplane/statemachine/recovery.go
@@ -10,9 +10,9 @@
 	"weirhaven/internal/pb"
 )
 
-// MergeReport merges a part of what a gateway holds; last: the report is complete with it. Of each record the later generation wins
-// and drains add up, so that what this controller's disk lost comes back. A new drain found after recovery is a change like any
-// other, written with the next generation so that all gateways receive it.
+// MergeReport merges a chunk of a gateway's report of its records; last marks the final chunk. For each record the later generation
+// wins and drains are merged, which restores records that this controller's disk has lost. A new drain found after recovery is an
+// ordinary change, which is written with the next generation so that all gateways receive it.
 func (s *State) MergeReport(name string, reported []*pb.Item, last bool, now time.Duration) error {
 	g := s.gateways[name]
 	if g == nil {
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// mergeReported returns the record to be stored as it was reported; nil: nothing, or the change is now desired.
+// mergeReported merges a reported record and returns the record to store under its reported generation. The result is nil if nothing
+// changed or the change was added to the desired records.
 func (s *State) mergeReported(reported *pb.Item) *pb.Item {
 	key := snapshot.KeyOf(reported)
 	own := s.records[key]
@@ -50,7 +51,7 @@
 		merged = proto.Clone(merged).(*pb.Item)
 		snapshot.AddDrain(merged, drain)
 		if s.recovered {
-			s.desireDrain(key, merged, drain)
+			s.setDesiredDrain(key, merged, drain)
 			return nil
 		}
 	}
@@ -60,8 +61,8 @@
 	return merged
 }
 
-// desireDrain has a drain written: with the change desired already, else as the given record.
-func (s *State) desireDrain(key snapshot.Key, record *pb.Item, drain int64) {
+// setDesiredDrain merges a drain into the desired record of the key. If there is none, the given record becomes the desired one.
+func (s *State) setDesiredDrain(key snapshot.Key, record *pb.Item, drain int64) {
 	if desired := s.desired[key]; desired != nil {
 		snapshot.AddDrain(desired, drain)
 		return
@@ -69,7 +70,7 @@
 	s.desired[key] = record
 }
 
-// storeLearned persists records under the generations that they already have.
+// storeLearned persists records learned from a gateway under their existing generations.
 func (s *State) storeLearned(gatewayName string, learned []*pb.Item) error {
 	if len(learned) == 0 {
 		return nil
@@ -80,27 +81,27 @@
 	for _, record := range learned {
 		s.put(record)
 	}
-	// Other gateways may lack records learned under a generation that they passed: they get the full snapshot.
+	// Other gateways may lack learned records even though they hold a later generation, so they need the full snapshot.
 	s.changesKnownSince = s.generation
 	s.log.Info("learned records from a gateway", "gateway", gatewayName, "records", len(learned))
 	return nil
 }
 
-// updateRecovery ends the recovery once a majority has reported. A majority may be gone for good, so after the timeout the reports
-// of all connected gateways are enough.
+// updateRecovery ends the recovery once a majority of the gateways has reported. Since a majority may be permanently unavailable, the
+// reports of all connected gateways suffice after the timeout.
 func (s *State) updateRecovery(now time.Duration) {
 	if s.recovered {
 		return
 	}
 	reported := s.reportedGateways()
 	timedOut := now-s.startedAt >= s.config.RecoveryTimeout
-	if reported >= s.Majority() || reported > 0 && timedOut && !s.awaitsReport() {
+	if reported >= s.Majority() || reported > 0 && timedOut && !s.hasPendingReport() {
 		s.recovered = true
 		s.log.Info("recovered", "gateways_reported", reported, "generation", s.generation, "records", len(s.records))
 	}
 }
 
-// reportedGateways is how many gateways have reported what they hold.
+// reportedGateways returns the number of gateways whose complete report has been merged.
 func (s *State) reportedGateways() (reported int) {
 	for _, g := range s.gateways {
 		if g.reported {
@@ -110,8 +111,8 @@
 	return reported
 }
 
-// awaitsReport tells whether a connected gateway has yet to report.
-func (s *State) awaitsReport() bool {
+// hasPendingReport reports whether the report of a connected gateway is missing.
+func (s *State) hasPendingReport() bool {
 	for _, g := range s.gateways {
 		if g.connected && !g.reported {
 			return true
--- a/internal/controlplane/statemachine/world_test.go
+++ b/internal/controlplane/statemachine/simulation_test.go
@@ -12,7 +12,7 @@
 	"weirhaven/internal/pb"
 )
 
-// The tests' world: controllers and gateways that exchange messages over connections which may break anywhere.
+// This file simulates controllers and gateways that exchange messages over connections that can break between any two messages.
 
 var (
 	testConfig = Config{MinGateways: 5, Lease: time.Second, RecoveryTimeout: 2 * time.Second, MaxSnapshotsInFlight: 2, MaxTombstones: 3, MaxRecords: 1000}
@@ -22,13 +22,13 @@
 	errIO       = errors.New("input/output error")
 )
 
-// disk keeps what is persisted; it may be full, and copied.
+// disk is an in-memory Persister that can be full and can be copied.
 type disk struct {
-	term       *pb.Tenure
-	generation uint64
-	records    map[snapshot.Key]*pb.Item
-	full       bool
-	failsLate  bool // writes reach the disk and fail all the same
+	term            *pb.Tenure
+	generation      uint64
+	records         map[snapshot.Key]*pb.Item
+	full            bool
+	failsAfterWrite bool // writes are stored but return an error
 }
 
 func newDisk() *disk { return &disk{records: map[snapshot.Key]*pb.Item{}} }
@@ -41,7 +41,7 @@
 	for _, record := range changed {
 		d.records[snapshot.KeyOf(record)] = proto.Clone(record).(*pb.Item)
 	}
-	if d.failsLate {
+	if d.failsAfterWrite {
 		return errIO
 	}
 	return nil
@@ -55,16 +55,16 @@
 	return c
 }
 
-// controller is one life of a controller; its clock may run fast or slow.
+// controller is a simulated controller from its start until it is killed. Its clock may run fast or slow.
 type controller struct {
 	*State
 	disk        *disk
 	clockRate   float64
-	up          bool
-	connections map[int]*connection // by gateway
+	running     bool
+	connections map[int]*connection // connections by index of the gateway
 }
 
-// connection is a gateway's stream to a controller, with the messages on their way.
+// connection is a gateway's stream to a controller, with the messages in flight.
 type connection struct {
 	toGateway    []*pb.PlannerSays
 	toController []any
@@ -79,28 +79,28 @@
 type simulatedGateway struct {
 	snapshot     *snapshot.Snapshot
 	following    *controller
-	snapshotTerm *pb.Tenure // under which the snapshot was received
+	snapshotTerm *pb.Tenure // term under which the snapshot was received
 	needsFull    bool
-	drained      map[string]int64 // every drain that it ever held, by endpoint
+	drained      map[string]int64 // every drain that the gateway has held, by endpoint
 }
 
-// failer is the part of testing.T that the world uses.
+// failer is the subset of testing.TB that the simulation uses.
 type failer interface {
 	Fatalf(format string, args ...any)
 }
 
-type world struct {
-	t           failer
-	life        func() uint64 // of a controller that starts
-	now         time.Duration
-	controllers []*controller // also of past lives
-	gateways    []*simulatedGateway
-	placements  map[string]uint32 // shard by name
-	lostDisk    bool              // a controller came back from an older disk, or from none
+type simulation struct {
+	t               failer
+	nextIncarnation func() uint64 // of a controller that starts
+	now             time.Duration
+	controllers     []*controller // including killed ones
+	gateways        []*simulatedGateway
+	placements      map[string]uint32 // shards of placed objects, by name
+	lostDisk        bool              // a controller was restarted from an older or an empty disk
 }
 
-func newWorld(t failer, gateways int, life func() uint64) *world {
-	w := &world{t: t, now: 100 * time.Hour, placements: map[string]uint32{}, life: life}
+func newSimulation(t failer, gateways int, nextIncarnation func() uint64) *simulation {
+	w := &simulation{t: t, now: 100 * time.Hour, placements: map[string]uint32{}, nextIncarnation: nextIncarnation}
 	for range gateways {
 		w.gateways = append(w.gateways, &simulatedGateway{snapshot: snapshot.New(nil, 0, nil, 1000), drained: map[string]int64{}})
 	}
@@ -109,18 +109,18 @@
 
 func gatewayName(i int) string { return fmt.Sprint("e", i) }
 
-// clock is the time as a controller reads it.
-func (w *world) clock(p *controller) time.Duration {
+// clock returns the time on a controller's clock.
+func (w *simulation) clock(p *controller) time.Duration {
 	return time.Duration(float64(w.now) * p.clockRate)
 }
 
-func (w *world) start(config Config, name string, d *disk, clockRate float64) *controller {
-	p := &controller{disk: d, clockRate: clockRate, up: true, connections: map[int]*connection{}}
+func (w *simulation) start(config Config, name string, d *disk, clockRate float64) *controller {
+	p := &controller{disk: d, clockRate: clockRate, running: true, connections: map[int]*connection{}}
 	persisted := Persisted{Term: d.term, Generation: d.generation}
 	for _, record := range d.records {
 		persisted.Records = append(persisted.Records, record)
 	}
-	s, err := New(name, w.life(), persisted, config, d, discardLog, w.clock(p))
+	s, err := New(name, w.nextIncarnation(), persisted, config, d, discardLog, w.clock(p))
 	if err != nil {
 		w.t.Fatalf("%v", err)
 	}
@@ -129,15 +129,15 @@
 	return p
 }
 
-// kill ends a controller's life with all its connections.
-func (w *world) kill(p *controller) {
-	p.up = false
+// kill stops a controller and closes all its connections.
+func (w *simulation) kill(p *controller) {
+	p.running = false
 	for i := range w.gateways {
-		w.cut(p, i)
+		w.disconnect(p, i)
 	}
 }
 
-func (w *world) connect(p *controller, i int) {
+func (w *simulation) connect(p *controller, i int) {
 	g := w.gateways[i]
 	held := Position{Term: g.snapshot.Term(), Generation: g.snapshot.Generation(), Digest: g.snapshot.Digest(), NeedsFull: g.needsFull}
 	reportNeeded, err := p.Connect(&pb.EdgeHello{
@@ -146,7 +146,7 @@
 		Tenure:     held.Term,
 		Generation: held.Generation,
 		Digest:     held.Digest,
-		Following:  g.following != nil && g.following != p && g.following.up,
+		Following:  g.following != nil && g.following != p && g.following.running,
 		Whole:      held.NeedsFull,
 	}, w.clock(p))
 	if err != nil {
@@ -160,12 +160,12 @@
 	}
 }
 
-func (w *world) cut(p *controller, i int) {
+func (w *simulation) disconnect(p *controller, i int) {
 	if p.connections[i] == nil {
 		return
 	}
 	delete(p.connections, i)
-	if p.up {
+	if p.running {
 		p.Disconnected(gatewayName(i), w.clock(p))
 	}
 	if w.gateways[i].following == p {
@@ -174,11 +174,11 @@
 	}
 }
 
-// step delivers one message of a connection; if none is on its way, the controller sends what is due.
-func (w *world) step(p *controller, i int) {
+// step delivers one message of a connection. If none is in flight, the controller sends its next message.
+func (w *simulation) step(p *controller, i int) {
 	c := p.connections[i]
 	switch {
-	case c == nil || !p.up:
+	case c == nil || !p.running:
 	case len(c.toController) > 0:
 		message := c.toController[0]
 		c.toController = c.toController[1:]
@@ -192,19 +192,19 @@
 	}
 }
 
-func (w *world) deliverToController(p *controller, i int, message any) {
+func (w *simulation) deliverToController(p *controller, i int, message any) {
 	switch message := message.(type) {
 	case *pb.EdgeAck:
 		p.Acknowledge(gatewayName(i), message.Tenure, message.Generation, message.Beat, w.clock(p))
 	case *pb.EdgeReport:
 		if err := p.MergeReport(gatewayName(i), message.Item, message.Last, w.clock(p)); err != nil {
-			w.cut(p, i)
+			w.disconnect(p, i)
 		}
 	}
 }
 
-// sendDue sends the snapshot, in chunks of one record, or else a heartbeat.
-func (w *world) sendDue(p *controller, i int) {
+// sendDue sends the transfer that the gateway needs, in chunks of one record, or otherwise a heartbeat.
+func (w *simulation) sendDue(p *controller, i int) {
 	c := p.connections[i]
 	if phase := p.Tick(w.clock(p)); phase != Recovering && phase != Superseded {
 		if transfer, due := p.SnapshotFor(gatewayName(i), c.held); due {
@@ -223,16 +223,16 @@
 	c.sendToGateway(&pb.PlannerSays{What: &pb.PlannerSays_Alive{Alive: &pb.Alive{Beat: p.LatestHeartbeat()}}}, p)
 }
 
-func (w *world) deliverToGateway(p *controller, i int, message *pb.PlannerSays) {
+func (w *simulation) deliverToGateway(p *controller, i int, message *pb.PlannerSays) {
 	c, g := p.connections[i], w.gateways[i]
 	before := g.snapshot.Generation()
 	if _, err := g.snapshot.ObserveTerm(message.Tenure); err != nil {
-		w.cut(p, i)
+		w.disconnect(p, i)
 		return
 	}
 	if g.following != p {
 		if g.following != nil {
-			w.cut(g.following, i)
+			w.disconnect(g.following, i)
 		}
 		g.following = p
 	}
@@ -245,7 +245,7 @@
 		applied, err := g.snapshot.ApplyChunk(message.Tenure, content.Part)
 		if err != nil || applied.NeedsFull {
 			g.needsFull = !content.Part.Whole
-			w.cut(p, i)
+			w.disconnect(p, i)
 			return
 		}
 		if applied.Complete {
@@ -255,15 +255,16 @@
 		}
 	}
 	if g.snapshot.Generation() < before {
-		w.t.Fatalf("gateway %d went back from generation %d to %d", i, before, g.snapshot.Generation())
+		w.t.Fatalf("the generation of gateway %d decreased from %d to %d", i, before, g.snapshot.Generation())
 	}
 }
 
-// check fails unless what must hold at every moment does: one lease holder at most, no drain forgotten, nothing drained serves.
-func (w *world) check() {
+// check verifies the invariants that hold at any time: at most one controller holds the lease, no gateway loses a drain, and no
+// drained endpoint is serving.
+func (w *simulation) check() {
 	holders := 0
 	for _, p := range w.controllers {
-		if p.up && p.Tick(w.clock(p)) == HoldingLease {
+		if p.running && p.Tick(w.clock(p)) == HoldingLease {
 			holders++
 		}
 	}
@@ -274,7 +275,7 @@
 		for endpoint, drain := range g.drained {
 			record := g.snapshot.Get(snapshot.Key{Kind: pb.Item_BRICK, Name: endpoint})
 			if snapshot.MergeDrains(record.GetBrick().GetDrained(), drain) != record.GetBrick().GetDrained() {
-				w.t.Fatalf("gateway %d forgot that %s was drained at %d: %v", i, endpoint, drain, record)
+				w.t.Fatalf("gateway %d lost the drain of %s at %d: %v", i, endpoint, drain, record)
 			}
 		}
 		for _, record := range g.snapshot.Records() {
@@ -284,7 +285,7 @@
 			}
 			g.drained[record.Name] = snapshot.MergeDrains(g.drained[record.Name], drain)
 			if record.Brick.Serving && snapshot.Drained(record.Brick) {
-				w.t.Fatalf("gateway %d: %s serves though drained: %v", i, record.Name, record)
+				w.t.Fatalf("gateway %d: %s is serving although it is drained: %v", i, record.Name, record)
 			}
 		}
 	}
--- a/internal/controlplane/statemachine/snapshot.go
+++ b/internal/controlplane/statemachine/snapshot.go
@@ -5,22 +5,22 @@
 	"weirhaven/internal/pb"
 )
 
-// Position is where a gateway stands: what it said that it holds, then what it was sent.
+// Position describes the snapshot that a gateway holds: first according to its hello message, then according to the transfers sent.
 type Position struct {
 	Term       *pb.Tenure
 	Generation uint64
-	Digest     uint64 // of the records that it holds
-	NeedsFull  bool   // changes did not fit what it holds: it asked for the full snapshot
+	Digest     uint64 // digest of the records held
+	NeedsFull  bool   // the gateway could not apply changes and requested the full snapshot
 }
 
-// SnapshotFor returns what a gateway at a position is to be sent, in one piece: the changes since its generation or the full
-// snapshot; due false: nothing. A gateway that needs the full snapshot gets none before its report is merged: records that don't fit
-// may be known to it alone, and the full snapshot would remove them.
-func (s *State) SnapshotFor(name string, held Position) (transfer *pb.ViewPart, due bool) {
+// SnapshotFor returns the transfer that a gateway at a position needs: the changes since its generation or the full snapshot. If it
+// needs none, needed is false. A gateway that needs the full snapshot receives none before its report has been merged, since it may be
+// the only one that holds some of its records and the full snapshot would remove them.
+func (s *State) SnapshotFor(name string, held Position) (transfer *pb.ViewPart, needed bool) {
 	if g := s.gateways[name]; held.NeedsFull && g != nil && !g.reported {
 		return nil, false
 	}
-	sameLineage := s.sameLineage(held.Term) // two histories under one name are told apart by the digest
+	sameLineage := s.sameLineage(held.Term) // the digest distinguishes two histories under the same name
 	if sameLineage && !held.NeedsFull && held.Generation == s.generation && held.Digest == s.Digest() {
 		return nil, false
 	}
@@ -39,8 +39,8 @@
 	return transfer, true
 }
 
-// inTransfer tells whether a record belongs to a transfer to a gateway. Placements go to the gateway that requested them only.
-// Tombstones are changes, and not in a full snapshot but for their drains.
+// inTransfer reports whether a record belongs to a transfer to a gateway. A placement is sent only to the gateway that requested it.
+// Tombstones are sent as changes; a full snapshot contains only those with a drain.
 func (s *State) inTransfer(transfer *pb.ViewPart, record *pb.Item, gatewayName string) bool {
 	if record.Kind == pb.Item_PLACE && record.GetPlace().GetEdge() != gatewayName {
 		return false
@@ -51,7 +51,7 @@
 	return !record.Gone || record.GetBrick().GetDrained() != 0
 }
 
-// Digest is the digest of the records that every gateway should hold.
+// Digest returns the digest of the records that every gateway should hold.
 func (s *State) Digest() uint64 {
 	if !s.digestValid {
 		s.digest, s.digestValid = snapshot.Digest(s.records), true
--- a/internal/controlplane/statemachine/snapshotadmission.go
+++ b/internal/controlplane/statemachine/snapshotadmission.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// minSnapshotRetry is the shortest time after which a waiting gateway is looked at again.
+	// minSnapshotRetry is the minimum retry delay of a gateway waiting for admission.
 	minSnapshotRetry = 5 * time.Millisecond
-	// snapshotTimeSmoothing: a new sample moves the smoothed time of a snapshot by one part in so many of the difference.
+	// snapshotTimeSmoothing is the divisor of the exponential smoothing: a new sample has a weight of 1/snapshotTimeSmoothing.
 	snapshotTimeSmoothing = 8
 )
 
-// AdmitSnapshot decides whether a snapshot may be sent to a gateway now. At most Config.MaxSnapshotsInFlight are sent at the same
-// time over all gateways, so that a hundred gateways that return together don't slow each other down; those that wait are admitted
-// in the order of their first call. If not admitted, retryAfter is how long the snapshots ahead are expected to take.
+// AdmitSnapshot decides whether a snapshot may be sent to a gateway now. At most Config.MaxSnapshotsInFlight snapshots are sent
+// concurrently over all gateways, so that a hundred gateways that reconnect together don't slow each other down. Waiting gateways are
+// admitted in the order of their first call. If a gateway is not admitted, retryAfter is the expected duration of the snapshots ahead.
 func (s *State) AdmitSnapshot(name string, now time.Duration) (admitted bool, retryAfter time.Duration) {
 	g := s.gateways[name]
 	if g == nil {
@@ -33,7 +33,7 @@
 	return false, max(time.Duration(rounds)*s.meanSnapshotTime, minSnapshotRetry)
 }
 
-// snapshotQueue counts the snapshots in flight and the connected gateways that wait ahead of g.
+// snapshotQueue returns the number of snapshots in flight and the number of connected gateways waiting ahead of g.
 func (s *State) snapshotQueue(g *gateway) (inFlight, ahead int) {
 	for _, other := range s.gateways {
 		if other.snapshotInFlight {
@@ -47,7 +47,7 @@
 	return inFlight, ahead
 }
 
-// SnapshotSent ends the sending that AdmitSnapshot admitted.
+// SnapshotSent ends a transfer that AdmitSnapshot admitted.
 func (s *State) SnapshotSent(name string, now time.Duration) {
 	g := s.gateways[name]
 	if g == nil || !g.snapshotInFlight {
--- a/internal/controlplane/statemachine/snapshotadmission_test.go
+++ b/internal/controlplane/statemachine/snapshotadmission_test.go
@@ -9,9 +9,9 @@
 	"weirhaven/internal/pb"
 )
 
-// A hundred gateways return together, as after a network outage. At most MaxSnapshotsInFlight snapshots are on their way at any time,
-// every gateway gets one, in the order in which they came.
-func TestSnapshotsAreAdmittedInTurn(t *testing.T) {
+// TestSnapshotsAreAdmittedInOrder connects a hundred gateways at once, as after a network outage. At most MaxSnapshotsInFlight snapshots
+// may be in flight at any time, and every gateway must be admitted, in the order of their requests.
+func TestSnapshotsAreAdmittedInOrder(t *testing.T) {
 	const gateways, maxInFlight, sendTime = 100, 4, 10 * time.Millisecond
 	config := testConfig
 	config.MinGateways, config.MaxSnapshotsInFlight = gateways, maxInFlight
@@ -50,7 +50,7 @@
 				order, sentAt[name] = append(order, name), now+sendTime
 				delete(retryAt, name)
 			} else if retryAfter <= 0 {
-				t.Fatal("not admitted, and no time to retry after")
+				t.Fatal("not admitted, but no retry delay returned")
 			} else {
 				retryAt[name] = now + retryAfter
 			}
--- a/internal/controlplane/statemachine/write.go
+++ b/internal/controlplane/statemachine/write.go
@@ -10,8 +10,8 @@
 	"weirhaven/internal/pb"
 )
 
-// SetDesired sets how a record should be, Gone for one to be removed. It is written by the next WriteDesired that may. Known drains
-// of an endpoint are merged into it.
+// SetDesired sets the desired version of a record; a record to be removed has Gone set. The next WriteDesired that holds the lease
+// writes it. Known drains of an endpoint are merged into its record.
 func (s *State) SetDesired(record *pb.Item) {
 	key := snapshot.KeyOf(record)
 	record = proto.Clone(record).(*pb.Item)
@@ -24,8 +24,8 @@
 	s.desired[key] = record
 }
 
-// WriteDesired writes the desired records that differ from the persisted ones, as one new generation, and returns them in order. It
-// writes only while the lease is held; otherwise, and after an error, they stay desired.
+// WriteDesired writes the desired records that differ from the persisted ones as one new generation and returns them in order. It
+// writes only while the lease is held. Without the lease, and after an error, the records remain desired.
 func (s *State) WriteDesired(now time.Duration) (changed []*pb.Item, err error) {
 	if s.Tick(now) != HoldingLease {
 		return nil, nil
@@ -51,7 +51,7 @@
 	return changed, nil
 }
 
-// desiredChanges are copies of the desired records that are to be written, in order. Those that change nothing are dropped.
+// desiredChanges returns copies of the desired records to write, in order. It drops desired records that change nothing.
 func (s *State) desiredChanges() (changed []*pb.Item) {
 	for key, desired := range s.desired {
 		own := s.records[key]
@@ -82,8 +82,8 @@
 	}
 }
 
-// persist stores records. After a failure the disk may hold them as they were before or after it, so they stay uncertain until they
-// are written again.
+// persist stores records. After an error the disk may hold their previous or their new versions, so the records are uncertain until
+// they are written again.
 func (s *State) persist(generation uint64, records []*pb.Item) error {
 	err := s.persister.Persist(s.term, generation, records)
 	for _, record := range records {
@@ -96,8 +96,8 @@
 	return err
 }
 
-// rewriteUncertain makes the uncertain records desired as they are held here, or as gone. Without it a change that failed and was
-// then taken back could come back with the next start, from the disk.
+// rewriteUncertain adds the uncertain records to the desired ones, with their current content or as tombstones. Otherwise a change
+// that failed to persist and was then reverted could reappear from the disk at the next start.
 func (s *State) rewriteUncertain() {
 	for key := range s.uncertain {
 		if s.desired[key] != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// put takes a persisted record into the state.
+// put adds a persisted record to the state.
 func (s *State) put(record *pb.Item) {
 	key := snapshot.KeyOf(record)
 	previous := s.records[key]
--- a/internal/controlplane/statemachine/write_test.go
+++ b/internal/controlplane/statemachine/write_test.go
@@ -9,14 +9,14 @@
 	"weirhaven/internal/pb"
 )
 
-// lonely is a controller with one gateway, which acknowledges every heartbeat while the lease is held.
-type lonely struct {
+// singleGatewayController is a controller that has acquired the lease with a single gateway.
+type singleGatewayController struct {
 	*State
 	disk *disk
 	now  time.Duration
 }
 
-func startWithLease(t *testing.T) *lonely {
+func startWithLease(t *testing.T) *singleGatewayController {
 	t.Helper()
 	config := testConfig
 	config.MinGateways = 1
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &lonely{State: s, disk: d}
+	c := &singleGatewayController{State: s, disk: d}
 	if _, err := s.Connect(&pb.EdgeHello{Name: "e", Tenure: s.Term(), Generation: s.Generation(), Digest: s.Digest()}, c.now); err != nil {
 		t.Fatal(err)
 	}
@@ -40,15 +40,15 @@
 	return c
 }
 
-func (c *lonely) report(t *testing.T, records []*pb.Item) {
+func (c *singleGatewayController) report(t *testing.T, records []*pb.Item) {
 	t.Helper()
 	if err := c.MergeReport("e", records, true, c.now); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// write writes what is desired; it must change so many records.
-func (c *lonely) write(t *testing.T, changes int) {
+// write writes the desired records and checks the number of changed ones.
+func (c *singleGatewayController) write(t *testing.T, changes int) {
 	t.Helper()
 	if changed, err := c.WriteDesired(c.now); len(changed) != changes || err != nil {
 		t.Fatal(changed, err)
@@ -63,9 +63,9 @@
 	return &pb.Item{Kind: pb.Item_VOLUME, Name: name, Gone: gone, Volume: &pb.PlanVolume{}}
 }
 
-// An endpoint was told to drain and a gateway knows it; the endpoint list knows nothing of it and goes on listing the endpoint as
-// serving. The drain stays until the endpoint starts anew. Then the disk is full: a placement and a write fail, and neither is half
-// done. The next write that succeeds also settles the placement that may have reached the disk.
+// TestDrainsAndFullDisk checks that a drain reported by a gateway persists until the endpoint restarts, although the endpoint list
+// still lists the endpoint as serving. It then checks that a placement and a write to a full disk fail without any partial change, and
+// that the next successful write also writes a tombstone for the placement, which may have reached the disk.
 func TestDrainsAndFullDisk(t *testing.T) {
 	c := startWithLease(t)
 	endpointKey := snapshot.KeyOf(endpointRecord(true, 0, 0))
@@ -74,15 +74,15 @@
 
 	c.report(t, []*pb.Item{endpointRecord(false, 10, 10)})
 	c.write(t, 1)
-	c.SetDesired(endpointRecord(true, 10, 0)) // the list knows nothing of the drain
+	c.SetDesired(endpointRecord(true, 10, 0)) // the list does not contain the drain
 	c.write(t, 0)
 	if b := c.records[endpointKey].Brick; b.Serving || b.Drained != 10 {
-		t.Errorf("drained, and the list says serving: %v", b)
+		t.Errorf("drained endpoint that the list reports as serving: %v", b)
 	}
 	c.SetDesired(endpointRecord(true, 20, 0))
 	c.write(t, 1)
 	if b := c.records[endpointKey].Brick; !b.Serving || b.Drained != 10 {
-		t.Errorf("started after the drain: %v", b)
+		t.Errorf("endpoint started after the drain: %v", b)
 	}
 	c.SetDesired(volumeRecord("v", false))
 	c.write(t, 1)
@@ -98,7 +98,7 @@
 		t.Error(changed, err)
 	}
 	c.disk.full = false
-	// The endpoint, and that nothing was placed: the placement that failed may have reached the disk.
+	// The changes are the endpoint and a tombstone for the failed placement, which may have reached the disk.
 	changed, err := c.WriteDesired(c.now)
 	if len(changed) != 2 || changed[0].Name != "b" || !changed[1].Gone || changed[1].Kind != pb.Item_PLACE || err != nil || c.disk.generation != generation+1 {
 		t.Error(changed, err)
@@ -107,27 +107,27 @@
 		t.Error(err)
 	}
 
-	c.now += 2 * time.Second // nobody renews the lease
+	c.now += 2 * time.Second // the lease expires
 	c.SetDesired(endpointRecord(true, 30, 0))
 	if changed, err := c.WriteDesired(c.now); len(changed) > 0 || err != nil || c.Phase() != WaitingForLease {
 		t.Error(changed, err, c.Phase())
 	}
 }
 
-// The disk reports an I/O error for a write that reached it all the same. The changes are then taken back. The next write must write
-// both records again: else the next start would read from disk what was taken back.
-func TestFailedWriteIsUnknown(t *testing.T) {
+// TestFailedWriteIsWrittenAgain covers a write that reaches the disk but returns an I/O error, after which its changes are reverted.
+// The next write must write both records again. Otherwise the next start would read the reverted changes from the disk.
+func TestFailedWriteIsWrittenAgain(t *testing.T) {
 	c := startWithLease(t)
 	c.SetDesired(volumeRecord("kept", false))
 	c.write(t, 1)
 
-	c.disk.failsLate = true
+	c.disk.failsAfterWrite = true
 	c.SetDesired(volumeRecord("kept", true))
 	c.SetDesired(volumeRecord("new", false))
 	if _, err := c.WriteDesired(c.now); !errors.Is(err, errIO) {
-		t.Fatal("a failed write without its error:", err)
+		t.Fatal("wrong error of the failed write:", err)
 	}
-	c.disk.failsLate = false
+	c.disk.failsAfterWrite = false
 	c.SetDesired(volumeRecord("kept", false))
 	c.SetDesired(volumeRecord("new", true))
 	if _, err := c.WriteDesired(c.now); err != nil {
@@ -139,6 +139,6 @@
 		}
 	}
 	if len(c.uncertain) > 0 {
-		t.Errorf("%v uncertain after a write that succeeded", c.uncertain)
+		t.Errorf("%v still uncertain after a successful write", c.uncertain)
 	}
 }
