--- a/internal/controlplane/statemachine/difference.go
+++ b/internal/controlplane/statemachine/difference.go
@@ -8,8 +8,8 @@
 	"weirhaven/internal/pb"
 )
 
-// Difference describes for operators how the records held by a gateway differ from the controller's. The result is sorted and has one
-// entry for each record that differs.
+// Difference describes for operators how the records held by a gateway differ from the controller's. The result is sorted and has
+// one entry for each record that differs.
 func Difference(own, held []*pb.Item, gatewayName string) (differences []string) {
 	ownByKey, heldByKey := map[snapshot.Key]*pb.Item{}, map[snapshot.Key]*pb.Item{}
 	keys := map[snapshot.Key]bool{}
@@ -32,8 +32,8 @@
 	return differences
 }
 
-// recordDifference describes how the two versions of a record differ. It returns "" if they do not. One of the two may be nil, which
-// means that the record is missing and is equivalent to a tombstone.
+// recordDifference describes how the two versions of a record differ. It returns "" if they do not. One of the two may be nil,
+// which means that the record is missing and is equivalent to a tombstone.
 func recordDifference(own, held *pb.Item) string {
 	switch {
 	case own == nil && held.Gone, held == nil && own.Gone:
--- a/internal/controlplane/statemachine/explore_test.go
+++ b/internal/controlplane/statemachine/explore_test.go
@@ -13,7 +13,8 @@
 	"weirhaven/internal/pb"
 )
 
-// exploreConfig configures the controllers of the exhaustive search, which simulates two controllers, two gateways and three changes.
+// exploreConfig configures the controllers of the exhaustive search, which simulates two controllers, two gateways and three
+// changes.
 var exploreConfig = Config{MinGateways: 2, Lease: time.Second, RecoveryTimeout: time.Second, MaxSnapshotsInFlight: 2, MaxTombstones: 3, MaxRecords: 100}
 
 const (
@@ -248,8 +249,8 @@
 	return [][]action{nil, leaseHeld(), append(leaseHeld(), action{restartFromNothing, 0, 0}), append(leaseHeld(), action{deliverAll, 1, 0})}
 }
 
-// exploreStates returns the number of states that the search visits: 4000, or n thousand with EXPLORE=n in the environment. A run with
-// EXPLORE=120 takes two minutes.
+// exploreStates returns the number of states that the search visits: 4000, or n thousand with EXPLORE=n in the environment. A run
+// with EXPLORE=120 takes two minutes.
 func exploreStates(t *testing.T) int {
 	text := os.Getenv("EXPLORE")
 	if text == "" {
@@ -262,8 +263,9 @@
 	return thousands * 1000
 }
 
-// TestExplore checks the invariants for all orders of restarts, lost disks, lost connections and delays up to a certain depth, since a
-// fault in the rules for leases or terms may only appear in one specific order. It continues beyond that depth up to the state limit.
+// TestExplore checks the invariants for all orders of restarts, lost disks, lost connections and delays up to a certain depth,
+// since a fault in the rules for leases or terms may only appear in one specific order. It continues beyond that depth up to the
+// state limit.
 func TestExplore(t *testing.T) {
 	limit := exploreStates(t)
 	seen := map[string]bool{}
--- a/internal/controlplane/statemachine/gateway.go
+++ b/internal/controlplane/statemachine/gateway.go
@@ -21,8 +21,8 @@
 	ErrUnknownGateway = errors.New("unknown gateway")
 )
 
-// gateway is the controller's state of one gateway. It is kept after the gateway's stream has ended, since the gateway still counts for
-// the majority.
+// gateway is the controller's state of one gateway. It is kept after the gateway's stream has ended, since the gateway still counts
+// for the majority.
 type gateway struct {
 	name, address          string
 	connected              bool
--- a/internal/controlplane/statemachine/lease.go
+++ b/internal/controlplane/statemachine/lease.go
@@ -9,8 +9,8 @@
 	"weirhaven/internal/pb"
 )
 
-// heartbeatRetentionLeases is the number of lease durations for which the sending time of a heartbeat is kept. The acknowledgement of
-// an older heartbeat does not renew the lease.
+// heartbeatRetentionLeases is the number of lease durations for which the sending time of a heartbeat is kept. The acknowledgement
+// of an older heartbeat does not renew the lease.
 const heartbeatRetentionLeases = 4
 
 // previousLeaseWait returns how long a majority must have lasted before the first write. By then the lease of a previous holder has
@@ -39,9 +39,9 @@
 // LatestHeartbeat returns the number of the latest heartbeat, or 0 if there has been none.
 func (s *State) LatestHeartbeat() uint64 { return s.lastHeartbeat }
 
-// Acknowledge handles a gateway's acknowledgement, which contains the term that the gateway follows, the generation that it holds and
-// the latest heartbeat that it received. An acknowledgement of another term does not renew the lease, since that gateway counts for
-// another controller's majority. A higher term supersedes this controller.
+// Acknowledge handles a gateway's acknowledgement, which contains the term that the gateway follows, the generation that it holds
+// and the latest heartbeat that it received. An acknowledgement of another term does not renew the lease, since that gateway counts
+// for another controller's majority. A higher term supersedes this controller.
 func (s *State) Acknowledge(name string, term *pb.Tenure, generation, heartbeat uint64, now time.Duration) {
 	g := s.gateways[name]
 	if g == nil {
--- a/internal/controlplane/statemachine/phase.go
+++ b/internal/controlplane/statemachine/phase.go
@@ -25,8 +25,8 @@
 	return [...]string{"recovering", "without the lease", "holding the lease", "outranked"}[p]
 }
 
-// supersededLeases is the number of lease durations for which a controller stays in Superseded after a gateway last followed a higher
-// term. It gives that gateway time to reconnect to this controller if the other one has failed.
+// supersededLeases is the number of lease durations for which a controller stays in Superseded after a gateway last followed a
+// higher term. It gives that gateway time to reconnect to this controller if the other one has failed.
 const supersededLeases = 3
 
 // Tick advances the time to now and returns the phase at that time.
--- a/internal/controlplane/statemachine/placement.go
+++ b/internal/controlplane/statemachine/placement.go
@@ -20,8 +20,8 @@
 )
 
 // Place chooses the shard for a new object or extent and persists the placement before it returns. A repeated request for the same
-// name returns the existing placement, even if another gateway requested it or the lease is not held. If no endpoint of that shard is
-// serving any more, the caller must request a placement under a new name.
+// name returns the existing placement, even if another gateway requested it or the lease is not held. If no endpoint of that shard
+// is serving any more, the caller must request a placement under a new name.
 //
 // Place considers the shards that the volume may use and that have at least one serving endpoint that is not drained. It prefers
 // shards with such an endpoint outside the zone request.ButZone, then the fewest placements per serving endpoint, then the lowest
@@ -64,7 +64,8 @@
 	outsideZone bool // at least one of the endpoints is outside the zone to avoid
 }
 
-// candidateShards returns the candidates by shard: the shards that a volume may use (all, if it lists none) with a serving endpoint.
+// candidateShards returns the candidates by shard: the shards that a volume may use (all, if it lists none) with a serving
+// endpoint.
 func (s *State) candidateShards(volume *pb.PlanVolume, avoidZone string) map[uint32]shardCandidate {
 	candidates := map[uint32]shardCandidate{}
 	for key, record := range s.records {
--- a/internal/controlplane/statemachine/random_faults_test.go
+++ b/internal/controlplane/statemachine/random_faults_test.go
@@ -12,9 +12,10 @@
 )
 
 // TestInvariantsUnderRandomFaults kills and disconnects controllers, restarts them from their disk, an older copy of it or an empty
-// one, starts a second controller by mistake, fills disks, adds, removes and drains endpoints and places objects, in random order. No
-// gateway's generation may decrease, no drain may be lost, no two controllers may hold the lease, and no name may be placed twice unless
-// a disk was lost. After the faults have ended, one controller must hold the lease and all gateways must hold its snapshot.
+// one, starts a second controller by mistake, fills disks, adds, removes and drains endpoints and places objects, in random order.
+// No gateway's generation may decrease, no drain may be lost, no two controllers may hold the lease, and no name may be placed
+// twice unless a disk was lost. After the faults have ended, one controller must hold the lease and all gateways must hold its
+// snapshot.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newRandomFaults(t)
@@ -40,9 +41,9 @@
 	return f
 }
 
-// distinctIncarnations returns a function that draws an incarnation that no other controller of this run has. Controllers draw 64 random
-// bits, which practically never collide, whereas rapid favors small numbers and would draw the same one twice. A number that is taken
-// is replaced by the next free one.
+// distinctIncarnations returns a function that draws an incarnation that no other controller of this run has. Controllers draw 64
+// random bits, which practically never collide, whereas rapid favors small numbers and would draw the same one twice. A number that
+// is taken is replaced by the next free one.
 func distinctIncarnations(t *rapid.T) func() uint64 {
 	taken := map[uint64]bool{}
 	return func() uint64 {
--- a/internal/controlplane/statemachine/recovery.go
+++ b/internal/controlplane/statemachine/recovery.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// mergeReported merges a reported record and returns the record to store under its reported generation. The result is nil if nothing
-// changed or the change was added to the desired records.
+// mergeReported merges a reported record and returns the record to store under its reported generation. The result is nil if
+// nothing changed or the change was added to the desired records.
 func (s *State) mergeReported(reported *pb.Item) *pb.Item {
 	key := snapshot.KeyOf(reported)
 	own := s.records[key]
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// updateRecovery ends the recovery once a majority of the gateways has reported. Since a majority may be permanently unavailable, the
-// reports of all connected gateways suffice after the timeout.
+// updateRecovery ends the recovery once a majority of the gateways has reported. Since a majority may be permanently unavailable,
+// the reports of all connected gateways suffice after the timeout.
 func (s *State) updateRecovery(now time.Duration) {
 	if s.recovered {
 		return
--- a/internal/controlplane/statemachine/simulation_test.go
+++ b/internal/controlplane/statemachine/simulation_test.go
@@ -91,7 +91,7 @@
 
 type simulation struct {
 	t               failer
-	nextIncarnation func() uint64 // of a controller that starts
+	nextIncarnation func() uint64 // returns the incarnation of the next started controller
 	now             time.Duration
 	controllers     []*controller // including killed ones
 	gateways        []*simulatedGateway
--- a/internal/controlplane/statemachine/snapshot.go
+++ b/internal/controlplane/statemachine/snapshot.go
@@ -14,8 +14,8 @@
 }
 
 // SnapshotFor returns the transfer that a gateway at a position needs: the changes since its generation or the full snapshot. If it
-// needs none, needed is false. A gateway that needs the full snapshot receives none before its report has been merged, since it may be
-// the only one that holds some of its records and the full snapshot would remove them.
+// needs none, needed is false. A gateway that needs the full snapshot receives none before its report has been merged, since it may
+// be the only one that holds some of its records and the full snapshot would remove them.
 func (s *State) SnapshotFor(name string, held Position) (transfer *pb.ViewPart, needed bool) {
 	if g := s.gateways[name]; held.NeedsFull && g != nil && !g.reported {
 		return nil, false
@@ -39,8 +39,8 @@
 	return transfer, true
 }
 
-// inTransfer reports whether a record belongs to a transfer to a gateway. A placement is sent only to the gateway that requested it.
-// Tombstones are sent as changes; a full snapshot contains only those with a drain.
+// inTransfer reports whether a record belongs to a transfer to a gateway. A placement is sent only to the gateway that requested
+// it. Tombstones are sent as changes; a full snapshot contains only those with a drain.
 func (s *State) inTransfer(transfer *pb.ViewPart, record *pb.Item, gatewayName string) bool {
 	if record.Kind == pb.Item_PLACE && record.GetPlace().GetEdge() != gatewayName {
 		return false
--- a/internal/controlplane/statemachine/snapshotadmission.go
+++ b/internal/controlplane/statemachine/snapshotadmission.go
@@ -10,8 +10,9 @@
 )
 
 // AdmitSnapshot decides whether a snapshot may be sent to a gateway now. At most Config.MaxSnapshotsInFlight snapshots are sent
-// concurrently over all gateways, so that a hundred gateways that reconnect together don't slow each other down. Waiting gateways are
-// admitted in the order of their first call. If a gateway is not admitted, retryAfter is the expected duration of the snapshots ahead.
+// concurrently over all gateways, so that a hundred gateways that reconnect together don't slow each other down. Waiting gateways
+// are admitted in the order of their first call. If a gateway is not admitted, retryAfter is the expected duration of the snapshots
+// ahead.
 func (s *State) AdmitSnapshot(name string, now time.Duration) (admitted bool, retryAfter time.Duration) {
 	g := s.gateways[name]
 	if g == nil {
--- a/internal/controlplane/statemachine/snapshotadmission_test.go
+++ b/internal/controlplane/statemachine/snapshotadmission_test.go
@@ -9,8 +9,8 @@
 	"weirhaven/internal/pb"
 )
 
-// TestSnapshotsAreAdmittedInOrder connects a hundred gateways at once, as after a network outage. At most MaxSnapshotsInFlight snapshots
-// may be in flight at any time, and every gateway must be admitted, in the order of their requests.
+// TestSnapshotsAreAdmittedInOrder connects a hundred gateways at once, as after a network outage. At most MaxSnapshotsInFlight
+// snapshots may be in flight at any time, and every gateway must be admitted, in the order of their requests.
 func TestSnapshotsAreAdmittedInOrder(t *testing.T) {
 	const gateways, maxInFlight, sendTime = 100, 4, 10 * time.Millisecond
 	config := testConfig
--- a/internal/controlplane/statemachine/term.go
+++ b/internal/controlplane/statemachine/term.go
@@ -19,7 +19,7 @@
 	if err := s.persister.Persist(raised, s.generation, nil); err != nil {
 		return fmt.Errorf("persist term %d: %w", number, err)
 	}
-	s.log.Info("term raised above a higher one seen by a gateway", "previous", s.term.Term, "term", number)
+	s.log.Info("term raised, a gateway knew of a higher one", "previous", s.term.Term, "term", number)
 	s.term, s.majoritySince = raised, 0
 	for _, g := range s.gateways {
 		g.leaseRenewedAt = 0
--- a/internal/controlplane/statemachine/tombstone.go
+++ b/internal/controlplane/statemachine/tombstone.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// PruneTombstones removes the oldest tombstones beyond limit. Gateways at an earlier generation then receive the full snapshot, since
-// the removal can no longer be sent as a change. The tombstone of a drained endpoint is kept because it holds the drain.
+// PruneTombstones removes the oldest tombstones beyond limit. Gateways at an earlier generation then receive the full snapshot,
+// since the removal can no longer be sent as a change. The tombstone of a drained endpoint is kept because it holds the drain.
 func (s *State) PruneTombstones(limit int) {
 	for i := 0; len(s.tombstones) > limit && i < len(s.tombstones); {
 		key := s.tombstones[i]
--- a/internal/controlplane/statemachine/write_test.go
+++ b/internal/controlplane/statemachine/write_test.go
@@ -64,8 +64,8 @@
 }
 
 // TestDrainsAndFullDisk checks that a drain reported by a gateway persists until the endpoint restarts, although the endpoint list
-// still lists the endpoint as serving. It then checks that a placement and a write to a full disk fail without any partial change, and
-// that the next successful write also writes a tombstone for the placement, which may have reached the disk.
+// still lists the endpoint as serving. It then checks that a placement and a write to a full disk fail without any partial change,
+// and that the next successful write also writes a tombstone for the placement, which may have reached the disk.
 func TestDrainsAndFullDisk(t *testing.T) {
 	c := startWithLease(t)
 	endpointKey := snapshot.KeyOf(endpointRecord(true, 0, 0))
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestFailedWriteIsWrittenAgain covers a write that reaches the disk but returns an I/O error, after which its changes are reverted.
-// The next write must write both records again. Otherwise the next start would read the reverted changes from the disk.
+// TestFailedWriteIsWrittenAgain covers a write that reaches the disk but returns an I/O error, after which its changes are
+// reverted. The next write must write both records again. Otherwise the next start would read the reverted changes from the disk.
 func TestFailedWriteIsWrittenAgain(t *testing.T) {
 	c := startWithLease(t)
 	c.SetDesired(volumeRecord("kept", false))
