--- a/internal/controlplane/snapshot/doc.go
+++ b/internal/controlplane/snapshot/doc.go
@@ -1,21 +1,22 @@
-// Package snapshot is what a gateway holds of the controller's decisions, and which controller's messages it takes. It does no I/O,
-// reads no clock and starts no goroutine; a Snapshot is used by one goroutine at a time.
+// Package snapshot implements a gateway's copy of the controller's records and decides which controller's messages the gateway
+// accepts. The package does no I/O, reads no clock and starts no goroutine. A Snapshot must not be used by several goroutines at
+// the same time.
 //
 // # Invariants
 //
-// The highest term seen is followed. A message of a lower one is refused whatever it says, so a controller that stalled and goes on
-// after another took over changes nothing. A higher term must be persisted before it is answered: a gateway that restarts would else
-// acknowledge a lower one again.
+// Highest term. A gateway follows the highest term that it has seen and rejects every message of a lower one. A controller that
+// stalled and resumes after another has taken over therefore cannot change anything. A higher term must be persisted before the
+// gateway replies under it; otherwise the gateway could acknowledge a lower term after a restart.
 //
-// The generation never falls, and a record is replaced by a later one of its key only: a controller that lost its disk can't take
-// back what it wrote before.
+// Generations. The generation never decreases, and only a later record replaces a record with the same key. A controller that lost
+// its disk therefore cannot revert its earlier writes.
 //
-// A drain stays. Whatever a record says, the drains learned of an endpoint are merged into it; a later start of the endpoint lifts
-// them, as then Drained no longer holds.
+// Persistent drains. Known drains of an endpoint are merged into every record of it. A later start of the endpoint lifts them,
+// since Drained then returns false.
 //
-// A transfer is all or nothing. Chunks are collected, and applied when the last one is there and the digest of the result is right; a
-// stream that ends half way changes nothing.
+// Atomic transfers. Chunks are collected and applied after the last one has arrived, if the digest of the result matches. A stream
+// that ends in the middle of a transfer changes nothing.
 //
-// Changes that begin beyond the generation held are not applied, since those between are missing: the gateway asks for the full
-// snapshot.
+// Missing changes. Changes that start after the held generation are not applied, since those in between are missing. The gateway
+// requests the full snapshot instead.
 package snapshot
--- a/internal/controlplane/snapshot/drain.go
+++ b/internal/controlplane/snapshot/drain.go
@@ -6,17 +6,17 @@
 	"weirhaven/internal/pb"
 )
 
-// DrainedForGood is the value of a drain that no later start lifts.
+// DrainedForGood is the value of a permanent drain, which no later start of the endpoint lifts.
 const DrainedForGood = -1
 
-// Drained tells whether the present life of an endpoint is drained: a drain covers all lives up to a start time.
+// Drained reports whether the drain of an endpoint covers its latest start. A drain covers all starts up to a certain time.
 func Drained(endpoint *pb.PlanBrick) bool {
 	drained := endpoint.GetDrained()
 	return drained == DrainedForGood || drained != 0 && endpoint.GetStarted() <= drained
 }
 
-// MergeDrains is the drain that covers both. A drain is the start, in ns since 1970, of the latest life drained; 0: none; -1: all
-// lives, whenever they start.
+// MergeDrains returns the drain that covers both a and b. A drain is the time of the latest drained start of the endpoint, in ns
+// since 1970. 0 means no drain, and -1 (DrainedForGood) covers all starts.
 func MergeDrains(a, b int64) int64 {
 	if a == DrainedForGood || b == DrainedForGood {
 		return DrainedForGood
@@ -24,7 +24,7 @@
 	return max(a, b)
 }
 
-// AddDrain merges a drain into an endpoint's record, in place, and takes the endpoint out of service if its present life is drained.
+// AddDrain merges a drain into an endpoint's record in place and clears Serving if the endpoint is drained.
 func AddDrain(record *pb.Item, drain int64) {
 	if record.Brick == nil {
 		record.Brick = &pb.PlanBrick{}
@@ -33,8 +33,8 @@
 	record.Brick.Serving = record.Brick.Serving && !Drained(record.Brick)
 }
 
-// LearnDrain merges a drain of an endpoint that the gateway learned by itself, from the endpoint or another gateway. changed: it was
-// not covered by what is known.
+// LearnDrain merges a drain that the gateway learned from the endpoint itself or from another gateway. It reports whether the drain
+// was not yet covered by the known one.
 func (s *Snapshot) LearnDrain(endpoint string, drain int64) (changed bool) {
 	key := Key{pb.Item_BRICK, endpoint}
 	known := s.records[key]
@@ -51,8 +51,8 @@
 	return true
 }
 
-// WithKnownDrain is the record with the drains merged that are known of its endpoint: the record itself if that changes nothing, else
-// a copy.
+// WithKnownDrain returns the record with the known drains of its endpoint merged into it. It returns the record itself if nothing
+// changes, and a copy otherwise.
 func (s *Snapshot) WithKnownDrain(record *pb.Item) *pb.Item {
 	key := KeyOf(record)
 	known := s.records[key]
--- a/internal/controlplane/snapshot/record.go
+++ b/internal/controlplane/snapshot/record.go
@@ -16,21 +16,22 @@
 	Name string
 }
 
-// KeyOf is the key of a record.
+// KeyOf returns the key of a record.
 func KeyOf(record *pb.Item) Key { return Key{record.Kind, record.Name} }
 
-// CompareTerms orders terms: by number, then by controller. It is negative if a is lower, 0 if they are the same; nil is the lowest.
+// CompareTerms compares terms by number, then by controller. The result is negative if a is lower, 0 if both are equal and positive
+// if a is higher; nil is the lowest term.
 func CompareTerms(a, b *pb.Tenure) int {
 	return cmp.Or(cmp.Compare(a.GetTerm(), b.GetTerm()), cmp.Compare(a.GetPlanner(), b.GetPlanner()))
 }
 
-// Supersedes tells whether record a is later than b of the same key: by generation, then by term.
+// Supersedes reports whether record a is later than record b with the same key, by generation, then by term.
 func Supersedes(a, b *pb.Item) bool {
 	return a.Generation > b.Generation || a.Generation == b.Generation && a.Term > b.Term
 }
 
-// Digest is one number for a set of records, independent of their order: two sets of other keys, generations or terms differ in it but
-// for chance. Tombstones are left out, and placements, since each gateway holds its own only.
+// Digest returns a hash of the keys, generations and terms of a set of records, independent of their order. It excludes tombstones,
+// and it excludes placements because each gateway holds only its own.
 func Digest(records map[Key]*pb.Item) (digest uint64) {
 	for key, record := range records {
 		if key.Kind != pb.Item_PLACE && !record.Gone {
@@ -45,7 +46,7 @@
 	slices.SortFunc(records, func(a, b *pb.Item) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
 }
 
-// Sorted is a new slice of the records, ordered by Sort.
+// Sorted returns the records in a new slice, ordered by Sort.
 func Sorted(records map[Key]*pb.Item) []*pb.Item {
 	sorted := make([]*pb.Item, 0, len(records))
 	for _, record := range records {
--- a/internal/controlplane/snapshot/snapshot.go
+++ b/internal/controlplane/snapshot/snapshot.go
@@ -10,22 +10,23 @@
 )
 
 var (
-	// ErrNoTerm is returned for a message of a controller that names no term.
-	ErrNoTerm = errors.New("the controller names no term")
-	// ErrNotFollowed is returned for a message of another term than the one followed.
+	// ErrNoTerm is returned for a controller's message without a term.
+	ErrNoTerm = errors.New("message of the controller has no term")
+	// ErrNotFollowed is returned for a message whose term is not the one that the gateway follows.
 	ErrNotFollowed = errors.New("the controller is not followed")
 )
 
-// Snapshot is what a gateway holds. New makes one.
+// Snapshot is the set of records that a gateway holds, with their generation and term. Use New to create one.
 type Snapshot struct {
-	term       *pb.Tenure // the highest seen
+	term       *pb.Tenure // highest term seen
 	generation uint64
 	records    map[Key]*pb.Item
 	maxRecords int
-	pending    *transfer // nil: none is being received
+	pending    *transfer // transfer being received; nil: none
 }
 
-// New makes a snapshot of what was persisted; nil, 0 and nil: nothing. maxRecords bounds the records that a transfer may lead to.
+// New returns a snapshot with the persisted term, generation and records; the arguments are nil, 0 and nil if nothing was
+// persisted. maxRecords limits the number of records after a transfer.
 func New(term *pb.Tenure, generation uint64, records []*pb.Item, maxRecords int) *Snapshot {
 	s := &Snapshot{term: &pb.Tenure{}, generation: generation, records: map[Key]*pb.Item{}, maxRecords: maxRecords}
 	if term != nil {
@@ -37,23 +38,23 @@
 	return s
 }
 
-// Term is the highest term seen; its number is 0 while none was. Not to be modified.
+// Term returns the highest term seen; its number is 0 if none has been seen. The result must not be modified.
 func (s *Snapshot) Term() *pb.Tenure { return s.term }
 
-// Generation is that of the latest transfer applied.
+// Generation returns the generation of the latest transfer applied.
 func (s *Snapshot) Generation() uint64 { return s.generation }
 
-// Digest is the digest of the records held.
+// Digest returns the digest of the records held.
 func (s *Snapshot) Digest() uint64 { return Digest(s.records) }
 
-// Records are the records held in order, tombstones with a drain included. Not to be modified.
+// Records returns the records held in order, including tombstones with a drain. The records must not be modified.
 func (s *Snapshot) Records() []*pb.Item { return Sorted(s.records) }
 
-// Get is the record of a key; nil: none. Not to be modified.
+// Get returns the record with the given key, or nil if there is none. The record must not be modified.
 func (s *Snapshot) Get(key Key) *pb.Item { return s.records[key] }
 
-// ObserveTerm takes the term of a controller's message. raised: it is higher than any seen, and must be persisted before the message
-// is answered. A lower one is an ErrNotFollowed: the message must not be used.
+// ObserveTerm checks the term of a controller's message. If raised, the term is higher than any seen before and must be persisted
+// before the gateway replies. For a lower term the error wraps ErrNotFollowed, and the message must not be used.
 func (s *Snapshot) ObserveTerm(term *pb.Tenure) (raised bool, err error) {
 	if term.GetTerm() == 0 {
 		return false, ErrNoTerm
@@ -73,8 +74,8 @@
 	return fmt.Errorf("%w: %q has term %d, %q of term %d is followed", ErrNotFollowed, term.GetPlanner(), term.GetTerm(), s.term.Planner, s.term.Term)
 }
 
-// AddPlacement takes a placement given to this gateway, ahead of the transfer that will contain it: it is part of the gateway's report
-// to a controller that lost its disk in between.
+// AddPlacement adds a placement requested by this gateway before the transfer that contains it arrives. The gateway's report then
+// includes the placement if the controller loses its disk in between.
 func (s *Snapshot) AddPlacement(placement *pb.Item) {
 	if known := s.records[KeyOf(placement)]; known == nil || Supersedes(placement, known) {
 		s.records[KeyOf(placement)] = placement
--- a/internal/controlplane/snapshot/transfer.go
+++ b/internal/controlplane/snapshot/transfer.go
@@ -10,39 +10,41 @@
 	"weirhaven/internal/pb"
 )
 
-// transferFactor bounds a transfer to so many times the records allowed: it may name tombstones beside them.
+// transferFactor limits the size of a transfer to a multiple of the maximum number of records, since a transfer may also contain
+// tombstones.
 const transferFactor = 2
 
 var (
-	// ErrMixedTransfers is returned for a chunk of another transfer than the one being received.
+	// ErrMixedTransfers is returned for a chunk that does not belong to the transfer being received.
 	ErrMixedTransfers = errors.New("chunks of two transfers are mixed")
 	// ErrLowerGeneration is returned for a transfer to a lower generation than the one held.
 	ErrLowerGeneration = errors.New("lower generation than the one held")
-	// ErrTooManyRecords is returned for a transfer with, or leading to, more records than allowed.
+	// ErrTooManyRecords is returned if a transfer or its result has more records than allowed.
 	ErrTooManyRecords = errors.New("too many records")
-	// ErrDigestMismatch is returned for a full snapshot that does not have its own digest.
+	// ErrDigestMismatch is returned for a full snapshot whose records do not match its digest.
 	ErrDigestMismatch = errors.New("digest mismatch")
 )
 
-// transfer is one being received: the full snapshot, or the changes from one generation to another.
+// transfer is a transfer being received: the full snapshot, or the changes from one generation to another.
 type transfer struct {
 	from, to uint64
 	full     bool
-	records  []*pb.Item // of all chunks so far
+	records  []*pb.Item // records of all chunks received so far
 }
 
-// Applied is the result of a chunk.
+// Applied is the result of ApplyChunk.
 type Applied struct {
-	Changed   []*pb.Item // records that are new, changed or removed (Gone), in order
-	Complete  bool       // it was the last chunk: the transfer is applied, Changed is to be persisted
-	NeedsFull bool       // what is held and what was sent don't fit together: the gateway must ask for the full snapshot
+	Changed   []*pb.Item // new, changed and removed (Gone) records, in order
+	Complete  bool       // the transfer was completed and applied; the caller must persist Changed
+	NeedsFull bool       // the changes cannot be applied to the records held; the gateway must request the full snapshot
 }
 
-// AbortTransfer forgets the chunks of a transfer that is not complete: its stream ended.
+// AbortTransfer discards the chunks of an incomplete transfer.
 func (s *Snapshot) AbortTransfer() { s.pending = nil }
 
-// ApplyChunk takes a chunk of a transfer under a controller's term, which must be the one followed. Nothing changes before the last
-// chunk. After an error, or if Applied.NeedsFull, what was received of the transfer is forgotten and nothing has changed.
+// ApplyChunk processes a chunk of a transfer sent under the given term, which must be the one that the gateway follows. The records
+// change only with the last chunk. After an error, or if Applied.NeedsFull, the transfer is discarded and the records are
+// unchanged.
 func (s *Snapshot) ApplyChunk(term *pb.Tenure, chunk *pb.ViewPart) (Applied, error) {
 	if CompareTerms(term, s.term) != 0 {
 		return Applied{}, s.notFollowed(term)
@@ -71,7 +73,7 @@
 	return s.apply(complete, chunk.Digest)
 }
 
-// checkChunk refuses what a controller that follows the protocol never sends.
+// checkChunk rejects chunks that violate the protocol.
 func (s *Snapshot) checkChunk(chunk *pb.ViewPart) error {
 	if chunk.From != s.pending.from || chunk.To != s.pending.to || chunk.Whole != s.pending.full {
 		return fmt.Errorf("%w: to generation %d and to %d", ErrMixedTransfers, s.pending.to, chunk.To)
@@ -82,10 +84,10 @@
 	return nil
 }
 
-// apply takes over a complete transfer if its result has the digest; digest 0: not checked.
+// apply applies a complete transfer if the result matches the digest. A digest of 0 is not checked.
 func (s *Snapshot) apply(t *transfer, digest uint64) (Applied, error) {
 	next := s.merge(t)
-	removed := s.removeUnnamed(t, next)
+	removed := s.removeMissing(t, next)
 	if digest != 0 && Digest(next) != digest {
 		if t.full {
 			return Applied{}, fmt.Errorf("%w: full snapshot of generation %d", ErrDigestMismatch, t.to)
@@ -106,7 +108,7 @@
 	return Applied{Changed: changed, Complete: true}, nil
 }
 
-// merge is the set of records after a transfer: of each key the later record, with its known drains.
+// merge returns the records after a transfer: the later record of each key, with the known drains merged into it.
 func (s *Snapshot) merge(t *transfer) map[Key]*pb.Item {
 	next := map[Key]*pb.Item{}
 	if !t.full {
@@ -122,9 +124,9 @@
 	return next
 }
 
-// removeUnnamed returns the tombstones of the records that a full snapshot doesn't name. That of a drained endpoint is added to next,
-// so that the drain stays known.
-func (s *Snapshot) removeUnnamed(t *transfer, next map[Key]*pb.Item) (removed []*pb.Item) {
+// removeMissing returns tombstones for the records that a full snapshot does not contain. The tombstone of a drained endpoint is
+// added to next, so that the drain is not lost.
+func (s *Snapshot) removeMissing(t *transfer, next map[Key]*pb.Item) (removed []*pb.Item) {
 	for key, known := range s.records {
 		if next[key] != nil {
 			continue
--- a/internal/controlplane/store/open.go
+++ b/internal/controlplane/store/open.go
@@ -14,15 +14,16 @@
 	"weirhaven/internal/pb"
 )
 
-// lockTimeout is how long another program that has the file open is waited for: one that ends just now.
+// lockTimeout is how long Open waits for another program to close the file, for example one that is just exiting.
 const lockTimeout = 200 * time.Millisecond
 
-// ErrUnreadable is wrapped by the error for a file that is damaged, of a later format or something else. Open returns it only where
-// such a file can't be set aside.
+// ErrUnreadable is wrapped by the error for a file that is damaged, has a later format version or is not a store. Open returns it
+// only if the file cannot be renamed.
 var ErrUnreadable = errors.New("unreadable")
 
-// Open opens a file, or makes it, and returns what it holds. An unreadable file is renamed and a new one made; setAside is then its
-// new name with the reason. It is never deleted. The error is ErrLocked, os.ErrPermission or what else kept the file from being opened.
+// Open opens or creates a file and returns its content. An unreadable file is renamed, never deleted, and a new one is created;
+// setAside then contains the file's new name and the reason. The error wraps ErrLocked, os.ErrPermission or another reason why the
+// file could not be opened.
 func Open(file string) (s *Store, saved Saved, setAside string, err error) {
 	s, saved, err = open(file)
 	if err == nil || errors.Is(err, ErrLocked) || errors.Is(err, os.ErrPermission) {
@@ -40,15 +41,16 @@
 	return s, saved, fmt.Sprintf("%s (%v)", newName, reason), err
 }
 
-// open opens a file as it is. bbolt panics on some torn pages, as after a power failure: that is an unreadable file, too.
+// open opens a file without renaming it. bbolt panics on some torn pages, which can result from a power failure; such a file also
+// counts as unreadable.
 func open(file string) (s *Store, saved Saved, err error) {
 	var db *bbolt.DB
 	defer func() {
 		if p := recover(); p != nil {
-			s, err = nil, fmt.Errorf("store %s: %w, torn: %v", file, ErrUnreadable, p)
+			s, err = nil, fmt.Errorf("store %s: %w, torn page: %v", file, ErrUnreadable, p)
 		}
 		if err != nil && db != nil {
-			_ = db.Close() // the file is not used
+			_ = db.Close() // the close error is irrelevant, since the file is not used
 		}
 	}()
 	db, err = bbolt.Open(file, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -68,28 +70,28 @@
 	return &Store{db}, saved, nil
 }
 
-// read returns what the file holds; an empty file holds nothing.
+// read returns the content of the file, which is the zero value for an empty file.
 func read(tx *bbolt.Tx) (saved Saved, err error) {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
 		if key, _ := tx.Cursor().First(); key != nil {
-			return saved, errors.New("the file is the store of something else")
+			return saved, errors.New("the file is not a control plane store")
 		}
 		return saved, nil
 	}
 	format, ok := decodeNumber(meta.Get(formatKey))
 	if !ok {
-		return saved, errors.New("the file is the store of something else")
+		return saved, errors.New("the file is not a control plane store")
 	}
 	if format > FormatVersion {
-		return saved, fmt.Errorf("format %d was written by a later program, this one knows %d", format, FormatVersion)
+		return saved, fmt.Errorf("unsupported format version %d, at most %d is supported", format, FormatVersion)
 	}
 	saved.Term = &pb.Tenure{}
 	if err := proto.Unmarshal(meta.Get(termKey), saved.Term); err != nil {
 		return saved, fmt.Errorf("term: %w", err)
 	}
 	if saved.Generation, ok = decodeNumber(meta.Get(generationKey)); !ok {
-		return saved, errors.New("generation: not a number")
+		return saved, errors.New("generation: malformed number")
 	}
 	err = tx.Bucket(recordBucket).ForEach(func(key, value []byte) error {
 		record := &pb.Item{}
@@ -97,7 +99,7 @@
 			return fmt.Errorf("record %q: %w", key, err)
 		}
 		if string(recordKey(record)) != string(key) {
-			return fmt.Errorf("record %q: holds %q", key, recordKey(record))
+			return fmt.Errorf("record under key %q has key %q", key, recordKey(record))
 		}
 		saved.Records = append(saved.Records, record)
 		return nil
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps a controller's state, or a gateway's snapshot of it, in a bbolt file: term, generation and records, each change
-// one transaction. A program killed at any moment leaves the state before a change or after it.
+// Package store stores a controller's state, or a gateway's snapshot of it, in a bbolt file: the term, the generation and the
+// records. Each change is one transaction, so a program that is killed at any time leaves either the previous or the new state.
 //
-// The file has two buckets: "meta" with the keys "format", "tenure" (pb.Tenure) and "generation" (numbers: 8 bytes, big-endian), and
-// "items" with a pb.Item under "KIND/NAME" for each record.
+// The file has two buckets. "meta" has the keys "format", "tenure" (pb.Tenure) and "generation"; numbers are 8 bytes in big-endian
+// order. "items" has a pb.Item under "KIND/NAME" for each record.
 package store
 
 import (
@@ -16,13 +16,14 @@
 	"weirhaven/internal/pb"
 )
 
-// FormatVersion is the version of the file's form. A file of a higher one is set aside: a later program wrote it.
+// FormatVersion is the version of the file format. A file with a higher version was written by a later release and is renamed by
+// Open.
 const FormatVersion = 1
 
-// ErrLocked is returned where another program has the file open.
-var ErrLocked = errors.New("another program has this store open; each controller and gateway needs one of its own")
+// ErrLocked is returned if another program has the file open.
+var ErrLocked = errors.New("another program has this store open; each controller and gateway needs its own store")
 
-// The stored names. They can't change: files of earlier versions are read.
+// Names of buckets and keys in the file. They must not change, since files of earlier versions must remain readable.
 var (
 	metaBucket    = []byte("meta")
 	recordBucket  = []byte("items")
@@ -31,19 +32,19 @@
 	generationKey = []byte("generation")
 )
 
-// Saved is what a store holds.
+// Saved is the content of a store.
 type Saved struct {
-	Term       *pb.Tenure // nil: nothing was persisted
+	Term       *pb.Tenure // nil: nothing has been persisted
 	Generation uint64
 	Records    []*pb.Item // ordered by their keys in the file
 }
 
-// Store is one open file. It may be used by one goroutine at a time.
+// Store is an open file. It must not be used by several goroutines at the same time.
 type Store struct{ db *bbolt.DB }
 
-// Persist stores a term, a generation and changed records in one transaction, on disk when it returns. After an error nothing of it may
-// be on disk, or, if the last write of the transaction failed, all of it. A removed record is stored as a tombstone: it may hold a
-// drain, and the controller must know what was removed.
+// Persist stores a term, a generation and changed records in one transaction, which is on disk when Persist returns. After an error
+// the disk holds nothing of the transaction or, if its last write failed, possibly all of it. A removed record is stored as a
+// tombstone, since it may contain a drain and the controller must know which records were removed.
 func (s *Store) Persist(term *pb.Tenure, generation uint64, changed []*pb.Item) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
@@ -70,7 +71,7 @@
 	})
 }
 
-// Close closes the file. Nothing is lost without it.
+// Close closes the file. No data is lost if it is not called.
 func (s *Store) Close() error { return s.db.Close() }
 
 func recordKey(record *pb.Item) []byte { return fmt.Appendf(nil, "%d/%s", record.Kind, record.Name) }
--- a/internal/controlplane/store/stored_data_test.go
+++ b/internal/controlplane/store/stored_data_test.go
@@ -14,7 +14,7 @@
 
 func storedTerm() *pb.Tenure { return &pb.Tenure{Term: 12, Planner: "planner-b"} }
 
-// storedRecords are one of each kind, and some tombstones, in the order of the file.
+// storedRecords returns the records of the sample file in the order of the file: at least one of each kind, and some tombstones.
 func storedRecords() []*pb.Item {
 	const started = 1_790_000_000_000_000_000
 	return []*pb.Item{
@@ -34,7 +34,7 @@
 	}
 }
 
-// storedFile is a copy of the sample.
+// storedFile copies the sample file and returns the name of the copy.
 func storedFile(t *testing.T) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "plan.db"))
@@ -70,8 +70,8 @@
 	}
 }
 
-// A controller of version a32f63c wrote its term, generation and records. Every later version must read them, each value as it was:
-// else the first start after an upgrade forgets placements and drains.
+// TestStoredDataIsRead checks that the term, generation and records written by a controller of version a32f63c are read unchanged.
+// Otherwise the first start after an upgrade would lose placements and drains.
 func TestStoredDataIsRead(t *testing.T) {
 	_, saved := mustOpen(t, storedFile(t))
 	if !proto.Equal(saved.Term, storedTerm()) || saved.Generation != storedGeneration {
@@ -80,7 +80,8 @@
 	sameRecords(t, saved.Records, storedRecords())
 }
 
-// A later version writes to the file of version a32f63c. A higher term and a changed record replace what was there, the rest stays.
+// TestStoredDataIsWrittenTo checks that writing a higher term and a changed record to a file of version a32f63c replaces these and
+// leaves all other records unchanged.
 func TestStoredDataIsWrittenTo(t *testing.T) {
 	file := storedFile(t)
 	s, _ := mustOpen(t, file)
