--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -25,46 +25,47 @@
 	defaultSilenceTimeout = 10 * time.Second
 )
 
-// Sink receives what the snapshot says. It is called from the Follower's goroutines, mostly with its mutex held: a call must not block
-// and must not call the Follower.
+// Sink receives the records of the snapshot. The Follower calls it from its goroutines, mostly with its mutex held. A call must not
+// block and must not call the Follower.
 type Sink interface {
-	// Changed gives records as they are now, removed ones with Gone. fresh: a connected controller holds them to be true; else they
-	// were read from disk.
+	// Changed passes the current version of records; removed records have Gone set. If fresh, a connected controller confirms the
+	// records; otherwise they were read from disk.
 	Changed(records []*pb.Item, fresh bool)
 }
 
-// Config is a Follower's.
+// Config is the configuration of a Follower.
 type Config struct {
 	Controllers   *pb.Planner // addresses and keys of the controllers
-	Gateway       string      // name of the gateway that follows
-	ClientAddress string      // where clients reach the gateway
-	SnapshotFile  string      // that keeps the snapshot
+	Gateway       string      // name of this gateway
+	ClientAddress string      // address at which clients reach the gateway
+	SnapshotFile  string      // file that stores the snapshot
 	Log           *slog.Logger
 	Sink          Sink
-	Seed          int64 // of the spread of reconnects
-	// SilenceTimeout is how long a controller may send nothing before its stream is ended; 0: 10 s.
+	Seed          int64 // seed of the jitter between reconnects
+	// SilenceTimeout is how long a controller may send nothing before its stream is closed; 0: 10 s.
 	SilenceTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the mean wait between attempts to reach a controller. MinBackoff 0: 200 ms and 5 s.
+	// MinBackoff and MaxBackoff limit the mean delay between attempts to connect to a controller. If MinBackoff is 0, the limits
+	// are 200 ms and 5 s.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Follower follows the controllers for one gateway. Its methods may be called from any goroutine.
+// Follower follows the controllers for one gateway. Its methods are safe for concurrent use.
 type Follower struct {
 	config       Config
 	credentials  credentials.TransportCredentials
-	drainLearned chan struct{} // a drain was learned and is to be reported
+	drainLearned chan struct{} // signals that a learned drain must be reported
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	snapshot  *snapshot.Snapshot
 	store     *store.Store // nil: Run has ended
-	followed  *stream      // nil: no controller is followed
-	needsFull bool         // the next hello asks for the full snapshot
+	followed  *stream      // stream of the followed controller; nil: none
+	needsFull bool         // the next hello requests the full snapshot
 	rng       *rand.Rand
 }
 
-// Open reads the snapshot kept and gives it to the sink, not fresh. It fails where the keys can't be used, the settings allow no
-// connection without keys, or the file is open in another program (store.ErrLocked). After it, Run must be called, which closes the
-// file.
+// Open reads the stored snapshot and passes it to the sink as not fresh. It fails if the keys are not usable, if the settings do
+// not allow a connection without keys, or if another program has the file open (store.ErrLocked). The caller must then call Run,
+// which closes the file.
 func Open(config Config) (*Follower, error) {
 	if config.MinBackoff == 0 {
 		config.MinBackoff, config.MaxBackoff = defaultMinBackoff, defaultMaxBackoff
@@ -97,7 +98,8 @@
 	}, nil
 }
 
-// clientCredentials are mutual TLS by the keys of the settings; without keys the settings must say so, and only loopback is allowed.
+// clientCredentials returns credentials for mutual TLS with the configured keys. Without keys the settings must contain plain:
+// true, and only loopback addresses are allowed.
 func clientCredentials(settings *pb.Planner, log *slog.Logger) (credentials.TransportCredentials, error) {
 	if settings.Keys != nil {
 		keys, err := tlskeys.Load(settings.Keys, log)
@@ -112,34 +114,34 @@
 	}
 	for _, address := range settings.Address {
 		if !settings.Plain || !tlskeys.Loopback(address) {
-			return nil, fmt.Errorf("settings planner give no keys; without them say plain: true and use loopback (address: %s)", address)
+			return nil, fmt.Errorf("settings planner contain no keys; a connection without keys needs plain: true and a loopback address (address: %s)", address)
 		}
 	}
 	return insecure.NewCredentials(), nil
 }
 
-// Run follows the controllers until ctx ends, and closes the file. It may be called once.
+// Run follows the controllers until ctx ends, and then closes the file. It may be called only once.
 func (f *Follower) Run(ctx context.Context) {
 	var connections sync.WaitGroup
 	for _, address := range f.config.Controllers.Address {
-		connections.Go(func() { f.stayConnected(ctx, address) })
+		connections.Go(func() { f.maintainStream(ctx, address) })
 	}
 	connections.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = f.store.Close() // each change is on disk when it was persisted
+	_ = f.store.Close() // every persisted change is already on disk
 	f.store = nil
 }
 
-// Get is the record of a key; nil: none. Not to be modified.
+// Get returns the record with the given key, or nil if there is none. The record must not be modified.
 func (f *Follower) Get(key snapshot.Key) *pb.Item {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot.Get(key)
 }
 
-// State is what is followed and held: the address of the controller, empty if none is followed, the highest term seen, the generation
-// and all records in order.
+// State returns the address of the followed controller ("" if there is none), the highest term seen, the generation held and all
+// records in order.
 func (f *Follower) State() (address string, term *pb.Tenure, generation uint64, records []*pb.Item) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,12 +151,12 @@
 	return address, f.snapshot.Term(), f.snapshot.Generation(), f.snapshot.Records()
 }
 
-// persist stores records with the term and generation held. f.mu is held.
+// persist stores records with the current term and generation. The caller holds f.mu.
 func (f *Follower) persist(records []*pb.Item) error {
 	return f.store.Persist(f.snapshot.Term(), f.snapshot.Generation(), records)
 }
 
-// connect makes a connection, which dials when it is first used.
+// connect returns a connection, which is established on its first use.
 func (f *Follower) connect(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(f.credentials),
--- a/internal/controlplane/client/drain.go
+++ b/internal/controlplane/client/drain.go
@@ -6,9 +6,9 @@
 	"weirhaven/internal/pb"
 )
 
-// LearnDrain takes a drain of an endpoint that the gateway learned by itself: drained is the start, in ns since 1970, of the latest life
-// drained. The controller receives it at once, or with the report that it asks for when it is connected again. After Run has ended it
-// does nothing.
+// LearnDrain records a drain that the gateway learned from an endpoint or another gateway. drained is the time of the latest
+// drained start of the endpoint, in ns since 1970. The controller receives the drain immediately or, if it is not connected, with
+// the report that it requests after the next connect. LearnDrain has no effect after Run has ended.
 func (f *Follower) LearnDrain(endpoint string, drained int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -22,15 +22,15 @@
 	}
 }
 
-// persistDrain stores the record of an endpoint whose drain was learned. If that fails the drain still counts, until a restart. f.mu is
-// held.
+// persistDrain stores the record of an endpoint with a learned drain. If that fails, the drain remains in effect until a restart.
+// The caller holds f.mu.
 func (f *Follower) persistDrain(key snapshot.Key) {
 	if err := f.persist([]*pb.Item{f.snapshot.Get(key)}); err != nil {
 		f.config.Log.Warn("drain not persisted", "endpoint", key.Name, "err", err)
 	}
 }
 
-// reportIfFollowed is the report for a learned drain; nil: the stream's controller is not the one followed.
+// reportIfFollowed returns a report that contains the learned drain, or nil if the stream's controller is not the followed one.
 func (f *Follower) reportIfFollowed(s *stream) []*pb.EdgeSays {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,7 +40,8 @@
 	return f.report()
 }
 
-// report is all that is held, in messages; there is at least one, and the last says so. f.mu is held.
+// report returns the messages of a report of all records. There is at least one message, and the last one has Last set. The caller
+// holds f.mu.
 func (f *Follower) report() (messages []*pb.EdgeSays) {
 	records := f.snapshot.Records()
 	for {
--- a/internal/controlplane/client/handle.go
+++ b/internal/controlplane/client/handle.go
@@ -8,10 +8,11 @@
 	"weirhaven/internal/pb"
 )
 
-var errChangesDontFit = errors.New("changes don't fit what is held, the full snapshot will be asked for")
+var errChangesNotApplicable = errors.New("changes cannot be applied to the records held; requesting the full snapshot")
 
-// handle takes a controller's message and returns the replies. A term is on disk before a reply speaks of it. A generation may be
-// acknowledged from memory where the disk fails: after a restart the digest shows what is missing. An error ends the stream.
+// handle processes a controller's message and returns the replies. A term is on disk before a reply contains it. A generation may
+// be acknowledged although it could not be persisted, since the digest reveals missing records after a restart. An error ends the
+// stream.
 func (f *Follower) handle(s *stream, message *pb.PlannerSays) (replies []*pb.EdgeSays, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,8 +38,9 @@
 	return nil, nil
 }
 
-// follow checks the term of a message and makes its controller the one followed; the one before, of a lower term, is left. A higher
-// term that can't be persisted is not followed: after a restart the gateway would acknowledge a lower one again. f.mu is held.
+// follow checks the term of a message and follows its controller. The stream of a previously followed controller, which has a lower
+// term, is closed. A higher term that cannot be persisted is not followed, since the gateway could acknowledge a lower one after a
+// restart. The caller holds f.mu.
 func (f *Follower) follow(s *stream, term *pb.Tenure) error {
 	raised, err := f.snapshot.ObserveTerm(term)
 	if err != nil {
@@ -46,7 +48,7 @@
 	}
 	if raised {
 		if err := f.persist(nil); err != nil {
-			return fmt.Errorf("controller not followed, its term can't be persisted: %w", err)
+			return fmt.Errorf("controller not followed, its term cannot be persisted: %w", err)
 		}
 		f.config.Log.Info("following a controller", "address", s.address, "controller", term.Planner, "term", term.Term)
 	}
@@ -61,14 +63,14 @@
 	return nil
 }
 
-// acknowledgement of the latest heartbeat and of all records up to the generation held. f.mu is held.
+// acknowledgement returns the acknowledgement of the stream's latest heartbeat and of the generation held. The caller holds f.mu.
 func (f *Follower) acknowledgement(s *stream) []*pb.EdgeSays {
 	ack := &pb.EdgeAck{Tenure: f.snapshot.Term(), Generation: f.snapshot.Generation(), Beat: s.heartbeat}
 	return []*pb.EdgeSays{{What: &pb.EdgeSays_Ack{Ack: ack}}}
 }
 
-// applyChunk takes a chunk of a transfer; complete: it was the last and the snapshot has changed. After an error the next hello asks
-// for the full snapshot, unless that was just received. f.mu is held.
+// applyChunk processes a chunk of a transfer. If complete, it was the last chunk and the transfer was applied. After an error the
+// next hello requests the full snapshot, unless the failed transfer was the full snapshot. The caller holds f.mu.
 func (f *Follower) applyChunk(term *pb.Tenure, chunk *pb.ViewPart) (complete bool, err error) {
 	applied, err := f.snapshot.ApplyChunk(term, chunk)
 	if err != nil {
@@ -77,14 +79,14 @@
 	}
 	if applied.NeedsFull {
 		f.needsFull = true
-		return false, errChangesDontFit
+		return false, errChangesNotApplicable
 	}
 	if !applied.Complete {
 		return false, nil
 	}
 	f.needsFull = false
 	if err := f.persist(applied.Changed); err != nil {
-		f.config.Log.Warn("snapshot not persisted, used all the same", "err", err)
+		f.config.Log.Warn("snapshot not persisted; using it from memory", "err", err)
 	}
 	if len(applied.Changed) > 0 {
 		f.config.Sink.Changed(applied.Changed, true)
@@ -92,8 +94,8 @@
 	return true, nil
 }
 
-// useEvidence takes what a controller that may not write received about endpoints. It is no part of the snapshot: the sink uses it as
-// it would another gateway's, and only its drains are kept. f.mu is held.
+// useEvidence processes information about endpoints from a controller that cannot write. It is not part of the snapshot: the sink
+// treats it like information from another gateway, and only its drains are stored. The caller holds f.mu.
 func (f *Follower) useEvidence(records []*pb.Item) {
 	for i, record := range records {
 		records[i] = f.snapshot.WithKnownDrain(record)
--- a/internal/controlplane/client/stored_data_test.go
+++ b/internal/controlplane/client/stored_data_test.go
@@ -17,15 +17,15 @@
 
 const (
 	storedGeneration = 21
-	storedStart      = 1_790_000_000_000_000_000 // of an endpoint, ns since 1970
+	storedStart      = 1_790_000_000_000_000_000 // start time of an endpoint, in ns since 1970
 )
 
-// storedRecords are the snapshot that the gateway held, in its order.
+// storedRecords returns the records of the sample file, in the order of the snapshot.
 func storedRecords() []*pb.Item {
 	return []*pb.Item{
 		{Kind: pb.Item_BRICK, Name: "brick-1", Generation: 20, Term: 12,
 			Brick: &pb.PlanBrick{Address: "127.0.0.1:7101", Zone: "north", Cell: 3, Serving: true, Started: storedStart}},
-		{Kind: pb.Item_BRICK, Name: "brick-2", Generation: 20, Term: 12, // serving in the controller's record, until the gateway learned of its drain
+		{Kind: pb.Item_BRICK, Name: "brick-2", Generation: 20, Term: 12, // serving according to the controller, but the gateway learned a drain
 			Brick: &pb.PlanBrick{Address: "127.0.0.1:7102", Zone: "south", Cell: 4, Started: storedStart, Drained: storedStart}},
 		{Kind: pb.Item_BRICK, Name: "brick-3", Generation: 21, Term: 12, Gone: true, Brick: &pb.PlanBrick{Cell: 5, Drained: -1}},
 		{Kind: pb.Item_VOLUME, Name: "volume-1", Generation: 20, Term: 12,
@@ -38,7 +38,7 @@
 	}
 }
 
-// recordingSink keeps what it is given.
+// recordingSink stores the records passed to it.
 type recordingSink struct {
 	records []*pb.Item
 	fresh   bool
@@ -48,7 +48,7 @@
 	s.records, s.fresh = append(s.records, records...), s.fresh || fresh
 }
 
-// openStored opens a copy of the sample.
+// openStored opens a Follower with a copy of the sample file.
 func openStored(t *testing.T, sink Sink) *Follower {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "view.db"))
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // a Run that ends at once closes the file
+	t.Cleanup(func() { // Run with an ended context closes the file
 		ended, end := context.WithCancel(context.Background())
 		end()
 		f.Run(ended)
@@ -84,8 +84,8 @@
 	}
 }
 
-// A gateway of version a32f63c followed a controller, learned a drain and was given a placement; it kept all that. Every later version
-// must start from it while no controller can be reached: else it sends requests to a drained endpoint.
+// TestStoredDataIsRead checks that a file written by a gateway of version a32f63c is loaded while no controller is reachable,
+// including a learned drain and a placement. Otherwise the gateway would send requests to a drained endpoint after an upgrade.
 func TestStoredDataIsRead(t *testing.T) {
 	sink := &recordingSink{}
 	f := openStored(t, sink)
@@ -96,7 +96,7 @@
 	sameRecords(t, records, storedRecords())
 	sameRecords(t, sink.records, storedRecords())
 	if sink.fresh {
-		t.Error("what was read from disk was given as fresh")
+		t.Error("records read from disk were passed to the sink as fresh")
 	}
 	for _, want := range storedRecords() {
 		if got := f.Get(snapshot.Key{Kind: want.Kind, Name: want.Name}); !proto.Equal(got, want) {
--- a/internal/controlplane/client/stream.go
+++ b/internal/controlplane/client/stream.go
@@ -14,37 +14,38 @@
 	"weirhaven/internal/pb"
 )
 
-// refreshInterval is how often the sink is given all records again while a controller is followed: its heartbeats say that they still
-// hold.
+// refreshInterval is the interval at which all records are passed to the sink again while a controller is followed. The heartbeats
+// of that controller confirm that the records are still valid.
 const refreshInterval = time.Minute
 
-// keepaliveParameters find a connection that was lost without a sign. The server cuts off who pings more often than once a second.
+// keepaliveParameters configure the detection of a connection that was lost without being closed. The server closes connections
+// with more than one ping per second.
 var keepaliveParameters = keepalive.ClientParameters{Time: 5 * time.Second, Timeout: 5 * time.Second, PermitWithoutStream: true}
 
-// stream is one conversation with one controller.
+// stream is a stream to one controller.
 type stream struct {
 	address   string
 	conn      *grpc.ClientConn
 	messages  grpc.BidiStreamingClient[pb.EdgeSays, pb.PlannerSays]
 	end       context.CancelFunc
-	heartbeat uint64 // the latest received; of the goroutine of runStream
+	heartbeat uint64 // latest heartbeat received; used only by the goroutine of runStream
 }
 
-// received is a message or why there is none.
+// received is the result of receiving a message.
 type received struct {
 	message *pb.PlannerSays
 	err     error
 }
 
-// stayConnected keeps a stream to one controller until ctx ends, with exponential backoff between attempts. The backoff starts anew
-// after a stream on which a message was accepted. An error that repeats is logged once.
-func (f *Follower) stayConnected(ctx context.Context, address string) {
+// maintainStream keeps a stream to one controller open until ctx ends, with exponential backoff between attempts. The backoff is
+// reset after a stream on which a message was accepted. A repeated error is logged only once.
+func (f *Follower) maintainStream(ctx context.Context, address string) {
 	conn, err := f.connect(address)
 	if err != nil {
 		f.config.Log.Warn("controller address unusable", "address", address, "err", err)
 		return
 	}
-	defer func() { _ = conn.Close() }() // nothing is lost with it: the stream has ended
+	defer func() { _ = conn.Close() }() // the error is irrelevant, since the stream has ended
 	backoff, lastError := f.config.MinBackoff, ""
 	for ctx.Err() == nil {
 		accepted, err := f.runStream(ctx, conn, address)
@@ -53,24 +54,25 @@
 		}
 		if err != nil && ctx.Err() == nil && err.Error() != lastError {
 			lastError = err.Error()
-			f.config.Log.Info("controller stream ended or not opened, going on with the snapshot held", "address", address, "err", err)
+			f.config.Log.Info("controller stream ended or could not be opened; continuing with the current snapshot", "address", address, "err", err)
 		}
 		select {
-		case <-time.After(f.spread(backoff)):
+		case <-time.After(f.jitter(backoff)):
 			backoff = min(2*backoff, f.config.MaxBackoff)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// spread is a random time between a half and one and a half of mean, so that many gateways don't return at the same moment.
-func (f *Follower) spread(mean time.Duration) time.Duration {
+// jitter returns a random duration between 0.5 and 1.5 times mean, so that many gateways do not reconnect at the same time.
+func (f *Follower) jitter(mean time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return mean/2 + time.Duration(f.rng.Int63n(int64(mean)))
 }
 
-// runStream opens a stream and serves it until it ends, and returns why. accepted: a message of the controller was accepted.
+// runStream opens a stream, serves it until it ends and returns the reason. accepted reports whether a message of the controller
+// was accepted.
 func (f *Follower) runStream(outer context.Context, conn *grpc.ClientConn, address string) (accepted bool, err error) {
 	ctx, end := context.WithCancel(outer)
 	defer end()
@@ -80,7 +82,7 @@
 	}
 	s := &stream{address: address, conn: conn, messages: messages, end: end}
 	if err := messages.Send(&pb.EdgeSays{What: &pb.EdgeSays_Hello{Hello: f.hello(s)}}); err != nil {
-		_, reason := messages.Recv() // why the controller ended the stream
+		_, reason := messages.Recv() // the controller's reason for closing the stream
 		return false, errors.Join(reason, err)
 	}
 	defer f.unfollow(s)
@@ -92,7 +94,7 @@
 	return f.serveStream(ctx, s, incoming)
 }
 
-// hello says what the gateway holds.
+// hello returns the first message of a stream, which describes the snapshot that the gateway holds.
 func (f *Follower) hello(s *stream) *pb.EdgeHello {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// receive hands over the messages one at a time until the stream ends: what is not handled yet waits at the controller.
+// receive passes on messages one at a time until the stream ends. Flow control leaves further messages at the controller.
 func (s *stream) receive(ctx context.Context, incoming chan<- received) {
 	for {
 		message, err := s.messages.Recv()
@@ -123,7 +125,8 @@
 	}
 }
 
-// serveStream handles what happens on a stream until it ends, or the controller is silent for too long.
+// serveStream handles messages, learned drains and timers of a stream until it ends or the controller sends nothing for
+// SilenceTimeout.
 func (f *Follower) serveStream(ctx context.Context, s *stream, incoming <-chan received) (accepted bool, err error) {
 	silence := time.NewTimer(f.config.SilenceTimeout)
 	defer silence.Stop()
@@ -168,7 +171,7 @@
 	return nil
 }
 
-// refreshSink gives the sink all records again if the stream is the one followed.
+// refreshSink passes all records to the sink again if the stream's controller is the followed one.
 func (f *Follower) refreshSink(s *stream) {
 	f.mu.Lock()
 	followed, records := f.isFollowed(s), f.snapshot.Records()
@@ -178,12 +181,12 @@
 	}
 }
 
-// isFollowed tells whether the stream's controller is the one followed. f.mu is held.
+// isFollowed reports whether the stream's controller is the followed one. The caller holds f.mu.
 func (f *Follower) isFollowed(s *stream) bool {
 	return f.followed != nil && f.followed.address == s.address
 }
 
-// unfollow takes the end of a stream.
+// unfollow handles the end of a stream.
 func (f *Follower) unfollow(s *stream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
