--- a/internal/controlplane/server/admin.go
+++ b/internal/controlplane/server/admin.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// reportWait is how long Status waits for the report that it asked a gateway for.
+	// reportWait is how long Status waits for the report that it requested from a gateway.
 	reportWait         = 2 * time.Second
 	reportPollInterval = 5 * time.Millisecond
 )
 
-// Status describes the controller for operators: its phase; on request all records, all gateways, and how a gateway's records differ.
-// It fails with NotFound for a difference to a gateway that has never reported.
+// Status returns the controller's phase for operators and, on request, all records, all gateways and the differences to a gateway's
+// records. It fails with NotFound if differences to a gateway that has never reported are requested.
 func (c *Controller) Status(ctx context.Context, request *pb.StatusAsk) (*pb.StatusTold, error) {
 	if request.Diff != "" {
 		c.refreshReport(ctx, request.Diff)
@@ -42,8 +42,8 @@
 	return reply, nil
 }
 
-// refreshReport asks a gateway for a new report and waits for it, up to reportWait. Of a gateway that isn't connected or doesn't reply
-// the latest report stands.
+// refreshReport requests a new report from a gateway and waits for it, for at most reportWait. If the gateway is not connected or
+// does not reply, its latest report remains in use.
 func (c *Controller) refreshReport(ctx context.Context, name string) {
 	connected, before := c.requestReport(name)
 	if !connected {
@@ -63,7 +63,7 @@
 	}
 }
 
-// requestReport has a gateway's stream ask for a report; before is how many it has made so far.
+// requestReport makes the stream of a gateway request a report. before is the number of reports received from the gateway so far.
 func (c *Controller) requestReport(name string) (connected bool, before int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/server/bench_test.go
+++ b/internal/controlplane/server/bench_test.go
@@ -23,15 +23,15 @@
 	"weirhaven/internal/pb"
 )
 
-// diskless is a gateway's side without a disk: what is measured is the controller's side.
-type diskless struct {
+// inMemoryGateway is a control plane client without a disk, so that the benchmark measures mostly the controller.
+type inMemoryGateway struct {
 	snapshot   *snapshot.Snapshot
-	generation atomic.Uint64           // held
-	applied    func(generation uint64) // called after each transfer
+	generation atomic.Uint64           // generation held
+	applied    func(generation uint64) // called after each applied transfer
 }
 
 // run keeps a stream to the controller until ctx ends.
-func (d *diskless) run(ctx context.Context, name, address string) {
+func (d *inMemoryGateway) run(ctx context.Context, name, address string) {
 	for ctx.Err() == nil {
 		d.follow(ctx, name, address)
 		select {
@@ -42,7 +42,7 @@
 }
 
 // follow serves one stream until it fails.
-func (d *diskless) follow(ctx context.Context, name, address string) {
+func (d *inMemoryGateway) follow(ctx context.Context, name, address string) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(protocol.MaxMessageBytes)))
 	if err != nil {
@@ -90,15 +90,16 @@
 	}
 }
 
-// cpuTime is the CPU time that this process has used.
+// cpuTime returns the CPU time used by this process.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// A change's way to all gateways, and all gateways back in step after the controller's restart, as gateways grow; 1,000 endpoints.
-// Controller and gateways run in this process, so CPU and memory are of both sides.
+// BenchmarkGateways measures the propagation of a change to all gateways, and the time until all gateways are up to date after a
+// restart of the controller, for different numbers of gateways and 1,000 endpoints. The controller and the gateways run in this
+// process, so CPU and memory figures include both.
 func BenchmarkGateways(b *testing.B) {
 	for _, n := range []int{10, 50, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -125,11 +126,11 @@
 	changeList(c, 1, true, entries...)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	gateways := make([]*diskless, n)
-	appliedAt := make([]atomic.Int64, n) // of the awaited generation; 0: not yet
+	gateways := make([]*inMemoryGateway, n)
+	appliedAt := make([]atomic.Int64, n) // time in ns at which each gateway applied the awaited generation; 0: not yet
 	var awaited atomic.Uint64
 	for i := range gateways {
-		g := &diskless{snapshot: snapshot.New(nil, 0, nil, protocol.MaxRecords)}
+		g := &inMemoryGateway{snapshot: snapshot.New(nil, 0, nil, protocol.MaxRecords)}
 		g.applied = func(generation uint64) {
 			if generation >= awaited.Load() {
 				appliedAt[i].CompareAndSwap(0, time.Now().UnixNano())
@@ -149,7 +150,7 @@
 		return true
 	}
 	begin := time.Now()
-	waitFor(b, "all in step", func() bool { return reached(1) })
+	waitFor(b, "all gateways up to date", func() bool { return reached(1) })
 	b.ReportMetric(time.Since(begin).Seconds(), "first-s")
 	time.Sleep(300 * time.Millisecond)
 	var after runtime.MemStats
@@ -197,7 +198,7 @@
 	}
 	entries = append(entries, endpoint(2000, true))
 	changeList(c, 1, true, entries...)
-	waitFor(b, "in step after the restart", func() bool {
+	waitFor(b, "gateways up to date after the restart", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.state.Phase() != statemachine.HoldingLease || byKey(c.state.Records())[snapshot.Key{Kind: pb.Item_BRICK, Name: "b2000"}] == nil {
--- a/internal/controlplane/server/command.go
+++ b/internal/controlplane/server/command.go
@@ -11,14 +11,14 @@
 	"weirhaven/internal/settings"
 )
 
-// Command is the controller's command line.
+// Command defines the controller's command line.
 type Command struct {
 	Config string `required:"" type:"existingfile" help:"Settings, protobuf text format (proto/plan.proto, PlannerConf)."`
-	Bound  bool   `help:"End when standard input ends, so that no controller outlives whoever started it."`
+	Bound  bool   `help:"Exit when standard input is closed, so that the controller does not outlive its parent process."`
 }
 
-// Execute runs a controller until SIGTERM or SIGINT. It prints READY and its address to standard output once it serves. logger makes
-// its log.
+// Execute runs a controller until SIGTERM or SIGINT. It prints READY and its address to standard output once it is serving. logger
+// creates the controller's log.
 func (c *Command) Execute(logger func(io.Writer, *pb.Log) (*slog.Logger, error)) error {
 	conf := &pb.PlannerConf{}
 	if err := settings.Load(c.Config, conf); err != nil {
--- a/internal/controlplane/server/endpoints.go
+++ b/internal/controlplane/server/endpoints.go
@@ -9,10 +9,10 @@
 	"weirhaven/internal/pb"
 )
 
-// How the endpoints' state reaches the records: the endpoint list, gateways' reports and what was persisted are evidence for package
-// endpointstate; what it concludes becomes desired.
+// The endpoint list, the gateways' reports and the persisted records are inputs of package endpointstate. Each state of an endpoint
+// that it derives from them becomes a desired record.
 
-// restoreEndpoints starts the endpoints' state from the persisted records.
+// restoreEndpoints initializes the endpoints' state from the persisted records.
 func (c *Controller) restoreEndpoints(records []*pb.Item) {
 	var restored []endpointstate.Belief
 	for _, record := range records {
@@ -35,10 +35,10 @@
 	c.endpoints.Restore(restored, endpointstate.Generation{}, now())
 }
 
-// endpointSink is the controller as package endpointstate sees it. It is called with c.mu held.
+// endpointSink receives the changes from package endpointstate. The caller holds c.mu.
 type endpointSink Controller
 
-// EndpointChanged makes the new state of an endpoint desired.
+// EndpointChanged sets the new state of an endpoint as its desired record.
 func (c *endpointSink) EndpointChanged(name, address, zone string, shard int, serving, removed bool, _ time.Duration) {
 	endpoint := &pb.PlanBrick{Address: address, Zone: zone, Cell: int64(shard), Serving: serving && !removed}
 	if belief, ok := c.endpoints.Belief(name); ok {
@@ -47,7 +47,7 @@
 	c.state.SetDesired(&pb.Item{Kind: pb.Item_BRICK, Name: name, Gone: removed, Brick: endpoint})
 }
 
-// ListReceived takes an endpoint list, or its changes, from the discovery service.
+// ListReceived processes an endpoint list, or changes of it, from the discovery service.
 func (c *Controller) ListReceived(generation endpointstate.Generation, whole bool, entries []engine.EndpointEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,18 +66,19 @@
 	c.wakeStreams()
 }
 
-// ListFailed takes that the endpoint list could not be fetched: what was last received stands.
+// ListFailed is called when the endpoint list could not be fetched. The last received list remains in use.
 func (c *Controller) ListFailed() {}
 
-// ListUnchanged takes that the endpoint list is unchanged.
+// ListUnchanged is called when the discovery service confirms that the endpoint list is unchanged.
 func (c *Controller) ListUnchanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endpoints.ListUnchanged(now())
 }
 
-// endpointsReported takes a gateway's complete report: the drains in it count, whatever the list says. c.mu is held.
-func (c *Controller) endpointsReported(records []*pb.Item) {
+// mergeReportedEndpoints merges the drains of a gateway's complete report into the endpoints' state. They apply whatever the
+// endpoint list says. The caller holds c.mu.
+func (c *Controller) mergeReportedEndpoints(records []*pb.Item) {
 	var reports []endpointstate.Report
 	for _, record := range records {
 		endpoint := record.GetBrick()
@@ -93,9 +94,9 @@
 	}
 }
 
-// evidence is the endpoints' state as records of no generation: what gateways are told while nothing may be written, so that a
-// controller that never holds the lease for long does not keep a replaced endpoint from them. What was only restored from the store is
-// left out: gateways hold it. c.mu is held.
+// evidence returns the endpoints' state as records without a generation. It is sent to gateways while the controller cannot write,
+// so that gateways learn of a replaced endpoint even if the controller never holds the lease for long. It excludes endpoints that
+// were only restored from the store, since the gateways hold these. The caller holds c.mu.
 func (c *Controller) evidence() (records []*pb.Item) {
 	for _, belief := range c.endpoints.Beliefs() {
 		if belief.Source == endpointstate.Saved {
--- a/internal/controlplane/server/faults_test.go
+++ b/internal/controlplane/server/faults_test.go
@@ -21,38 +21,39 @@
 	"weirhaven/internal/pb"
 )
 
-// The controller is killed between writing a change and sending it, again and again, and comes back from its disk. The gateway never goes
-// back, and ends at what was written.
-func TestKilledBetweenWritingAndSending(t *testing.T) {
+// TestControllerKilledBetweenWriteAndSend repeatedly kills the controller after it has written a change and before it sends it, and
+// restarts it from its disk. The gateway's generation must never decrease, and the gateway must finally hold all written records.
+func TestControllerKilledBetweenWriteAndSend(t *testing.T) {
 	address := freeAddress(t)
 	conf := testConf(t, "a", address, 1, "")
 	for i := range 6 {
 		conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: fmt.Sprint("w", i), Plan: "basic", Hosts: 1})
 	}
 	g := startGateway(t, "e", filepath.Join(t.TempDir(), "e"), address)
-	for life := range 4 {
-		conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: fmt.Sprint("x", life), Plan: "basic", Hosts: 1})
+	for restart := range 4 {
+		conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: fmt.Sprint("x", restart), Plan: "basic", Hosts: 1})
 		process, _ := startProcess(t, conf, 1)
-		process.Wait() // it dies of its own write
-		g.checkNotBack()
-		if g.holds(pb.Item_VOLUME, fmt.Sprint("x", life)) != nil {
-			t.Error("it was sent before it was killed: the test does not test")
+		process.Wait() // the process kills itself after its first write
+		g.checkMonotonic()
+		if g.holds(pb.Item_VOLUME, fmt.Sprint("x", restart)) != nil {
+			t.Error("the change was sent before the controller was killed, so the test does not cover the fault")
 		}
 	}
 	startProcess(t, conf, 0)
-	waitFor(t, "all that was written", func() bool {
-		g.checkNotBack()
+	waitFor(t, "all written records", func() bool {
+		g.checkMonotonic()
 		return g.holds(pb.Item_VOLUME, "x3") != nil && g.holds(pb.Item_VOLUME, "w0") != nil && g.holds(pb.Item_VOLUME, "x0") != nil
 	})
-	g.checkNotBack() // the last snapshot may have come after the check in the condition
+	g.checkMonotonic() // the last snapshot may have arrived after the check in the condition
 	if g.highestGeneration < 4 {
 		t.Errorf("generation %d", g.highestGeneration)
 	}
 }
 
-// The controller comes back with an older copy of its disk, as from a backup, and then with none. It learns from the gateways what it
-// forgot, above all drains and placements, and goes on above their generation.
-func TestOlderDiskAndNone(t *testing.T) {
+// TestControllerRestartsFromOlderOrEmptyStore restarts the controller with an older copy of its store, as from a backup, and then
+// without a store. The controller must learn the missing records, in particular drains and placements, from the gateways and
+// continue above their generation.
+func TestControllerRestartsFromOlderOrEmptyStore(t *testing.T) {
 	conf := testConf(t, "a", "127.0.0.1:0", 2, "")
 	c, address, stop := start(t, conf, Options{})
 	conf.Listen = address
@@ -68,7 +69,7 @@
 	shard := placeWithLease(t, gateways[0], "v", "object")
 	drained := func() bool {
 		for _, g := range gateways {
-			g.checkNotBack()
+			g.checkMonotonic()
 			if record := g.holds(pb.Item_BRICK, "b0"); record == nil || record.Brick.Serving {
 				return false
 			}
@@ -85,7 +86,7 @@
 			}
 		}
 		c, _, stop = start(t, conf, Options{})
-		changeList(c, 9, true, endpoint(0, true), endpoint(1, true)) // the list knows nothing of the drain
+		changeList(c, 9, true, endpoint(0, true), endpoint(1, true)) // the list does not contain the drain
 		waitFor(t, "the lease", func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -99,16 +100,16 @@
 			return a == b && a == c.state.Generation()
 		})
 		if !drained() {
-			t.Errorf("disk %q: the drain is forgotten", disk)
+			t.Errorf("disk %q: the drain was lost", disk)
 		}
 		if again, err := gateways[1].follower.Place(context.Background(), "v", "object", ""); err != nil || again != shard {
-			t.Errorf("disk %q: object in shard %d, was %d: %v", disk, again, shard, err)
+			t.Errorf("disk %q: object in shard %d, previously in %d: %v", disk, again, shard, err)
 		}
 	}
 }
 
-// placeWithLease places a new object. A stall of the machine loses the controller its short lease, which is not what is tested, so it
-// is asked again until it holds the lease; every other error fails the test.
+// placeWithLease places a new object. It repeats the request until the controller holds the lease, since the controller can lose
+// its short lease on a machine that stalls, which is not under test. Every other error fails the test.
 func placeWithLease(t *testing.T, g *testGateway, volume, name string) (shard uint32) {
 	t.Helper()
 	waitFor(t, "a placement", func() bool {
@@ -125,7 +126,7 @@
 	return shard
 }
 
-// copyStore copies the controller's file. Its mutex keeps the file from being written.
+// copyStore copies the controller's store file. It holds the controller's mutex to prevent writes to the file.
 func copyStore(t *testing.T, c *Controller, file string) {
 	t.Helper()
 	c.mu.Lock()
@@ -139,9 +140,10 @@
 	}
 }
 
-// A controller stalls for longer than every timeout, as in a paused virtual machine; another takes over; the first goes on and sends what
-// it had decided. The gateway follows the second throughout.
-func TestStalledControllerIsNotHeeded(t *testing.T) {
+// TestResumedControllerOfLowerTermIsIgnored stops a controller for longer than every timeout, as when a virtual machine is paused,
+// until another one has taken over. After the first controller resumes and sends its messages, the gateway must still follow the
+// second one.
+func TestResumedControllerOfLowerTermIsIgnored(t *testing.T) {
 	a, b := testConf(t, "a", freeAddress(t), 1, ""), testConf(t, "b", freeAddress(t), 1, "")
 	a.Volume = append(a.Volume, &pb.PlannedVolume{Name: "of-a", Plan: "basic", Hosts: 1})
 	b.Volume = append(b.Volume, &pb.PlannedVolume{Name: "of-b", Plan: "basic", Hosts: 1})
@@ -150,11 +152,11 @@
 	waitFor(t, "the snapshot of a", func() bool { return g.holds(pb.Item_VOLUME, "of-a") != nil })
 	first.Process.Signal(syscall.SIGSTOP)
 	startProcess(t, b, 0)
-	waitFor(t, "the snapshot of b", func() bool { g.checkNotBack(); return g.holds(pb.Item_VOLUME, "of-b") != nil })
+	waitFor(t, "the snapshot of b", func() bool { g.checkMonotonic(); return g.holds(pb.Item_VOLUME, "of-b") != nil })
 	address, term, generation, _ := g.follower.State()
 	first.Process.Signal(syscall.SIGCONT)
 	for deadline := time.Now().Add(1500 * time.Millisecond); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		g.checkNotBack()
+		g.checkMonotonic()
 	}
 	addressNow, termNow, generationNow, _ := g.follower.State()
 	if addressNow != address || snapshot.CompareTerms(termNow, term) != 0 || generationNow != generation || address != b.Listen {
@@ -162,7 +164,7 @@
 	}
 }
 
-// fullDisk fails writes while it is full.
+// fullDisk is a Persister whose writes fail while isFull is set.
 type fullDisk struct {
 	statemachine.Persister
 	mu     sync.Mutex
@@ -184,9 +186,9 @@
 	return d.Persister.Persist(term, generation, changed)
 }
 
-// The controller's disk is full. No change and no placement is given out, since a restart would forget it; gateways keep what they have.
-// Once there is space it goes on.
-func TestControllersDiskFull(t *testing.T) {
+// TestControllerDiskFull checks that a controller with a full disk sends no changes and no placements, since a restart would lose
+// them, that gateways keep their records, and that the controller continues once there is space.
+func TestControllerDiskFull(t *testing.T) {
 	disk := &fullDisk{}
 	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 1, ""), Options{WrapPersister: func(p statemachine.Persister) statemachine.Persister {
 		disk.Persister = p
@@ -201,7 +203,7 @@
 		t.Error(err)
 	}
 	if g.holds(pb.Item_BRICK, "b1") != nil {
-		t.Error("given out though not written")
+		t.Error("a change was sent although it was not written")
 	}
 	disk.set(false)
 	waitFor(t, "the change", func() bool { return g.holds(pb.Item_BRICK, "b1") != nil })
--- a/internal/controlplane/server/follow.go
+++ b/internal/controlplane/server/follow.go
@@ -16,22 +16,22 @@
 	"weirhaven/internal/pb"
 )
 
-// due is what a gateway is to be sent now.
-type due struct {
+// outbound is the set of messages to send to a gateway now.
+type outbound struct {
 	reportRequest bool
 	evidence      []*pb.Item
-	transfer      *pb.ViewPart  // nil: none
-	retryAfter    time.Duration // a transfer is due and not admitted: it is looked at again after this; 0: not so
+	transfer      *pb.ViewPart  // admitted transfer; nil: none
+	retryAfter    time.Duration // delay until the next admission attempt of a transfer that was not admitted; 0: none is waiting
 	generation    uint64
 	heartbeat     uint64
 }
 
-// synchronize sends a gateway its snapshot, then what changes, and heartbeats between, until the stream ends. What is due is worked out
-// anew whenever the stream is woken, so nothing queues up for a gateway that reads slowly.
+// synchronize sends a gateway its snapshot, later changes and heartbeats until the stream ends. It determines the next messages
+// each time the stream is woken, so that no messages are queued for a gateway that reads slowly.
 func (c *Controller) synchronize(stream *gatewayStream) error {
 	stream.rng = rand.New(rand.NewSource(time.Now().UnixNano()))
 	for {
-		next, err := c.nextDue(stream)
+		next, err := c.nextOutbound(stream)
 		if err != nil {
 			return err
 		}
@@ -48,7 +48,7 @@
 			return err
 		}
 		if err := stream.wait(next.retryAfter); err != nil {
-			if errors.Is(err, io.EOF) { // the gateway ended the stream
+			if errors.Is(err, io.EOF) { // the gateway closed the stream
 				return nil
 			}
 			return err
@@ -56,13 +56,13 @@
 	}
 }
 
-// nextDue works out what a gateway is to be sent. It fails once the term was raised: the gateway must receive the new term first, with
-// a new stream.
-func (c *Controller) nextDue(stream *gatewayStream) (next due, err error) {
+// nextOutbound determines the next messages for a gateway. It fails if the term was raised after the stream was opened, since the
+// gateway must first receive the new term on a new stream.
+func (c *Controller) nextOutbound(stream *gatewayStream) (next outbound, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if snapshot.CompareTerms(c.state.Term(), stream.term) != 0 {
-		return due{}, status.Error(codes.Unavailable, "the controller's term was raised; connect again")
+		return outbound{}, status.Error(codes.Unavailable, "the controller's term was raised; connect again")
 	}
 	phase := c.state.Phase()
 	next.heartbeat, next.generation = c.state.LatestHeartbeat(), c.state.Generation()
@@ -72,15 +72,15 @@
 	next.reportRequest, stream.reportRequested = stream.reportRequested, false
 	if stream.listVersion != c.listVersion && phase != statemachine.Superseded {
 		stream.listVersion = c.listVersion
-		if phase != statemachine.HoldingLease { // else it is written, and sent with the snapshot
+		if phase != statemachine.HoldingLease { // otherwise it is written and sent with the snapshot
 			next.evidence = c.evidence()
 		}
 	}
 	return next, nil
 }
 
-// admittedTransfer is the transfer that a gateway needs, if it is admitted; otherwise the time after which to ask again, 0 if it needs
-// none. c.mu is held.
+// admittedTransfer returns the transfer that a gateway needs if it is admitted. Otherwise it returns the delay until the next
+// attempt, which is 0 if the gateway needs no transfer. The caller holds c.mu.
 func (c *Controller) admittedTransfer(stream *gatewayStream) (transfer *pb.ViewPart, retryAfter time.Duration) {
 	transfer, needed := c.state.SnapshotFor(stream.name, stream.held)
 	if !needed {
@@ -93,8 +93,8 @@
 	return transfer, retryAfter
 }
 
-// sendOutOfBand sends what is no part of the snapshot: a request for a report, and evidence.
-func (g *gatewayStream) sendOutOfBand(next due) error {
+// sendOutOfBand sends messages that are not part of the snapshot: a request for a report, and evidence.
+func (g *gatewayStream) sendOutOfBand(next outbound) error {
 	if next.reportRequest {
 		if err := g.send(reportRequest()); err != nil {
 			return err
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// sendTransfer sends an admitted transfer in chunks and ends its admission.
+// sendTransfer sends an admitted transfer in chunks and then releases its admission.
 func (c *Controller) sendTransfer(stream *gatewayStream, transfer *pb.ViewPart) error {
 	for _, chunk := range chunks(transfer) {
 		if err := stream.send(&pb.PlannerSays{What: &pb.PlannerSays_Part{Part: chunk}}); err != nil {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// sendHeartbeat sends when a transfer will be admitted, once, and the latest heartbeat.
-func (g *gatewayStream) sendHeartbeat(next due) error {
+// sendHeartbeat sends the latest heartbeat. If a transfer is waiting for admission, it first sends the retry delay, only once.
+func (g *gatewayStream) sendHeartbeat(next outbound) error {
 	if next.retryAfter > 0 && !g.retryAnnounced {
 		if err := g.send(&pb.PlannerSays{What: &pb.PlannerSays_Later{Later: &pb.Later{After: int64(next.retryAfter)}}}); err != nil {
 			return err
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// wait returns when there may be something to send, retryAfter and up to a quarter of it later at most if it is over 0. It fails when
-// the stream has.
+// wait returns when the stream is woken. If retryAfter is positive, it returns at the latest after retryAfter plus a random delay
+// of up to a quarter of it. It returns an error if the stream has failed.
 func (g *gatewayStream) wait(retryAfter time.Duration) error {
 	var retry <-chan time.Time
 	if retryAfter > 0 {
@@ -160,7 +160,7 @@
 	}
 }
 
-// chunks cuts a transfer into messages; there is at least one, and the last has the digest.
+// chunks splits a transfer into messages. There is at least one message, and the last one contains the digest.
 func chunks(transfer *pb.ViewPart) []*pb.ViewPart {
 	var all []*pb.ViewPart
 	for records := range slices.Chunk(transfer.Item, protocol.RecordsPerMessage) {
--- a/internal/controlplane/server/harness_test.go
+++ b/internal/controlplane/server/harness_test.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	controllerArgument = "controller"             // makes the test binary a controller
-	killAfterVariable  = "TEST_KILL_AFTER_WRITES" // environment: it is killed after so many writes; 0: not
+	controllerArgument = "controller"             // first argument that makes the test binary run a controller
+	killAfterVariable  = "TEST_KILL_AFTER_WRITES" // environment variable: number of writes after which the controller is killed; 0: never
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -40,7 +40,7 @@
 	os.Exit(m.Run())
 }
 
-// runAsController runs a controller by a settings file, until standard input ends with the test that started it.
+// runAsController runs a controller with a settings file until standard input is closed, which happens when the test process exits.
 func runAsController(file string) {
 	conf := &pb.PlannerConf{}
 	if err := settings.Load(file, conf); err != nil {
@@ -61,10 +61,10 @@
 	os.Exit(1)
 }
 
-// killAfterWrites kills the process between a write of records and what would be sent of it.
+// killAfterWrites is a Persister that kills the process after a write of records, before they are sent.
 type killAfterWrites struct {
 	statemachine.Persister
-	writesLeft int // 0: it is not killed
+	writesLeft int // number of writes until the process is killed; 0: never
 }
 
 func (k *killAfterWrites) Persist(term *pb.Tenure, generation uint64, changed []*pb.Item) error {
@@ -77,7 +77,7 @@
 	return err
 }
 
-// testConf is the settings of a controller with a short lease.
+// testConf returns the settings of a controller with a short lease.
 func testConf(t testing.TB, name, listen string, gateways int, extraSettings string) *pb.PlannerConf {
 	t.Helper()
 	conf := &pb.PlannerConf{}
@@ -117,7 +117,8 @@
 	return <-created, address, stop
 }
 
-// startProcess runs a controller as a process, which is killed after so many writes; 0: at the test's end.
+// startProcess runs a controller in its own process, which is killed after killAfter writes or, if that is 0, at the end of the
+// test.
 func startProcess(t testing.TB, conf *pb.PlannerConf, killAfter int) (process *exec.Cmd, address string) {
 	t.Helper()
 	text, err := settings.Text(conf)
@@ -150,7 +151,7 @@
 	return process, address
 }
 
-// testGateway is a follower whose snapshot must never go back, and which must never forget a drain.
+// testGateway is a follower that checks that its term and generation never decrease and that no drain is lost.
 type testGateway struct {
 	t                 testing.TB
 	follower          *client.Follower
@@ -159,15 +160,15 @@
 	highestTerm       uint64
 
 	mu       sync.Mutex
-	received map[snapshot.Key]*pb.Item // latest, of the snapshot or as evidence
-	drained  map[string]bool           // by endpoint
+	received map[snapshot.Key]*pb.Item // latest records received in a snapshot or as evidence
+	drained  map[string]bool           // drained endpoints
 }
 
 func newTestGateway(t testing.TB) *testGateway {
 	return &testGateway{t: t, received: map[snapshot.Key]*pb.Item{}, drained: map[string]bool{}}
 }
 
-// Changed takes records from the follower.
+// Changed implements client.Sink.
 func (g *testGateway) Changed(records []*pb.Item, _ bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,7 +179,7 @@
 			continue
 		}
 		if g.drained[record.Name] && !snapshot.Drained(endpoint) {
-			g.t.Errorf("the drain of %s was forgotten: %v", record.Name, record)
+			g.t.Errorf("the drain of %s was lost: %v", record.Name, record)
 		}
 		g.drained[record.Name] = snapshot.Drained(endpoint)
 	}
@@ -207,7 +208,7 @@
 	return g
 }
 
-// holds is a record of the gateway's snapshot; nil: it has none, or a tombstone.
+// holds returns a record of the gateway's snapshot, or nil if there is none or only a tombstone.
 func (g *testGateway) holds(kind pb.Item_Kind, name string) *pb.Item {
 	_, _, _, records := g.follower.State()
 	for _, record := range records {
@@ -218,44 +219,44 @@
 	return nil
 }
 
-// lastReceived is the record that it received last, of the snapshot or as evidence.
+// lastReceived returns the version of a record that the gateway received last, in the snapshot or as evidence.
 func (g *testGateway) lastReceived(kind pb.Item_Kind, name string) *pb.Item {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.received[snapshot.Key{Kind: kind, Name: name}]
 }
 
-// checkNotBack fails where the gateway's snapshot went back since the last call.
-func (g *testGateway) checkNotBack() {
+// checkMonotonic fails if the gateway's generation or term has decreased since the last call.
+func (g *testGateway) checkMonotonic() {
 	g.t.Helper()
 	_, term, generation, _ := g.follower.State()
 	if generation < g.highestGeneration || term.GetTerm() < g.highestTerm {
-		g.t.Errorf("the gateway went back: generation %d after %d, term %d after %d", generation, g.highestGeneration, term.GetTerm(), g.highestTerm)
+		g.t.Errorf("the generation or term decreased: generation %d after %d, term %d after %d", generation, g.highestGeneration, term.GetTerm(), g.highestTerm)
 	}
 	g.highestGeneration, g.highestTerm = generation, term.GetTerm()
 }
 
-// waitFor waits for a condition, and fails where it does not come true.
+// waitFor waits until a condition is true, and fails after 15 s.
 func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("did not come: ", what)
+			t.Fatal("timed out waiting for: ", what)
 		}
 	}
 }
 
-// changeList gives the controller an endpoint list (whole) or changes of it.
+// changeList passes a full endpoint list (whole) or changes of it to the controller.
 func changeList(c *Controller, number int64, whole bool, entries ...engine.EndpointEntry) {
 	c.ListReceived(endpointstate.Generation{Epoch: "list", Number: number}, whole, entries)
 }
 
-// endpoint is the list's entry of endpoint b<i>, in shard i; zones alternate.
+// endpoint returns the list entry of endpoint b<i> in shard i, in alternating zones.
 func endpoint(i int, serving bool) engine.EndpointEntry {
 	return engine.EndpointEntry{Name: fmt.Sprint("b", i), Address: fmt.Sprint("127.0.0.1:", 1000+i), Zone: []string{"n", "s"}[i%2], Shard: i, Serving: serving}
 }
 
-// freeAddress is one on which nobody listens.
+// freeAddress returns an address on which no process is listening.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -266,7 +267,7 @@
 	return listener.Addr().String()
 }
 
-// digestOf is the digest of the records that gateways should hold.
+// digestOf returns the digest of the records that gateways should hold.
 func digestOf(c *Controller) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/server/keys_test.go
+++ b/internal/controlplane/server/keys_test.go
@@ -16,10 +16,10 @@
 	"weirhaven/internal/tlskeys"
 )
 
-// Both sides show certificates. A gateway is refused, with the reason in its log, where its signer is not trusted, where it goes by a
-// name that its certificate doesn't hold, and where the controller's certificate holds another name than the settings want; keys that
-// are out of date are not loaded. Keys of another signer that replace the files while the controller runs are used without a restart.
-func TestKeys(t *testing.T) {
+// TestMutualTLS checks that a gateway cannot connect, and logs the reason, if its certificate's signer is not trusted, if its name
+// is not in its certificate, or if the controller's certificate does not contain the configured server name. It also checks that
+// expired certificates are not loaded, and that a running controller uses replaced key files of another signer without a restart.
+func TestMutualTLS(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
 	const controllerName = tlskeys.DefaultServerName
 	if err := errors.Join(tlskeys.Make(dir, []string{controllerName, "e0", "e1"}, time.Hour), tlskeys.Make(other, []string{controllerName, "e0"}, time.Hour)); err != nil {
@@ -31,7 +31,7 @@
 	controllersWith := func(keys *pb.Keys) *pb.Planner { return &pb.Planner{Address: []string{address}, Keys: keys} }
 
 	g := startGatewayWith(t, "e0", filepath.Join(t.TempDir(), "e"), controllersWith(keysOf(dir, "e0")))
-	waitFor(t, "a snapshot under keys", func() bool { return g.holds(pb.Item_VOLUME, "v") != nil })
+	waitFor(t, "a snapshot with the first keys", func() bool { return g.holds(pb.Item_VOLUME, "v") != nil })
 	g.stop()
 
 	checkRefused(t, "e0", controllersWith(keysOf(other, "e0")), "not trusted")
@@ -56,7 +56,7 @@
 		}
 	}
 	changed := startGatewayWith(t, "e0", filepath.Join(t.TempDir(), "e"), controllersWith(keysOf(other, "e0")))
-	waitFor(t, "a snapshot under changed keys", func() bool { return changed.holds(pb.Item_VOLUME, "v") != nil })
+	waitFor(t, "a snapshot with the replaced keys", func() bool { return changed.holds(pb.Item_VOLUME, "v") != nil })
 
 	conf = testConf(t, "a", "0.0.0.0:0", 1, "")
 	if err := Run(context.Background(), conf, Options{Log: discardLog}); err == nil || !strings.Contains(err.Error(), "loopback") {
@@ -64,12 +64,12 @@
 	}
 }
 
-// keysOf is the settings for a name's keys in a folder that tlskeys.Make filled.
+// keysOf returns the settings for a name's keys in a folder written by tlskeys.Make.
 func keysOf(dir, name string, allowed ...string) *pb.Keys {
 	return &pb.Keys{Certificate: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Trusted: filepath.Join(dir, "trusted.pem"), Peer: allowed}
 }
 
-// checkRefused fails unless a gateway logs the reason why it can't follow the controllers.
+// checkRefused fails unless the gateway logs the given reason why it cannot follow the controllers.
 func checkRefused(t *testing.T, name string, controllers *pb.Planner, reason string) {
 	t.Helper()
 	log := &lockedBuilder{}
@@ -86,7 +86,7 @@
 	<-done
 }
 
-// lockedBuilder is a strings.Builder for several goroutines.
+// lockedBuilder is a strings.Builder that is safe for concurrent use.
 type lockedBuilder struct {
 	mu      sync.Mutex
 	builder strings.Builder
--- a/internal/controlplane/server/placement.go
+++ b/internal/controlplane/server/placement.go
@@ -9,9 +9,9 @@
 	"weirhaven/internal/pb"
 )
 
-// Place gives a gateway the shard of a new object or extent. It is persisted before it is given: a placement that was used must survive
-// a restart. It fails with Unavailable where none can be given now, and with PermissionDenied where the certificate is another
-// gateway's.
+// Place returns the shard for a new object or extent to a gateway. The placement is persisted before it is returned, since a
+// placement that is in use must survive a restart. Place fails with Unavailable if no placement is possible now, and with
+// PermissionDenied if the certificate belongs to another gateway.
 func (c *Controller) Place(ctx context.Context, request *pb.PlaceAsk) (*pb.PlaceGiven, error) {
 	if err := checkPeerName(ctx, request.Edge); err != nil {
 		return nil, err
--- a/internal/controlplane/server/receive.go
+++ b/internal/controlplane/server/receive.go
@@ -10,9 +10,9 @@
 	"weirhaven/internal/pb"
 )
 
-// receive takes a gateway's messages until its stream ends, and returns why it ended.
+// receive processes a gateway's messages until its stream ends and returns the reason.
 func (c *Controller) receive(server followServer, name string) error {
-	var report []*pb.Item // the chunks of one that is not complete
+	var report []*pb.Item // records of an incomplete report
 	for {
 		message, err := server.Recv()
 		if err != nil {
@@ -20,10 +20,10 @@
 		}
 		switch content := message.What.(type) {
 		case *pb.EdgeSays_Ack:
-			c.acknowledged(name, content.Ack)
+			c.handleAck(name, content.Ack)
 		case *pb.EdgeSays_Report:
 			report = append(report, content.Report.Item...)
-			if err := c.reported(name, content.Report, report); err != nil {
+			if err := c.handleReport(name, content.Report, report); err != nil {
 				return status.Error(codes.ResourceExhausted, err.Error())
 			}
 			if content.Report.Last {
@@ -33,14 +33,14 @@
 	}
 }
 
-func (c *Controller) acknowledged(name string, ack *pb.EdgeAck) {
+func (c *Controller) handleAck(name string, ack *pb.EdgeAck) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.Acknowledge(name, ack.GetTenure(), ack.Generation, ack.Beat, now())
 }
 
-// reported takes a chunk of a gateway's report; collected are the records of all its chunks so far.
-func (c *Controller) reported(name string, chunk *pb.EdgeReport, collected []*pb.Item) error {
+// handleReport processes a chunk of a gateway's report. collected contains the records of all its chunks so far.
+func (c *Controller) handleReport(name string, chunk *pb.EdgeReport, collected []*pb.Item) error {
 	if len(collected) > protocol.MaxRecords {
 		return fmt.Errorf("a report of more than %d records", protocol.MaxRecords)
 	}
@@ -52,7 +52,7 @@
 	if chunk.Last {
 		c.reports[name] = collected
 		c.reportCount[name]++
-		c.endpointsReported(collected)
+		c.mergeReportedEndpoints(collected)
 		c.wakeStreams()
 	}
 	return nil
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -32,53 +32,54 @@
 	defaultStallTimeout         = 5 * time.Second
 	maxTombstones               = 4096
 
-	keepaliveInterval    = 10 * time.Second // without traffic, a gateway is pinged
-	minKeepaliveInterval = time.Second      // a gateway that pings more often is cut off
+	keepaliveInterval    = 10 * time.Second // time without traffic after which a gateway is pinged
+	minKeepaliveInterval = time.Second      // a gateway that pings more often is disconnected
 )
 
-// Options are what a controller may be given beside its settings. The zero value is ready to use.
+// Options are the options of a controller that are not part of its settings. The zero value is ready to use.
 type Options struct {
 	// Log is the program's log; nil: slog.Default.
 	Log *slog.Logger
-	// Ready is called once with the address that gateways reach, when it is served; nil: nobody.
+	// Ready is called once with the listening address, when the controller accepts connections; may be nil.
 	Ready func(address string)
-	// WrapPersister wraps the store, so that tests can fail it or stop in the middle; nil: it is used as it is.
+	// WrapPersister wraps the store, so that tests can make writes fail or interrupt them; nil: the store is not wrapped.
 	WrapPersister func(statemachine.Persister) statemachine.Persister
-	// StallTimeout is how long a gateway may take nothing before it is cut off; 0: 5 s.
+	// StallTimeout is how long a gateway may accept no message before it is disconnected; 0: 5 s.
 	StallTimeout time.Duration
 }
 
-// Controller is one while it runs. Its methods are called by gRPC and by the connection to the discovery service, from any goroutine.
+// Controller is a running controller. Its methods are called by gRPC and by the client of the discovery service, and are safe for
+// concurrent use.
 type Controller struct {
 	pb.UnimplementedPlanningServer
 	conf         *pb.PlannerConf
 	log          *slog.Logger
 	lease        time.Duration
 	stallTimeout time.Duration
-	streamsDone  sync.WaitGroup // goroutines of streams: they end once their handler has returned
+	streamsDone  sync.WaitGroup // senders and receivers of streams, which end after the stream's handler has returned
 
-	mu          sync.Mutex // guards all below; the store is written only while it is held
+	mu          sync.Mutex // guards the fields below; the store is written only while it is held
 	state       *statemachine.State
 	endpoints   *endpointstate.Fleet
-	streams     map[string]*gatewayStream // by gateway
-	reports     map[string][]*pb.Item     // the latest complete report of each gateway, for Status
-	reportCount map[string]int            // complete reports of each gateway
-	listVersion int                       // how many endpoint lists were received
+	streams     map[string]*gatewayStream // streams by gateway name
+	reports     map[string][]*pb.Item     // latest complete report of each gateway, for Status
+	reportCount map[string]int            // number of complete reports of each gateway
+	listVersion int                       // number of endpoint lists received
 }
 
 var processClock = clock.New()
 
-// now is the time since 1970 on a monotonic clock that hosts would agree on but for the error of their clocks. Leases are spans on
-// it: a step of the wall clock neither ends nor prolongs one.
+// now returns the time since 1970 on a monotonic clock, which differs between hosts only by the error of their clocks. Leases are
+// measured on this clock, so that a step of the wall clock neither ends nor prolongs a lease.
 func now() time.Duration { return processClock.Now() }
 
-// Run serves until ctx ends, and returns nil then. It returns an error where keys, store or address can't be used. No goroutine is left
-// when it returns.
+// Run runs a controller until ctx ends, and then returns nil. It returns an error if the keys, the store or the address cannot be
+// used. All goroutines have ended when Run returns.
 func Run(ctx context.Context, conf *pb.PlannerConf, options Options) error {
 	return run(ctx, conf, options, func(*Controller) {})
 }
 
-// run is Run; created is called with the controller before it serves.
+// run implements Run. It calls created with the controller before it starts serving.
 func run(ctx context.Context, conf *pb.PlannerConf, options Options, created func(*Controller)) error {
 	if options.Log == nil {
 		options.Log = slog.Default()
@@ -95,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = opened.Close() }() // each change is on disk when it was persisted
+	defer func() { _ = opened.Close() }() // every persisted change is already on disk
 	if setAside != "" {
 		log.Warn("store unreadable and set aside, its records are learned from the gateways", "aside", setAside)
 	}
@@ -106,8 +107,8 @@
 	return c.serve(ctx, options, security, created)
 }
 
-// serverCredentials are mutual TLS by the keys of the settings. Without keys the settings must say so, and only loopback is allowed:
-// whoever reaches the port could speak for any gateway.
+// serverCredentials returns the gRPC option for mutual TLS with the configured keys. Without keys the settings must contain plain:
+// true, and only loopback addresses are allowed, since any client that can reach the port could impersonate a gateway.
 func serverCredentials(conf *pb.PlannerConf, log *slog.Logger) ([]grpc.ServerOption, error) {
 	if conf.Keys != nil {
 		keys, err := tlskeys.Load(conf.Keys, log)
@@ -117,12 +118,12 @@
 		return []grpc.ServerOption{grpc.Creds(credentials.NewTLS(keys.Server()))}, nil
 	}
 	if !conf.Plain || !tlskeys.Loopback(conf.Listen) {
-		return nil, fmt.Errorf("settings give no keys; without them say plain: true and listen on loopback (listen: %s)", conf.Listen)
+		return nil, fmt.Errorf("settings contain no keys; listening without keys needs plain: true and a loopback address (listen: %s)", conf.Listen)
 	}
 	return nil, nil
 }
 
-// newController starts a life of the controller from what the store holds, and takes over what the settings name.
+// newController creates a controller from the content of the store and from the settings.
 func newController(conf *pb.PlannerConf, options Options, persister statemachine.Persister, saved store.Saved, log *slog.Logger) (*Controller, error) {
 	c := &Controller{
 		conf:         conf,
@@ -162,7 +163,7 @@
 	return c, nil
 }
 
-// setDesiredSettings makes what the settings name desired: plans, volumes, the number of gateways.
+// setDesiredSettings sets the plans, the volumes and the number of gateways in the settings as desired records.
 func (c *Controller) setDesiredSettings() {
 	for _, plan := range c.conf.Plan {
 		c.state.SetDesired(&pb.Item{Kind: pb.Item_PLAN, Name: plan.Name, Plan: plan})
@@ -174,12 +175,12 @@
 	c.state.SetDesired(&pb.Item{Kind: pb.Item_HOSTS, Hosts: c.conf.Edges})
 }
 
-// serve listens and serves until ctx ends.
+// serve listens for gateways and serves them until ctx ends.
 func (c *Controller) serve(ctx context.Context, options Options, security []grpc.ServerOption, created func(*Controller)) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", c.conf.Listen)
 	if err != nil {
-		return fmt.Errorf("listen for gateways; is another controller on this address? %w", err)
+		return fmt.Errorf("cannot listen for gateways, another controller may be using the address: %w", err)
 	}
 	server := grpc.NewServer(append(security,
 		grpc.WaitForHandlers(true),
@@ -214,7 +215,8 @@
 	return err
 }
 
-// heartbeats lets the gateways renew the lease and time pass for the endpoints' state, five times a lease, until ctx ends.
+// heartbeats starts a heartbeat, which lets the gateways renew the lease, and advances the time of the endpoints' state five times
+// per lease duration until ctx ends.
 func (c *Controller) heartbeats(ctx context.Context) {
 	const perLease = 5
 	tick := time.NewTicker(c.lease / perLease)
@@ -234,8 +236,8 @@
 	}
 }
 
-// writeDesired writes what is desired, if the lease is held, and wakes all streams if that changed anything. What fails stays desired
-// and is written with the next heartbeat. c.mu is held.
+// writeDesired writes the desired records if the lease is held, and wakes all streams if any record changed. After an error the
+// records remain desired and are written with the next heartbeat. The caller holds c.mu.
 func (c *Controller) writeDesired() {
 	changed, err := c.state.WriteDesired(now())
 	if err != nil {
@@ -246,7 +248,7 @@
 	}
 }
 
-// wakeStreams lets every stream look for what its gateway is to be sent. c.mu is held.
+// wakeStreams makes every stream determine the next messages for its gateway. The caller holds c.mu.
 func (c *Controller) wakeStreams() {
 	for _, stream := range c.streams {
 		stream.wakeUp()
--- a/internal/controlplane/server/snapshots_test.go
+++ b/internal/controlplane/server/snapshots_test.go
@@ -17,8 +17,9 @@
 	"weirhaven/internal/pb"
 )
 
-// Three gateways follow a controller. They receive the first snapshot, changes of the endpoint list and a drain that only one of them
-// learned, though the list says that the endpoint serves. One name has one placement, whoever asks. An operator sees who differs.
+// TestSnapshotsReachGateways checks that three gateways receive the first snapshot, changes of the endpoint list, and a drain
+// learned by one of them although the list reports the endpoint as serving. It also checks that two gateways get the same placement
+// for the same name, and that Status reports the differences of a gateway.
 func TestSnapshotsReachGateways(t *testing.T) {
 	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 3, ""), Options{})
 	dir := t.TempDir()
@@ -47,7 +48,7 @@
 		})
 	}
 	checkPlacements(t, gateways)
-	gateways[0].stop() // it misses the placements of the others, and its own is still known
+	gateways[0].stop() // it misses later placements, but the controller still knows the placement that it requested
 	checkStatus(t, c)
 }
 
@@ -62,11 +63,11 @@
 		t.Error(again, err)
 	}
 	if _, err := gateways[0].follower.Place(ctx, "nobody's", "object", ""); err == nil {
-		t.Error("a placement in a volume that is not there")
+		t.Error("a placement in an unknown volume")
 	}
 }
 
-// checkStatus checks what operators see once gateway e0 has stopped.
+// checkStatus checks the replies of Status after gateway e0 has stopped.
 func checkStatus(t *testing.T, c *Controller) {
 	t.Helper()
 	ctx := context.Background()
@@ -82,9 +83,10 @@
 	}
 }
 
-// A gateway is cut off for so long that the tombstones of what was removed meanwhile are pruned. Changes alone would leave it with
-// removed endpoints for good. It gets the full snapshot, and holds what a gateway holds that was connected throughout. Another one stays
-// connected too: two of three are the majority without which the controller writes nothing once its lease has run out.
+// TestFullSnapshotAfterPrunedTombstones disconnects a gateway until the tombstones of removed endpoints have been pruned. With
+// changes alone it would keep the removed endpoints permanently. It must receive the full snapshot and then hold the same records
+// as a gateway that stayed connected. A second gateway also stays connected, since without two of three gateways the controller
+// loses its lease and writes nothing.
 func TestFullSnapshotAfterPrunedTombstones(t *testing.T) {
 	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 1, ""), Options{})
 	connected := startGateway(t, "stays", filepath.Join(t.TempDir(), "s"), address)
@@ -96,14 +98,14 @@
 		return cutOff.holds(pb.Item_BRICK, "b1") != nil && connected.holds(pb.Item_BRICK, "b1") != nil && other.holds(pb.Item_BRICK, "b1") != nil
 	})
 	cutOff.stop()
-	for n := range 20 { // endpoints are replaced one after the other
+	for n := range 20 { // replace endpoints one at a time
 		number := int64(2 + 2*n)
 		changeList(c, number, false, engine.EndpointEntry{Name: fmt.Sprint("b", n), Removed: true, Address: "127.0.0.1:1", Zone: "n"})
 		changeList(c, number+1, false, endpoint(n+2, true))
 	}
 	waitFor(t, "the last endpoint", func() bool { return connected.holds(pb.Item_BRICK, "b21") != nil })
 	c.mu.Lock()
-	c.state.PruneTombstones(0) // as after thousands of them
+	c.state.PruneTombstones(0) // the same effect as exceeding the limit of tombstones
 	c.mu.Unlock()
 	cutOff = startGateway(t, "e", file, address)
 	waitFor(t, "the same snapshot", func() bool {
@@ -116,7 +118,7 @@
 	}
 }
 
-// scriptedController sends the same messages on every stream, then nothing.
+// scriptedController sends the same messages on every stream and then keeps it open.
 type scriptedController struct {
 	pb.UnimplementedPlanningServer
 	hellos   chan *pb.EdgeHello
@@ -138,10 +140,10 @@
 	return nil
 }
 
-// A controller sends half a transfer and then nothing, changes that begin beyond what the gateway holds, changes whose digest is wrong,
-// an older snapshot, or a message of a lower term. None of it changes what the gateway holds; it connects again from where it was, and
-// asks for the full snapshot where the changes did not fit.
-func TestIncompleteTransfers(t *testing.T) {
+// TestInvalidTransfersAreRejected checks that an incomplete transfer, changes that start after the held generation, changes with a
+// wrong digest, an older snapshot and a message with a lower term do not change the gateway's records. The gateway must reconnect
+// with its previous generation, and request the full snapshot if the changes could not be applied.
+func TestInvalidTransfersAreRejected(t *testing.T) {
 	term := &pb.Tenure{Term: 3, Planner: "half"}
 	record := func(name string, generation uint64) *pb.Item {
 		return &pb.Item{Kind: pb.Item_VOLUME, Name: name, Generation: generation, Term: 3, Volume: &pb.PlanVolume{Plan: "basic"}}
@@ -156,8 +158,8 @@
 		second    *pb.PlannerSays
 		needsFull bool // in the next hello
 	}{
-		{"half a transfer", transfer(&pb.ViewPart{From: 5, To: 9, Item: change}), false},
-		{"changes from too late", transfer(&pb.ViewPart{From: 7, To: 9, Last: true, Item: change}), true},
+		{"incomplete transfer", transfer(&pb.ViewPart{From: 5, To: 9, Item: change}), false},
+		{"changes after a gap", transfer(&pb.ViewPart{From: 7, To: 9, Last: true, Item: change}), true},
 		{"wrong digest", transfer(&pb.ViewPart{From: 5, To: 9, Last: true, Digest: 77, Item: change}), true},
 		{"older snapshot", transfer(&pb.ViewPart{To: 4, Whole: true, Last: true, Item: []*pb.Item{record("b", 4)}}), false},
 		{"lower term", &pb.PlannerSays{Tenure: &pb.Tenure{Term: 2, Planner: "z"},
@@ -178,10 +180,10 @@
 				t.Error(hello)
 			}
 			if hello := <-controller.hellos; hello.Generation != 5 || hello.Whole != c.needsFull || hello.Tenure.GetTerm() != 3 {
-				t.Errorf("%v, wanted from generation 5, full: %v", hello, c.needsFull)
+				t.Errorf("%v, expected generation 5, full: %v", hello, c.needsFull)
 			}
 			if g.holds(pb.Item_VOLUME, "a") == nil || g.holds(pb.Item_VOLUME, "b") != nil {
-				t.Error("the incomplete transfer changed what is held")
+				t.Error("the rejected transfer changed the records held")
 			}
 			g.stop()
 		})
--- a/internal/controlplane/server/stream.go
+++ b/internal/controlplane/server/stream.go
@@ -19,29 +19,29 @@
 
 type followServer = grpc.BidiStreamingServer[pb.EdgeSays, pb.PlannerSays]
 
-// gatewayStream is one gateway's stream.
+// gatewayStream is the stream of a gateway.
 type gatewayStream struct {
 	name         string
-	ctx          context.Context // of the stream; ends with its handler
+	ctx          context.Context // context of the stream; ends when the handler returns
 	end          context.CancelFunc
-	wake         chan struct{}        // there may be something to send
-	outgoing     chan *pb.PlannerSays // unbuffered: what waits, waits in the state
-	failed       chan error           // of the sender and of the receiver
-	term         *pb.Tenure           // all is sent under this term
+	wake         chan struct{}        // signals that there may be messages to send
+	outgoing     chan *pb.PlannerSays // unbuffered, so that no messages are queued
+	failed       chan error           // errors of the sender and the receiver
+	term         *pb.Tenure           // term of all messages sent on the stream
 	stallTimeout time.Duration
 
-	reportRequested bool // an operator asks for a report; guarded by Controller.mu
+	reportRequested bool // a report was requested by an operator; guarded by Controller.mu
 
-	// Of the handler's goroutine only:
-	held           statemachine.Position // what the gateway was sent last
-	heartbeat      uint64                // sent last
-	listVersion    int                   // of the evidence sent last
-	retryAnnounced bool                  // it was sent when it will be admitted
-	rng            *rand.Rand            // spreads retries
+	// Fields used only by the handler's goroutine:
+	held           statemachine.Position // position after the last transfer sent
+	heartbeat      uint64                // last heartbeat sent
+	listVersion    int                   // version of the endpoint list for which evidence was last sent
+	retryAnnounced bool                  // the retry delay was sent for the waiting transfer
+	rng            *rand.Rand            // jitter of retries
 }
 
-// Follow serves a gateway's stream: its hello, then reports and acknowledgements from it, and the snapshot, its changes and heartbeats to
-// it.
+// Follow serves a gateway's stream. It receives the hello, reports and acknowledgements, and sends the snapshot, its changes and
+// heartbeats.
 func (c *Controller) Follow(server followServer) error {
 	ctx, end := context.WithCancel(server.Context())
 	defer end()
@@ -68,7 +68,7 @@
 		c.log.Info("gateway not served", "gateway", hello.Name, "err", err)
 		return status.Error(codes.Unavailable, err.Error())
 	}
-	// Both end with the stream: a Send or Recv that hangs returns once this handler has.
+	// Both goroutines end with the stream, since a blocked Send or Recv returns after this handler has returned.
 	c.streamsDone.Go(func() { stream.sendOutgoing(server) })
 	c.streamsDone.Go(func() { stream.failed <- c.receive(server, hello.Name) })
 	if reportNeeded {
@@ -95,7 +95,7 @@
 	return hello, nil
 }
 
-// checkPeerName refuses a name that is not in the certificate of the connection. Without TLS there is none to check.
+// checkPeerName rejects a name that is not in the client certificate of the connection. Without TLS it accepts every name.
 func checkPeerName(ctx context.Context, name string) error {
 	connection, ok := peer.FromContext(ctx)
 	if !ok {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// register makes this the gateway's stream; an older one is ended, since its connection was replaced.
+// register makes this the gateway's current stream. It closes an older stream, since the gateway has replaced that connection.
 func (c *Controller) register(stream *gatewayStream, hello *pb.EdgeHello) (reportNeeded bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 	return reportNeeded, err
 }
 
-// unregister takes the end of a stream, unless a newer one has replaced it.
+// unregister handles the end of a stream, unless a newer stream has replaced it.
 func (c *Controller) unregister(stream *gatewayStream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// wakeUp lets the handler look for what is to be sent. It never blocks.
+// wakeUp makes the handler determine the next messages. It never blocks.
 func (g *gatewayStream) wakeUp() {
 	select {
 	case g.wake <- struct{}{}:
@@ -143,7 +143,7 @@
 	}
 }
 
-// send hands a message to the sender. A gateway that takes nothing for the stall timeout is cut off by the error.
+// send passes a message to the sender. It fails if the gateway accepts no message for the stall timeout, which ends the stream.
 func (g *gatewayStream) send(message *pb.PlannerSays) error {
 	message.Tenure = g.term
 	stalled := time.NewTimer(g.stallTimeout)
@@ -160,7 +160,7 @@
 	}
 }
 
-// sendOutgoing sends messages until the stream fails or ends.
+// sendOutgoing is the sender of a stream. It sends messages until the stream fails or ends.
 func (g *gatewayStream) sendOutgoing(server followServer) {
 	for {
 		select {
--- a/internal/controlplane/server/streams_test.go
+++ b/internal/controlplane/server/streams_test.go
@@ -17,8 +17,8 @@
 	"weirhaven/internal/pb"
 )
 
-// sayHello sends a hello on a stream of its own and returns why no message comes back; nil: one does.
-func sayHello(t testing.TB, address string, hello *pb.EdgeHello) error {
+// sendHello sends a hello on a new stream and returns the error of receiving the first reply.
+func sendHello(t testing.TB, address string, hello *pb.EdgeHello) error {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -38,32 +38,33 @@
 	return err
 }
 
-// During an upgrade gateways of the version before and after are served; one that is two versions behind, and one without a name, are
-// refused with the reason.
+// TestProtocolVersions checks that gateways of the previous and the next protocol version are served, as needed during an upgrade.
+// A gateway two versions behind and one without a name must be rejected with the appropriate status code.
 func TestProtocolVersions(t *testing.T) {
 	_, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 1, ""), Options{})
 	for version, served := range map[uint32]bool{protocol.Version - 2: false, protocol.Version - 1: true, protocol.Version: true, protocol.Version + 1: true} {
-		err := sayHello(t, address, &pb.EdgeHello{Version: version, Name: "e"})
+		err := sendHello(t, address, &pb.EdgeHello{Version: version, Name: "e"})
 		if (err == nil) != served || !served && status.Code(err) != codes.FailedPrecondition {
 			t.Errorf("version %d: %v", version, err)
 		}
 	}
-	if err := sayHello(t, address, &pb.EdgeHello{Version: protocol.Version}); status.Code(err) != codes.InvalidArgument {
+	if err := sendHello(t, address, &pb.EdgeHello{Version: protocol.Version}); status.Code(err) != codes.InvalidArgument {
 		t.Error(err)
 	}
 }
 
-// A controller is killed so often that it never holds the lease, or most gateways are away. It still sends what it learns of endpoints, as
-// evidence outside the snapshot: else a replaced endpoint would stay unknown for as long as that lasts.
+// TestEvidenceWithoutLease checks that a controller that never holds the lease, because it restarts too often or most gateways are
+// not connected, still sends information about endpoints as evidence outside the snapshot. Otherwise gateways would not learn of
+// replaced endpoints during that time.
 func TestEvidenceWithoutLease(t *testing.T) {
-	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 9, ""), Options{}) // one gateway of nine: never a majority
+	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 9, ""), Options{}) // one of nine gateways is not a majority
 	g := startGateway(t, "e", filepath.Join(t.TempDir(), "e"), address)
 	changeList(c, 1, true, endpoint(0, true), endpoint(1, false))
 	waitFor(t, "evidence", func() bool {
 		return g.lastReceived(pb.Item_BRICK, "b0") != nil && g.lastReceived(pb.Item_BRICK, "b1") != nil
 	})
 	if g.holds(pb.Item_BRICK, "b0") != nil || g.holds(pb.Item_VOLUME, "v") != nil {
-		t.Error("something was written without the lease")
+		t.Error("records were written without the lease")
 	}
 	if _, err := g.follower.Place(context.Background(), "v", "object", ""); err == nil {
 		t.Error("a placement without the lease")
@@ -72,14 +73,14 @@
 	waitFor(t, "a drain", func() bool { return snapshot.Drained(g.lastReceived(pb.Item_BRICK, "b0").Brick) })
 }
 
-// A gateway reads nothing from its stream, and holds the only place at which snapshots are sent. It is cut off, and then the others receive
-// what changed meanwhile.
-func TestSlowGateway(t *testing.T) {
+// TestStalledGatewayIsDisconnected checks that a gateway that reads nothing from its stream while it occupies the only snapshot
+// slot is disconnected, and that the other gateways then receive the changes made in the meantime.
+func TestStalledGatewayIsDisconnected(t *testing.T) {
 	c, address, _ := start(t, testConf(t, "a", "127.0.0.1:0", 3, "at_once: 1"), Options{StallTimeout: 500 * time.Millisecond})
 	g := startGateway(t, "e", filepath.Join(t.TempDir(), "e"), address)
-	startGateway(t, "f", filepath.Join(t.TempDir(), "f"), address) // a majority without the slow one, whatever it does
+	startGateway(t, "f", filepath.Join(t.TempDir(), "f"), address) // a majority without the stalled gateway
 	startGateway(t, "g", filepath.Join(t.TempDir(), "g"), address)
-	entries := make([]engine.EndpointEntry, 6000) // a snapshot of hundreds of KB: more than a stream takes unread
+	entries := make([]engine.EndpointEntry, 6000) // a snapshot of hundreds of KB, which exceeds the flow control window of a stream
 	for i := range entries {
 		entries[i] = endpoint(i, true)
 	}
@@ -90,11 +91,11 @@
 	for n := range 5 {
 		changeList(c, int64(2+n), false, endpoint(30000+n, true))
 	}
-	waitFor(t, "the slow gateway is cut off", func() bool { connected, known := connection(t, c, "slow"); return known && !connected })
+	waitFor(t, "the slow gateway is disconnected", func() bool { connected, known := connection(t, c, "slow"); return known && !connected })
 	waitFor(t, "the changes", func() bool { return g.holds(pb.Item_BRICK, "b30004") != nil })
 }
 
-// openUnreadStream connects a gateway that has reported, and reads nothing.
+// openUnreadStream connects a gateway that sends its report but reads no messages.
 func openUnreadStream(t *testing.T, address, name string) {
 	t.Helper()
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithInitialWindowSize(1<<16))
@@ -116,7 +117,7 @@
 	}
 }
 
-// connection tells whether the controller knows a gateway, and has a stream of it.
+// connection reports whether a gateway is connected to the controller, and whether the controller knows it.
 func connection(t *testing.T, c *Controller, name string) (connected, known bool) {
 	t.Helper()
 	reply, err := c.Status(context.Background(), &pb.StatusAsk{Edges: true})
