--- a/internal/tlskeys/doc.go
+++ b/internal/tlskeys/doc.go
@@ -1,9 +1,9 @@
-// Package tlskeys is mutual TLS between gateways, controller and operators. Both sides show a certificate; the signer, the time and
-// the names are checked by each; TLS 1.3 at least.
+// Package tlskeys implements mutual TLS between gateways, controllers and operators, with TLS 1.3 or later. Each side verifies the
+// signer, the validity period and the names of the other side's certificate.
 //
-// Keys are files. They are read again when one of them has changed, so that they can be replaced without a restart, and the ones
-// before stay in use while the new ones can't be read: they may be half written. Who signed the other side's certificate is checked by
-// the files as they are at that handshake.
+// Keys and certificates are stored in files. They are read again when one of the files has changed, so that they can be replaced
+// without a restart. While the new files cannot be read, for example because they are partially written, the previous keys stay in
+// use. The other side's certificate is verified with the trusted certificates in the file at the time of the handshake.
 //
-// Make writes keys for tests and first installations.
+// Make creates keys and certificates for tests and first installations.
 package tlskeys
--- a/internal/tlskeys/files.go
+++ b/internal/tlskeys/files.go
@@ -12,23 +12,25 @@
 	"weirhaven/internal/pb"
 )
 
-// Files are the key files that the settings name. Load makes one; its methods may be called from any goroutine.
+// Files are the key files named in the settings. Use Load to create it. Its methods are safe for concurrent use.
 type Files struct {
 	conf *pb.Keys
 	log  *slog.Logger
 	now  func() time.Time
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	versions    fileVersions
 	certificate *tls.Certificate
 	trusted     *x509.CertPool
-	logged      string // the error of reading that was logged last
+	logged      string // last read error that was logged
 }
 
-// fileVersions tells apart the contents of the certificate, key and trusted certificates by time and size; "": not there.
+// fileVersions identifies the contents of the certificate, key and trusted certificates files by modification time and size. The
+// version of a missing file is "".
 type fileVersions [3]string
 
-// Load reads the files. It fails where one can't be read, the key is not the certificate's, or the certificate is out of date.
+// Load reads the files. It fails if a file cannot be read, the key does not match the certificate, or the certificate is expired or
+// not yet valid.
 func Load(conf *pb.Keys, log *slog.Logger) (*Files, error) {
 	f := &Files{conf: conf, log: log, now: time.Now}
 	f.mu.Lock()
@@ -45,8 +47,9 @@
 	return versions
 }
 
-// read replaces what is in use by the files' contents, all or nothing. The versions are taken before: a file that changes meanwhile is
-// read again. f.mu is held.
+// read replaces the certificate and the trusted certificates by the files' contents, or neither of them after an error. It
+// determines the versions before it reads the files, so that a file that changes in the meantime is read again. The caller holds
+// f.mu.
 func (f *Files) read() error {
 	versions := f.currentVersions()
 	certificate, err := f.readCertificate()
@@ -71,7 +74,7 @@
 		return nil, fmt.Errorf("keys: certificate %s: %w", f.conf.Certificate, err)
 	}
 	if err := checkDates(leaf, f.now()); err != nil {
-		return nil, fmt.Errorf("keys: certificate %s: %w; make or fetch a new one", f.conf.Certificate, err)
+		return nil, fmt.Errorf("keys: certificate %s: %w; create or obtain a new one", f.conf.Certificate, err)
 	}
 	return &certificate, nil
 }
@@ -83,13 +86,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("keys: %s holds no certificate (PEM)", f.conf.Trusted)
+		return nil, fmt.Errorf("keys: %s contains no PEM certificate", f.conf.Trusted)
 	}
 	return pool, nil
 }
 
-// current is the certificate and the trusted signers by the files as they are now; if those can't be read, by what was read last. An
-// error that repeats is logged once.
+// current returns the certificate and the trusted signers from the current files or, if these cannot be read, from the last
+// successful read. A repeated error is logged only once.
 func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/tlskeys/make.go
+++ b/internal/tlskeys/make.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	signerName        = "trusted" // of the signer's files; can't change: installed folders hold them
+	signerName        = "trusted" // base name of the signer's files; must not change, since existing installations use it
 	signerCommonName  = "weirhaven keys"
 	minSignerValidity = 10 * 365 * 24 * time.Hour
 	serialBits        = 120
-	clockTolerance    = time.Minute // a certificate is valid from so long before it was made, for hosts whose clocks are behind
+	clockTolerance    = time.Minute // a certificate is valid from this long before its creation, for hosts with slow clocks
 )
 
-// Make writes a key and a certificate, NAME.key and NAME.pem, for each name into a folder. They are valid for the given time and signed
-// by the folder's signer, trusted.key and trusted.pem, which is made if it is not there. Files of the same names are replaced.
+// Make writes a key and a certificate, NAME.key and NAME.pem, for each name into a folder. The certificates are valid for the given
+// duration and signed by the folder's signer, trusted.key and trusted.pem, which is created if it does not exist. Existing files of
+// the names are replaced.
 func Make(dir string, names []string, valid time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -86,7 +87,7 @@
 	}
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, fmt.Errorf("%s/%s.key is no EC key", dir, signerName)
+		return nil, nil, fmt.Errorf("%s/%s.key is not an EC key", dir, signerName)
 	}
 	signer, err := x509.ParseCertificate(pair.Certificate[0])
 	return signer, key, err
@@ -113,7 +114,7 @@
 	return signer, key, err
 }
 
-// writeFiles writes the key, readable by its owner only, then the certificate.
+// writeFiles writes the key, which only its owner can read, and then the certificate.
 func writeFiles(dir, name string, certificate []byte, key *ecdsa.PrivateKey) error {
 	der, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
@@ -125,7 +126,7 @@
 	return replaceFile(dir, name+".pem", &pem.Block{Type: "CERTIFICATE", Bytes: certificate}, 0o644)
 }
 
-// replaceFile replaces a file whole: a reader finds the old content or the new one.
+// replaceFile replaces a file atomically: a reader sees either the old or the new content.
 func replaceFile(dir, file string, block *pem.Block, mode os.FileMode) error {
 	temporary := filepath.Join(dir, "."+file+".new")
 	if err := os.WriteFile(temporary, pem.EncodeToMemory(block), mode); err != nil {
--- a/internal/tlskeys/stored_data_test.go
+++ b/internal/tlskeys/stored_data_test.go
@@ -14,7 +14,8 @@
 	"weirhaven/internal/pb"
 )
 
-// storedFolder is a copy of the sample: keys made for tests only, which open nothing anywhere. They hold until 2076.
+// storedFolder copies the sample folder and returns the name of the copy. Its keys were created for tests only and give access to
+// nothing. The certificates are valid until 2076.
 func storedFolder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -34,7 +35,8 @@
 	return f
 }
 
-// handshake lets one side call the other; it returns the names that each was shown, or the errors of both.
+// handshake connects the client to the server and returns the names that the server and the client saw in the other side's
+// certificate, or the errors of both.
 func handshake(t *testing.T, server, client *Files, serverName string) (shownServer, shownClient string, err error) {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server.Server())
@@ -57,7 +59,7 @@
 	return shownServer, shownClient, err
 }
 
-// accept completes the handshake with a caller and returns its name.
+// accept completes the handshake with a client and returns its name.
 func accept(listener net.Listener) (name string, err error) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -67,7 +69,7 @@
 	return peerName(conn.(*tls.Conn))
 }
 
-// call completes the handshake with the server and returns its name.
+// call connects to the server, completes the handshake and returns the server's name.
 func call(address string, settings *tls.Config) (name string, err error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return peerName(tls.Client(conn, settings))
 }
 
-// peerName is the name in the certificate that the other side shows.
+// peerName completes the handshake and returns the name in the other side's certificate.
 func peerName(conn *tls.Conn) (name string, err error) {
 	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		return "", err
@@ -88,8 +90,9 @@
 	return conn.ConnectionState().PeerCertificates[0].Subject.CommonName, nil
 }
 
-// Version a32f63c made a signer and the keys of a controller and a gateway. Every later version must load them, let the two connect, each
-// seeing the other's name, and still refuse whom the settings do not allow: else an upgrade cuts gateways off, or lets strangers in.
+// TestStoredKeysAreRead checks that the signer and the keys of a controller and a gateway created by version a32f63c can be loaded,
+// that the two can connect and see each other's name, and that names not allowed by the settings are rejected. Otherwise an upgrade
+// would disconnect gateways or admit unauthorized clients.
 func TestStoredKeysAreRead(t *testing.T) {
 	dir := storedFolder(t)
 	controller, gateway := load(t, dir, "weirplan", "edge-*"), load(t, dir, "edge-a")
@@ -105,8 +108,8 @@
 	}
 }
 
-// A later version makes keys in the folder of version a32f63c. They are signed by the signer that is there, the keys that are there stay
-// as they are, and both trust each other.
+// TestStoredSignerIsUsed checks that keys added to a folder of version a32f63c are signed by its existing signer, that the existing
+// keys are unchanged, and that the old and the new certificates trust each other.
 func TestStoredSignerIsUsed(t *testing.T) {
 	dir := storedFolder(t)
 	if err := Make(dir, []string{"edge-b"}, time.Hour); err != nil {
--- a/internal/tlskeys/verify.go
+++ b/internal/tlskeys/verify.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// DefaultServerName is the name that a controller's certificate must hold if a gateway's settings give none. It is the program's former
-// name: certificates that were made under it stay valid.
+// DefaultServerName is the name that a controller's certificate must contain if a gateway's settings specify none. It is the
+// program's former name, so that existing certificates remain valid.
 const DefaultServerName = "weirplan"
 
 var (
-	// ErrOutOfDate is returned for a certificate whose time has not begun or is over.
+	// ErrOutOfDate is returned for a certificate that is expired or not yet valid.
 	ErrOutOfDate = errors.New("out of date")
-	// ErrNotTrusted is returned for a certificate of the other side that no trusted signer signed.
+	// ErrNotTrusted is returned for a certificate of the other side that is not signed by a trusted signer.
 	ErrNotTrusted = errors.New("not trusted")
-	// ErrWrongName is returned for a certificate of the other side that doesn't hold the name that is called.
+	// ErrWrongName is returned for a certificate of the server that does not contain the expected server name.
 	ErrWrongName = errors.New("wrong name")
-	// ErrNotAllowed is returned for a certificate of the other side whose names the settings don't allow.
+	// ErrNotAllowed is returned for a certificate of the other side with no name that the settings allow.
 	ErrNotAllowed = errors.New("not among those allowed")
 )
 
-// Server is the configuration of the side that listens.
+// Server returns the TLS configuration of a server.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -42,14 +42,14 @@
 	}
 }
 
-// Client is the configuration of the side that calls; serverName is the name that the other side's certificate must hold.
+// Client returns the TLS configuration of a client. serverName is the name that the server's certificate must contain.
 func (f *Files) Client(serverName string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2"},
 		ServerName: serverName,
-		// The standard verification would use the signers as they were when the configuration was made. VerifyPeerCertificate
-		// verifies chain, dates and name by the files as they are now.
+		// The standard verification would use the trusted signers at the time this configuration was created. VerifyPeerCertificate
+		// verifies the chain, the dates and the name with the current files.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			certificate, _ := f.current()
@@ -61,8 +61,8 @@
 	}
 }
 
-// verify checks the other side's certificates: dates, signer, the name that was called ("": none was), and the names that the settings
-// allow.
+// verify checks the dates and the signer of the other side's certificate, the server name ("" to skip the check), and whether the
+// settings allow one of its names.
 func (f *Files) verify(chain [][]byte, usage x509.ExtKeyUsage, serverName string) error {
 	leaf, intermediates, err := parseChain(chain)
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 	names := append(slices.Clone(leaf.DNSNames), name)
 	if serverName != "" && leaf.VerifyHostname(serverName) != nil {
-		return fmt.Errorf("keys: %w: the certificate holds %v, wanted %q", ErrWrongName, names, serverName)
+		return fmt.Errorf("keys: %w: the certificate contains %v, wanted %q", ErrWrongName, names, serverName)
 	}
 	if !f.allows(names) {
 		return fmt.Errorf("keys: %q is %w (%v)", name, ErrNotAllowed, f.conf.Peer)
@@ -89,7 +89,7 @@
 
 func parseChain(chain [][]byte) (leaf *x509.Certificate, intermediates *x509.CertPool, err error) {
 	if len(chain) == 0 {
-		return nil, nil, errors.New("keys: the other side showed no certificate")
+		return nil, nil, errors.New("keys: the other side presented no certificate")
 	}
 	intermediates = x509.NewCertPool()
 	for i, der := range chain {
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// allows tells whether one of the names matches one of the settings' patterns (path.Match); without patterns every name does.
+// allows reports whether one of the names matches one of the patterns in the settings (path.Match). Without patterns, all names
+// match.
 func (f *Files) allows(names []string) bool {
 	if len(f.conf.Peer) == 0 {
 		return true
@@ -127,8 +128,8 @@
 	})
 }
 
-// Loopback tells whether an address, host:port, is on this machine. Only such a one may be used without keys. A host name other than
-// localhost is not looked up.
+// Loopback reports whether an address of the form host:port is a loopback address. Only such an address may be used without keys.
+// Host names other than localhost are not resolved.
 func Loopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
