--- a/internal/httpgateway/downstream/accept.go
+++ b/internal/httpgateway/downstream/accept.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// overflow connections may be open beyond MaxConnections: those that are being closed, and those whose requests are shed.
-	overflow = 6
-	// immediateAccept: an accept that takes longer found the kernel's accept queue empty.
+	// extraConnections is the number of connections that may be open beyond MaxConnections, for those that are being closed and
+	// those whose requests are shed.
+	extraConnections = 6
+	// immediateAccept is the duration from which an accept has blocked, so that the kernel's accept queue was empty.
 	immediateAccept = time.Millisecond
-	// maxAcceptDelay is the longest time that a connection is taken to have waited in the accept queue; how long it did is not
-	// known.
+	// maxAcceptDelay caps the time that a connection is assumed to have waited in the accept queue. The actual time is unknown.
 	maxAcceptDelay = 300 * time.Millisecond
-	// acceptRetryInterval is the pause after an accept that failed.
+	// acceptRetryInterval is the pause after a failed accept.
 	acceptRetryInterval = 2 * time.Millisecond
-	// descriptorPollInterval is how often a descriptor is looked for while none is free.
+	// descriptorPollInterval is the interval between checks for a free descriptor.
 	descriptorPollInterval = 5 * time.Millisecond
 )
 
-// Serve accepts connections until the listener is closed. It goes on accepting however many are open: a connection without a
-// request in progress is retired for a new one. When none can go, requests on further connections are shed with 503, so a
-// client never waits in the kernel's accept queue for a request of another one to end.
+// Serve accepts connections until the listener is closed. It goes on accepting at the connection limit: it retires a
+// connection without a request in progress for each new one. If there is none to retire, it sheds the requests on further
+// connections with 503. So no client waits in the kernel's accept queue until another client's request ends.
 func (s *Server) Serve(listener net.Listener) {
 	for {
 		s.awaitDescriptor()
@@ -45,8 +45,8 @@
 	}
 }
 
-// acceptFailed pauses. Evicting a connection helps only where this process has no descriptor left; after any other failure
-// it would cost a healthy connection for nothing.
+// acceptFailed counts and logs a failed accept and pauses. It evicts a connection only if this process has no descriptor
+// left; after any other failure an eviction would close a healthy connection without any benefit.
 func (s *Server) acceptFailed(err error) {
 	var errno syscall.Errno
 	errors.As(err, &errno)
@@ -63,7 +63,7 @@
 	time.Sleep(acceptRetryInterval)
 }
 
-// open begins to serve a connection.
+// open starts serving a connection.
 func (s *Server) open(nc net.Conn) {
 	c := newConn(s, nc)
 	if !s.backlogSince.IsZero() {
@@ -80,7 +80,7 @@
 	s.tasks.Go(c.run)
 }
 
-// awaitDescriptor returns once one more connection may be opened, or the server drains.
+// awaitDescriptor blocks until one more connection may be opened or the server drains.
 func (s *Server) awaitDescriptor() {
 	for !s.draining.Load() {
 		if s.freeDescriptor() {
@@ -96,16 +96,16 @@
 	}
 }
 
-// freeDescriptor reports whether one more connection may be opened; if not it asks one to end.
+// freeDescriptor reports whether one more connection may be opened. If not, it makes an open one close.
 func (s *Server) freeDescriptor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.options.MaxConnections+overflow {
+	if len(s.conns) < s.options.MaxConnections+extraConnections {
 		return true
 	}
 	if oldest := s.retiredLingering.Front(); oldest != nil {
 		s.endLinger(oldest.Value.(*conn))
-	} else if s.retiring < overflow {
+	} else if s.retiring < extraConnections {
 		s.evictOne()
 	}
 	return false
--- a/internal/httpgateway/downstream/adminpaths.go
+++ b/internal/httpgateway/downstream/adminpaths.go
@@ -6,16 +6,16 @@
 	"weirhaven/internal/http1"
 )
 
-// Paths of the platform's own requests.
+// Paths of the platform's admin requests.
 const (
 	metricsPath = "/-/metrics" // the counters in the Prometheus text format
-	readyPath   = "/-/ready"   // 200: this process may be used, 503: not yet or not any more
+	readyPath   = "/-/ready"   // 200: the process serves requests; 503: it is not ready yet or is draining
 )
 
-// anonymous stands for the id of a request that has none.
-const anonymous = "-"
+// adminRequestID is the placeholder id of an admin request.
+const adminRequestID = "-"
 
-// serveAdminPath answers the platform's own requests; ok is false for all others.
+// serveAdminPath returns the response to an admin request; ok is false for any other request.
 func (s *Server) serveAdminPath(head *http1.Head) (status int, body []byte, ok bool) {
 	if head.Method != "GET" || head.Length != 0 {
 		return 0, nil, false
--- a/internal/httpgateway/downstream/closing.go
+++ b/internal/httpgateway/downstream/closing.go
@@ -9,24 +9,24 @@
 	"weirhaven/internal/httpgateway/socket"
 )
 
-// firstRequestGrace is how long a connection that is retired before its first request may still begin one.
+// firstRequestGrace is the grace period within which a connection that was retired before its first request may begin one.
 const firstRequestGrace = 100 * time.Millisecond
 
-// maxLingerBytes bounds what is read and dropped of a client that goes on sending.
+// maxLingerBytes is the limit on bytes that are read and discarded from a client that goes on sending.
 const maxLingerBytes = 1 << 20
 
-// lingeringClose ends a connection so that its last response is received: nothing more is sent, and a bounded rest is read.
-// Were the socket closed with unread bytes in it, the kernel would answer with a reset, which destroys a response that the
-// client has not read yet.
+// lingeringClose closes the sending side of a connection and discards a bounded amount of input, so that the client receives
+// the last response. If the socket were closed with unread input, the kernel would send a reset, which destroys a response
+// that the client has not read yet.
 func (c *conn) lingeringClose() {
 	c.closeWrite()
 	c.server.moveTo(c, lingering, time.Now().Add(c.lingerTime()))
-	_, _ = io.Copy(io.Discard, io.LimitReader(c.nc, maxLingerBytes)) // ends with the client, or at the deadline
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.nc, maxLingerBytes)) // returns when the client closes, or at the deadline
 }
 
-// awaitFirstRequest keeps a retired connection that never had a request for a last moment, and reports whether its first one
-// begins in it, which is then served. The client has just connected, so it is about to send, and nothing has told it that the
-// connection may end.
+// awaitFirstRequest waits for firstRequestGrace on a retired connection that has had no request yet. It reports whether the
+// first request begins in that time; it is then served. The client has just connected, so it is probably about to send, and
+// it can't know that the connection is being closed.
 func (c *conn) awaitFirstRequest() bool {
 	if !c.server.takeLingerSlot(c) {
 		return false
@@ -35,16 +35,16 @@
 	if c.reader.Await() != nil {
 		return false
 	}
-	c.closeReason = "" // of its response, not of the retirement
+	c.closeReason = "" // set again after the response
 	return true
 }
 
-// isFresh reports whether no request was served on the connection.
+// isFresh reports whether no request has been served on the connection.
 func (c *conn) isFresh() bool { return !c.requestDeadline.IsZero() }
 
-// halfClose ends a connection that owes nothing: nothing more is sent, and the client may end its side. What it still sends
-// stays unread, so that its request counts as one that met the end between two requests, which the client may retry. A
-// request that was read would be owed a response.
+// halfClose closes the sending side of a connection without a pending response and waits for the client to close its side. It
+// reads nothing: a request that arrives now was sent on a connection that closed between two requests, so the client may
+// retry it. A request that was read would need a response.
 func (c *conn) halfClose() {
 	if !c.server.takeLingerSlot(c) {
 		return
@@ -54,14 +54,14 @@
 	socket.AwaitClose(c.nc)
 }
 
-// closeWrite ends the sending side.
+// closeWrite closes the sending side of the connection.
 func (c *conn) closeWrite() {
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
 }
 
-// lingerTime is how long the connection may linger: less while the process shuts down or others need room.
+// lingerTime returns how long the connection may linger: less than lingerTimeout during shutdown or after an eviction.
 func (c *conn) lingerTime() time.Duration {
 	linger := lingerTimeout
 	if deadline := time.Duration(c.server.shutdownDeadline.Load()); deadline > 0 {
--- a/internal/httpgateway/downstream/conn.go
+++ b/internal/httpgateway/downstream/conn.go
@@ -15,44 +15,44 @@
 	"weirhaven/internal/httpgateway/socket"
 )
 
-// conn is one client connection. It is owned by one goroutine, run, which alone closes it. While a request is in progress
-// that goroutine waits in a read, so that a client which disconnects is noticed; the response wakes it through the read
+// conn is one client connection. One goroutine, run, owns it, and only that goroutine closes it. While a request is in
+// progress the goroutine blocks in a read, so that it detects a disconnect; a response wakes it by means of the read
 // deadline.
 type conn struct {
 	server    *Server
 	nc        net.Conn
 	pipeline  *pipelineBuffer
 	reader    *http1.Reader
-	responses chan engine.Response // holds one; the loop never blocks on it
-
-	requestDeadline time.Time     // the request being read must be whole by then; zero: none is being read
-	writeDeadline   time.Time     // the response must be received by then; zero: writeTimeout from now
-	acceptDelay     time.Duration // the connection may have waited so long, with its first request, to be accepted
-	mustClose       bool          // the client asked for it, or its bytes can't be trusted any more
-	lastResponse    bool          // its next response is the last
-	inEngine        bool          // a request was submitted and has no response yet
-	releaseBody     func()        // of the response; set in the loop before the response is handed over
-
-	// What finish checks: a request that was read whole is owed a response, unless its client has gone.
-	pendingID   string          // of the request that is owed one; empty: none is
-	request     *engine.Request // submitted and neither answered nor canceled
-	clientGone  bool
+	responses chan engine.Response // buffer of one, so that the loop never blocks on it
+
+	requestDeadline time.Time     // time by which the request being read must be complete; zero: none is being read
+	writeDeadline   time.Time     // time by which the response must be written; zero: writeTimeout from now
+	acceptDelay     time.Duration // upper bound of the time that the connection waited in the accept queue
+	mustClose       bool          // true: the client requested the close, or its input is malformed
+	lastResponse    bool          // true: the connection closes after the next response
+	inEngine        bool          // true: a submitted request has no response yet
+	releaseBody     func()        // releases the response's body; set in the loop before the response is sent on responses
+
+	// State that finish checks: a request that was read completely gets a response unless its client has disconnected.
+	pendingID   string          // id of the request whose response is pending; empty: none
+	request     *engine.Request // submitted request that is neither answered nor canceled
+	clientGone  bool            // true: the client has disconnected
 	closeReason metrics.Reason
 
 	// Guarded by Server.mu.
-	list         *list.List // that it stands in
+	list         *list.List // list of the Server that contains element
 	element      *list.Element
 	stateSince   time.Time
 	inProgress   bool
-	retired      bool // asked to end
+	retired      bool // true: run was told to close the connection, see Server.retire
 	retireReason metrics.Reason
 }
 
-// retiredRequestTimeout is how long a request that has begun when its connection is retired may take to become whole.
+// retiredRequestTimeout is the time within which a request must be complete if it had begun when its connection was retired.
 const retiredRequestTimeout = 100 * time.Millisecond
 
-// longAgo as a deadline ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that interrupts a read at once.
+var pastDeadline = time.Unix(1, 0)
 
 func newConn(s *Server, nc net.Conn) *conn {
 	c := &conn{server: s, nc: nc, responses: make(chan engine.Response, 1), requestDeadline: time.Now().Add(requestTimeout)}
@@ -67,9 +67,9 @@
 	}
 }
 
-// serveNext waits for a request and serves it; it reports whether the connection goes on.
+// serveNext waits for a request and serves it. It reports whether the connection stays open.
 func (c *conn) serveNext() bool {
-	if err := c.reader.Await(); err != nil && !c.endWithoutRequest(err) {
+	if err := c.reader.Await(); err != nil && !c.handleAwaitError(err) {
 		return false
 	}
 	arrivedAt := c.pipeline.arrivalTime(c.reader.Buffered()) - c.acceptDelay
@@ -83,21 +83,21 @@
 	return true
 }
 
-// startRequestTimeout sets by when the request that has begun must be whole.
+// startRequestTimeout sets the deadline by which the request that has begun must be complete.
 func (c *conn) startRequestTimeout() {
 	if c.requestDeadline.IsZero() {
 		c.requestDeadline = time.Now().Add(requestTimeout)
 	}
-	if c.server.startLastRequest(c) {
+	if c.server.extendForLastRequest(c) {
 		c.lastResponse = true
 		return
 	}
 	c.server.moveTo(c, reading, c.requestDeadline)
 }
 
-// endWithoutRequest ends a connection on which no request has begun; it reports whether one has begun in its last moment,
-// which is to be served.
-func (c *conn) endWithoutRequest(err error) (requestBegun bool) {
+// handleAwaitError handles an error of the wait for a request. It closes the sending side of the connection where that is
+// called for. It reports whether a request began within the grace period of a retired connection and has to be served.
+func (c *conn) handleAwaitError(err error) (requestBegun bool) {
 	switch {
 	case errors.Is(err, errPipelineLimit):
 		c.shedPipelined()
@@ -118,36 +118,36 @@
 	return false
 }
 
-// Read reads from the socket. A deadline ends a connection only where its receive buffer is empty: were a request left in it
-// that arrived in the moment of an eviction or a shutdown, its client would get a reset for it in place of a response.
+// Read reads from the socket. It returns a deadline error only if the receive buffer is empty. Otherwise a request that
+// arrived just as its connection was evicted or the server shut down would be answered by a reset.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.nc.Read(p)
 	if n > 0 || c.inEngine || !errors.Is(err, os.ErrDeadlineExceeded) || socket.Peek(c.nc) == socket.Empty {
 		return n, err
 	}
-	_ = c.nc.SetReadDeadline(time.Time{}) // what is there is read without waiting
+	_ = c.nc.SetReadDeadline(time.Time{}) // the read returns the buffered bytes without blocking
 	n, err = c.nc.Read(p)
-	_ = c.nc.SetReadDeadline(longAgo)
+	_ = c.nc.SetReadDeadline(pastDeadline)
 	return n, err
 }
 
-// finish is the one place where a client connection is closed. It checks that no response is owed on it.
+// finish closes the connection; nothing else does. It checks that no response is pending.
 func (c *conn) finish() {
 	if cause := recover(); cause != nil {
 		c.handlePanic(cause)
 	}
-	_ = c.nc.Close() // at once: what arrives between the last look into the receive buffer and here is reset
-	c.checkNothingOwed()
+	_ = c.nc.Close() // first: bytes that arrive between the last check of the receive buffer and here are answered by a reset
+	c.checkNoPendingResponse()
 	c.server.options.Recorder.Count(metrics.Closed, c.closeReason)
 	c.server.options.Log.Debug("client connection closed", "client", c.nc.RemoteAddr().String(), "reason", string(c.closeReason), "request", c.pendingID)
 	c.pipeline.release()
-	c.freeResponse()
+	c.releaseResponseBody()
 	c.server.remove(c)
 }
 
-// checkNothingOwed counts a violation where the connection is closed over a request that was read, or over a pipelined one
-// that nobody asked to drop.
-func (c *conn) checkNothingOwed() {
+// checkNoPendingResponse records a violation if the connection is closed before the response to a request that was read, or
+// with a pipelined request that may not be dropped.
+func (c *conn) checkNoPendingResponse() {
 	recorder := c.server.options.Recorder
 	switch {
 	case c.clientGone:
@@ -159,7 +159,7 @@
 	}
 }
 
-// mayDropPipelined reports whether pipelined requests are rightly not served.
+// mayDropPipelined reports whether the connection may be closed without serving its pipelined requests.
 func (c *conn) mayDropPipelined() bool {
 	switch c.closeReason {
 	case metrics.ClientRequestedClose, metrics.BadRequest, metrics.PipelineLimit:
@@ -168,14 +168,14 @@
 	return false
 }
 
-// hasWholePipelinedHead reports whether a pipelined request was read whose head is whole.
+// hasWholePipelinedHead reports whether the complete head of a pipelined request was read.
 func (c *conn) hasWholePipelinedHead() bool {
 	unparsed := c.reader.Peek(c.reader.Buffered())
 	return bytes.Contains(append(unparsed[:len(unparsed):len(unparsed)], c.pipeline.buffered...), []byte("\r\n\r\n"))
 }
 
-// handlePanic answers what is owed after a fault of this program on this connection. The fault must not end the process: all
-// other clients would lose their requests with it.
+// handlePanic answers a pending request with status 500 after a panic on this connection. The panic must not end the process,
+// since all other clients would lose their requests.
 func (c *conn) handlePanic(cause any) {
 	c.closeReason = metrics.Panicked
 	c.server.options.Log.Error("panic while serving a client", "request", c.pendingID, "cause", cause, "stack", string(debug.Stack()))
--- a/internal/httpgateway/downstream/connstate.go
+++ b/internal/httpgateway/downstream/connstate.go
@@ -4,28 +4,28 @@
 	"time"
 )
 
-// connState is what a connection without a request in progress does.
+// connState is the state of a connection without a request in progress.
 type connState int
 
 const (
-	lingering  connState = iota // its last response is out; what the client still sends is read and dropped
-	fresh                       // no request so far
-	idle                        // between two requests
-	reading                     // a request has begun and is not whole
-	connStates                  // the number of states
+	lingering      connState = iota // the sending side is closed; the client may still send or close
+	fresh                           // no request so far
+	idle                            // between two requests
+	reading                         // part of a request was read
+	connStateCount                  // number of states
 )
 
-// moveTo enters a state and sets until when the connection may wait for bytes. A retired connection keeps its deadline,
-// which has passed.
+// moveTo moves a connection to a state and sets its read deadline. A retired connection keeps its deadline, which has passed,
+// unless it starts to linger.
 func (s *Server) moveTo(c *conn, state connState, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaveState(c)
-	s.endProgress(c)
+	s.clearInProgress(c)
 	if c.retired && state != lingering {
 		return
 	}
-	_ = c.nc.SetReadDeadline(deadline) // a broken connection fails the next read
+	_ = c.nc.SetReadDeadline(deadline) // an error is ignored: the next read of a broken connection fails
 	c.list = &s.byState[state]
 	if c.retired {
 		c.list = &s.retiredLingering
@@ -33,13 +33,13 @@
 	c.element, c.stateSince = c.list.PushBack(c), time.Now()
 }
 
-// admit marks a connection as one with a request in progress; false: there are as many as there may be. A retired connection
-// is reprieved: it had a request when it was asked to end, which is served as its last one.
+// admit marks a connection as having a request in progress; it returns false if Options.MaxConnections have one already. The
+// retirement of a connection is canceled: it had a request when it was retired, which is served as its last one.
 func (s *Server) admit(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaveState(c)
-	s.reprieve(c)
+	s.cancelRetirement(c)
 	if s.inProgress >= s.options.MaxConnections {
 		return false
 	}
@@ -48,12 +48,12 @@
 	return true
 }
 
-// remove forgets a connection whose socket is closed.
+// remove drops a connection whose socket is closed from the server's lists and counts.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaveState(c)
-	s.endProgress(c)
+	s.clearInProgress(c)
 	if c.retired {
 		s.retiring--
 	}
@@ -64,15 +64,15 @@
 	}
 }
 
-// endProgress is called under mu.
-func (s *Server) endProgress(c *conn) {
+// clearInProgress marks a connection as having no request in progress. The caller holds mu.
+func (s *Server) clearInProgress(c *conn) {
 	if c.inProgress {
 		c.inProgress = false
 		s.inProgress--
 	}
 }
 
-// leaveState is called under mu.
+// leaveState removes a connection from the list of its state. The caller holds mu.
 func (s *Server) leaveState(c *conn) {
 	if c.element != nil {
 		c.list.Remove(c.element)
--- a/internal/httpgateway/downstream/eviction.go
+++ b/internal/httpgateway/downstream/eviction.go
@@ -7,7 +7,8 @@
 	"weirhaven/internal/httpgateway/metrics"
 )
 
-// Young connections are spared: a usual client asks as soon as it has connected, and sends its request in one go.
+// Times for which a connection in a state is protected from eviction. A typical client sends its request immediately after
+// connecting, and all of it at once. So connections that have just been accepted or have just begun a request are protected.
 const (
 	minLingering = 100 * time.Millisecond // the client may still read its last response
 	minFresh     = 50 * time.Millisecond
@@ -17,8 +18,8 @@
 	longReading  = time.Second
 )
 
-// evictionOrder is the order in which connections make room for new ones: the oldest in the first of these states that has
-// been there for at least minAge.
+// evictionOrder is the order in which connections are evicted. Each step selects the connection that has been in the state
+// for longest, if that is at least minAge.
 var evictionOrder = []struct {
 	state  connState
 	minAge time.Duration
@@ -26,15 +27,16 @@
 	{idle, 0}, {fresh, minFresh}, {reading, minReading}}
 
 const (
-	// lingerSlots: with more connections than that being retired, one that has not just been answered lingers in place of another.
-	lingerSlots = overflow / 2
-	// Once the accept queue has been waiting for backlogTolerance, no connection is spared for longer than backlogMinAge: those
-	// in the queue are young clients too.
+	// lingerSlots is the number of retired connections up to which an evicted connection may linger without ending the
+	// lingering of another one.
+	lingerSlots = extraConnections / 2
+	// backlogTolerance is how long connections may wait in the accept queue before the protection from eviction is reduced to
+	// backlogMinAge. The connections in the queue are new clients too.
 	backlogTolerance = 20 * time.Millisecond
 	backlogMinAge    = 25 * time.Millisecond
 )
 
-// evictOne retires the connection that can best be spared; it does nothing if there is none. The caller holds mu.
+// evictOne retires the first connection in evictionOrder. It does nothing if there is none. The caller holds mu.
 func (s *Server) evictOne() {
 	for _, step := range evictionOrder {
 		oldest := s.byState[step.state].Front()
@@ -51,7 +53,8 @@
 	}
 }
 
-// minAge is the age from which a connection may be evicted that is spared up to usual.
+// minAge returns the age from which a connection may be evicted: usual, or backlogMinAge if that is less and connections have
+// been waiting in the accept queue for backlogTolerance.
 func (s *Server) minAge(usual time.Duration) time.Duration {
 	if !s.backlogSince.IsZero() && time.Since(s.backlogSince) >= backlogTolerance {
 		return min(usual, backlogMinAge)
@@ -59,9 +62,9 @@
 	return usual
 }
 
-// retire asks a connection's goroutine to end it, by ending the read in which it waits. That goroutine alone closes the
-// socket: it looks first whether a request has arrived meanwhile, which then is served as the last one. Were the socket
-// closed here, a request that was sent whole could be lost without a response. The caller holds mu.
+// retire makes a connection's goroutine close it, by interrupting the read in which the goroutine blocks. Only that goroutine
+// closes the socket. It first checks whether a request has arrived meanwhile and serves it as the last one. If retire closed
+// the socket, a request that was sent completely could be lost without a response. The caller holds mu.
 func (s *Server) retire(c *conn, reason metrics.Reason) {
 	s.leaveState(c)
 	if !c.retired {
@@ -69,10 +72,10 @@
 		s.retiring++
 	}
 	c.retireReason = reason
-	_ = c.nc.SetReadDeadline(longAgo)
+	_ = c.nc.SetReadDeadline(pastDeadline)
 }
 
-// retireAll retires the connections of a state that are of an age. The caller holds mu.
+// retireAll retires the connections in conns that have been in their state for at least minAge. The caller holds mu.
 func (s *Server) retireAll(conns *list.List, minAge time.Duration, reason metrics.Reason) {
 	for oldest := conns.Front(); oldest != nil; oldest = conns.Front() {
 		c := oldest.Value.(*conn)
@@ -83,42 +86,43 @@
 	}
 }
 
-// reprieve takes a retirement back: the connection has a request, which will be its last. The caller holds mu.
-func (s *Server) reprieve(c *conn) {
+// cancelRetirement cancels the retirement of a connection that has received a request, which will be its last one. The caller
+// holds mu.
+func (s *Server) cancelRetirement(c *conn) {
 	if c.retired {
 		c.retired, c.lastResponse = false, true
 		s.retiring--
 	}
 }
 
-// endLinger ends the lingering of a retired connection. The caller holds mu.
+// endLinger ends the lingering of a retired connection early. The caller holds mu.
 func (s *Server) endLinger(c *conn) {
 	s.leaveState(c)
-	_ = c.nc.SetReadDeadline(longAgo)
+	_ = c.nc.SetReadDeadline(pastDeadline)
 }
 
-// retirement tells whether a connection was asked to end, and why.
+// retirement reports whether a connection is retired, and the reason.
 func (s *Server) retirement(c *conn) (reason metrics.Reason, retired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.retireReason, c.retired
 }
 
-// startLastRequest gives a retired connection on which a request has begun retiredRequestTimeout for the rest of it; false: the
-// connection is not retired.
-func (s *Server) startLastRequest(c *conn) bool {
+// extendForLastRequest sets the read deadline of a retired connection to retiredRequestTimeout from now, for the rest of a
+// request that has begun. It returns false if the connection is not retired.
+func (s *Server) extendForLastRequest(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !c.retired {
 		return false
 	}
-	s.leaveState(c) // first: whoever ends its lingering must not cut the request
+	s.leaveState(c) // first: endLinger must not interrupt the request
 	_ = c.nc.SetReadDeadline(time.Now().Add(retiredRequestTimeout))
 	return true
 }
 
-// takeLingerSlot reports whether a connection that is being closed may be kept for what its client still sends. While all slots
-// are taken, the connection that has been kept for longest gives way.
+// takeLingerSlot reports whether a connection that is being closed may linger. If an evicted connection finds all slots taken,
+// the retired connection that has lingered for longest ends.
 func (s *Server) takeLingerSlot(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/httpgateway/downstream/ioinfo.go
+++ b/internal/httpgateway/downstream/ioinfo.go
@@ -7,23 +7,23 @@
 	"weirhaven/internal/http1"
 )
 
-// Bounds of what a client may claim.
+// Upper bounds of the values that a client may send.
 const (
 	maxUnits    = 1e6
 	maxShard    = 1 << 20
 	maxGateways = 10000
 )
 
-// ioInfo is how large a request is, where its data lies and how many gateways its volume uses.
+// ioInfo is the content of the Io-Info field.
 type ioInfo struct {
-	units    float64
-	shard    int // -1: a new object
-	gateways int
+	units    float64 // size of the request
+	shard    int     // shard of the data; -1: a new object
+	gateways int     // number of gateways that the volume uses
 
 	hasUnits, hasShard, hasGateways bool
 }
 
-// parseIOInfo reads "units=U,shard=S,hosts=G" in any order; each stands there once, other names are skipped.
+// parseIOInfo parses "units=U,shard=S,hosts=G" in any order. Each name must occur exactly once; other names are ignored.
 func parseIOInfo(text string) (info ioInfo, ok bool) {
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/httpgateway/downstream/pipeline.go
+++ b/internal/httpgateway/downstream/pipeline.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// pipelineBuffer lies between a connection and the reader of its requests. Pipelined requests come in while an earlier one
-// waits for its response: they are kept here, with the times at which their bytes arrived, since their timeouts count from
-// then. It is used by the connection's goroutine only.
+// pipelineBuffer buffers input between a connection and its request reader. It holds the pipelined requests that arrive while
+// an earlier request is in progress. It records when their bytes arrived, since their timeouts start then. Only the
+// connection's goroutine uses it.
 type pipelineBuffer struct {
 	source     io.Reader
 	now        func() time.Duration // the loop's clock
-	buffered   []byte               // read ahead
-	consumed   int64                // bytes handed on so far
-	arrivals   []arrival            // of the stretches that hold buffered or lately consumed bytes, oldest first
-	err        error                // of the connection, for good
-	truncated  bool                 // more came than may be kept: the connection ends where buffered ends
-	sharedFree *atomic.Int64        // bytes that all connections may still keep beyond their own
+	buffered   []byte               // bytes read ahead
+	consumed   int64                // number of bytes returned by Read so far
+	arrivals   []arrival            // ranges that contain the buffered and the last consumed bytes, oldest first
+	err        error                // permanent error of the connection
+	truncated  bool                 // true: the buffer limit was exceeded, and input after buffered was discarded
+	sharedFree *atomic.Int64        // bytes left in the buffer space that all connections share
 }
 
-// arrival is a stretch of bytes that came at one time.
+// arrival is a range of bytes that arrived at the same time.
 type arrival struct {
-	from int64 // its first byte, counted from the connection's first
+	from int64 // offset of the first byte in the connection's input
 	at   time.Duration
 }
 
 const (
-	maxBuffered   = 256 << 10 // bytes of one connection
-	ownBuffered   = 16 << 10  // of these, without use of what all connections share
-	readAheadSize = 4 << 10   // bytes of one read
-	maxArrivals   = 64        // a stretch beyond these counts as part of the last one
+	maxBuffered   = 256 << 10 // buffer limit of one connection in bytes
+	ownBuffered   = 16 << 10  // part of maxBuffered that doesn't count against the shared space, in bytes
+	readAheadSize = 4 << 10   // size of one read in bytes
+	maxArrivals   = 64        // limit on recorded ranges; the last one is overwritten beyond it
 )
 
-var errPipelineLimit = errors.New("more pipelined requests than may be kept")
+var errPipelineLimit = errors.New("pipelined requests exceed the buffer limit")
 
-// Read hands on what is buffered, then what comes.
+// Read returns buffered bytes if there are any, else it reads from the connection.
 func (b *pipelineBuffer) Read(p []byte) (int, error) {
 	if len(b.buffered) > 0 {
 		n := copy(p, b.buffered)
@@ -60,8 +60,8 @@
 	return n, err
 }
 
-// readAhead waits for bytes and keeps them. What may not be kept is dropped, and with it all that follows: were it left
-// unread in the socket, a client that sends much and then disconnects would not be noticed.
+// readAhead waits for bytes and buffers them. It discards bytes beyond the buffer limit, and all bytes after them. If they
+// stayed unread in the socket, the disconnect of a client that sends much would go undetected.
 func (b *pipelineBuffer) readAhead() error {
 	if b.err != nil {
 		return b.err
@@ -76,22 +76,23 @@
 	return err
 }
 
-// fits reports whether n more bytes may be kept.
+// fits reports whether n more bytes may be buffered.
 func (b *pipelineBuffer) fits(n int) bool {
 	n += len(b.buffered)
 	return n <= ownBuffered || n <= maxBuffered && b.sharedFree.Load() >= readAheadSize
 }
 
-// account takes n more bytes from what all connections share, as far as they are beyond ownBuffered; n below 0 gives back.
+// account charges n more buffered bytes to the shared space, as far as they exceed ownBuffered; a negative n releases bytes.
 func (b *pipelineBuffer) account(n int) {
 	before, after := max(len(b.buffered)-ownBuffered, 0), max(len(b.buffered)+n-ownBuffered, 0)
 	b.sharedFree.Add(int64(before - after))
 }
 
-// release gives back what was taken, once the connection ends.
+// release returns the connection's part of the shared space when the connection is closed.
 func (b *pipelineBuffer) release() { b.account(-len(b.buffered)) }
 
-// received notes when n bytes came, the first of which has the number from. A deadline is no error for good.
+// received records the arrival time of n bytes, the first of which has the offset from. It keeps err as the permanent error
+// unless err is an exceeded deadline.
 func (b *pipelineBuffer) received(from int64, n int, err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		b.err = err
@@ -105,8 +106,8 @@
 	}
 }
 
-// arrivalTime is when the first byte came, on the loop's clock, that was handed on last and not parsed yet; unparsed is how
-// many such bytes there are.
+// arrivalTime returns the arrival time, on the loop's clock, of the first byte that Read has returned and that is not parsed
+// yet. unparsed is the number of such bytes.
 func (b *pipelineBuffer) arrivalTime(unparsed int) time.Duration {
 	first := b.consumed - int64(unparsed)
 	for len(b.arrivals) > 1 && b.arrivals[1].from <= first {
--- a/internal/httpgateway/downstream/reject.go
+++ b/internal/httpgateway/downstream/reject.go
@@ -8,13 +8,13 @@
 	"weirhaven/internal/httpgateway/metrics"
 )
 
-// shed answers 503 to a request that the scheduler has not seen; the client may retry it without harm.
+// shed answers a request with 503 without submitting it to the scheduler, so the client may safely retry it.
 func (c *conn) shed(reason metrics.Reason) bool {
 	c.server.countShed(reason)
 	return c.respond(503, "", nil)
 }
 
-// shedPipelined answers the first of the requests that were dropped since more came at once than is kept, and ends the
+// shedPipelined answers the first of the pipelined requests that were discarded at the buffer limit with 503 and closes the
 // connection.
 func (c *conn) shedPipelined() {
 	c.mustClose = true
@@ -23,8 +23,8 @@
 	c.closeReason = metrics.PipelineLimit
 }
 
-// rejectMalformed answers what can't be a request, if there is anything to answer, and ends the connection: where a request
-// is malformed it isn't known where the next one begins. It returns false.
+// rejectMalformed answers a malformed or incomplete request with an error status, unless the client has disconnected, and
+// closes the connection: after a malformed request the start of the next one is unknown. It returns false.
 func (c *conn) rejectMalformed(err error) bool {
 	var malformed *http1.Error
 	c.mustClose, c.closeReason = true, metrics.BadRequest
@@ -32,7 +32,7 @@
 	case errors.As(err, &malformed):
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.closeReason = metrics.RequestTimeout
-		malformed = &http1.Error{Status: 408, Reason: "not whole in time"}
+		malformed = &http1.Error{Status: 408, Reason: "request incomplete at its timeout"}
 	case errors.Is(err, errPipelineLimit):
 		c.shedPipelined()
 		return false
--- a/internal/httpgateway/downstream/request.go
+++ b/internal/httpgateway/downstream/request.go
@@ -9,14 +9,14 @@
 	"weirhaven/internal/http1"
 )
 
-// Fields of a request on the wire, in canonical form. The platform's names are mapped to this program's here alone.
+// Header fields of a request, in canonical form. Only this file maps the platform's names to this program's terms.
 const (
-	fieldClass   = "X-Lane"         // the request class, the same as in the path
-	fieldPlan    = "Tier"           // the service plan
-	fieldTimeout = "X-Remaining-Ms" // what the client has left, in milliseconds
-	fieldID      = "X-Txn"          // the request's id, the same for all attempts
-	fieldRetry   = "X-Resent"       // "1": the client sent the same request before
-	fieldIOInfo  = "Io-Info"        // size and place of the request, see parseIOInfo
+	fieldClass   = "X-Lane"         // request class, the same as in the path
+	fieldPlan    = "Tier"           // service plan
+	fieldTimeout = "X-Remaining-Ms" // time left until the client's deadline, in milliseconds
+	fieldID      = "X-Txn"          // request id, the same for all attempts
+	fieldRetry   = "X-Resent"       // "1": the client retries the request
+	fieldIOInfo  = "Io-Info"        // size, shard and number of gateways, see parseIOInfo
 )
 
 const (
@@ -26,8 +26,8 @@
 
 func badRequest(status int, reason string) error { return &http1.Error{Status: status, Reason: reason} }
 
-// parseRequest makes a request of its head, or returns an *http1.Error that says why it can't be one. Nothing of a request
-// that fails here reaches the scheduler.
+// parseRequest builds a request from its head. It returns an *http1.Error if the head is invalid; the scheduler never sees
+// such a request.
 func (s *Server) parseRequest(head *http1.Head) (*engine.Request, error) {
 	target, err := s.parseTarget(head)
 	if err != nil {
@@ -38,11 +38,11 @@
 	}
 	timeoutMs, ok := http1.ParseDigits(head.Get(fieldTimeout))
 	if !ok || timeoutMs > math.MaxInt32 {
-		return nil, badRequest(400, "the time left is no whole number")
+		return nil, badRequest(400, "invalid X-Remaining-Ms")
 	}
 	info, ok := parseIOInfo(head.Get(fieldIOInfo))
 	if !ok {
-		return nil, badRequest(400, "units, shard or gateways are missing or out of range")
+		return nil, badRequest(400, "units, shard or hosts missing or out of range in IO-Info")
 	}
 	return &engine.Request{Volume: target.volume, Class: target.class, Object: target.object, Trace: head.Get(fieldID),
 		Plan: head.Get(fieldPlan), Timeout: max(time.Duration(timeoutMs)*time.Millisecond, 1), Retry: head.Get(fieldRetry) == "1",
@@ -51,7 +51,7 @@
 
 type target struct{ class, volume, object string }
 
-// parseTarget reads the path, /class/volume/object; a query is passed on as it is.
+// parseTarget parses the path, /class/volume/object. It ignores the query, which is forwarded unchanged.
 func (s *Server) parseTarget(head *http1.Head) (target, error) {
 	path, _, _ := strings.Cut(head.Target, "?")
 	parts := strings.Split(path, "/")
@@ -63,14 +63,14 @@
 	case !ok:
 		return target{}, badRequest(404, "unknown request class")
 	case head.Get(fieldClass) != t.class:
-		return target{}, badRequest(400, "the request class differs between path and head")
+		return target{}, badRequest(400, "request class differs between path and X-Lane")
 	case !isHex16(t.volume) || !isHex16(t.object):
-		return target{}, badRequest(404, "volume or object is not of 16 hexadecimal digits")
+		return target{}, badRequest(404, "volume or object is not 16 hexadecimal digits")
 	}
 	return t, nil
 }
 
-// checkHead checks method, plan, id and length.
+// checkHead checks the method, plan, id and body length.
 func (s *Server) checkHead(head *http1.Head, class string) error {
 	method := "GET"
 	if s.classes[class].Writes {
@@ -78,22 +78,22 @@
 	}
 	switch {
 	case head.Method != method:
-		return badRequest(405, "the method does not fit the request class")
+		return badRequest(405, "method not allowed for the request class")
 	case !s.plans[head.Get(fieldPlan)]:
 		return badRequest(400, "unknown plan")
 	case !isToken(head.Get(fieldID)):
-		return badRequest(400, "no id, or one that is none")
+		return badRequest(400, "missing or invalid request id")
 	case method == "GET" && head.Length != 0:
-		return badRequest(400, "a read with a body")
+		return badRequest(400, "read request with a body")
 	case method == "PUT" && head.Count("Content-Length")+head.Count("Transfer-Encoding") == 0:
-		return badRequest(411, "a write without a length")
+		return badRequest(411, "write request without a length")
 	case head.Length > maxBody:
 		return badRequest(413, "body too large")
 	}
 	return nil
 }
 
-// forwardedHead is the head that attempts begin with. The time left is added when an attempt is sent.
+// forwardedHead returns the head that is forwarded with each attempt. The remaining time is added when an attempt is sent.
 func forwardedHead(head *http1.Head) []byte {
 	text := make([]byte, 0, 128+len(head.Target))
 	text = append(append(append(append(text, head.Method...), ' '), head.Target...), " HTTP/1.1\r\n"...)
@@ -102,7 +102,7 @@
 
 func isHex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdefABCDEF") == "" }
 
-// isToken reports whether an id can be passed on as it is.
+// isToken reports whether s is a valid request id, which is forwarded unchanged.
 func isToken(s string) bool {
 	return s != "" && len(s) <= maxIDLength && strings.IndexFunc(s, notInToken) < 0
 }
--- a/internal/httpgateway/downstream/requestids.go
+++ b/internal/httpgateway/downstream/requestids.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// The id of a request is refused for idMemory after the request ended: a copy of it that comes late would have its effect a
-// second time. No more than maxRememberedIDs are kept; beyond that the older half is forgotten early.
+// A request id is rejected as a duplicate for idMemory after its request ended, since a late copy of the request would take
+// effect a second time. At most maxRememberedIDs are kept; beyond that the older half is dropped early.
 const (
 	idMemory         = 10 * time.Second
 	maxRememberedIDs = 1 << 16
 )
 
-// requestIDs are the ids of requests that are in progress or ended a moment ago. It is safe for concurrent use.
+// requestIDs is the set of ids of requests that are in progress or ended recently. It is safe for concurrent use.
 type requestIDs struct {
 	mu            sync.Mutex
 	inProgress    map[string]bool
-	recent, older map[string]bool // two generations of those that ended
-	rotatedAt     time.Time       // when recent was begun
+	recent, older map[string]bool // two generations of ids of ended requests
+	rotatedAt     time.Time       // time at which recent was created
 }
 
 func newRequestIDs() *requestIDs {
 	return &requestIDs{inProgress: map[string]bool{}, recent: map[string]bool{}, older: map[string]bool{}, rotatedAt: time.Now()}
 }
 
-// claim reports whether an id may be used; it is in progress from then on.
+// claim marks an id as in progress. It returns false if the id is in progress already or its request ended recently.
 func (r *requestIDs) claim(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,7 +35,8 @@
 	return true
 }
 
-// release ends the use of an id. It is remembered unless its request never reached the scheduler.
+// release marks the request of an id as ended. remember is false if the request never reached the scheduler; then the id may
+// be used again at once.
 func (r *requestIDs) release(id string, remember bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/httpgateway/downstream/respond.go
+++ b/internal/httpgateway/downstream/respond.go
@@ -11,21 +11,21 @@
 	"weirhaven/policy"
 )
 
-// writeResponse maps the engine's result to a status and writes it; it reports whether the connection goes on.
+// writeResponse maps the engine's result to a status and writes the response. It reports whether the connection stays open.
 func (c *conn) writeResponse(response engine.Response) bool {
 	c.server.options.Recorder.Count(metrics.Responded, metrics.Reason(response.Result.String()))
 	c.recordGiveUp(response.GiveUp)
 	switch response.Result {
 	case engine.Served:
 		return c.respond(200, "", response.Body)
-	case engine.Rejected: // a retry is harmless: it did not run, or may run again
+	case engine.Rejected: // safe to retry: the request did not run or is idempotent
 		fields := ""
 		if response.RetryAfter > 0 {
 			fields = "Retry-After: " + strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 		}
 		return c.respond(503, fields, nil)
 	case engine.Failed:
-		if response.Reason != "" { // given only for what the client sent wrongly
+		if response.Reason != "" { // set only for a client error
 			c.server.countBadRequest(500, response.Reason)
 		}
 		if response.MayHaveRun {
@@ -36,7 +36,7 @@
 	return false
 }
 
-// recordGiveUp counts and logs why the scheduler gave the request up, if it did.
+// recordGiveUp counts and logs the cause if the scheduler ended the request without a result.
 func (c *conn) recordGiveUp(giveUp policy.GiveUp) {
 	if giveUp == (policy.GiveUp{}) {
 		return
@@ -47,14 +47,13 @@
 	c.server.options.Log.Debug("request given up", "request", c.pendingID, "cause", string(giveUp.Cause), "held_by", string(giveUp.Hold))
 }
 
-// statusTexts are the reason phrases of all statuses that are written.
+// statusTexts maps each status that the server writes to its reason phrase.
 var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	409: "Conflict", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout",
 	505: "HTTP Version Not Supported"}
 
-// respond writes one response, with fields beside the usual ones, after which nothing is owed; it reports whether the
-// connection goes on.
+// respond writes the pending response. fields are additional header lines. It reports whether the connection stays open.
 func (c *conn) respond(status int, fields string, body []byte) bool {
 	last := c.isLastResponse()
 	message := make([]byte, 0, 128+len(fields)+len(body))
@@ -74,14 +73,14 @@
 	c.server.options.Log.Debug("response sent", "request", c.pendingID, "status", status, "last", last)
 	c.pendingID = ""
 	if last {
-		c.closeReason = c.reasonOfLast()
+		c.closeReason = c.lastResponseCloseReason()
 		c.lingeringClose()
 	}
 	return !last
 }
 
-// isLastResponse reports whether the connection ends with the response that is written now. A request that was read behind
-// it is served first, unless the client asked to close.
+// isLastResponse reports whether the connection closes after the current response. Pipelined requests that were already read
+// are served first, unless the connection must close.
 func (c *conn) isLastResponse() bool {
 	switch {
 	case c.mustClose:
@@ -94,8 +93,8 @@
 
 func (c *conn) hasPipelined() bool { return c.reader.Buffered() > 0 || len(c.pipeline.buffered) > 0 }
 
-// reasonOfLast is why the connection ends with the response that was just written.
-func (c *conn) reasonOfLast() metrics.Reason {
+// lastResponseCloseReason returns the reason for closing the connection after the response that was just written.
+func (c *conn) lastResponseCloseReason() metrics.Reason {
 	switch {
 	case c.closeReason != "":
 		return c.closeReason
--- a/internal/httpgateway/downstream/serve.go
+++ b/internal/httpgateway/downstream/serve.go
@@ -12,8 +12,8 @@
 	"weirhaven/internal/httpgateway/socket"
 )
 
-// serveRequest reads one request, submits it and writes its response; it reports whether the connection goes on. The
-// request's first byte came at arrivedAt on the loop's clock.
+// serveRequest reads one request, submits it and writes its response. It reports whether the connection stays open.
+// arrivedAt is the arrival time of the request's first byte, on the loop's clock.
 func (c *conn) serveRequest(arrivedAt time.Duration) bool {
 	head, err := c.reader.Request()
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	c.mustClose = head.Close
 	if status, body, ok := c.server.serveAdminPath(head); ok {
-		c.pendingID = anonymous
+		c.pendingID = adminRequestID
 		return c.respond(status, "", body)
 	}
 	request, err := c.readRequest(head)
@@ -33,7 +33,7 @@
 	return c.submit(request)
 }
 
-// readRequest makes a request of its head and reads its body. From its return on a response is owed.
+// readRequest builds a request from its head and reads its body. Once it succeeds a response is pending.
 func (c *conn) readRequest(head *http1.Head) (*engine.Request, error) {
 	request, err := c.server.parseRequest(head)
 	if err != nil {
@@ -41,19 +41,19 @@
 	}
 	if head.Get("Expect") == "100-continue" && c.reader.Buffered() == 0 {
 		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, _ = io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n") // a broken connection fails the read of the body
+		_, _ = io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n") // an error is ignored: reading the body then fails
 	}
 	if request.Body, err = c.reader.Body(head, maxBody); err != nil {
 		return nil, err
 	}
 	c.pendingID = request.Trace
-	if !c.mayFollow() {
+	if !c.nextBytesMayBeRequest() {
 		return nil, errTrailingBytes
 	}
 	return request, nil
 }
 
-// submit hands a request to the engine and writes its response; it reports whether the connection goes on.
+// submit submits a request to the engine and writes its response. It reports whether the connection stays open.
 func (c *conn) submit(request *engine.Request) bool {
 	s, id := c.server, request.Trace
 	if !s.admit(c) {
@@ -61,21 +61,21 @@
 		return c.shed(metrics.ConnectionLimit)
 	}
 	if !s.ids.claim(id) {
-		return c.rejectMalformed(&http1.Error{Status: 409, Reason: "the id is in use or was a moment ago"})
+		return c.rejectMalformed(&http1.Error{Status: 409, Reason: "duplicate request id"})
 	}
 	request.Respond = func(response engine.Response) { // in the loop
 		c.releaseBody, request.Release = request.Release, nil
-		_ = c.nc.SetReadDeadline(longAgo) // first: whoever has the response sets the next deadline
-		c.responses <- response           // has space for one
+		_ = c.nc.SetReadDeadline(pastDeadline) // before the send: the receiver of the response sets the next deadline
+		c.responses <- response                // doesn't block: the buffer holds one
 	}
 	request.ClientClosed = func() bool { return socket.Peek(c.nc) == socket.Closed }
-	if c.pipeline.err != nil { // the client has gone, as is known from behind what it sent
+	if c.pipeline.err != nil { // the client disconnected after it had sent this request
 		s.ids.release(id, false)
 		c.clientGone, c.closeReason = true, metrics.ClientClosed
 		return false
 	}
 	c.inEngine = true
-	_ = c.nc.SetReadDeadline(time.Time{}) // the engine answers every request within its deadline
+	_ = c.nc.SetReadDeadline(time.Time{}) // no deadline: the engine answers every request in time
 	s.mu.Lock()
 	s.counts.Requests++
 	s.mu.Unlock()
@@ -89,7 +89,8 @@
 	return c.complete(request)
 }
 
-// complete waits for the response of a request that was submitted and writes it, or cancels the request if its client goes.
+// complete waits for the response to a submitted request and writes it. It cancels the request if the client disconnects or
+// sends invalid bytes.
 func (c *conn) complete(request *engine.Request) bool {
 	err := c.awaitResponse()
 	c.inEngine = false
@@ -104,19 +105,19 @@
 	c.request = nil
 	response := <-c.responses
 	c.server.ids.release(request.Trace, true)
-	defer c.freeResponse()
+	defer c.releaseResponseBody()
 	left := max(request.ReceivedAt+request.Timeout-c.server.options.Loop.Now(), 0)
 	c.writeDeadline = time.Now().Add(left + writeTimeout)
 	return c.writeResponse(response)
 }
 
-// awaitResponse reads ahead until the response is there. Requests that come meanwhile are kept for their turn, a bounded
-// amount; an error tells that the client went away, also behind such requests, or sent what can't be one.
+// awaitResponse reads ahead until the response is available. It buffers a bounded amount of pipelined requests meanwhile. It
+// returns an error if the client disconnects, even after pipelined requests, or sends bytes that can't start a request.
 func (c *conn) awaitResponse() error {
 	for {
 		switch err := c.pipeline.readAhead(); {
 		case err == nil:
-			if !c.mayFollow() {
+			if !c.nextBytesMayBeRequest() {
 				return errTrailingBytes
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -127,8 +128,8 @@
 	}
 }
 
-// cancelRequest takes back the request in progress: its client has gone, or can't be served any more. It returns once the
-// engine has done so, for from then on no response comes, or one lies in the channel and is freed.
+// cancelRequest cancels the request in progress. It returns once the engine has canceled it: after that no further response
+// is sent, and the body of one that was already sent is released.
 func (c *conn) cancelRequest() {
 	request, loop := c.request, c.server.options.Loop
 	c.request = nil
@@ -137,27 +138,27 @@
 	if loop.PostUrgent(func(core *engine.Core) { core.ClientDisconnected(request); close(done) }) {
 		select {
 		case <-done:
-			c.freeResponse()
+			c.releaseResponseBody()
 		case <-loop.Done():
 		}
 	}
 	c.server.ids.release(request.Trace, true)
 }
 
-// freeResponse gives back the memory that upstream reserved for the response's body.
-func (c *conn) freeResponse() {
+// releaseResponseBody releases the memory that upstream reserved for the response's body.
+func (c *conn) releaseResponseBody() {
 	if c.releaseBody != nil {
 		c.releaseBody()
 		c.releaseBody = nil
 	}
 }
 
-// errTrailingBytes: a length was wrong, since what follows the body begins no request. What it hides might be another
-// request, so nothing more is served on the connection.
-var errTrailingBytes = &http1.Error{Status: 400, Reason: "bytes beyond the request"}
+// errTrailingBytes reports that the bytes after a body don't start a request, so the body's length was wrong. They might hide
+// a request, so the connection is not used any further.
+var errTrailingBytes = &http1.Error{Status: 400, Reason: "unexpected bytes after the request"}
 
-// mayFollow reports whether what came behind a request may be the next one.
-func (c *conn) mayFollow() bool {
+// nextBytesMayBeRequest reports whether the bytes received after the current request may start the next one.
+func (c *conn) nextBytesMayBeRequest() bool {
 	prefix := c.reader.Peek(http1.MinRequestPrefix)
 	return http1.MayStartRequest(append(prefix[:len(prefix):len(prefix)], c.pipeline.peek(http1.MinRequestPrefix-len(prefix))...))
 }
--- a/internal/httpgateway/downstream/server.go
+++ b/internal/httpgateway/downstream/server.go
@@ -1,16 +1,17 @@
-// Package downstream accepts the connections of clients, reads their HTTP/1.1 requests and writes the responses. What can't
-// be a request of the platform gets an error and its connection ends; what can is submitted to the engine, whose scheduler
-// alone routes, retries and orders it.
+// Package downstream accepts client connections, reads their HTTP/1.1 requests and writes the responses. It answers an
+// invalid request with an error status and closes the connection. It submits a valid one to the engine, whose scheduler
+// alone routes, retries and orders requests.
 //
 // Its invariants:
 //
-//   - A request that was read whole gets exactly one final response, or its client has gone: conn.finish is the one place
-//     where a connection is closed, and checks it.
-//   - A client that disconnects while its request is in progress is noticed at once, also behind pipelined requests.
-//   - Connections, bytes read ahead and remembered ids are bounded; a connection makes room for a new one only where it owes
-//     no response.
+//   - A request that was read completely gets exactly one final response, unless its client has disconnected. conn.finish,
+//     the only place where a connection is closed, checks this.
+//   - The server detects at once that a client disconnects while its request is in progress, even if the client has sent
+//     pipelined requests after it.
+//   - The numbers of connections, of bytes read ahead and of remembered request ids are bounded. A connection with a pending
+//     response is never evicted.
 //
-// Each connection is owned by one goroutine, which Shutdown joins. The package knows nothing of endpoints.
+// Each connection is owned by one goroutine, which Shutdown joins. The package has no notion of endpoints.
 package downstream
 
 import (
@@ -37,27 +38,27 @@
 	Done() <-chan struct{}
 }
 
-// Options are what a server is made with.
+// Options configures a Server.
 type Options struct {
 	Loop           Loop
 	Settings       policy.Settings
-	MaxConnections int   // with a request in progress, or waiting for one; overflow more may be open
-	ReadAheadBytes int64 // of pipelined requests that are kept before their turn, on all connections together
+	MaxConnections int   // limit on connections that have or await a request; extraConnections more may be open
+	ReadAheadBytes int64 // limit on buffered bytes of pipelined requests, over all connections
 	Log            *slog.Logger
 	Recorder       *metrics.Recorder
 }
 
-// Time limits of a connection. Each counts from an event that the client can't repeat at will.
+// Time limits of a connection. Each starts at an event that the client can't repeat to extend it.
 const (
-	requestTimeout = 2 * time.Second        // from the accept, or a request's first byte, until the request is whole
+	requestTimeout = 2 * time.Second        // from the accept or a request's first byte until the request is complete
 	idleTimeout    = 10 * time.Second       // between two requests
-	writeTimeout   = 2 * time.Second        // for a response to be received, beyond its request's deadline
-	lingerTimeout  = 500 * time.Millisecond // what is still sent is read and dropped, so that a reset doesn't destroy the response
-	logInterval    = time.Second            // between log lines of one kind
+	writeTimeout   = 2 * time.Second        // for writing a response, after the request's deadline
+	lingerTimeout  = 500 * time.Millisecond // for discarding further input, so that a reset doesn't destroy the response
+	logInterval    = time.Second            // minimum time between log lines of one kind
 )
 
-// Server is the clients' side of a gateway process. Its methods are safe for concurrent use, but for Serve and Shutdown,
-// which are called once.
+// Server is the client-facing side of a gateway process. Its methods are safe for concurrent use, except Serve and Shutdown,
+// which are called once each.
 type Server struct {
 	options Options
 	classes map[string]policy.RequestClass
@@ -65,37 +66,37 @@
 	ids     *requestIDs
 
 	ready            atomic.Bool
-	draining         atomic.Bool  // every response is the last one on its connection
-	shutdownDeadline atomic.Int64 // on the loop's clock: every request has its response by then; 0: no shutdown
-	readAheadFree    atomic.Int64 // bytes left of Options.ReadAheadBytes
+	draining         atomic.Bool  // true: every response is the last one on its connection
+	shutdownDeadline atomic.Int64 // time, on the loop's clock, by which every request has its response; 0: no shutdown
+	readAheadFree    atomic.Int64 // unused bytes of Options.ReadAheadBytes
 	tasks            sync.WaitGroup
 
-	connClosed   chan struct{} // holds one: a connection was closed
-	backlogSince time.Time     // owned by Serve: connections may wait in the accept queue since then; zero: none does
+	connClosed   chan struct{} // signal, with a buffer of one, that a connection was closed
+	backlogSince time.Time     // time since which connections may be waiting in the accept queue; zero: none; owned by Serve
 
-	mu                 sync.Mutex // guards all below, and the fields of connections marked so
+	mu                 sync.Mutex // guards the fields below, and the fields of conn that are marked so
 	conns              map[*conn]bool
-	byState            [connStates]list.List // of *conn without a request in progress, in their state for longest first
-	retiredLingering   list.List             // of *conn that were retired and linger, oldest first
-	retiring           int                   // connections that were asked to end and are still open
-	inProgress         int                   // connections with a request in progress
+	byState            [connStateCount]list.List // lists of *conn without a request in progress, longest in the state first
+	retiredLingering   list.List                 // retired *conn that linger, oldest first
+	retiring           int                       // number of retired connections that are still open
+	inProgress         int                       // number of connections with a request in progress
 	counts             Counts
 	badRequestLoggedAt time.Time
-	unloggedRequests   int // bad requests since then
+	unloggedRequests   int // number of bad requests since badRequestLoggedAt
 	acceptLoggedAt     time.Time
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Accepted    int64 // connections
-	Evicted     int64 // connections that made room for others
-	Requests    int64 // submitted to the engine
-	BadRequests int64 // requests that can't be served, whatever the load
-	Shed        int64 // requests answered 503 before the scheduler saw them
-	Open        int   // connections now
+	Accepted    int64 // connections accepted
+	Evicted     int64 // connections evicted in favor of new ones
+	Requests    int64 // requests submitted to the engine
+	BadRequests int64 // requests that are invalid, whatever the load
+	Shed        int64 // requests answered 503 without reaching the scheduler
+	Open        int   // connections open now
 }
 
-// New makes a server that serves nothing before Serve.
+// New returns a server that accepts no connections before Serve is called.
 func New(options Options) *Server {
 	s := &Server{options: options, classes: map[string]policy.RequestClass{}, plans: map[string]bool{}, conns: map[*conn]bool{},
 		ids: newRequestIDs(), connClosed: make(chan struct{}, 1)}
@@ -109,7 +110,7 @@
 	return s
 }
 
-// Ready lets the readiness probe succeed.
+// Ready makes the readiness probe succeed.
 func (s *Server) Ready() { s.ready.Store(true) }
 
 // Counts returns the totals so far.
@@ -121,7 +122,8 @@
 	return counts
 }
 
-// countBadRequest counts a request that can't be served and logs the last of them at a bounded rate.
+// countBadRequest counts an invalid request. At most once per logInterval it logs the number of such requests with the
+// latest status and reason.
 func (s *Server) countBadRequest(status int, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +135,7 @@
 	}
 }
 
-// countShed counts a request that is answered 503 before the scheduler saw it.
+// countShed counts a request that is answered 503 without reaching the scheduler.
 func (s *Server) countShed(reason metrics.Reason) {
 	s.options.Recorder.Count(metrics.Shed, reason)
 	s.mu.Lock()
@@ -141,7 +143,7 @@
 	s.counts.Shed++
 }
 
-// closeAll ends every connection at once, whatever it owes.
+// closeAll closes every connection at once, even with a response pending.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/httpgateway/downstream/shutdown.go
+++ b/internal/httpgateway/downstream/shutdown.go
@@ -11,10 +11,11 @@
 
 const shutdownPollInterval = 20 * time.Millisecond
 
-// Shutdown shuts the server down gracefully; it is called once, after Serve has begun. Until drainTime before deadline, which is on the loop's clock, everything is served as before,
-// since clients go on using the connections that they have; but no request may last beyond the deadline. Then the listener
-// is closed, each response is the last on its connection, connections without a request end, and requests in progress get
-// their responses. Shutdown returns when all have, or closes the connections that are left when ctx ends.
+// Shutdown shuts the server down gracefully; it is called once, after Serve has begun. deadline is on the loop's clock. Until
+// drainTime before deadline the server goes on serving, since clients go on using their connections, but no request may last
+// beyond deadline. Then the server drains: it closes the listener and the connections without a request, and each connection
+// closes after its next response. Shutdown returns when all connections are closed. When ctx ends it closes those that are
+// left.
 func (s *Server) Shutdown(ctx context.Context, listener net.Listener, deadline, drainTime time.Duration) {
 	s.shutdownDeadline.Store(int64(deadline))
 	select {
@@ -24,7 +25,7 @@
 	s.draining.Store(true)
 	_ = listener.Close()
 	done := make(chan struct{})
-	go func() { // ends with the last connection, each of which is bounded in time
+	go func() { // returns when the last connection is closed; each has a time limit
 		defer close(done)
 		s.tasks.Wait()
 	}()
@@ -44,7 +45,7 @@
 	}
 }
 
-// retireWithoutRequest retires connections without a request, and those that have been sending one for readingTime.
+// retireWithoutRequest retires connections without a request, and those whose request has been incomplete for readingTime.
 func (s *Server) retireWithoutRequest(readingTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,14 +54,14 @@
 	s.retireAll(&s.byState[reading], readingTime, metrics.ShuttingDown)
 }
 
-// limitToShutdown shortens a request's timeout so that its response is out before the platform kills this process.
+// limitToShutdown shortens a request's timeout so that the response is written before the platform kills this process.
 func (s *Server) limitToShutdown(request *engine.Request) {
 	if deadline := time.Duration(s.shutdownDeadline.Load()); deadline > 0 {
 		request.Timeout = max(min(request.Timeout, deadline-request.ReceivedAt), 1)
 	}
 }
 
-// pastShutdownDeadline reports whether a process that shuts down has no time left.
+// pastShutdownDeadline reports whether the process is shutting down and the deadline has passed.
 func (s *Server) pastShutdownDeadline() bool {
 	deadline := time.Duration(s.shutdownDeadline.Load())
 	return deadline > 0 && s.options.Loop.Now() >= deadline
