--- a/internal/engine/attempts_test.go
+++ b/internal/engine/attempts_test.go
@@ -7,8 +7,8 @@
 	"weirhaven/policy"
 )
 
-// The response to an attempt that timed out arrives late: it is counted and dropped.
-func Example_answerAfterTheTimeout() {
+// A response that arrives after its attempt timed out is counted and dropped.
+func Example_responseAfterTimeout() {
 	s := settings()
 	s.CanCancel = false
 	e := newTestEngine(s)
@@ -22,9 +22,9 @@
 	// {Received:1 Served:0 Rejected:1 Failed:0 ClientDisconnected:0 Attempts:1 Retries:0 LateOutcomes:1 MismatchedOutcomes:0 Overlapping:0 Open:0 InFlight:0 Timers:3 Outcomes:[0 0 0 1 0 0 0 0]}
 }
 
-// An endpoint resets a connection after the last byte of a request that must not run twice was sent: it may have run, so
-// it fails and is not sent again. Where the connection never took a byte the request may be rejected.
-func Example_reset() {
+// An endpoint resets the connection after the last byte of a request that is not idempotent was sent. The request may have
+// run, so it fails and is not retried. If no byte was written, as for y, the request can be rejected.
+func Example_connectionReset() {
 	e := newTestEngine(settings())
 	e.submit("x", "once")
 	e.endAttempt(0, policy.ConnectionReset)
@@ -40,9 +40,9 @@
 	//  1062 ms  y rejected, may have run false
 }
 
-// A response streams for longer than the class's timeout, and then the connection breaks. Once it streams no timeout
-// ends it, and its break fails the request: the client has part of it already.
-func Example_stream() {
+// A response streams for longer than the class's timeout, then the connection breaks. A response that has begun does not
+// time out, and a broken one fails the request without a retry, since the client already has part of it.
+func Example_streamedResponse() {
 	e := newTestEngine(settings())
 	e.submit("x", "stream")
 	e.run(100 * ms)
@@ -56,11 +56,11 @@
 	//  2100 ms  x failed, may have run true the answer broke off
 }
 
-// A request waited for a connection while its client disconnected, or while its endpoint began to drain, and was written
-// long after. What waits then must never begin, also where settings don't let the scheduler cancel; what was written
-// goes on.
-func TestWithdrawn(t *testing.T) {
-	for name, happens := range map[string]func(*testEngine, *Request){
+// Guards against writing an attempt that waited for a connection after its client disconnected or its endpoint began to
+// drain. Such an attempt must be withdrawn, even if the settings forbid the scheduler to cancel attempts; an attempt that
+// was written must stay in flight.
+func TestWithdrawUnwrittenAttempt(t *testing.T) {
+	for name, event := range map[string]func(*testEngine, *Request){
 		"client disconnects": func(e *testEngine, request *Request) { e.ClientDisconnected(request) },
 		"endpoint drains": func(e *testEngine, _ *Request) {
 			e.AuthoritativeList(false, []EndpointEntry{{Name: "a", Address: "1", Shard: 0}})
@@ -72,7 +72,7 @@
 			e := newQuietEngine(s)
 			request := e.submitSilent()
 			e.unwritten = map[uint64]bool{e.sent[0]: !written}
-			happens(e, request)
+			event(e, request)
 			if n := e.Counts(); (n.InFlight == 0) == written || (n.Outcomes[policy.NotSent] == 1) == written {
 				t.Errorf("%s, written %v: %+v", name, written, n)
 			}
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -7,25 +7,25 @@
 	"weirhaven/policy"
 )
 
-// The discovery service's clock differs from the gateway's, and its lists are older than what endpoints themselves say.
-// Only the age of a start counts, and the same start reported again is no new one. An endpoint that said itself that it
-// drains gets nothing until it has started anew, whatever lists say.
-func Example_startsAndDrains() {
+// The discovery service's clock differs from the gateway's, and its lists are older than the endpoint's own reports. Only
+// the age of a start must count, and a start that is reported again must not begin another slow start. An endpoint that
+// announced its drain must get no attempts until it has restarted, whatever the lists say.
+func Example_startAndDrainReports() {
 	e := newQuietEngine(settings())
 	e.run(20 * time.Second)
 	e.quiet = false
-	const noStart = -1
+	const unknownAge = -1
 	list := func(entry EndpointEntry, age time.Duration) {
 		entry.Name, entry.Address = "a", "1"
-		if age != noStart {
+		if age != unknownAge {
 			entry.HasAge, entry.Age = true, age
 		}
 		e.EndpointList(endpointstate.Generation{}, false, []EndpointEntry{entry})
 	}
-	serving, gone := EndpointEntry{Serving: true}, EndpointEntry{Removed: true}
+	serving, removed := EndpointEntry{Serving: true}, EndpointEntry{Removed: true}
 	list(serving, 2*time.Second)
 	e.run(300 * ms)
-	list(serving, 2*time.Second+290*ms) // was under way 10 ms longer
+	list(serving, 2*time.Second+290*ms) // the same start; the list took 10 ms longer to arrive
 	e.EndpointDraining("a")
 	list(serving, 2*time.Second)
 	e.submit("x", "read")
@@ -33,7 +33,7 @@
 	list(serving, 0)
 	e.submit("y", "read")
 	e.endAttempt(0, policy.Served)
-	list(gone, noStart)
+	list(removed, unknownAge)
 	// Output:
 	// 20000 ms  log: endpoint a: slow start, started 2s ago, warm within 10s
 	// 20300 ms  log: endpoint a: draining, 0 in flight
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// start is where the tests' clock begins: far from zero, as a wall clock.
+// start is the initial time of the tests' clock: far from zero, like a wall clock's.
 const start = time.Duration(1e18)
 
 func settings() policy.Settings {
@@ -28,13 +28,13 @@
 		Plans: []policy.ServicePlan{{Name: "plain", NominalRate: 10, Weight: 1}}}
 }
 
-// testEngine is a Core in virtual time whose calls out are printed and recorded. It knows one endpoint, a, of shard 0.
+// testEngine is a Core in virtual time that prints and records its outgoing calls. It has one endpoint, a, of shard 0.
 type testEngine struct {
 	*Core
-	quiet     bool            // nothing is printed
-	sent      []uint64        // attempts, by id
-	unwritten map[uint64]bool // attempts that still wait for a connection
-	responses map[string]int  // by trace
+	quiet     bool            // disables printing
+	sent      []uint64        // IDs of the attempts sent, in order
+	unwritten map[uint64]bool // IDs of attempts that still wait for a connection
+	responses map[string]int  // number of responses by trace
 }
 
 func newTestEngine(s policy.Settings) *testEngine {
@@ -59,7 +59,7 @@
 	}
 }
 
-// run lets time pass.
+// run advances the clock by duration and fires the timers that become due.
 func (e *testEngine) run(duration time.Duration) {
 	for until := e.Now() + duration; ; {
 		dueAt, ok := e.NextTimer()
@@ -82,14 +82,14 @@
 	return request
 }
 
-// submitSilent submits a request whose response nobody looks at.
+// submitSilent submits a request whose response is ignored.
 func (e *testEngine) submitSilent() *Request {
 	request := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) {}}
 	e.Submit(request)
 	return request
 }
 
-// endAttempt reports how the attempt sent as number i ended.
+// endAttempt reports the outcome of the i-th attempt sent.
 func (e *testEngine) endAttempt(i int, outcome policy.Outcome) {
 	e.AttemptEnded(AttemptReport{Endpoint: "a", ID: e.sent[i], Outcome: outcome})
 }
@@ -102,7 +102,7 @@
 func (e *testEngine) MembersChanged([]membership.Member)                          {}
 func (e *testEngine) Log(line string)                                             { e.print("log: %s", line) }
 
-// recordingConn is a connection that prints what it is asked for; what ends there the test reports.
+// recordingConn is a connection that prints the calls that it gets; the tests report the outcomes.
 type recordingConn struct {
 	engine   *testEngine
 	endpoint string
@@ -124,9 +124,9 @@
 func (c *recordingConn) CheckHealth(uint64) { c.engine.print("check health of %s", c.endpoint) }
 func (c *recordingConn) Close()             { c.engine.print("close the connection to %s", c.endpoint) }
 
-// A simulated day is played again to look into what it showed. One seed must give one run in virtual time, so nothing
-// that is decided may hang on a map's order or on a clock.
-func TestSameRunTwice(t *testing.T) {
+// Guards the reproducibility of simulations, which are replayed to analyze their results: two runs with the same seed in
+// virtual time must be identical, so no decision may depend on a map's iteration order or on the real clock.
+func TestDeterministic(t *testing.T) {
 	trace := func() []uint64 {
 		e := newQuietEngine(settings())
 		for i := range 50 {
@@ -143,9 +143,9 @@
 	}
 }
 
-// A gateway runs for months: what one request leaves behind, all of them together make a leak. The heap must not grow
-// with the number of requests.
-func TestStateStaysFlat(t *testing.T) {
+// Guards against a memory leak per request, since a gateway runs for months: the heap must not grow with the number of
+// requests served.
+func TestHeapStaysFlat(t *testing.T) {
 	e := newQuietEngine(settings())
 	heapBytes := func() uint64 {
 		var stats runtime.MemStats
@@ -171,8 +171,8 @@
 	}
 }
 
-// BenchmarkCommand measures a request's cost in the engine with its scheduler, at endpoints that answer at once.
-func BenchmarkCommand(b *testing.B) {
+// BenchmarkRequest measures the cost of a request in the engine and its scheduler with an endpoint that responds at once.
+func BenchmarkRequest(b *testing.B) {
 	e := newQuietEngine(settings())
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// startLoop runs c in l. The function returned waits until what is queued by then has run, and ends the loop.
+// startLoop runs l with c. The returned function waits until the events queued before it have run, then ends the loop.
 func startLoop(l *Loop, c *Core) (finish func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	go l.Run(ctx, c) // ended by finish
@@ -20,17 +20,17 @@
 	}
 }
 
-// Events come faster than the loop takes them, and after it has ended. A full queue must refuse what may be refused, all
-// else must run, and a loop that has ended must not let its callers wait for ever.
-func TestLoop(t *testing.T) {
+// Events come faster than the loop runs them, and after it has ended. TryPost must refuse an event if the queue is full,
+// all events of Post must run, and Post must not block forever after the loop has ended.
+func TestLoopQueueLimitAndEnd(t *testing.T) {
 	l := NewLoop(2)
 	for i, want := range []bool{true, true, false} {
 		if got := l.TryPost(func(*Core) {}); got != want {
-			t.Errorf("a queue of two, event %d: taken %v", i, got)
+			t.Errorf("queue of two, event %d: TryPost returned %v", i, got)
 		}
 	}
 	if l.Now() < start {
-		t.Errorf("the clock stands near zero: %v", l.Now())
+		t.Errorf("the clock is near zero: %v", l.Now())
 	}
 	finish := startLoop(l, newQuietEngine(settings()).Core)
 	var ran atomic.Int64
@@ -39,26 +39,27 @@
 	}
 	finish()
 	if ran.Load() != 1000 {
-		t.Errorf("%d events ran", ran.Load())
+		t.Errorf("%d of 1000 events ran", ran.Load())
 	}
-	taken := 0
-	for range 3 { // the queue has room for two that nobody runs
+	accepted := 0
+	for range 3 { // the queue has capacity for two, which never run
 		if l.Post(func(*Core) {}) {
-			taken++
+			accepted++
 		}
 	}
-	if taken == 3 {
-		t.Error("a loop that has ended takes more")
+	if accepted == 3 {
+		t.Error("Post accepts more events than the queue holds after the loop has ended")
 	}
 }
 
-// A client disconnected while its request waited in a long queue, and the request was run for nobody. An urgent event
-// goes before all that is queued, so the request must leave nothing to do.
-func TestFirst(t *testing.T) {
+// Guards against sending a request whose client disconnected while the request was queued: urgent events must run before
+// all queued ones, and the request must then be dropped.
+func TestUrgentEventsFirst(t *testing.T) {
 	l := NewLoop(4)
 	e := newQuietEngine(settings())
 	var order []string
-	request := &Request{Volume: "v", Class: "read", Object: "o", Units: 1, Respond: func(Response) { t.Error("a response for nobody") }}
+	request := &Request{Volume: "v", Class: "read", Object: "o", Units: 1,
+		Respond: func(Response) { t.Error("response after the client disconnected") }}
 	l.Post(func(*Core) { order = append(order, "queued") })
 	l.Post(func(c *Core) { c.Submit(request) })
 	l.PostUrgent(func(c *Core) { c.ClientDisconnected(request); order = append(order, "urgent") })
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -8,9 +8,9 @@
 	"weirhaven/policy"
 )
 
-// A client disconnects, and at the same moment the response arrives. Whichever the loop takes first wins: nothing is
-// owed after the one, and the other changes nothing any more.
-func Example_clientLeavesAsTheAnswerComes() {
+// A client's disconnect races with the response to its request. The event that the loop runs first decides the result: the
+// disconnect of x suppresses its response, and the disconnect of y has no effect after its response.
+func Example_disconnectRacesResponse() {
 	e := newTestEngine(settings())
 	x := e.submit("x", "read")
 	e.run(50 * ms)
@@ -28,9 +28,9 @@
 	// 1 1 0 0
 }
 
-// Clients name volumes and classes that don't exist, and a report names another endpoint than the attempt's. Such a
-// request fails at once; such a report is counted and dropped, and so is one on an attempt that is over.
-func Example_misfits() {
+// A request with an unknown volume or class fails immediately. A report that names another endpoint than the attempt's, or
+// an attempt that has already ended, is counted and dropped.
+func Example_invalidRequestsAndReports() {
 	e := newTestEngine(settings())
 	request := &Request{Volume: "nobody", Class: "read", Units: 1, Respond: func(response Response) { e.print("%v: %s", response.Result, response.Reason) }}
 	e.Submit(request)
@@ -49,9 +49,9 @@
 	// 1 1
 }
 
-// Outcomes, disconnects and timeouts come in any order, also twice and for attempts that are over. Each request must get
-// one response, or none if its client disconnected, and nothing may be kept of it.
-func TestOneAnswerWhateverComes(t *testing.T) {
+// Outcomes, disconnects and timeouts come in random order, some of them twice or for attempts that have ended. Each request
+// must get one response, or none if its client disconnected, and no state of it may remain.
+func TestOneResponsePerRequest(t *testing.T) {
 	for seed := range 200 {
 		e := newQuietEngine(settings())
 		state := uint64(seed)*2654435761 + 12345
@@ -86,7 +86,7 @@
 			}
 		}
 		if n := e.Counts(); n.Open != 0 || n.InFlight != 0 || len(e.requests) != 0 || len(e.attempts) != 0 {
-			t.Fatalf("seed %d: something is kept: %+v", seed, n)
+			t.Fatalf("seed %d: state of ended requests remains: %+v", seed, n)
 		}
 	}
 }
