--- a/internal/endpointconn/conn.go
+++ b/internal/endpointconn/conn.go
@@ -13,13 +13,13 @@
 	"weirhaven/policy"
 )
 
-// What may be queued to an endpoint, in bytes: one body of the allowed size, a head of headBytes for each queued message, and slack.
+// The limit of queued bytes allows one body of the maximum size, headBytes for each queued message, and slackBytes.
 const (
 	headBytes  = 64
 	slackBytes = 1 << 20
 )
 
-// conn is one connection, from dialing to its end.
+// conn is a connection to an endpoint, from dialing to its end.
 type conn struct {
 	endpoint *endpoint
 	sender   *lineproto.Sender
@@ -27,17 +27,17 @@
 	cancel   context.CancelFunc
 
 	// Guarded by endpoint.mu.
-	started       bool        // the sender writes
-	waiting       []*outgoing // until then, oldest first
-	waitingBytes  int
-	greeted       bool
-	awaitingSince time.Time // since when something has been awaited and nothing received; zero: nothing is awaited
+	started       bool        // sender has been started
+	waiting       []*outgoing // messages queued until the sender is started, oldest first
+	waitingBytes  int         // sum of the estimated sizes of waiting
+	greeted       bool        // the endpoint's greeting was received
+	awaitingSince time.Time   // start of the wait for a response, restarted by each response; zero: no response is awaited
 	inFlight      map[uint64]pending
 }
 
 // pending is an attempt or a health check without an outcome.
 type pending struct {
-	offset      int64 // where its message begins in the stream
+	offset      int64 // offset of its message in the sender's stream
 	healthCheck bool
 }
 
@@ -48,17 +48,17 @@
 		sender: lineproto.NewSender(maxQueued(limits), limits.StallTimeout)}
 }
 
-// maxQueued bounds the bytes that are queued to one endpoint.
+// maxQueued returns the maximum number of bytes queued to one endpoint.
 func maxQueued(limits settings.Limits) int {
 	return limits.MaxBody + headBytes*limits.EndpointQueue + slackBytes
 }
 
-// run serves the connection and then reports all that is still in flight.
+// run serves the connection, then reports the outcome of everything still in flight.
 func (c *conn) run() {
 	err := c.serve()
 	c.cancel()
 	c.sender.Close()
-	<-c.sender.Done() // no byte leaves after this, so MayHaveBeenWritten is final
+	<-c.sender.Done() // no byte is written after this, so MayHaveBeenWritten is final
 	e := c.endpoint
 	e.mu.Lock()
 	if e.conn == c {
@@ -79,7 +79,7 @@
 	}
 }
 
-// serve connects, exchanges greetings and reads until the connection ends, and returns why it did.
+// serve connects, exchanges greetings and reads messages until the connection ends. It returns the reason for the end.
 func (c *conn) serve() error {
 	netConn, err := c.dial()
 	if err != nil {
@@ -97,7 +97,7 @@
 	return c.readMessages(reader)
 }
 
-// add takes a message; false: no more may wait. The caller holds endpoint.mu.
+// add queues a message; it returns false if the queue is full. The caller holds endpoint.mu.
 func (c *conn) add(message *outgoing) bool {
 	offset := int64(notWritten)
 	if c.started {
@@ -116,8 +116,8 @@
 	return true
 }
 
-// start begins to write: first what has waited for the connection and was not canceled. What the sender has no space for stays
-// unwritten, and is reported so when the connection ends.
+// start starts the sender, beginning with the messages that waited for the connection and were not canceled. A message that the
+// sender has no space for is never written; it is reported as policy.ConnectFailed when the connection ends.
 func (c *conn) start(netConn net.Conn) {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
@@ -143,7 +143,7 @@
 	return connector.dialer.DialContext(ctx, "tcp", c.endpoint.address)
 }
 
-// exchangeGreetings checks that the endpoint expected is at the address, and passes its greeting on.
+// exchangeGreetings checks that the expected endpoint is at the address, and posts its greeting to the engine.
 func (c *conn) exchangeGreetings(netConn net.Conn, reader *lineproto.Reader) error {
 	e := c.endpoint
 	hello, err := lineproto.Greet(netConn, reader, lineproto.RoleGateway, e.connector.gateway, e.connector.limits.ConnectTimeout, nil)
@@ -152,7 +152,7 @@
 	}
 	if name := hello.Get(lineproto.FieldName); name != e.name {
 		e.connector.loop.Post(func(core *engine.Core) { core.WrongEndpoint(e.name, e.address) })
-		return fmt.Errorf("endpoint %s: at its address %s is %q now; the endpoint list is out of date", e.name, e.address, name)
+		return fmt.Errorf("endpoint %s: its address %s now belongs to %q; the endpoint list is out of date", e.name, e.address, name)
 	}
 	age, err := hello.Duration(lineproto.FieldAge, 0)
 	if err != nil {
@@ -173,7 +173,7 @@
 		if err != nil {
 			var netErr net.Error
 			if errors.As(err, &netErr) && netErr.Timeout() && c.awaitsResponse() {
-				continue // each attempt has a timeout of its own
+				continue // each attempt has its own timeout
 			}
 			return err
 		}
@@ -183,15 +183,15 @@
 	}
 }
 
-// awaitsResponse reports whether something was sent, less than the idle time ago, that may still be answered. Otherwise a
-// silent connection is over: nothing is expected on it, or it is half open (the peer is gone and its end never arrived).
+// awaitsResponse reports whether a response has been awaited for less than the idle timeout. Otherwise a connection that
+// receives nothing is closed: it is idle, or half open (the peer closed it or crashed, and the end was never received).
 func (c *conn) awaitsResponse() bool {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
 	return !c.awaitingSince.IsZero() && time.Since(c.awaitingSince) < c.endpoint.connector.limits.IdleTimeout
 }
 
-// outcomes maps the verbs of final responses.
+// outcomes maps the verbs of final responses to outcomes.
 var outcomes = map[string]policy.Outcome{
 	lineproto.VerbServed:            policy.Served,
 	lineproto.VerbHealthCheckPassed: policy.Served,
@@ -200,8 +200,8 @@
 	lineproto.VerbMalformed:         policy.ErrorResponse,
 }
 
-// receive takes one message of the endpoint. An error ends the connection. Verbs of later minor versions of the protocol are
-// ignored.
+// receive handles one message from the endpoint. An error ends the connection. Unknown verbs are ignored: later minor versions
+// of the protocol may add some.
 func (c *conn) receive(m *lineproto.Message) error {
 	e := c.endpoint
 	switch m.Verb {
@@ -219,15 +219,16 @@
 	p, known := c.complete(m.ID)
 	if !known {
 		if m.Verb == lineproto.VerbMalformed && m.ID == 0 {
-			return fmt.Errorf("endpoint %s can't understand this gateway: %s", e.name, m.Get(lineproto.FieldReason))
+			return fmt.Errorf("endpoint %s rejected a message of this gateway as malformed: %s", e.name, m.Get(lineproto.FieldReason))
 		}
-		p.healthCheck = m.Verb == lineproto.VerbHealthCheckPassed // canceled or abandoned: the engine counts a late outcome
+		p.healthCheck = m.Verb == lineproto.VerbHealthCheckPassed // canceled or abandoned; the engine counts the outcome as late
 	}
 	e.report(m.ID, outcome, p.healthCheck, m)
 	return nil
 }
 
-// complete takes what is in flight by that id out, and begins to wait anew for the rest; known is false if there is none.
+// complete removes an attempt or health check from those in flight and restarts the wait for the others; known is false if id
+// is not in flight.
 func (c *conn) complete(id uint64) (p pending, known bool) {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
--- a/internal/endpointconn/connector.go
+++ b/internal/endpointconn/connector.go
@@ -1,11 +1,11 @@
-// Package endpointconn keeps the connections to storage endpoints over the line protocol: one for each endpoint, pipelined, made when
-// the first attempt needs it.
+// Package endpointconn manages the connections to storage endpoints over the line protocol: one pipelined connection for each
+// endpoint, established when the first attempt needs it.
 //
-// Each attempt and health check that is not canceled or abandoned is reported to the engine once, with the one way in which it
-// ended. "Connect failed" is reported only where no byte of it can have reached the endpoint, since the scheduler then retries
-// it freely; any doubt makes it a connection reset.
+// The outcome of each attempt and health check that is not canceled or abandoned is reported to the engine exactly once. The
+// outcome is policy.ConnectFailed only if no byte of the message can have reached the endpoint, since the scheduler may then
+// retry it freely; in case of doubt it is policy.ConnectionReset.
 //
-// Timeouts of attempts are the engine's; the package bounds only connecting, writing and idleness.
+// The engine enforces the timeouts of attempts. This package has timeouts only for connecting, writing and idle connections.
 package endpointconn
 
 import (
@@ -18,36 +18,36 @@
 	"weirhaven/internal/settings"
 )
 
-// Poster takes events for the engine's loop. It may block until there is space for one, and returns false once the loop has ended.
+// Poster queues events for the engine's loop. Post may block while the queue is full; it returns false after the loop has ended.
 type Poster interface {
 	Post(f func(*engine.Core)) bool
 }
 
-// Connector makes the connections of one gateway and joins their goroutines.
+// Connector makes the connections of one gateway and waits for their goroutines on Close.
 type Connector struct {
-	gateway string // name, for greetings
+	gateway string // gateway's name for greetings
 	loop    Poster
 	limits  settings.Limits
 	log     *slog.Logger
 	dialer  net.Dialer
-	ctx     context.Context // ends with Close
+	ctx     context.Context // canceled by Close
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 }
 
-// New returns a connector for the gateway of that name.
+// New returns a connector for the named gateway.
 func New(gateway string, loop Poster, limits settings.Limits, log *slog.Logger) *Connector {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Connector{gateway: gateway, loop: loop, limits: limits, log: log, ctx: ctx, cancel: cancel}
 }
 
-// Close ends all connections and waits for their goroutines. The engine's loop must still take events, or have ended.
+// Close ends all connections and waits for their goroutines. The engine's loop must still accept events, or have ended.
 func (c *Connector) Close() {
 	c.cancel()
 	c.wg.Wait()
 }
 
-// Connect returns the way to one endpoint. The connection itself is made when it is needed.
+// Connect returns the engine.EndpointConn of an endpoint, which connects when the first message is sent.
 func (c *Connector) Connect(name, address string) engine.EndpointConn {
 	return &endpoint{connector: c, name: name, address: address}
 }
--- a/internal/endpointconn/endpoint.go
+++ b/internal/endpointconn/endpoint.go
@@ -9,18 +9,18 @@
 	"weirhaven/policy"
 )
 
-// endpoint is an engine.EndpointConn. Its methods are called by the engine's loop and never block.
+// endpoint implements engine.EndpointConn. The engine's loop calls its methods, which never block.
 type endpoint struct {
 	connector     *Connector
 	name, address string
 
-	mu     sync.Mutex // guards what follows, and the marked fields of each conn
-	conn   *conn      // nil: none, the next attempt makes one
+	mu     sync.Mutex // guards the fields below, and the fields of conn that are marked so
+	conn   *conn      // nil: none; the next message establishes one
 	closed bool
 }
 
-// Send sends an attempt of a request, on a connection that may have to be made first. The endpoint is told the time that is left
-// when the attempt is written.
+// Send sends an attempt of a request, after establishing a connection if there is none. The message carries the time that is
+// left when it is encoded for writing.
 func (e *endpoint) Send(id uint64, request *engine.Request, attempt int, timeout, _ time.Duration) {
 	e.send(&outgoing{id: id, request: request, body: request.Body, attempt: attempt, deadline: time.Now().Add(timeout)})
 }
@@ -28,8 +28,8 @@
 // CheckHealth sends a health check.
 func (e *endpoint) CheckHealth(id uint64) { e.send(&outgoing{id: id}) }
 
-// send queues a message on the present connection. What can't be queued is reported from a goroutine, because the engine's loop,
-// which calls this, is in the middle of a turn and would wait for itself.
+// send queues a message on the current connection. A message that can't be queued is reported from a goroutine: the caller is
+// the engine's loop, and posting to its own full queue would deadlock.
 func (e *endpoint) send(message *outgoing) {
 	if e.enqueue(message) {
 		return
@@ -50,7 +50,7 @@
 	return true
 }
 
-// current returns the connection, a new one if there is none; nil after Close. To be called with mu held.
+// current returns the connection, and makes one if there is none; nil after Close. The caller holds mu.
 func (e *endpoint) current() *conn {
 	if e.conn == nil && !e.closed {
 		e.conn = newConn(e)
@@ -59,7 +59,7 @@
 	return e.conn
 }
 
-// Cancel asks the endpoint to stop an attempt. No outcome is reported for it any more.
+// Cancel asks the endpoint to stop an attempt. Its outcome is no longer reported, unless a late response arrives.
 func (e *endpoint) Cancel(id uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,14 +71,14 @@
 	}
 	delete(e.conn.inFlight, id)
 	if !e.conn.started {
-		return // it is not encoded
+		return // the attempt has not been encoded, and start skips it
 	}
 	var m lineproto.Builder
-	_, _ = e.conn.sender.Send(m.Start(lineproto.VerbCancel, id).End(nil).Buffer) // only spares the endpoint work
+	_, _ = e.conn.sender.Send(m.Start(lineproto.VerbCancel, id).End(nil).Buffer) // may be lost: it only saves the endpoint work
 }
 
-// RequestGreeting makes a new connection, on which the endpoint greets, unless something is in flight on the present one or
-// its greeting is still awaited.
+// RequestGreeting replaces the connection by a new one, on which the endpoint sends a greeting, unless the current one has
+// messages in flight or is still waiting for its greeting.
 func (e *endpoint) RequestGreeting() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,10 +89,11 @@
 	e.current()
 }
 
-// Withdraw returns false: what was handed over may have been written.
+// Withdraw always returns false: a message that was queued may have been written.
 func (e *endpoint) Withdraw(uint64) bool { return false }
 
-// Abandon drops an attempt or health check that has timed out. No outcome is reported for it any more, except by a late response.
+// Abandon drops an attempt or health check that has timed out. Its outcome is no longer reported, unless a late response
+// arrives.
 func (e *endpoint) Abandon(id uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// Close ends the connection; what is in flight is reported.
+// Close ends the connection; the attempts and health checks in flight are reported.
 func (e *endpoint) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// report posts the outcome of an attempt or a health check, with the response if there was one.
+// report posts the outcome of an attempt or a health check to the engine. response is nil if there was none.
 func (e *endpoint) report(id uint64, outcome policy.Outcome, healthCheck bool, response *lineproto.Message) {
 	if healthCheck {
 		e.connector.loop.Post(func(c *engine.Core) { c.HealthChecked(e.name, id, outcome) })
@@ -124,8 +125,8 @@
 	e.connector.loop.Post(func(c *engine.Core) { c.AttemptEnded(report) })
 }
 
-// loadReport reads the load that an endpoint reports with a response. A figure that can't be read counts as none: the response is
-// worth more than its load report.
+// loadReport reads the load that an endpoint reports with a response. A value that can't be parsed counts as absent, so that a
+// malformed load report does not invalidate the response.
 func loadReport(response *lineproto.Message) (load policy.LoadReport) {
 	load.ServedElsewhere, _ = response.Float(lineproto.FieldServedElsewhere, 0)
 	load.Utilization, _ = response.Float(lineproto.FieldUtilization, 0)
--- a/internal/endpointconn/endpoint_test.go
+++ b/internal/endpointconn/endpoint_test.go
@@ -11,19 +11,20 @@
 	"weirhaven/internal/settings"
 )
 
-// droppingLoop takes events and runs none.
+// droppingLoop accepts events and runs none.
 type droppingLoop struct{}
 
 func (droppingLoop) Post(func(*engine.Core)) bool { return true }
 
-// schedulingSlack is how long this process may be suspended between reading its clock and writing.
+// schedulingSlack is the tolerated suspension of this process between reading its clock and writing.
 const schedulingSlack = 150 * time.Millisecond
 
-// greetingDelay is how late the endpoint of these tests greets.
+// greetingDelay is the delay before the tests' endpoint sends its greeting.
 const greetingDelay = 400 * time.Millisecond
 
-// startLateEndpoint returns the way to an endpoint, and a function that greets late and returns a reader of what comes.
-func startLateEndpoint(t *testing.T) (engine.EndpointConn, func() *lineproto.Reader) {
+// startSlowEndpoint returns a connection to an endpoint, and a function that accepts it, greets after greetingDelay and
+// returns a reader of the gateway's messages.
+func startSlowEndpoint(t *testing.T) (engine.EndpointConn, func() *lineproto.Reader) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,30 +47,30 @@
 	}
 }
 
-// The connection to an endpoint comes up late. The endpoint is told no more time than the client has left: it would work for
-// nobody.
+// Guards against a timeout in the message that ignores the time spent on connecting: the endpoint would go on working after the
+// client's deadline.
 func TestTimeoutAfterSlowConnect(t *testing.T) {
 	const timeout = time.Second
-	endpoint, greet := startLateEndpoint(t)
+	endpoint, greet := startSlowEndpoint(t)
 	deadline := time.Now().Add(timeout)
 	endpoint.Send(1, &engine.Request{Volume: "v", Class: "read"}, 0, timeout, 0)
 	m, err := greet().Read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := m.Duration(lineproto.FieldTimeout, 0)
+	sent, err := m.Duration(lineproto.FieldTimeout, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if excess := told - time.Until(deadline); excess > schedulingSlack {
-		t.Errorf("the endpoint was told %v more than is left", excess)
+	if excess := sent - time.Until(deadline); excess > schedulingSlack {
+		t.Errorf("the timeout sent is %v longer than the time left", excess)
 	}
 }
 
-// Attempts wait for their connection. One that is canceled meanwhile is not sent, and one whose request drops its body, as a request
-// does that has its response, is sent whole.
+// Attempts wait for their connection to be established. An attempt canceled during the wait must not be sent. An attempt whose
+// request drops its body meanwhile, as a request does with its final response, must be sent with the body.
 func TestCanceledBeforeConnect(t *testing.T) {
-	endpoint, greet := startLateEndpoint(t)
+	endpoint, greet := startSlowEndpoint(t)
 	endpoint.Send(1, &engine.Request{Volume: "v", Class: "write", Body: []byte("one")}, 0, time.Second, 0)
 	request := &engine.Request{Volume: "v", Class: "write", Body: []byte("two")}
 	endpoint.Send(2, request, 0, time.Second, 0)
@@ -80,6 +81,6 @@
 		t.Fatal(err)
 	}
 	if m.Verb != lineproto.VerbRequest || m.ID != 2 || string(m.Body) != "two" {
-		t.Errorf("got %s %d %q, wanted attempt 2 whole", m.Verb, m.ID, m.Body)
+		t.Errorf("got %s %d %q, wanted attempt 2 with its body", m.Verb, m.ID, m.Body)
 	}
 }
--- a/internal/endpointconn/outgoing.go
+++ b/internal/endpointconn/outgoing.go
@@ -8,23 +8,23 @@
 	"weirhaven/internal/lineproto"
 )
 
-// requestHeadroom is the size, in bytes, that the head of a RUN message seldom exceeds.
+// requestHeadroom is the assumed size of a RUN message's head, in bytes, which heads rarely exceed.
 const requestHeadroom = 256
 
-// notWritten is the offset of a message that was not handed to the sender: nothing of it can have been written.
+// notWritten is the offset of a message that was not passed to the sender, so that no byte of it can have been written.
 const notWritten = math.MaxInt64
 
-// outgoing is an attempt or a health check on its way to an endpoint. It is encoded when its connection is up: the endpoint is
-// told the time that is left then.
+// outgoing is an attempt or a health check to be sent to an endpoint. It is encoded only after the connection is established,
+// so that the timeout it carries is the time left then.
 type outgoing struct {
 	id       uint64
-	request  *engine.Request // nil: a health check
-	body     []byte          // the request's own, which drops it with the final response
-	attempt  int             // 0: the first
-	deadline time.Time       // of an attempt
+	request  *engine.Request // nil for a health check
+	body     []byte          // body of the request, kept here since the request drops it with the final response
+	attempt  int             // attempt number; 0: the first
+	deadline time.Time       // deadline of the attempt
 }
 
-// size bounds the encoded message, in bytes, but for long names.
+// size estimates the size of the encoded message, in bytes; messages with long names are larger.
 func (o *outgoing) size() int { return requestHeadroom + len(o.body) }
 
 func (o *outgoing) encode() []byte {
