--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,17 +1,18 @@
-// Package clock is the clock of a process: a wall-clock reading at its start plus what the monotonic clock has counted
-// since. Leases, ages, waits and graces are spans of real time; on this clock a step of the wall clock does not move them.
-// It never runs backwards and is never near zero, so that times before the process's own start have a place on it.
+// Package clock provides the clock of a process: the wall-clock time at its start plus the time elapsed since then on the
+// monotonic clock. Leases, ages, waits and grace periods are durations of real time, and on this clock a step of the wall
+// clock does not affect them. The clock never runs backwards and is never near zero, so that it can represent times before
+// the start of the process.
 package clock
 
 import "time"
 
-// Clock is a process's clock. It is safe for concurrent use. The zero Clock is not useful; see New.
+// Clock is the clock of a process. It is safe for concurrent use. Make one with New; the zero value is not usable.
 type Clock struct{ start time.Time }
 
-// New returns a clock that starts at the wall clock's present time.
+// New returns a clock that starts at the present wall-clock time.
 func New() Clock { return Clock{time.Now()} }
 
-// Now returns the time since the Unix epoch, as it would be had the wall clock not been stepped since New.
+// Now returns the time since the Unix epoch, not counting steps of the wall clock since New.
 func (c Clock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,4 @@
-// Package lifecycle decides how long a program runs: until a signal stops it, or until the process that started it is
-// gone.
+// Package lifecycle ends a program when it receives a termination signal or when the process that started it ends.
 package lifecycle
 
 import (
@@ -10,17 +9,17 @@
 	"syscall"
 )
 
-// Context returns a context that is done at SIGTERM or SIGINT; with untilStdinEnds also once standard input ends, so that
-// no process outlives the one that holds the other end of its standard input. The caller must call the function returned
-// when it needs the context no more; signals have their usual effect again then. Further calls of it do nothing.
+// Context returns a context that is done at SIGTERM or SIGINT and, with untilStdinEnds, when standard input ends, so that
+// the process does not outlive the one at the other end of its standard input. The caller must call the returned function
+// when it no longer needs the context; this restores the default effect of the signals. Further calls do nothing.
 func Context(untilStdinEnds bool) (context.Context, context.CancelFunc) {
 	signaled, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	if !untilStdinEnds {
 		return signaled, stopSignals
 	}
 	ctx, cancel := context.WithCancel(signaled)
-	go func() { // ends with standard input, at the latest with the process: a read of it can't be interrupted
-		_, _ = io.Copy(io.Discard, os.Stdin) // an error is an end, too
+	go func() { // ends when standard input or the process ends; a blocked read of standard input can't be interrupted
+		_, _ = io.Copy(io.Discard, os.Stdin) // an error also counts as the end
 		cancel()
 	}()
 	return ctx, func() { cancel(); stopSignals() }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A process that was started by a scenario must not be left over: it ends at SIGTERM, and when whoever started it is gone,
-// which shows as the end of its standard input. Stopping more than once is harmless.
+// Guards against processes that outlive the scenario that started them: the context must be done at SIGTERM and at the end of
+// standard input, which signals that the parent process has ended. Calling the stop function twice must be harmless.
 func TestContext(t *testing.T) {
 	in, out, err := os.Pipe()
 	if err != nil {
@@ -23,11 +23,11 @@
 		end  func() error
 	}{
 		{"SIGTERM", func() error { return syscall.Kill(os.Getpid(), syscall.SIGTERM) }},
-		{"end of standard input", out.Close}, // last: it stays closed
+		{"end of standard input", out.Close}, // last, since the pipe can't be reopened
 	} {
 		ctx, stop := Context(true)
 		if ctx.Err() != nil {
-			t.Fatalf("%s: done before", cause.name)
+			t.Fatalf("%s: context done before the event", cause.name)
 		}
 		if err := cause.end(); err != nil {
 			t.Fatal(err)
@@ -35,7 +35,7 @@
 		select {
 		case <-ctx.Done():
 		case <-time.After(5 * time.Second):
-			t.Errorf("%s: not done", cause.name)
+			t.Errorf("%s: context not done after 5 s", cause.name)
 		}
 		stop()
 		stop()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes a process's log without ever blocking on its reader. A reader that stalls costs log lines, one
-// that ends costs all further ones; neither blocks or ends the process.
+// Package logging writes a process's log without ever blocking on its reader. If the reader stalls, log lines are dropped; if
+// it ends, all further lines are lost. Neither blocks or ends the process.
 package logging
 
 import (
@@ -14,36 +14,36 @@
 )
 
 const (
-	// queueLength bounds the lines that wait for the reader; one more is dropped.
+	// queueLength is the maximum number of lines that wait for the reader; further lines are dropped.
 	queueLength = 512
-	// flushTimeout bounds how long Close waits until queued lines are written.
+	// flushTimeout is the maximum time that Close waits for queued lines to be written.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Writer queues what is written to it. It is safe for concurrent use.
+// Writer is an io.Writer that queues lines for another writer. It is safe for concurrent use.
 type Writer struct {
-	lines   chan []byte // nil ends run
+	lines   chan []byte // queued lines; nil ends run
 	dropped atomic.Int64
 	close   sync.Once
 	done    chan struct{} // closed when run has returned
 }
 
-// New returns a Writer in front of target. One goroutine writes to target until Close; if target blocks, that goroutine
-// ends with the process.
+// New returns a Writer that writes to target from one goroutine until Close. If target blocks, that goroutine ends only with
+// the process.
 func New(target io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, queueLength), done: make(chan struct{})}
 	go w.run(target)
 	return w
 }
 
-// Stderr returns a Writer in front of standard error. From then on a broken pipe there, the sign that the log's reader has
-// ended, doesn't end the process: SIGPIPE is ignored.
+// Stderr returns a Writer to standard error and makes the process ignore SIGPIPE, so that a broken pipe, which means that the
+// log's reader has ended, does not end the process.
 func Stderr() *Writer {
 	signal.Ignore(syscall.SIGPIPE)
 	return New(os.Stderr)
 }
 
-// Write queues a line, or drops it if too many wait. It never fails and never blocks. After Close lines are lost.
+// Write queues a line, or drops it if the queue is full. It never fails and never blocks. Lines written after Close are lost.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -59,15 +59,14 @@
 		if line == nil {
 			return
 		}
-		_, _ = target.Write(line) // there is no other place to report a failure of the log
+		_, _ = target.Write(line) // a failure to write the log can't be reported anywhere else
 		if n := w.dropped.Swap(0); n > 0 {
 			fmt.Fprintf(target, "level=WARN msg=\"log lines were dropped: the log's reader is too slow\" lines=%d\n", n)
 		}
 	}
 }
 
-// Close writes what is queued and ends the Writer's goroutine, but waits no longer than flushTimeout. Further calls do
-// nothing.
+// Close writes the queued lines and ends the Writer's goroutine, but waits at most flushTimeout. Further calls do nothing.
 func (w *Writer) Close() {
 	w.close.Do(func() {
 		timeout := time.After(flushTimeout)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The log's reader stalls, such as a full pipe to a collector that hangs. Writing must go on at once, and once the reader reads
-// again it must learn how many lines were dropped.
+// The log's reader stalls, for example a hanging collector behind a full pipe. Writing must not block, and once the reader
+// reads again, the log must report that lines were dropped.
 func TestStalledReader(t *testing.T) {
 	reader, writer := io.Pipe()
 	log := New(writer)
@@ -27,16 +27,16 @@
 	log.Close()
 	writer.Close()
 	text := <-read
-	noticed := strings.Contains(text, "lines were dropped")
-	if kept := strings.Count(text, "line "); kept < queueLength || kept >= lines || !noticed {
-		t.Errorf("%d lines kept of %d; the drop was noticed: %v", kept, lines, noticed)
+	dropReported := strings.Contains(text, "lines were dropped")
+	if kept := strings.Count(text, "line "); kept < queueLength || kept >= lines || !dropReported {
+		t.Errorf("%d lines kept of %d; drop reported: %v", kept, lines, dropReported)
 	}
 }
 
-// The log's reader has ended, so that writing to its pipe fails. Nothing else may fail, and the process must not end by
-// SIGPIPE.
-func TestBrokenReader(t *testing.T) {
-	stderr := Stderr() // for its effect on the process
+// The log's reader has ended, so that writes to its pipe fail. The Writer must hide the failure, and SIGPIPE must not end the
+// process.
+func TestBrokenPipe(t *testing.T) {
+	stderr := Stderr() // makes the process ignore SIGPIPE
 	defer stderr.Close()
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Lines come out in the order in which they were written, all of them before Close returns.
+// Lines must be written in order, all of them before Close returns.
 func TestOrder(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out)
@@ -59,6 +59,6 @@
 	fmt.Fprint(log, "b")
 	log.Close()
 	if out.String() != "ab" {
-		t.Errorf("%q", out.String())
+		t.Errorf("got %q, wanted \"ab\"", out.String())
 	}
 }
