--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -39,8 +39,8 @@
 	return more, first
 }
 
-// sendRequests sends n requests over conns connections, each with so many in flight, or at a rate (a second) if one is given, and returns
-// the latencies in microseconds.
+// sendRequests sends n requests over conns connections and returns the latencies in microseconds. flight is the maximum number of
+// requests in flight on a connection; rate is the total number of requests per second (0: as fast as flight allows).
 func sendRequests(b *testing.B, address, role string, n, conns, flight, cells int, rate float64) *hdrhistogram.Histogram {
 	b.Helper()
 	var mu sync.Mutex
@@ -105,13 +105,13 @@
 	return all
 }
 
-// Requests a second through one gateway to endpoints that do no work; client, gateway and endpoints in one process. Beside it the same
-// client connected to one endpoint.
+// BenchmarkThrough measures requests per second through one gateway to endpoints that do no work, and for comparison the same client
+// connected directly to one endpoint. Client, gateway and endpoints share a process.
 func BenchmarkThrough(b *testing.B) {
 	more, straight := startIdleEndpoints(b, 8)
-	address, _ := startGatewayOf(b, benchmarkConf+more)
-	taped, _ := startGatewayOf(b, benchmarkConf+more+fmt.Sprintf("capture { folder: %q on: true }\n", b.TempDir()))
-	for _, c := range []struct{ name, address, role string }{{"host", address, "client"}, {"capturing", taped, "client"}, {"straight", straight, "host"}} {
+	address, _ := startGatewayWithSettings(b, benchmarkConf+more)
+	capturing, _ := startGatewayWithSettings(b, benchmarkConf+more+fmt.Sprintf("capture { folder: %q on: true }\n", b.TempDir()))
+	for _, c := range []struct{ name, address, role string }{{"host", address, "client"}, {"capturing", capturing, "client"}, {"straight", straight, "host"}} {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			n := max(b.N, 64)
@@ -122,12 +122,13 @@
 	}
 }
 
-// What the gateway adds to the latency at a steady rate, as a difference and a ratio in one run. RATE: requests a second.
+// BenchmarkAdded measures the latency that the gateway adds at a constant rate, as a difference and as a ratio. The environment
+// variable RATE sets the requests per second.
 func BenchmarkAdded(b *testing.B) {
 	rate := 20000.0
 	fmt.Sscan(os.Getenv("RATE"), &rate)
 	more, straight := startIdleEndpoints(b, 8)
-	address, _ := startGatewayOf(b, benchmarkConf+more)
+	address, _ := startGatewayWithSettings(b, benchmarkConf+more)
 	for b.Loop() {
 		n := int(rate) * 2
 		through := sendRequests(b, address, "client", n, 4, 4096, 8, rate)
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -17,7 +17,7 @@
 	gateway  *Gateway
 	plans    map[string]bool  // service plans that the scheduler knows
 	follower *client.Follower // nil: no control plane
-	early    []*pb.Item       // items of the saved snapshot, kept until the loop runs
+	saved    []*pb.Item       // items of the saved snapshot, kept until the loop runs
 }
 
 // openControlPlane loads the saved snapshot. It adds service plans that only the snapshot contains to the settings, since the
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	for _, item := range p.early {
+	for _, item := range p.saved {
 		if item.Kind == pb.Item_PLAN && !item.Gone && !p.plans[item.Name] {
 			p.plans[item.Name] = true
 			g.conf.Plan = append(g.conf.Plan, item.Plan)
@@ -47,11 +47,11 @@
 	return nil
 }
 
-// applyEarly applies the saved snapshot once the loop runs. It gives the reports an age past their validity, so that each endpoint
+// applySaved applies the saved snapshot once the loop runs. It gives the reports an age past their validity, so that each endpoint
 // is doubted until a fresh report arrives.
-func (p *controlPlane) applyEarly() {
-	items := p.early
-	p.early = nil
+func (p *controlPlane) applySaved() {
+	items := p.saved
+	p.saved = nil
 	if len(items) > 0 {
 		p.apply(items, settings.Duration(p.gateway.conf.ListFresh, settings.DefaultReportFresh)+time.Second)
 	}
@@ -61,7 +61,7 @@
 // fresh is false then.
 func (p *controlPlane) Changed(items []*pb.Item, fresh bool) {
 	if !fresh {
-		p.early = items
+		p.saved = items
 		return
 	}
 	p.apply(items, 0)
--- a/internal/gateway/controlplane_test.go
+++ b/internal/gateway/controlplane_test.go
@@ -14,7 +14,7 @@
 	"weirhaven/internal/pb"
 )
 
-// scriptedControlPlane is a control plane that sends what the test says.
+// scriptedControlPlane is a control plane that sends the messages that the test gives it.
 type scriptedControlPlane struct {
 	pb.UnimplementedPlanningServer
 	send chan *pb.PlannerSays
@@ -61,7 +61,7 @@
 	return p, l.Addr().String(), s.Stop
 }
 
-// sendSnapshot sends items as the whole snapshot of a generation, and waits until the gateway holds it.
+// sendSnapshot sends items as the complete snapshot of a generation, and waits until the gateway acknowledges it.
 func (p *scriptedControlPlane) sendSnapshot(t *testing.T, generation uint64, items ...*pb.Item) {
 	t.Helper()
 	m := map[snapshot.Key]*pb.Item{}
@@ -83,8 +83,9 @@
 	}
 }
 
-// A gateway without an endpoint list service serves what the control plane names. A drain from the control plane holds though a list would
-// report the endpoint as serving. When the control plane is gone the gateway goes on, after a restart too, from the snapshot it saved.
+// A gateway without an endpoint list service uses the endpoints of the control plane. A drain from the control plane stays in force even
+// if the endpoint is later reported as serving. Without the control plane the gateway continues to serve, and after a restart it
+// serves from the saved snapshot.
 func TestControlPlaneSnapshot(t *testing.T) {
 	p, address, stopPlanner := startControlPlane(t)
 	one, two := newEndpoint(t, "one"), newEndpoint(t, "two")
@@ -109,7 +110,7 @@
 	atOne := one.accept()
 	answer(atOne)
 	expect(t, c.read(t), lineproto.VerbServed, 1)
-	// The control plane drains one and lets two serve: nothing new goes to one.
+	// The control plane drains one, and two serves: new requests go to two only.
 	drained := item(one, 0, false)
 	drained.Brick.Drained = time.Now().UnixNano()
 	p.sendSnapshot(t, 2, drained, item(two, 0, true), volume)
@@ -117,23 +118,24 @@
 	atTwo := two.accept()
 	answer(atTwo)
 	expect(t, c.read(t), lineproto.VerbServed, 2)
-	p.sendSnapshot(t, 3, item(one, 0, true), item(two, 0, true), volume) // as if the list had won
+	p.sendSnapshot(t, 3, item(one, 0, true), item(two, 0, true), volume) // reports one as serving in spite of its drain
 	for id := uint64(3); id < 12; id++ {
 		run(c, id, "new")
 		answer(atTwo)
 		expect(t, c.read(t), lineproto.VerbServed, id)
 	}
-	// The control plane goes away; requests don't notice.
+	// The control plane stops; requests are still served.
 	stopPlanner()
 	run(c, 20, "new")
 	answer(atTwo)
 	expect(t, c.read(t), lineproto.VerbServed, 20)
 	stop()
-	// Nor does a gateway that starts without it: it has the snapshot, old as it is, and lets the endpoints greet.
+	// A gateway that starts without the control plane uses the saved snapshot: it is too old to be trusted, so the gateway connects to
+	// the endpoints for their greetings.
 	a, _ = startGateway(t, more)
 	c = dial(t, a)
 	run(c, 1, "new")
-	go func() { // the doubted are greeted first
+	go func() { // the gateway connects to doubted endpoints first
 		for {
 			nc, err := one.listener.Accept()
 			if err != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -32,7 +32,7 @@
 bounds { commands_a_connection: 4 body: 100000 idle: "1s" stall: "300ms" connect: "200ms" }
 `
 
-// scriptedEndpoint is an endpoint that does with each connection what the test says.
+// scriptedEndpoint is an endpoint whose connections the test controls.
 type scriptedEndpoint struct {
 	t        testing.TB
 	listener net.Listener
@@ -78,7 +78,7 @@
 	})
 }
 
-func greeted(t testing.TB, c net.Conn, role, name string) *testConn {
+func greet(t testing.TB, c net.Conn, role, name string) *testConn {
 	t.Helper()
 	r := lineproto.NewReader(c, 1<<20)
 	if _, err := lineproto.Greet(c, r, role, name, 5*time.Second, nil); err != nil {
@@ -88,14 +88,14 @@
 	return &testConn{c, r}
 }
 
-// accept returns the endpoint's next connection.
+// accept accepts the endpoint's next connection and exchanges greetings on it.
 func (b *scriptedEndpoint) accept() *testConn {
 	b.t.Helper()
 	c, err := b.listener.Accept()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	return greeted(b.t, c, "brick", b.name)
+	return greet(b.t, c, "brick", b.name)
 }
 
 // startGateway starts a gateway and returns its address; stop waits until it has ended.
@@ -105,10 +105,10 @@
 	for i, b := range bricks {
 		text += fmt.Sprintf("brick { name: %q address: %q cell: %d }\n", b.name, b.listener.Addr(), i)
 	}
-	return startGatewayOf(t, text)
+	return startGatewayWithSettings(t, text)
 }
 
-func startGatewayOf(t testing.TB, text string) (address string, stop func()) {
+func startGatewayWithSettings(t testing.TB, text string) (address string, stop func()) {
 	t.Helper()
 	e, err := settings.ParseGateway("test", []byte(text))
 	if err != nil {
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return greeted(t, c, "client", "test")
+	return greet(t, c, "client", "test")
 }
 
 func expect(t *testing.T, m *lineproto.Message, verb string, id uint64) *lineproto.Message {
@@ -149,8 +149,8 @@
 	return m
 }
 
-// A client has two requests in flight on one connection, and the responses come out of order; that to the first is lost. The first fails
-// at its timeout, since it may have run, and its late response reaches nobody.
+// A client has two requests in flight on one connection. The second is served first, and the response to the first is late. The first
+// fails at its timeout, since it may have run, and its late response is dropped.
 func TestResponsesOutOfOrderAndOneLost(t *testing.T) {
 	b := newEndpoint(t, "a")
 	address, _ := startGateway(t, "", b)
@@ -161,19 +161,19 @@
 	first, second := at.read(t), at.read(t)
 	at.send(lineproto.VerbServed, second.ID, nil)
 	expect(t, c.read(t), lineproto.VerbServed, 2)
-	expect(t, c.read(t), lineproto.VerbFailed, 1) // at its command timeout: it may have run, so it is no busy reply
+	expect(t, c.read(t), lineproto.VerbFailed, 1) // timed out: it may have run, so it is not rejected
 	if at.read(t).Verb != lineproto.VerbCancel {
-		t.Error("no cancel for what was given up")
+		t.Error("the attempt of a request that timed out was not canceled")
 	}
-	at.send(lineproto.VerbServed, first.ID, nil) // late: nobody hears of it
+	at.send(lineproto.VerbServed, first.ID, nil) // late: dropped
 	c.submit(3, "read")
 	at.send(lineproto.VerbServed, at.read(t).ID, nil)
 	expect(t, c.read(t), lineproto.VerbServed, 3)
 }
 
-// An endpoint resets the connection after the last byte of an attempt and before the response: the request may have run. When it then takes
-// no connection, the request has not.
-func TestResetAndRefused(t *testing.T) {
+// An endpoint resets the connection after it has received an attempt and before it responds: the request fails and may have run. Then
+// the endpoint refuses connections: the next request has not run and is rejected.
+func TestConnectionResetAndRefused(t *testing.T) {
 	b := newEndpoint(t, "a")
 	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
@@ -187,28 +187,30 @@
 	}
 	b.listener.Close()
 	c.submit(2, "post")
-	expect(t, c.read(t), lineproto.VerbRejected, 2) // never ran: trying again is harmless
+	expect(t, c.read(t), lineproto.VerbRejected, 2) // it never ran, so a retry is safe
 }
 
-// An endpoint's drain notice crosses an attempt that is still in the kernel's buffer. The endpoint rejects that one, and nothing follows it.
-func TestDrainCrossesAnAttempt(t *testing.T) {
+// An endpoint sends its drain notice while an attempt to it is in transit, and rejects this attempt. No further attempt may be sent
+// there.
+func TestDrainDuringAttempt(t *testing.T) {
 	b := newEndpoint(t, "a")
 	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
 	c.submit(1, "post")
 	at := b.accept()
-	at.send(lineproto.VerbDraining, 0, nil) // before it reads what was sent
+	at.send(lineproto.VerbDraining, 0, nil) // before it has read the attempt
 	at.send(lineproto.VerbRejected, at.read(t).ID, nil)
 	expect(t, c.read(t), lineproto.VerbRejected, 1)
 	c.submit(2, "post")
 	expect(t, c.read(t), lineproto.VerbRejected, 2)
 	at.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if m, err := at.reader.Read(); err == nil {
-		t.Errorf("a draining brick was sent %s", m.Verb)
+		t.Errorf("%s was sent to a draining endpoint", m.Verb)
 	}
 }
 
-// An endpoint sends its drain notice to one gateway only. The others learn it from that one, and bar the endpoint too.
+// An endpoint sends its drain notice to one gateway only. The other gateway learns of the drain from that one, and bars the endpoint
+// too.
 func TestDrainFromAnotherGateway(t *testing.T) {
 	b := newEndpoint(t, "a")
 	ports := make([]string, 2)
@@ -222,7 +224,7 @@
 	}
 	var at [2]string
 	for i := range at {
-		at[i], _ = startGatewayOf(t, strings.Replace(conf, `name: "h"`, fmt.Sprintf(`name: "h%d"`, i), 1)+
+		at[i], _ = startGatewayWithSettings(t, strings.Replace(conf, `name: "h"`, fmt.Sprintf(`name: "h%d"`, i), 1)+
 			fmt.Sprintf("ordinal: %d peer_listen: %q peer { ordinal: %d address: %q } brick { name: \"a\" address: %q }\n", i, ports[i],
 				1-i, ports[1-i], b.listener.Addr()))
 	}
@@ -239,7 +241,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the other host never heard of the drain")
+			t.Fatal("the other gateway did not learn of the drain within 20 s")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -248,13 +250,13 @@
 		expect(t, show.read(t), verb, 1<<41)
 	}
 	show.submit(1<<40, "read")
-	expect(t, show.read(t), lineproto.VerbRejected, 1<<40) // nothing was sent: no brick is left
+	expect(t, show.read(t), lineproto.VerbRejected, 1<<40) // nothing was sent: no endpoint is available
 }
 
-// A gateway starts while the endpoint list service is down, from its store. It restores a thousand beliefs; at one of the saved addresses is
-// another endpoint now, which gets nothing. A second gateway can't start on the same store, and a store that can't be opened costs
-// no service.
-func TestStore(t *testing.T) {
+// A gateway starts from its store while the endpoint list service is down, and restores a thousand beliefs. Another endpoint now uses
+// one of the saved addresses; it must get no attempt. A second gateway can't start on the same store. A gateway whose store can't be
+// opened serves without it.
+func TestStartFromStore(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "fleet.db")
 	b, other := newEndpoint(t, "b0"), newEndpoint(t, "stranger")
@@ -280,7 +282,7 @@
 	s.Close()
 	own := fmt.Sprintf("store: %q\n", file)
 	address, stop := startGateway(t, own)
-	at := b.accept() // in doubt, it is asked for its own word
+	at := b.accept() // the endpoint is doubted, so the gateway connects for its greeting
 	c := dial(t, address)
 	c.submit(1, "read")
 	at.send(lineproto.VerbServed, at.read(t).ID, nil)
@@ -288,21 +290,21 @@
 	wrong := other.accept()
 	wrong.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if m, err := wrong.reader.Read(); err == nil {
-		t.Errorf("another brick at a saved address was sent %s", m.Verb)
+		t.Errorf("%s was sent to another endpoint at a saved address", m.Verb)
 	}
 	e, err := settings.ParseGateway("second", []byte(conf+own))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := Run(context.Background(), e, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("a second host started on the same store: %v", err)
+		t.Errorf("a second gateway on the same store: %v, want %v", err, store.ErrLocked)
 	}
 	show := dial(t, address)
 	show.send(lineproto.VerbShowFleet, 1, nil)
 	if m := show.read(t); !strings.Contains(string(m.Body), "b0 ") || !strings.Contains(string(m.Body), "doubted") {
 		t.Errorf("%s", m.Body)
 	}
-	for n, verb := range []string{lineproto.VerbServed, lineproto.VerbMalformed} { // once known, once forgotten
+	for n, verb := range []string{lineproto.VerbServed, lineproto.VerbMalformed} { // the first removes it, the second finds it unknown
 		show.send(lineproto.VerbForget, uint64(n+2), func(o *lineproto.Builder) { o.Text("Brick", "b7") })
 		expect(t, show.read(t), verb, uint64(n+2))
 	}
@@ -316,8 +318,8 @@
 	c.read(t)
 }
 
-// An endpoint's address was taken over by another endpoint: nothing is sent there.
-func TestAnotherEndpointAtTheAddress(t *testing.T) {
+// Another endpoint now uses an endpoint's address. No attempt may be sent there.
+func TestAddressReusedByAnotherEndpoint(t *testing.T) {
 	b := newEndpoint(t, "a")
 	b.name = "z"
 	address, _ := startGateway(t, fmt.Sprintf("brick { name: \"a\" address: %q }\n", b.listener.Addr()))
@@ -326,13 +328,13 @@
 	at := b.accept()
 	at.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if m, err := at.reader.Read(); err == nil {
-		t.Errorf("it was sent %s", m.Verb)
+		t.Errorf("%s was sent to the other endpoint", m.Verb)
 	}
 	expect(t, c.read(t), lineproto.VerbRejected, 1)
 }
 
-// An endpoint restarts on its address and sends a response with an id of the connection before: it is dropped.
-func TestLateResponsesAfterARestart(t *testing.T) {
+// An endpoint restarts on the same address and sends a response with an id from the previous connection. The gateway drops it.
+func TestLateResponseAfterEndpointRestart(t *testing.T) {
 	b := newEndpoint(t, "a")
 	address, _ := startGateway(t, "", b)
 	c := dial(t, address)
@@ -340,10 +342,10 @@
 	at := b.accept()
 	old := at.read(t).ID
 	at.Close()
-	at = b.accept() // one broken connection says little: it is sent again
+	at = b.accept() // after a single broken connection the request is sent there again
 	at.read(t)
 	at.Close()
-	expect(t, c.read(t), lineproto.VerbRejected, 1) // no credit is left there, so it is not sent once more
+	expect(t, c.read(t), lineproto.VerbRejected, 1) // after the second broken connection it is not
 	c.submit(2, "post")
 	at = b.accept()
 	id := at.read(t).ID
@@ -353,8 +355,8 @@
 	expect(t, c.read(t), lineproto.VerbFailed, 2)
 }
 
-// Clients send malformed messages. That ends their connection or is answered with BAD; no other client notices.
-func TestMalformedClients(t *testing.T) {
+// Clients send malformed messages. The gateway ends their connections or responds with BAD, and continues to serve other clients.
+func TestMalformedClientMessages(t *testing.T) {
 	b := newEndpoint(t, "a")
 	address, _ := startGateway(t, "", b)
 	for name, in := range map[string]string{
@@ -371,7 +373,7 @@
 			t.Fatal(err)
 		}
 		if name != "half a greeting" {
-			greeted(t, nc, "client", name)
+			greet(t, nc, "client", name)
 		}
 		nc.SetDeadline(time.Now().Add(5 * time.Second))
 		go nc.Write([]byte(in))
@@ -407,25 +409,25 @@
 	}
 }
 
-// A client sends requests and reads no response. It is disconnected, its requests have lost their client, and other clients are served
-// meanwhile.
-func TestClientThatReadsNothing(t *testing.T) {
+// A client sends requests and reads no responses. The gateway disconnects it when its queue is full or a write times out, and
+// serves other clients meanwhile.
+func TestClientNotReadingIsDisconnected(t *testing.T) {
 	b := newEndpoint(t, "a")
 	address, _ := startGateway(t, "", b)
-	deaf, good := dial(t, address), dial(t, address)
-	deaf.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
+	silent, good := dial(t, address), dial(t, address)
+	silent.Conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 	go func() {
 		for id := uint64(1); ; id++ {
 			var o lineproto.Builder
 			o.Start(lineproto.VerbRequest, id).Text("Volume", "v").Text("Queue-Type", "read").Int("Cell", 0)
-			if _, err := deaf.Write(o.End(make([]byte, 90000)).Buffer); err != nil {
+			if _, err := silent.Write(o.End(make([]byte, 90000)).Buffer); err != nil {
 				return
 			}
 		}
 	}()
 	at := b.accept()
 	served, ended := make(chan bool), make(chan bool)
-	go func() { // the brick sends back what it got
+	go func() { // the endpoint echoes each request's body
 		defer close(ended)
 		for {
 			m, err := at.reader.Read()
@@ -445,18 +447,18 @@
 		for id := uint64(1); id <= 20; id++ {
 			good.submit(id, "read")
 			if m, err := good.reader.Read(); err != nil || m.ID != id {
-				t.Errorf("command %d of another client: %v %v", id, m, err)
+				t.Errorf("request %d of another client: %v %v", id, m, err)
 				return
 			}
 		}
 	}()
 	<-served
-	for { // written to again and again, the deaf one's connection ends
-		deaf.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-		if _, err := deaf.Write(nil); err != nil {
+	for { // repeated writes fail once the silent client is disconnected
+		silent.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
+		if _, err := silent.Write(nil); err != nil {
 			break
 		}
-		if _, err := deaf.Write([]byte("\r\n")); err != nil {
+		if _, err := silent.Write([]byte("\r\n")); err != nil {
 			var n net.Error
 			if ok := asNet(err, &n); !ok || !n.Timeout() {
 				break
@@ -467,8 +469,8 @@
 
 func asNet(err error, n *net.Error) bool { return errors.As(err, n) }
 
-// A gateway that shuts down accepts nothing new, completes what it holds, and leaves no goroutine behind.
-func TestStop(t *testing.T) {
+// A gateway that shuts down rejects new requests, completes the open ones, and leaves no goroutine running.
+func TestShutdownCompletesRequests(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	b := newEndpoint(t, "a")
 	address, stop := startGateway(t, "", b)
@@ -477,7 +479,7 @@
 	at := b.accept()
 	held := at.read(t)
 	done, ended := make(chan bool), make(chan bool)
-	go func() { // the others are answered at once
+	go func() { // the endpoint serves all other requests at once
 		defer close(ended)
 		at.SetReadDeadline(time.Time{})
 		for {
@@ -492,7 +494,7 @@
 		stop()
 		close(done)
 	}()
-	for id := uint64(2); ; id++ { // until it no longer takes any
+	for id := uint64(2); ; id++ { // until a request is rejected
 		c.submit(id, "read")
 		m := c.read(t)
 		if m.Verb == lineproto.VerbRejected && m.ID == id {
@@ -508,8 +510,8 @@
 	b.listener.Close()
 }
 
-// The loop's queue is full: requests are rejected at once.
-func TestOverflow(t *testing.T) {
+// While the loop's queue is full, the gateway rejects requests at once.
+func TestLoopQueueFull(t *testing.T) {
 	block, blocked := make(chan bool), make(chan bool)
 	e, err := settings.ParseGateway("test", []byte(strings.Replace(conf, "commands_a_connection: 4", "loop_queue: 2", 1)))
 	if err != nil {
@@ -529,7 +531,7 @@
 	for id := uint64(2); id <= 9; id++ {
 		c.submit(id, "read")
 	}
-	for id := uint64(4); id <= 9; id++ { // two wait, the others are told at once
+	for id := uint64(4); id <= 9; id++ { // two are queued, the others rejected at once
 		expect(t, c.read(t), lineproto.VerbRejected, id)
 	}
 	close(block)
@@ -538,7 +540,7 @@
 		got[c.read(t).ID] = true
 	}
 	if !got[1] || !got[2] || !got[3] {
-		t.Errorf("lost: %v", got)
+		t.Errorf("responses received: %v, want 1, 2 and 3", got)
 	}
 	cancel()
 	if err := <-done; err != nil {
@@ -546,7 +548,7 @@
 	}
 }
 
-// blockingScheduler is a scheduler that blocks at its first request.
+// blockingScheduler blocks on its first request.
 type blockingScheduler struct {
 	*policy.Scheduler
 	block, blocked chan bool
@@ -561,13 +563,14 @@
 	return s.Scheduler.RequestReceived(request, arrival)
 }
 
-// An operator turns the capture on while the gateway serves. What got its response until "stop" came back is on disk, and names no object.
+// An operator starts and stops the capture while the gateway serves. All requests that got their responses in between are on disk,
+// without object names.
 func TestCapture(t *testing.T) {
 	b := newEndpoint(t, "b0")
 	dir := t.TempDir()
 	a, stop := startGateway(t, fmt.Sprintf("capture { folder: %q }\n", dir), b)
 	c := dial(t, a)
-	tape := func(action, want string) {
+	checkCapture := func(action, want string) {
 		t.Helper()
 		c.send(lineproto.VerbControlCapture, 99, func(o *lineproto.Builder) { o.Text("Action", action) })
 		if m := c.read(t); !strings.Contains(string(m.Body)+m.Get("Reason"), want) {
@@ -578,8 +581,8 @@
 	at := b.accept()
 	at.send(lineproto.VerbServed, at.read(t).ID, nil)
 	expect(t, c.read(t), lineproto.VerbServed, 1)
-	tape("info", "capture off")
-	tape("start", "capture on since")
+	checkCapture("info", "capture off")
+	checkCapture("start", "capture on since")
 	for i := range uint64(3) {
 		c.submit(2+i, "read")
 		id := at.read(t).ID
@@ -587,8 +590,8 @@
 		at.send(lineproto.VerbServed, at.read(t).ID, nil)
 		expect(t, c.read(t), lineproto.VerbServed, 2+i)
 	}
-	tape("stop", "lines written")
-	tape("wind", "allowed: start, stop, info")
+	checkCapture("stop", "lines written")
+	checkCapture("wind", "allowed: start, stop, info")
 	l, err := capture.Read(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -611,5 +614,5 @@
 	stop()
 	a, _ = startGateway(t, "", newEndpoint(t, "b0"))
 	c = dial(t, a)
-	tape("start", "no capture")
+	checkCapture("start", "no capture")
 }
--- a/internal/gateway/objects_test.go
+++ b/internal/gateway/objects_test.go
@@ -35,7 +35,7 @@
 volume { name: "yard" plan: "plain" hosts: 1 }
 `
 
-// startEndpoints starts endpoints that store what is written.
+// startEndpoints starts n endpoints that store objects, and returns their settings.
 func startEndpoints(t testing.TB, n int) (text string, all []*storagenode.Node) {
 	t.Helper()
 	for i := range n {
@@ -85,7 +85,7 @@
 	return s3.New(s3.Options{BaseEndpoint: aws.String(url), UsePathStyle: true, Region: "here", Credentials: credentials.NewStaticCredentialsProvider(key, secret, "")})
 }
 
-// putObject retries as the client does; a gateway that has just started may know no endpoint for a moment.
+// putObject writes an object. It retries, because a gateway that has just started may not know an endpoint yet.
 func putObject(t testing.TB, c *s3.Client, name string, body []byte) {
 	t.Helper()
 	var err error
@@ -98,7 +98,8 @@
 	t.Fatal(err)
 }
 
-// A real client writes objects over HTTP through the gateway to endpoints and reads them back; the gateway is restarted in between.
+// An S3 client writes an object through the gateway to endpoints and reads it before and after a restart of the gateway. Invalid object
+// settings prevent the start.
 func TestObjectsEndToEnd(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "access"), []byte("# yard programs\nyardkey a-secret-of-some-length yard\n"), 0o600); err != nil {
@@ -148,12 +149,12 @@
 			cancel()
 		}
 		if err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("the gateway started with the invalid setting %s", bad)
 		}
 	}
 }
 
-// zeros is a body that is made as it is read.
+// zeros is a reader of left zero bytes that allocates nothing.
 type zeros struct{ left int64 }
 
 func (z *zeros) Read(b []byte) (int, error) {
@@ -166,8 +167,9 @@
 	return int(n), nil
 }
 
-// sink is an endpoint that stores nothing and responds at once; memory that grows is then the gateway's own.
-func sink(t testing.TB) string {
+// startDiscardingEndpoint starts an endpoint that stores nothing and responds at once, so that memory growth is the
+// gateway's own.
+func startDiscardingEndpoint(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -181,15 +183,15 @@
 			}
 			go func() {
 				defer nc.Close()
-				serveSink(nc)
+				serveDiscarding(nc)
 			}()
 		}
 	}()
 	return fmt.Sprintf("brick { name: \"sink\" address: %q cell: 0 }\n", l.Addr())
 }
 
-// keeping is an endpoint that keeps what is written and does no work.
-func keeping(t testing.TB) (address string) {
+// startStoringEndpoint starts an endpoint that stores objects and does no other work.
+func startStoringEndpoint(t testing.TB) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -231,10 +233,10 @@
 	return l.Addr().String()
 }
 
-// Objects through the gateway over HTTP, and the same bytes in the same extents to the endpoint itself on one connection, one request after
-// the other.
+// BenchmarkObjects transfers objects through the gateway over HTTP and, for comparison, the same bytes in the same extents directly to
+// the endpoint on one connection, one request at a time.
 func BenchmarkObjects(b *testing.B) {
-	address := keeping(b)
+	address := startStoringEndpoint(b)
 	url, _ := startObjectGateway(b, objectConf+fmt.Sprintf("brick { name: \"store\" address: %q cell: 0 }\nobjects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n",
 		address, filepath.Join(b.TempDir(), "i.db")))
 	time.Sleep(1200 * time.Millisecond)
@@ -308,11 +310,12 @@
 	}
 }
 
-// What a thousand uploads hold that have sent a little and stand still. UPLOADS: so many.
+// BenchmarkSlowUploads measures the memory held by stalled uploads of which a little was sent. The environment variable UPLOADS sets
+// their number.
 func BenchmarkSlowUploads(b *testing.B) {
 	n := 1000
 	fmt.Sscan(os.Getenv("UPLOADS"), &n)
-	url, _ := startObjectGateway(b, objectConf+sink(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" requests: 5000 }\n",
+	url, _ := startObjectGateway(b, objectConf+startDiscardingEndpoint(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" requests: 5000 }\n",
 		filepath.Join(b.TempDir(), "i.db")))
 	time.Sleep(1200 * time.Millisecond)
 	for b.Loop() {
@@ -338,11 +341,12 @@
 	}
 }
 
-// A part far larger than the gateway's memory for it passes: what it holds is a window of extents. PART: bytes.
+// BenchmarkLargePart uploads a body far larger than the window of extents that the gateway holds in memory. The environment variable
+// PART sets its size in bytes.
 func BenchmarkLargePart(b *testing.B) {
 	size := int64(256 << 20)
 	fmt.Sscan(os.Getenv("PART"), &size)
-	url, _ := startObjectGateway(b, objectConf+sink(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n", filepath.Join(b.TempDir(), "i.db")))
+	url, _ := startObjectGateway(b, objectConf+startDiscardingEndpoint(b)+fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q read_type: \"get\" write_type: \"put\" }\n", filepath.Join(b.TempDir(), "i.db")))
 	time.Sleep(1200 * time.Millisecond)
 	for b.Loop() {
 		var most, before runtime.MemStats
@@ -386,7 +390,7 @@
 	}
 }
 
-func serveSink(nc net.Conn) {
+func serveDiscarding(nc net.Conn) {
 	r := lineproto.NewReader(nc, 1<<20)
 	if _, err := lineproto.Greet(nc, r, "brick", "sink", 5*time.Second, nil); err != nil {
 		return
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -66,7 +66,7 @@
 
 // assemble creates all parts and the Core, and loads the settings, the control plane's snapshot and the store into them. It starts
 // no goroutine.
-func (g *Gateway) assemble(ctx context.Context, start func(policy.Runtime, policy.Settings) engine.Scheduler) (*engine.Core, error) {
+func (g *Gateway) assemble(ctx context.Context, newScheduler func(policy.Runtime, policy.Settings) engine.Scheduler) (*engine.Core, error) {
 	conf := g.conf
 	g.loop = engine.NewLoop(g.limits.LoopQueue)
 	g.endpoints = endpointconn.New(conf.Name, g.loop, g.limits, g.log)
@@ -81,7 +81,7 @@
 	if err := g.openControlPlane(); err != nil { // before the settings are passed to the scheduler, since it adds service plans
 		return nil, err
 	}
-	core := engine.New(settings.Policy(conf, time.Now().UnixNano()), rules, start, outbound{g}, g.volumes.lookup, g.limits.HealthCheckTimeout, g.loop.Now())
+	core := engine.New(settings.Policy(conf, time.Now().UnixNano()), rules, newScheduler, outbound{g}, g.volumes.lookup, g.limits.HealthCheckTimeout, g.loop.Now())
 	if err := g.openCapture(core); err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 // because its final save needs the loop.
 func (g *Gateway) start(background context.Context, core *engine.Core) (stopPersisting func()) {
 	go g.loop.Run(background, core) // shutDown waits for loop.Done
-	g.controlPlane.applyEarly()
+	g.controlPlane.applySaved()
 	if g.objects != nil {
 		g.wg.Go(func() { g.objects.run(background) })
 	}
