--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -26,7 +26,7 @@
 		c := g.addConnection(conn)
 		if c == nil {
 			if !rejecting {
-				g.log.Warn("client connection rejected: limit bounds.connections reached", "limit", g.limits.Connections)
+				g.log.Warn("client connection rejected: as many are open as bounds.connections allows", "limit", g.limits.Connections)
 			}
 			rejecting = true
 			_ = conn.Close() // nothing was written, so an error has no effect
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -72,7 +72,7 @@
 			c.sendBad(m.ID, fmt.Errorf("nothing is known of %q", endpoint+member))
 			return
 		}
-		c.gateway.log.Warn("removed an endpoint and its drain, or a member, on an operator's command",
+		c.gateway.log.Warn("forgot an endpoint with its drain, or a gateway with its part, by an operator's order",
 			"endpoint", endpoint, "member", member)
 		c.sendResult(m.ID, nil, nil)
 	case <-c.gateway.loop.Done():
--- a/internal/gateway/persistence.go
+++ b/internal/gateway/persistence.go
@@ -105,8 +105,8 @@
 	}
 	p.failing = err != nil
 	if p.failing {
-		p.gateway.log.Warn("saving to the store failed; retrying", "err", err)
+		p.gateway.log.Warn("saving the store fails, will retry", "err", err)
 	} else {
-		p.gateway.log.Info("saving to the store succeeds again")
+		p.gateway.log.Info("saving the store works again")
 	}
 }
