--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -108,10 +108,10 @@
 // BenchmarkThrough measures requests per second through one gateway to endpoints that do no work, and for comparison the same client
 // connected directly to one endpoint. Client, gateway and endpoints share a process.
 func BenchmarkThrough(b *testing.B) {
-	more, straight := startIdleEndpoints(b, 8)
+	more, direct := startIdleEndpoints(b, 8)
 	address, _ := startGatewayWithSettings(b, benchmarkConf+more)
 	capturing, _ := startGatewayWithSettings(b, benchmarkConf+more+fmt.Sprintf("capture { folder: %q on: true }\n", b.TempDir()))
-	for _, c := range []struct{ name, address, role string }{{"host", address, "client"}, {"capturing", capturing, "client"}, {"straight", straight, "host"}} {
+	for _, c := range []struct{ name, address, role string }{{"host", address, "client"}, {"capturing", capturing, "client"}, {"straight", direct, "host"}} {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			n := max(b.N, 64)
--- a/internal/gateway/controlplane_test.go
+++ b/internal/gateway/controlplane_test.go
@@ -87,7 +87,7 @@
 // if the endpoint is later reported as serving. Without the control plane the gateway continues to serve, and after a restart it
 // serves from the saved snapshot.
 func TestControlPlaneSnapshot(t *testing.T) {
-	p, address, stopPlanner := startControlPlane(t)
+	p, address, stopControlPlane := startControlPlane(t)
 	one, two := newEndpoint(t, "one"), newEndpoint(t, "two")
 	store := filepath.Join(t.TempDir(), "fleet.db")
 	more := fmt.Sprintf("store: %q planner { address: %q plain: true }\n", store, address)
@@ -125,7 +125,7 @@
 		expect(t, c.read(t), lineproto.VerbServed, id)
 	}
 	// The control plane stops; requests are still served.
-	stopPlanner()
+	stopControlPlane()
 	run(c, 20, "new")
 	answer(atTwo)
 	expect(t, c.read(t), lineproto.VerbServed, 20)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -99,10 +99,10 @@
 }
 
 // startGateway starts a gateway and returns its address; stop waits until it has ended.
-func startGateway(t testing.TB, more string, bricks ...*scriptedEndpoint) (address string, stop func()) {
+func startGateway(t testing.TB, more string, endpoints ...*scriptedEndpoint) (address string, stop func()) {
 	t.Helper()
 	text := conf + more
-	for i, b := range bricks {
+	for i, b := range endpoints {
 		text += fmt.Sprintf("brick { name: %q address: %q cell: %d }\n", b.name, b.listener.Addr(), i)
 	}
 	return startGatewayWithSettings(t, text)
@@ -383,7 +383,7 @@
 		nc.Close()
 	}
 	good := dial(t, address)
-	for in, says := range map[string]string{
+	for in, want := range map[string]string{
 		"DANCE 5\r\n\r\n":            "unknown verb",
 		"RUN 5\r\nVolume: v\r\n\r\n": "needs the fields",
 		"RUN 5\r\nVolume: v\r\nQueue-Type: read\r\nUnits: -1\r\n\r\n":          "allowed are units above 0",
@@ -393,7 +393,7 @@
 		"RUN 5\r\nVolume: v\r\nQueue-Type: strange\r\nX-Later: header\r\n\r\n": "unknown queue type",
 	} {
 		good.Write([]byte(in))
-		if m := good.read(t); m.ID != 5 || !strings.Contains(m.Get("Reason"), says) {
+		if m := good.read(t); m.ID != 5 || !strings.Contains(m.Get("Reason"), want) {
 			t.Errorf("%q: %s %v", in, m.Verb, m.Fields)
 		}
 	}
--- a/internal/gateway/objects_test.go
+++ b/internal/gateway/objects_test.go
@@ -105,8 +105,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "access"), []byte("# yard programs\nyardkey a-secret-of-some-length yard\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	bricks, _ := startEndpoints(t, 3)
-	text := objectConf + bricks + fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q access: %q read_type: \"get\" write_type: \"put\" extent: 65536 }\n",
+	endpoints, _ := startEndpoints(t, 3)
+	text := objectConf + endpoints + fmt.Sprintf("objects { listen: \"127.0.0.1:0\" index: %q access: %q read_type: \"get\" write_type: \"put\" extent: 65536 }\n",
 		filepath.Join(dir, "index.db"), filepath.Join(dir, "access"))
 	url, stop := startObjectGateway(t, text)
 	c := s3Client(url, "yardkey", "a-secret-of-some-length")
@@ -250,7 +250,7 @@
 		b.Fatal(err)
 	}
 	const extent = 256 << 10
-	straight := func(put bool, name string, body []byte) {
+	direct := func(put bool, name string, body []byte) {
 		for at := 0; at < len(body); at += extent {
 			piece, q := body[at:min(at+extent, len(body))], "put"
 			if !put {
@@ -291,7 +291,7 @@
 			for _, way := range []struct {
 				name string
 				f    func(put bool, name string, body []byte)
-			}{{"http", through}, {"straight", straight}} {
+			}{{"http", through}, {"straight", direct}} {
 				b.Run(fmt.Sprintf("%dKiB/put=%v/%s", size>>10, put, way.name), func(b *testing.B) {
 					way.f(true, "o", body)
 					h := hdrhistogram.New(1, 60e6, 3)
--- a/internal/httpgateway/upstream/pool.go
+++ b/internal/httpgateway/upstream/pool.go
@@ -35,22 +35,30 @@
 
 // Options configure a pool.
 type Options struct {
-	Loop           Loop
-	MaxConnections int                                                         // maximum of open connections, to all endpoints together
-	ResponseMemory int64                                                       // maximum size in bytes of response bodies not yet delivered to clients; at least MaxResponseBody
-	ConnectTimeout time.Duration                                               // maximum time that an attempt waits for a connection
-	IdleTimeout    time.Duration                                               // idle time after which a connection is closed; the pool may learn a shorter one
-	Dial           func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
-	BeforeWrite    func()                                                      // test hook, called between the last clock reading and the write of an attempt; may be nil
-	Log            *slog.Logger
-	Recorder       *metrics.Recorder // nil: the pool creates one
+	Loop Loop
+	// MaxConnections is the maximum number of open connections, to all endpoints together.
+	MaxConnections int
+	// ResponseMemory is the maximum size, in bytes, of the response bodies not yet delivered to their clients. The minimum is
+	// MaxResponseBody.
+	ResponseMemory int64
+	// ConnectTimeout is the maximum time that an attempt waits for a connection.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the idle time after which a connection is closed. The pool may learn a shorter one.
+	IdleTimeout time.Duration
+	// Dial opens a connection; nil: TCP.
+	Dial func(ctx context.Context, address string) (net.Conn, error)
+	// BeforeWrite is a test hook, called between the last clock reading and the write of an attempt. May be nil.
+	BeforeWrite func()
+	Log         *slog.Logger
+	// Recorder counts the pool's events; nil: the pool creates one.
+	Recorder *metrics.Recorder
 }
 
 // MaxResponseBody is the maximum size of a response body, in bytes. The platform documents 64 KiB, but its endpoints send
 // several times as much.
 const MaxResponseBody = 1 << 20
 
-// Counts are totals since the start.
+// Counts are totals since the start, except for Open.
 type Counts struct {
 	Opened      int64 // connections dialed
 	Attempts    int64 // attempts accepted from the engine
--- a/internal/lineproto/fields.go
+++ b/internal/lineproto/fields.go
@@ -15,9 +15,9 @@
 	FieldObject  = "Object"
 	FieldTag     = "Tag" // idempotency key
 	FieldTrace   = "Trace"
-	FieldShard   = "Cell"  // shard; -1: any endpoint may serve the request (a new object)
-	FieldUnits   = "Units" // cost
-	FieldTimeout = "Timeout"
+	FieldShard   = "Cell"     // shard; -1: any endpoint may serve the request (a new object)
+	FieldUnits   = "Units"    // cost
+	FieldTimeout = "Timeout"  // in microseconds
 	FieldAttempt = "Dispatch" // number of the attempt; absent: the first
 	FieldRetry   = "Repeat"   // 1: the client has sent this request before
 
@@ -29,10 +29,10 @@
 	FieldUtilization     = "Metered"      // utilization of the endpoint
 
 	// The endpoint list.
-	FieldEpoch    = "Epoch"
-	FieldNumber   = "Number"
-	FieldClock    = "Clock" // the service's clock, in microseconds
-	FieldComplete = "Whole" // yes: the list is complete
+	FieldEpoch    = "Epoch"  // epoch of the list's numbers
+	FieldNumber   = "Number" // number of the list within its epoch
+	FieldClock    = "Clock"  // the service's clock, in microseconds
+	FieldComplete = "Whole"  // yes: the list is complete
 
 	// Gateways and operators.
 	FieldSender   = "From"   // ordinal of the gateway that sends a scheduler note
--- a/internal/lineproto/greeting.go
+++ b/internal/lineproto/greeting.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Greet sends this side's greeting and returns the peer's greeting, both within the timeout. more may add fields to the greeting and
+// Greet sends this side's greeting and returns the peer's greeting, both within the timeout. addFields may add fields and
 // may be nil. Afterwards the connection has no deadline.
-func Greet(c net.Conn, r *Reader, role, name string, timeout time.Duration, more func(*Builder)) (*Message, error) {
+func Greet(c net.Conn, r *Reader, role, name string, timeout time.Duration, addFields func(*Builder)) (*Message, error) {
 	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	var hello Builder
 	hello.Start(VerbHello, 0).Text(FieldVersion, Version).Text(FieldRole, role).Text(FieldName, name)
-	if more != nil {
-		more(&hello)
+	if addFields != nil {
+		addFields(&hello)
 	}
 	if _, err := c.Write(hello.End(nil).Buffer); err != nil {
 		return nil, fmt.Errorf("greet: %w", err)
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -42,8 +42,8 @@
 // An unknown verb is no error, since it may come from a later version.
 func TestBounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		in   string
-		says string
+		in        string
+		wantError string
 	}{
 		"endless line":       {"RUN " + strings.Repeat("1", 1<<20), "longer than allowed"},
 		"long line":          {"RUN " + strings.Repeat("1", 8<<10) + "\r\n\r\n", "longer than allowed"},
@@ -62,8 +62,8 @@
 		"no colon":           {"RUN 1\r\nabc\r\n\r\n", "malformed"},
 		"control characters": {"RUN 1\r\nA: b\x01c\r\n\r\n", "malformed"},
 	} {
-		if _, err := read(c.in, 100); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, wanted %q", name, err, c.says)
+		if _, err := read(c.in, 100); err == nil || !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("%s: %v, wanted %q", name, err, c.wantError)
 		}
 	}
 	if ms, err := read("STRANGE 3\r\nX: y\r\n\r\nRUN 4\r\n\r\n", 0); !errors.Is(err, io.EOF) || len(ms) != 2 {
@@ -73,13 +73,13 @@
 
 // A peer starts a message and does not complete it, or sends nothing: the read times out after stall or after idle.
 func TestTimeouts(t *testing.T) {
-	for _, begun := range []string{"", "RUN 1\r\nA", "RUN 1\r\nLength: 5\r\n\r\nab"} {
+	for _, sent := range []string{"", "RUN 1\r\nA", "RUN 1\r\nLength: 5\r\n\r\nab"} {
 		a, b := net.Pipe()
-		go a.Write([]byte(begun))
+		go a.Write([]byte(sent))
 		_, err := NewConnReader(b, 10, 20*time.Millisecond, 20*time.Millisecond).Read()
 		var n net.Error
 		if !errors.As(err, &n) || !n.Timeout() {
-			t.Errorf("%q: %v", begun, err)
+			t.Errorf("%q: %v", sent, err)
 		}
 		a.Close()
 	}
--- a/internal/lineproto/reader.go
+++ b/internal/lineproto/reader.go
@@ -22,15 +22,15 @@
 // ErrTooLong is returned for a line, a head or a body that exceeds its bound.
 var ErrTooLong = errors.New("message is longer than allowed")
 
-// bounded is a reader that returns at most allowance bytes, so that a peer can't make its consumer allocate without bound.
-type bounded struct {
+// boundedReader is a reader that returns at most allowance bytes, so that a peer can't make its consumer allocate without bound.
+type boundedReader struct {
 	reader    io.Reader
 	allowance int
 	err       error // error of the latest Read
 }
 
 // Read reads up to the remaining allowance, and returns ErrTooLong once it is used up.
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.allowance <= 0 {
 		b.err = ErrTooLong
 		return 0, ErrTooLong
@@ -47,7 +47,7 @@
 // Reader reads messages from one connection. It is not safe for concurrent use.
 type Reader struct {
 	conn    net.Conn // nil: no timeouts
-	bound   bounded
+	bound   boundedReader
 	buffer  *bufio.Reader
 	text    *textproto.Reader
 	maxBody int           // maximum size of a body, in bytes
@@ -57,7 +57,7 @@
 
 // NewReader returns a Reader on r without timeouts. A body may have at most maxBody bytes.
 func NewReader(r io.Reader, maxBody int) *Reader {
-	reader := &Reader{bound: bounded{reader: r}, maxBody: maxBody}
+	reader := &Reader{bound: boundedReader{reader: r}, maxBody: maxBody}
 	reader.buffer = bufio.NewReaderSize(&reader.bound, readAhead)
 	reader.text = textproto.NewReader(reader.buffer)
 	return reader
--- a/internal/lineproto/verbs.go
+++ b/internal/lineproto/verbs.go
@@ -24,5 +24,5 @@
 	VerbShowFleet         = "FLEET"  // operator command: shows the beliefs about the fleet
 	VerbForget            = "FORGET" // operator command: removes an endpoint or a gateway from the fleet's state
 	VerbControlCapture    = "TAPE"   // operator command: starts or stops the capture, or shows its state
-	VerbMalformed         = "BAD"    // a malformed message was received; it had no effect
+	VerbMalformed         = "BAD"    // the message received was malformed and had no effect
 )
