--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -66,7 +66,7 @@
 // Run serves until a signal ends it.
 func (c *fakeDiscovery) Run() error {
 	ctx := untilStopped()
-	s, err := discovery.Start(discovery.Config{Address: c.Listen, Asked: c.PollOnly, Seed: 1})
+	s, err := discovery.Start(discovery.Config{Address: c.Listen, PollOnly: c.PollOnly, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return fmt.Errorf("endpoint %q: shard: %w", line, err)
 	}
-	s.Set(discovery.Entry{Name: f[0], Address: f[1], Zone: f[2], Cell: shard, State: f[4]})
+	s.Set(discovery.Entry{Name: f[0], Address: f[1], Zone: f[2], Shard: shard, State: f[4]})
 	return nil
 }
 
--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -27,7 +27,7 @@
 	ID       string  `json:"id"`
 	Address  string  `json:"host_port"`
 	Zone     string  `json:"locality"`
-	Cell     int     `json:"cell"`
+	Shard    int     `json:"cell"`
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`
 	UpSince  int64   `json:"up_since_ms"`
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -17,21 +17,21 @@
 
 // Config is what a list service is made of.
 type Config struct {
-	Address  string // port 0: the kernel chooses
-	Asked    bool   // tells only when asked
-	Notice   time.Duration
-	ClockOff time.Duration
-	Fails    float64
-	Seed     int64
-	Record   *record.Recorder
-	// HostOf is a host's number and incarnation by its name, for the record.
-	HostOf func(name string) (host, incarnation uint32)
+	Address      string // port 0: the kernel chooses
+	PollOnly     bool   // tells only when asked
+	NotifyDelay  time.Duration
+	ClockOffset  time.Duration
+	FailureShare float64
+	Seed         int64
+	Recorder     *record.Recorder
+	// GatewayOf is a host's number and incarnation by its name, for the record.
+	GatewayOf func(name string) (host, incarnation uint32)
 }
 
 // Entry is one brick.
 type Entry struct {
 	Name, Address, Zone string
-	Cell                int
+	Shard               int
 	State               string // serving, draining or gone
 	Started             time.Time
 }
@@ -85,42 +85,42 @@
 	s.wg.Wait()
 }
 
-// Flap is a way in which the service fails.
-type Flap int
+// Fault is a way in which the service fails.
+type Fault int
 
 // The ways in which the service fails.
 const (
-	Half  Flap = iota // tells only half of the bricks, as a whole list
-	Empty             // tells none, as a whole list
-	Old               // tells an old number, with a clock that reads later
-	Cut               // ends all connections
+	PartialList    Fault = iota // tells only half of the bricks, as a whole list
+	EmptyList                   // tells none, as a whole list
+	StaleList                   // tells an old number, with a clock that reads later
+	ConnectionLoss              // ends all connections
 )
 
-// Flap fails once.
-func (s *Service) Flap(how Flap) {
+// Inject fails once.
+func (s *Service) Inject(how Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for x := range s.subs {
 		number := s.number
 		switch how {
-		case Half:
+		case PartialList:
 			s.number++
 			s.tell(x, true, s.entries[:len(s.entries)/2])
-		case Empty:
+		case EmptyList:
 			s.number++
 			s.tell(x, true, nil)
-		case Old:
+		case StaleList:
 			s.number = 1
 			s.tell(x, true, s.entries[:1])
 			s.number = number
-		case Cut:
+		case ConnectionLoss:
 			_ = x.conn.Close()
 		}
 	}
 }
 
-// Retell tells all hosts the whole list.
-func (s *Service) Retell() {
+// SendFullList tells all hosts the whole list.
+func (s *Service) SendFullList() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.number++
@@ -154,8 +154,8 @@
 // later tells one host of a change after the notice time. Under mu.
 func (s *Service) later(x *sub, e Entry) {
 	wait := time.Duration(0)
-	if s.c.Notice > 0 {
-		wait = s.c.Notice/2 + time.Duration(s.rng.Int63n(int64(s.c.Notice)))
+	if s.c.NotifyDelay > 0 {
+		wait = s.c.NotifyDelay/2 + time.Duration(s.rng.Int63n(int64(s.c.NotifyDelay)))
 	}
 	s.wg.Add(1)
 	go func() {
@@ -173,14 +173,14 @@
 
 // tell writes a list to one host. Under mu.
 func (s *Service) tell(x *sub, whole bool, entries []Entry) {
-	clock := time.Now().Add(s.c.ClockOff)
+	clock := time.Now().Add(s.c.ClockOffset)
 	var body []byte
 	for _, e := range entries {
 		started := int64(0)
 		if !e.Started.IsZero() {
-			started = e.Started.Add(s.c.ClockOff).UnixMicro()
+			started = e.Started.Add(s.c.ClockOffset).UnixMicro()
 		}
-		body = fmt.Appendf(body, "%s %s %s %d %s %d\n", e.Name, e.Address, e.Zone, e.Cell, e.State, started)
+		body = fmt.Appendf(body, "%s %s %s %d %s %d\n", e.Name, e.Address, e.Zone, e.Shard, e.State, started)
 	}
 	var o lineproto.Builder
 	o.Start(lineproto.VerbEndpointList, 0).Text("Epoch", s.epoch).Int("Number", s.number).Int("Clock", clock.UnixMicro())
@@ -188,8 +188,8 @@
 		o.Text("Whole", "yes")
 	}
 	host, inc := uint32(0), uint32(0)
-	if s.c.HostOf != nil {
-		host, inc = s.c.HostOf(x.name)
+	if s.c.GatewayOf != nil {
+		host, inc = s.c.GatewayOf(x.name)
 	}
 	if _, err := x.sender.Send(o.End(body).Buffer); err != nil {
 		return
@@ -199,8 +199,8 @@
 		if !e.Started.IsZero() {
 			age = int64(time.Since(e.Started))
 		}
-		s.c.Record.See(&pb.Seen{What: pb.Seen_LISTED, Host: host, Incarnation: inc, Brick: e.Name, How: e.State, Started: age,
-			Cell: int32(e.Cell)})
+		s.c.Recorder.See(&pb.Seen{What: pb.Seen_LISTED, Host: host, Incarnation: inc, Brick: e.Name, How: e.State, Started: age,
+			Cell: int32(e.Shard)})
 	}
 }
 
@@ -233,7 +233,7 @@
 	x.sender.Start(nc)
 	s.mu.Lock()
 	s.subs[x] = true
-	if !s.c.Asked {
+	if !s.c.PollOnly {
 		x.watching = true
 		s.tell(x, true, s.entries)
 	}
@@ -244,7 +244,7 @@
 			break
 		}
 		s.mu.Lock()
-		fails := s.c.Fails > 0 && s.rng.Float64() < s.c.Fails
+		fails := s.c.FailureShare > 0 && s.rng.Float64() < s.c.FailureShare
 		var o lineproto.Builder
 		switch {
 		case fails:
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Trouble is what a proxy does; the zero value passes everything on.
-type Trouble struct {
+// Fault is what a proxy does; the zero value passes everything on.
+type Fault struct {
 	ConnectDelay time.Duration // a new connection is passed on so late
 	Silent       bool          // nothing passes in either direction; a connection that is closed is closed on the other side
 }
@@ -27,7 +27,7 @@
 	wg       sync.WaitGroup
 
 	mu      sync.Mutex
-	trouble Trouble
+	trouble Fault
 	pairs   map[*pair]bool
 }
 
@@ -53,7 +53,7 @@
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // Set changes what it does. Connections that were silent are reset when it passes again.
-func (p *Proxy) Set(t Trouble) {
+func (p *Proxy) Set(t Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.trouble = t
@@ -98,7 +98,7 @@
 	}()
 }
 
-func (p *Proxy) now() Trouble {
+func (p *Proxy) now() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.trouble
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -92,12 +92,12 @@
 	case pb.Trouble_RECONNECT:
 		r.load.Reconnect(t.Size)
 	case pb.Trouble_LIST_FLAPS:
-		for how := discovery.Half; time.Now().Before(end); how = (how + 1) % (discovery.Cut + 1) {
-			r.list.Flap(how)
+		for how := discovery.PartialList; time.Now().Before(end); how = (how + 1) % (discovery.ConnectionLoss + 1) {
+			r.list.Inject(how)
 			if !wait(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
-			r.list.Retell()
+			r.list.SendFullList()
 			if !wait(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -257,8 +257,8 @@
 		l = &pb.ListHabits{}
 	}
 	var err error
-	r.list, err = discovery.Start(discovery.Config{Address: r.ip + ":0", Asked: f.ListAsked, Notice: settings.Duration(l.Notice, 0),
-		ClockOff: settings.Duration(l.ClockOff, 0), Fails: l.Fails, Seed: r.rng.Int63(), Record: r.rec, HostOf: r.hostOf})
+	r.list, err = discovery.Start(discovery.Config{Address: r.ip + ":0", PollOnly: f.ListAsked, NotifyDelay: settings.Duration(l.Notice, 0),
+		ClockOffset: settings.Duration(l.ClockOff, 0), FailureShare: l.Fails, Seed: r.rng.Int63(), Recorder: r.rec, GatewayOf: r.hostOf})
 	if err != nil {
 		return err
 	}
@@ -358,7 +358,7 @@
 		return nil, err
 	}
 	r.bricks[cell] = b
-	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: cell, State: "serving"}
+	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Shard: cell, State: "serving"}
 	if cold {
 		e.Started = b.Started()
 	}
@@ -368,7 +368,7 @@
 
 // unlist tells the list that a brick drains or is gone.
 func (r *runner) unlist(b *storagenode.Node, cell int, state string) {
-	r.list.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone, Cell: cell, State: state})
+	r.list.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone, Shard: cell, State: state})
 }
 
 func (r *runner) volumes() []client.Volume {
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -49,7 +49,7 @@
 		node.Stop()
 		return err
 	}
-	started := &endpoint{shard: shard, node: node, relay: relay, entry: agent.Server{ID: id, Address: relay.Address(), Zone: "a", Cell: shard, Phase: agent.InService, Size: 1}}
+	started := &endpoint{shard: shard, node: node, relay: relay, entry: agent.Server{ID: id, Address: relay.Address(), Zone: "a", Shard: shard, Phase: agent.InService, Size: 1}}
 	if warmingUp {
 		started.entry.UpSince = node.Started().UnixMilli()
 	}
@@ -108,5 +108,5 @@
 	if entry.UpSince > 0 {
 		age = int64(time.Since(time.UnixMilli(entry.UpSince)))
 	}
-	r.recorder.See(&pb.Seen{What: pb.Seen_LISTED, Host: uint32(p.number), Incarnation: p.incarnation.Load(), Brick: entry.ID, How: state, Started: age, Cell: int32(entry.Cell)})
+	r.recorder.See(&pb.Seen{What: pb.Seen_LISTED, Host: uint32(p.number), Incarnation: p.incarnation.Load(), Brick: entry.ID, How: state, Started: age, Cell: int32(entry.Shard)})
 }
--- a/internal/soak/fault_network.go
+++ b/internal/soak/fault_network.go
@@ -9,25 +9,25 @@
 )
 
 // withNetworkFault sets a fault of the network in front of some endpoints until ctx ends.
-func (r *run) withNetworkFault(ctx context.Context, rng *rand.Rand, divisor int, fault proxy.Trouble) {
+func (r *run) withNetworkFault(ctx context.Context, rng *rand.Rand, divisor int, fault proxy.Fault) {
 	chosen := pickSome(rng, r.currentEndpoints(), divisor)
 	for _, e := range chosen {
 		e.relay.Set(fault)
 	}
 	<-ctx.Done()
 	for _, e := range chosen {
-		e.relay.Set(proxy.Trouble{})
+		e.relay.Set(proxy.Fault{})
 	}
 }
 
 // delayConnects delays new connections to endpoints.
 func delayConnects(ctx context.Context, r *run, rng *rand.Rand) {
-	r.withNetworkFault(ctx, rng, 2, proxy.Trouble{ConnectDelay: 200 * time.Millisecond})
+	r.withNetworkFault(ctx, rng, 2, proxy.Fault{ConnectDelay: 200 * time.Millisecond})
 }
 
 // silenceNetwork drops all bytes in both directions and leaves connections open, as a partition does.
 func silenceNetwork(ctx context.Context, r *run, rng *rand.Rand) {
-	r.withNetworkFault(ctx, rng, 3, proxy.Trouble{Silent: true})
+	r.withNetworkFault(ctx, rng, 3, proxy.Fault{Silent: true})
 }
 
 // resetNetwork resets the connections to endpoints, repeatedly.
