--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is a stand-in for the platform's discovery: one list of servers, and for each gateway process an agent on its
-// machine that tells it over a watch. Agents fall silent, are cut off, refuse and answer slowly.
+// Package agent is a fake of the platform's discovery: one list of servers, and for each gateway process a local agent that
+// streams the list to it over a watch. On demand, agents fall silent, reset or reject watches and answer late.
 package agent
 
 import (
@@ -22,7 +22,7 @@
 	Terminated  = "terminated"
 )
 
-// Server is one entry of the list.
+// Server is one server's entry in the list.
 type Server struct {
 	ID       string  `json:"id"`
 	Address  string  `json:"host_port"`
@@ -31,17 +31,17 @@
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`
 	UpSince  int64   `json:"up_since_ms"`
-	revision int64
+	revision int64   // of the list when the entry last changed
 }
 
-// List is a list, or what changed in it, as it goes over the wire.
+// List is the complete list, or the entries that changed, in the wire format.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Server `json:"members"`
 }
 
-// Discovery is the one list that all agents tell.
+// Discovery holds the list that all agents send. Its methods may be called from any goroutine.
 type Discovery struct {
 	mu       sync.Mutex
 	servers  map[string]Server
@@ -53,7 +53,7 @@
 // New returns a Discovery without servers.
 func New() *Discovery { return &Discovery{servers: map[string]Server{}} }
 
-// Set changes a server's entry and tells the agents.
+// Set sets a server's entry and wakes the agents' watches.
 func (d *Discovery) Set(s Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +63,7 @@
 	d.wake()
 }
 
-// Down takes discovery down, or lets it return: meanwhile agents are silent and learn nothing.
+// Down takes discovery down or brings it back. While it is down, the agents send nothing.
 func (d *Discovery) Down(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,21 +71,22 @@
 	d.wake()
 }
 
-// Whole is the whole list now.
+// Whole returns the complete current list.
 func (d *Discovery) Whole() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(0)
+	return d.changesSince(0)
 }
 
+// wake wakes the watches of all agents. The caller holds mu.
 func (d *Discovery) wake() {
 	for _, a := range d.agents {
 		a.wake()
 	}
 }
 
-// since is what changed after a revision. The caller holds mu.
-func (d *Discovery) since(revision int64) List {
+// changesSince returns the entries that changed after a revision; for revision 0, the complete list. The caller holds mu.
+func (d *Discovery) changesSince(revision int64) List {
 	l := List{Revision: d.revision, Complete: revision == 0, Members: []Server{}}
 	for _, s := range d.servers {
 		if s.revision > revision && (!l.Complete || s.Phase != Terminated) {
@@ -95,33 +96,34 @@
 	return l
 }
 
-// Agent tells one process.
+// Agent serves one gateway process. Its methods may be called from any goroutine.
 type Agent struct {
-	d        *Discovery
-	listener net.Listener
-	told     func(Server)
-	wg       sync.WaitGroup
+	discovery *Discovery
+	listener  net.Listener
+	onWritten func(Server) // called for each entry written to the process
+	wg        sync.WaitGroup
 
 	mu      sync.Mutex
 	closed  bool
 	watches map[*watch]bool
-	delay   time.Duration // before an answer begins
-	refuse  bool
+	delay   time.Duration // before the response to a new watch begins
+	refuse  bool          // new watches get an error
 }
 
+// watch is one open watch request.
 type watch struct {
-	nc     net.Conn
-	silent bool
-	wake   chan struct{} // holds one
+	conn   net.Conn
+	silent bool          // nothing more is sent
+	wake   chan struct{} // has a buffer of one
 }
 
-// Listen starts an agent; told hears of each entry as it is written to the process.
-func (d *Discovery) Listen(told func(Server)) (*Agent, error) {
+// Listen starts an agent. onWritten is called for each entry after it is written to the process.
+func (d *Discovery) Listen(onWritten func(Server)) (*Agent, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("agent: %w", err)
+		return nil, fmt.Errorf("fake discovery agent: %w", err)
 	}
-	a := &Agent{d: d, listener: listener, told: told, watches: map[*watch]bool{}}
+	a := &Agent{discovery: d, listener: listener, onWritten: onWritten, watches: map[*watch]bool{}}
 	d.mu.Lock()
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
@@ -133,10 +135,10 @@
 	return a, nil
 }
 
-// Address is where its process asks.
+// Address returns the address on which the process reaches the agent.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Silence lets the open watches fall silent for good; new ones work.
+// Silence makes the open watches silent for good; new ones work.
 func (a *Agent) Silence() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,28 +152,28 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for w := range a.watches {
-		if tcp, ok := w.nc.(*net.TCPConn); ok {
+		if tcp, ok := w.conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
-		_ = w.nc.Close()
+		_ = w.conn.Close()
 	}
 }
 
-// Slow lets each new watch begin so late.
+// Slow sets the delay before the response to each new watch.
 func (a *Agent) Slow(delay time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.delay = delay
 }
 
-// Refuse answers new watches with an error, or no longer.
+// Refuse sets whether new watches are answered with an error.
 func (a *Agent) Refuse(refuse bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refuse = refuse
 }
 
-// Close ends the agent.
+// Close resets the open watches, closes the agent and waits for its goroutines.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -182,6 +184,7 @@
 	a.wg.Wait()
 }
 
+// wake lets all watches look for changes.
 func (a *Agent) wake() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,33 +196,35 @@
 	}
 }
 
+// accept serves connections until the agent is closed.
 func (a *Agent) accept() {
 	for {
-		nc, err := a.listener.Accept()
+		conn, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
 		a.wg.Add(1)
 		go func() {
 			defer a.wg.Done()
-			defer func() { _ = nc.Close() }()
-			a.serve(nc)
+			defer func() { _ = conn.Close() }()
+			a.serve(conn)
 		}()
 	}
 }
 
-func (a *Agent) serve(nc net.Conn) {
-	reader := http1.NewReader(nc)
+// serve reads one watch request and answers it until the connection ends.
+func (a *Agent) serve(conn net.Conn) {
+	reader := http1.NewReader(conn)
 	if reader.Await() != nil {
 		return
 	}
-	h, err := reader.Request()
+	head, err := reader.Request()
 	if err != nil {
 		return
 	}
-	_, after, _ := strings.Cut(h.Target, "after=")
+	_, after, _ := strings.Cut(head.Target, "after=")
 	revision, _ := strconv.ParseInt(after, 10, 64)
-	w := &watch{nc: nc, wake: make(chan struct{}, 1)}
+	w := &watch{conn: conn, wake: make(chan struct{}, 1)}
 	a.mu.Lock()
 	delay, refuse, closed := a.delay, a.refuse, a.closed
 	if !closed {
@@ -238,11 +243,11 @@
 		a.mu.Lock()
 		delete(a.watches, w)
 		a.mu.Unlock()
-		_ = nc.Close()
+		_ = conn.Close()
 		<-ended
 	}()
 	if refuse {
-		_, _ = io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	select {
@@ -250,69 +255,72 @@
 	case <-ended:
 		return
 	}
-	a.tell(w, revision, ended)
+	a.stream(w, revision, ended)
 }
 
-// heartbeat is how often an empty line says that nothing has changed.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is the time between two empty lines, which are sent while nothing changes.
+const heartbeatInterval = 2 * time.Second
 
-func (a *Agent) tell(w *watch, revision int64, ended chan struct{}) {
-	tick := time.NewTicker(heartbeat)
+// stream writes the list and its changes to a watch until ended is closed. The response begins once there is something to send.
+func (a *Agent) stream(w *watch, revision int64, ended chan struct{}) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
-	begun := false
-	for due := true; ; {
-		l, down := a.next(w, revision)
+	responseStarted := false
+	for heartbeatDue := true; ; {
+		list, paused := a.pending(w, revision)
 		switch {
-		case down:
-		case !begun:
-			begun = true
-			_, _ = io.WriteString(w.nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		case paused:
+		case !responseStarted:
+			responseStarted = true
+			_, _ = io.WriteString(w.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			fallthrough
 		default:
-			if len(l.Members) > 0 {
-				a.write(w, l)
-				revision = l.Revision
-			} else if due {
-				_ = chunk(w.nc, "\n")
+			if len(list.Members) > 0 {
+				a.writeList(w, list)
+				revision = list.Revision
+			} else if heartbeatDue {
+				_ = writeChunk(w.conn, "\n")
 			}
 		}
-		due = false
+		heartbeatDue = false
 		select {
 		case <-ended:
 			return
 		case <-w.wake:
 		case <-tick.C:
-			due = true
+			heartbeatDue = true
 		}
 	}
 }
 
-// next is what the watch is to be told; down: nothing may be told now.
-func (a *Agent) next(w *watch, revision int64) (l List, down bool) {
-	a.d.mu.Lock()
-	defer a.d.mu.Unlock()
+// pending returns the changes to send on a watch. paused reports that nothing may be sent now.
+func (a *Agent) pending(w *watch, revision int64) (list List, paused bool) {
+	a.discovery.mu.Lock()
+	defer a.discovery.mu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.d.down || w.silent || a.closed {
+	if a.discovery.down || w.silent || a.closed {
 		return List{}, true
 	}
-	return a.d.since(revision), false
+	return a.discovery.changesSince(revision), false
 }
 
-func (a *Agent) write(w *watch, l List) {
-	text, err := json.Marshal(l)
+// writeList writes a list to a watch and reports each entry to onWritten, unless the write fails.
+func (a *Agent) writeList(w *watch, list List) {
+	text, err := json.Marshal(list)
 	if err != nil {
 		return
 	}
-	if chunk(w.nc, string(text)+"\n") != nil {
+	if writeChunk(w.conn, string(text)+"\n") != nil {
 		return
 	}
-	for _, s := range l.Members {
-		a.told(s)
+	for _, s := range list.Members {
+		a.onWritten(s)
 	}
 }
 
-func chunk(w io.Writer, text string) error {
+// writeChunk writes text as one chunk of the chunked encoding.
+func writeChunk(w io.Writer, text string) error {
 	_, err := fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text)
 	return err
 }
--- a/internal/fake/direct/direct.go
+++ b/internal/fake/direct/direct.go
@@ -1,6 +1,6 @@
-// Package direct is the baseline that scenarios compare the scheduler with: it sends each request at once to a random
-// endpoint of its shard, within this gateway's even part of the volume's limit, and passes on whatever comes of it. It
-// doesn't queue, retry, check health or slow down.
+// Package direct is the baseline scheduler that scenarios compare the real one with. It sends each request at once to a
+// random endpoint of its shard, within this gateway's equal share of the volume's limit, and returns the outcome of that one
+// attempt. It doesn't queue, retry, check health or slow down.
 package direct
 
 import (
@@ -11,15 +11,15 @@
 	"weirhaven/policy"
 )
 
-// listRetryInterval is the wait before the endpoint list is asked for again.
+// listRetryInterval is the delay before the endpoint list is requested again after a failure.
 const listRetryInterval = time.Second
 
-// scheduler is an engine.Scheduler.
+// scheduler implements engine.Scheduler.
 type scheduler struct {
 	runtime        policy.Runtime
 	rng            *rand.Rand
 	plans          map[string]policy.ServicePlan
-	deadlineMargin time.Duration // a request fails so long before its deadline, so that the response is in time
+	deadlineMargin time.Duration // time before its deadline at which a request fails, so that the response arrives in time
 	endpoints      []*endpoint
 	inFlight       map[*policy.Request]*policy.Attempt
 	buckets        map[*policy.Volume]*tokenBucket
@@ -31,13 +31,13 @@
 	serving  bool
 }
 
-// tokenBucket is this gateway's even part of a volume's limit.
+// tokenBucket enforces this gateway's equal share of a volume's limit.
 type tokenBucket struct {
 	level     float64 // units
 	updatedAt time.Duration
 }
 
-// Start returns the baseline in place of a *policy.Scheduler.
+// Start returns the baseline scheduler, to be used in place of a *policy.Scheduler.
 func Start(runtime policy.Runtime, settings policy.Settings) engine.Scheduler {
 	plans := map[string]policy.ServicePlan{}
 	for _, plan := range settings.Plans {
@@ -56,7 +56,7 @@
 	}
 }
 
-// takeTokens takes a request's units from this gateway's part of its volume's limit; it reports whether they were there.
+// takeTokens takes a request's units from this gateway's share of its volume's limit. It reports whether enough were left.
 func (s *scheduler) takeTokens(volume *policy.Volume, plan policy.ServicePlan, gateways, units float64) bool {
 	if plan.Limit == 0 {
 		return true
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// candidates returns the endpoints that serve a shard; below 0: any shard.
+// candidates returns the endpoints that serve a shard, or all serving endpoints if shard is negative.
 func (s *scheduler) candidates(shard int) (candidates []*policy.Endpoint) {
 	for _, known := range s.endpoints {
 		if known.serving && (shard < 0 || known.shard == shard) {
@@ -146,7 +146,7 @@
 		return
 	}
 	switch result.Outcome {
-	case policy.Rejected, policy.ConnectFailed, policy.NotSent: // never ran: a retry is harmless
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent: // the request never ran: a retry is safe
 		s.runtime.Reject(request, 0)
 	default:
 		s.runtime.Fail(request)
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery is a stand-in for the list service: it pushes the list of bricks and its changes, or tells them
-// when asked, late and by a clock of its own.
+// Package discovery is a fake discovery service. It pushes the endpoint list and its changes to gateways, or answers their
+// polls, after a delay and with a clock offset.
 package discovery
 
 import (
@@ -15,20 +15,20 @@
 	"weirhaven/internal/record"
 )
 
-// Config is what a list service is made of.
+// Config configures a service.
 type Config struct {
-	Address      string // port 0: the kernel chooses
-	PollOnly     bool   // tells only when asked
-	NotifyDelay  time.Duration
-	ClockOffset  time.Duration
-	FailureShare float64
+	Address      string        // address to listen on; port 0: the kernel chooses
+	PollOnly     bool          // answer polls only; push nothing
+	NotifyDelay  time.Duration // mean delay of a notification; each is delayed by 0.5 to 1.5 times as much
+	ClockOffset  time.Duration // added to the service's clock
+	FailureShare float64       // share of the requests that fail, 0 to 1
 	Seed         int64
 	Recorder     *record.Recorder
-	// GatewayOf is a host's number and incarnation by its name, for the record.
-	GatewayOf func(name string) (host, incarnation uint32)
+	// GatewayOf returns a gateway's number and incarnation by its name, for the record. It may be nil.
+	GatewayOf func(name string) (gateway, incarnation uint32)
 }
 
-// Entry is one brick.
+// Entry is one endpoint of the list.
 type Entry struct {
 	Name, Address, Zone string
 	Shard               int
@@ -36,104 +36,105 @@
 	Started             time.Time
 }
 
-// Service is a stand-in while it runs.
+// Service is a running fake discovery service. Its methods may be called from any goroutine.
 type Service struct {
-	c    Config
-	addr string
-	ctx  context.Context
-	stop context.CancelFunc
-	wg   sync.WaitGroup
+	config  Config
+	address string
+	ctx     context.Context
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	entries []Entry
-	epoch   string // this service's life
-	number  int64
-	subs    map[*sub]bool
+	mu       sync.Mutex
+	rng      *rand.Rand
+	entries  []Entry
+	epoch    string // identifies this start of the service
+	revision int64  // of the list
+	clients  map[*client]bool
 }
 
-type sub struct {
+// client is the connection of one gateway.
+type client struct {
 	conn     net.Conn
 	sender   *lineproto.Sender
-	name     string
-	watching bool
+	name     string // of the gateway, from its greeting
+	watching bool   // it is notified of changes
 }
 
-// Start brings the service up.
-func Start(c Config) (*Service, error) {
-	l, err := net.Listen("tcp", c.Address)
+// Start starts a service. It returns an error if it can't listen on the address.
+func Start(config Config) (*Service, error) {
+	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
-		return nil, fmt.Errorf("list service: %w", err)
+		return nil, fmt.Errorf("fake discovery service: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Service{c: c, addr: l.Addr().String(), ctx: ctx, stop: stop, rng: rand.New(rand.NewSource(c.Seed)),
-		epoch: fmt.Sprint(c.Seed), subs: map[*sub]bool{}}
+	s := &Service{config: config, address: listener.Addr().String(), ctx: ctx, stop: stop, rng: rand.New(rand.NewSource(config.Seed)),
+		epoch: fmt.Sprint(config.Seed), clients: map[*client]bool{}}
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		s.accept(l)
+		s.accept(listener)
 	}()
 	return s, nil
 }
 
-// Address is where hosts reach it.
-func (s *Service) Address() string { return s.addr }
+// Address returns the address on which gateways reach the service.
+func (s *Service) Address() string { return s.address }
 
-// Stop ends it with its connections.
+// Stop ends the service and its connections, and waits for its goroutines.
 func (s *Service) Stop() {
 	s.stop()
 	s.wg.Wait()
 }
 
-// Fault is a way in which the service fails.
+// Fault is a fault of the service.
 type Fault int
 
-// The ways in which the service fails.
+// Faults of the service.
 const (
-	PartialList    Fault = iota // tells only half of the bricks, as a whole list
-	EmptyList                   // tells none, as a whole list
-	StaleList                   // tells an old number, with a clock that reads later
-	ConnectionLoss              // ends all connections
+	PartialList    Fault = iota // sends half of the endpoints as if the list were complete
+	EmptyList                   // sends an empty list as if it were complete
+	StaleList                   // sends one endpoint as a complete list, under an old revision but with the current time
+	ConnectionLoss              // closes all connections
 )
 
-// Inject fails once.
-func (s *Service) Inject(how Fault) {
+// Inject injects a fault once, on each connection.
+func (s *Service) Inject(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for x := range s.subs {
-		number := s.number
-		switch how {
+	for c := range s.clients {
+		revision := s.revision
+		switch fault {
 		case PartialList:
-			s.number++
-			s.tell(x, true, s.entries[:len(s.entries)/2])
+			s.revision++
+			s.sendList(c, true, s.entries[:len(s.entries)/2])
 		case EmptyList:
-			s.number++
-			s.tell(x, true, nil)
+			s.revision++
+			s.sendList(c, true, nil)
 		case StaleList:
-			s.number = 1
-			s.tell(x, true, s.entries[:1])
-			s.number = number
+			s.revision = 1
+			s.sendList(c, true, s.entries[:1])
+			s.revision = revision
 		case ConnectionLoss:
-			_ = x.conn.Close()
+			_ = c.conn.Close()
 		}
 	}
 }
 
-// SendFullList tells all hosts the whole list.
+// SendFullList sends the complete list to all gateways under a new revision.
 func (s *Service) SendFullList() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.number++
-	for x := range s.subs {
-		s.tell(x, true, s.entries)
+	s.revision++
+	for c := range s.clients {
+		s.sendList(c, true, s.entries)
 	}
 }
 
-// Set puts a brick's line into the list; watching hosts are told, late.
+// Set adds, replaces or removes an endpoint's entry. Gateways that watch the list are notified after a delay.
 func (s *Service) Set(e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.number++
+	s.revision++
 	kept := s.entries[:0]
 	for _, x := range s.entries {
 		if x.Name != e.Name {
@@ -144,18 +145,18 @@
 	if e.State != "gone" {
 		s.entries = append(s.entries, e)
 	}
-	for x := range s.subs {
-		if x.watching {
-			s.later(x, e)
+	for c := range s.clients {
+		if c.watching {
+			s.notifyLater(c, e)
 		}
 	}
 }
 
-// later tells one host of a change after the notice time. Under mu.
-func (s *Service) later(x *sub, e Entry) {
+// notifyLater sends a change to one gateway after the notification delay. The caller holds mu.
+func (s *Service) notifyLater(c *client, e Entry) {
 	wait := time.Duration(0)
-	if s.c.NotifyDelay > 0 {
-		wait = s.c.NotifyDelay/2 + time.Duration(s.rng.Int63n(int64(s.c.NotifyDelay)))
+	if s.config.NotifyDelay > 0 {
+		wait = s.config.NotifyDelay/2 + time.Duration(s.rng.Int63n(int64(s.config.NotifyDelay)))
 	}
 	s.wg.Add(1)
 	go func() {
@@ -167,31 +168,31 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.tell(x, false, []Entry{e})
+		s.sendList(c, false, []Entry{e})
 	}()
 }
 
-// tell writes a list to one host. Under mu.
-func (s *Service) tell(x *sub, whole bool, entries []Entry) {
-	clock := time.Now().Add(s.c.ClockOffset)
+// sendList sends entries to one gateway: the complete list, or what changed in it. The caller holds mu.
+func (s *Service) sendList(c *client, complete bool, entries []Entry) {
+	clock := time.Now().Add(s.config.ClockOffset)
 	var body []byte
 	for _, e := range entries {
 		started := int64(0)
 		if !e.Started.IsZero() {
-			started = e.Started.Add(s.c.ClockOffset).UnixMicro()
+			started = e.Started.Add(s.config.ClockOffset).UnixMicro()
 		}
 		body = fmt.Appendf(body, "%s %s %s %d %s %d\n", e.Name, e.Address, e.Zone, e.Shard, e.State, started)
 	}
-	var o lineproto.Builder
-	o.Start(lineproto.VerbEndpointList, 0).Text("Epoch", s.epoch).Int("Number", s.number).Int("Clock", clock.UnixMicro())
-	if whole {
-		o.Text("Whole", "yes")
+	var message lineproto.Builder
+	message.Start(lineproto.VerbEndpointList, 0).Text("Epoch", s.epoch).Int("Number", s.revision).Int("Clock", clock.UnixMicro())
+	if complete {
+		message.Text("Whole", "yes")
 	}
-	host, inc := uint32(0), uint32(0)
-	if s.c.GatewayOf != nil {
-		host, inc = s.c.GatewayOf(x.name)
+	gateway, incarnation := uint32(0), uint32(0)
+	if s.config.GatewayOf != nil {
+		gateway, incarnation = s.config.GatewayOf(c.name)
 	}
-	if _, err := x.sender.Send(o.End(body).Buffer); err != nil {
+	if _, err := c.sender.Send(message.End(body).Buffer); err != nil {
 		return
 	}
 	for _, e := range entries {
@@ -199,67 +200,69 @@
 		if !e.Started.IsZero() {
 			age = int64(time.Since(e.Started))
 		}
-		s.c.Recorder.See(&pb.Seen{What: pb.Seen_LISTED, Host: host, Incarnation: inc, Brick: e.Name, How: e.State, Started: age,
+		s.config.Recorder.See(&pb.Seen{What: pb.Seen_LISTED, Host: gateway, Incarnation: incarnation, Brick: e.Name, How: e.State, Started: age,
 			Cell: int32(e.Shard)})
 	}
 }
 
-func (s *Service) accept(l net.Listener) {
-	unhook := context.AfterFunc(s.ctx, func() { _ = l.Close() })
+// accept serves connections until the service stops.
+func (s *Service) accept(listener net.Listener) {
+	unhook := context.AfterFunc(s.ctx, func() { _ = listener.Close() })
 	defer unhook()
 	for {
-		nc, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.serve(nc)
+			s.serve(conn)
 		}()
 	}
 }
 
-func (s *Service) serve(nc net.Conn) {
-	defer func() { _ = nc.Close() }()
-	unhook := context.AfterFunc(s.ctx, func() { _ = nc.Close() })
+// serve serves one gateway until its connection ends.
+func (s *Service) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	unhook := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
 	defer unhook()
-	r := lineproto.NewConnReader(nc, 1<<16, 0, 10*time.Second)
-	hello, err := lineproto.Greet(nc, r, "list", "list", 2*time.Second, nil)
+	reader := lineproto.NewConnReader(conn, 1<<16, 0, 10*time.Second)
+	hello, err := lineproto.Greet(conn, reader, "list", "list", 2*time.Second, nil)
 	if err != nil {
 		return
 	}
-	x := &sub{conn: nc, sender: lineproto.NewSender(32<<20, 10*time.Second), name: hello.Get("Name")}
-	x.sender.Start(nc)
+	c := &client{conn: conn, sender: lineproto.NewSender(32<<20, 10*time.Second), name: hello.Get("Name")}
+	c.sender.Start(conn)
 	s.mu.Lock()
-	s.subs[x] = true
-	if !s.c.PollOnly {
-		x.watching = true
-		s.tell(x, true, s.entries)
+	s.clients[c] = true
+	if !s.config.PollOnly {
+		c.watching = true
+		s.sendList(c, true, s.entries)
 	}
 	s.mu.Unlock()
 	for {
-		m, err := r.Read()
+		request, err := reader.Read()
 		if err != nil {
 			break
 		}
 		s.mu.Lock()
-		fails := s.c.FailureShare > 0 && s.rng.Float64() < s.c.FailureShare
-		var o lineproto.Builder
+		failed := s.config.FailureShare > 0 && s.rng.Float64() < s.config.FailureShare
+		var message lineproto.Builder
 		switch {
-		case fails:
-			_, _ = x.sender.Send(o.Start(lineproto.VerbFailed, m.ID).End(nil).Buffer)
-		case m.Verb == lineproto.VerbWatchEndpoints:
-			x.watching = true
-			s.tell(x, true, s.entries)
-		case m.Verb == lineproto.VerbGetEndpoints:
-			s.tell(x, true, s.entries)
+		case failed:
+			_, _ = c.sender.Send(message.Start(lineproto.VerbFailed, request.ID).End(nil).Buffer)
+		case request.Verb == lineproto.VerbWatchEndpoints:
+			c.watching = true
+			s.sendList(c, true, s.entries)
+		case request.Verb == lineproto.VerbGetEndpoints:
+			s.sendList(c, true, s.entries)
 		}
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
-	delete(s.subs, x)
+	delete(s.clients, c)
 	s.mu.Unlock()
-	x.sender.Close()
-	<-x.sender.Done()
+	c.sender.Close()
+	<-c.sender.Done()
 }
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback hands out addresses of the loopback range that no other run uses, so that a port stays a run's own while
-// the process that listened there is away.
+// Package loopback assigns each run its own address in 127.0.0.0/8, so that no other run takes a port while the process that
+// listened on it restarts.
 package loopback
 
 import (
@@ -10,7 +10,7 @@
 
 var runs atomic.Int64
 
-// IP is an address for one run, by this process's id and the number of the run in it.
+// IP returns the address of a new run, derived from the process id and a counter of the runs in this process.
 func IP() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+runs.Add(1)%250)
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is a misbehaving TCP proxy: it stands between a gateway and a server and lets connections come up late, fall
-// silent or be reset. What it holds back is dropped, never delivered later.
+// Package proxy is a TCP proxy with faults between gateways and an endpoint: it delays, silences or resets connections.
+// Bytes that it holds back are dropped, never delivered later.
 package proxy
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Fault is what a proxy does; the zero value passes everything on.
+// Fault is the fault that a proxy injects; the zero value forwards everything.
 type Fault struct {
-	ConnectDelay time.Duration // a new connection is passed on so late
-	Silent       bool          // nothing passes in either direction; a connection that is closed is closed on the other side
+	ConnectDelay time.Duration // delay before a new connection is forwarded
+	Silent       bool          // drop all bytes in both directions; a close is still forwarded
 }
 
-// Proxy is one while it runs.
+// Proxy is a running proxy. Its methods may be called from any goroutine.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -26,18 +26,18 @@
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	trouble Fault
-	pairs   map[*pair]bool
+	mu    sync.Mutex
+	fault Fault
+	pairs map[*pair]bool
 }
 
-// pair is one connection on both sides.
+// pair is one forwarded connection: its gateway side and its endpoint side.
 type pair struct {
-	near, far net.Conn
-	silenced  bool // bytes were dropped: it can only be reset
+	gatewaySide, endpointSide net.Conn
+	silenced                  bool // bytes were dropped, so the connection can only be reset
 }
 
-// Start begins to pass connections on to target.
+// Start starts a proxy that forwards connections to target.
 func Start(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,16 +49,16 @@
 	return p, nil
 }
 
-// Address is where gateways reach it.
+// Address returns the address on which gateways reach the proxy.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes what it does. Connections that were silent are reset when it passes again.
-func (p *Proxy) Set(t Fault) {
+// Set sets the fault. Connections that dropped bytes are reset once the proxy forwards again.
+func (p *Proxy) Set(fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trouble = t
-	if !t.Silent {
-		p.reset(func(x *pair) bool { return x.silenced })
+	p.fault = fault
+	if !fault.Silent {
+		p.resetMatching(func(x *pair) bool { return x.silenced })
 	}
 }
 
@@ -66,13 +66,14 @@
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reset(func(*pair) bool { return true })
+	p.resetMatching(func(*pair) bool { return true })
 }
 
-func (p *Proxy) reset(which func(*pair) bool) {
+// resetMatching resets the connections for which match returns true. The caller holds mu.
+func (p *Proxy) resetMatching(match func(*pair) bool) {
 	for x := range p.pairs {
-		if which(x) {
-			for _, side := range []net.Conn{x.near, x.far} {
+		if match(x) {
+			for _, side := range []net.Conn{x.gatewaySide, x.endpointSide} {
 				if tcp, ok := side.(*net.TCPConn); ok {
 					_ = tcp.SetLinger(0)
 				}
@@ -82,7 +83,7 @@
 	}
 }
 
-// Close ends it with its connections.
+// Close closes the proxy, resets its connections and waits for its goroutines.
 func (p *Proxy) Close() {
 	p.stop()
 	_ = p.listener.Close()
@@ -90,43 +91,47 @@
 	p.wg.Wait()
 }
 
-func (p *Proxy) spawn(f func()) {
+// spawn runs work in a goroutine that Close waits for.
+func (p *Proxy) spawn(work func()) {
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		f()
+		work()
 	}()
 }
 
-func (p *Proxy) now() Fault {
+// currentFault returns the fault that is set.
+func (p *Proxy) currentFault() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.trouble
+	return p.fault
 }
 
+// accept serves connections until the proxy is closed.
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		gatewaySide, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.spawn(func() { p.serve(near) })
+		p.spawn(func() { p.serve(gatewaySide) })
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
-	defer func() { _ = near.Close() }()
+// serve forwards one connection in both directions until it ends.
+func (p *Proxy) serve(gatewaySide net.Conn) {
+	defer func() { _ = gatewaySide.Close() }()
 	select {
-	case <-time.After(p.now().ConnectDelay):
+	case <-time.After(p.currentFault().ConnectDelay):
 	case <-p.ctx.Done():
 		return
 	}
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
+	endpointSide, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
-	x := &pair{near: near, far: far}
+	defer func() { _ = endpointSide.Close() }()
+	x := &pair{gatewaySide: gatewaySide, endpointSide: endpointSide}
 	p.mu.Lock()
 	p.pairs[x] = true
 	stopped := p.ctx.Err() != nil
@@ -142,24 +147,24 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.pass(x, far, near)
+		p.forward(x, endpointSide, gatewaySide)
 	}()
-	p.pass(x, near, far)
+	p.forward(x, gatewaySide, endpointSide)
 	<-done
 }
 
-const chunk = 16 << 10
+const copyBufferSize = 16 << 10 // bytes
 
-// pass copies one direction until it ends, and then ends both sides in the same way: a reset stays a reset. An end of the
-// gateway's sending cancels, as a close does.
-func (p *Proxy) pass(x *pair, to, from net.Conn) {
+// forward copies one direction until it ends, then ends both sides in the same way: a reset is forwarded as a reset. When a
+// gateway closes only its sending direction, both sides are closed all the same: its requests are cancelled, as after a close.
+func (p *Proxy) forward(x *pair, to, from net.Conn) {
 	defer func() { _ = from.Close() }()
-	buffer := make([]byte, chunk)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		dropped := p.drops(x)
-		if dropped && from == x.far {
-			return // the server sees that its answer came to nothing; the gateway hears nothing at all
+		dropped := p.dropsBytes(x)
+		if dropped && from == x.endpointSide {
+			return // the endpoint sees its connection close; the gateway sees nothing
 		}
 		if n > 0 && !dropped {
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -177,10 +182,10 @@
 	}
 }
 
-// drops tells whether what was read is dropped.
-func (p *Proxy) drops(x *pair) bool {
+// dropsBytes reports whether bytes read on a connection are dropped.
+func (p *Proxy) dropsBytes(x *pair) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x.silenced = x.silenced || p.trouble.Silent
+	x.silenced = x.silenced || p.fault.Silent
 	return x.silenced
 }
