--- a/internal/fake/client/arrivals.go
+++ b/internal/fake/client/arrivals.go
@@ -28,7 +28,7 @@
 	return interval, &l.config.Volumes[index]
 }
 
-// rate is the demand of a volume now, in units a second. The caller holds mu.
+// rate returns the current demand of a volume in units a second. The caller holds mu.
 func (l *Load) rate(volume *Volume) float64 {
 	rate := volume.Demand * l.rateMultiple
 	if multiple := l.planMultiples[volume.Plan]; multiple > 0 {
@@ -37,9 +37,9 @@
 	return rate
 }
 
-// newRequest draws a request of a volume and sends it. Lead is how often the volume's main gateway has moved. The number
-// and order of the draws belong to the seed.
-func (l *Load) newRequest(volume *Volume, lead int) {
+// newRequest draws a request of a volume and sends it. mainGatewayMoves counts how often the volume's main gateway has
+// changed. A change of the number or the order of the draws changes the load of every seed.
+func (l *Load) newRequest(volume *Volume, mainGatewayMoves int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &request{volume: volume, units: 1, shard: volume.Shards[l.random.Intn(len(volume.Shards))]}
@@ -51,17 +51,17 @@
 	l.drawObject(r, class)
 	r.deadline = time.Now().Add(l.drawTimeout(class))
 	l.openRequests++
-	gateway := volume.Gateways[lead%len(volume.Gateways)]
+	gateway := volume.Gateways[mainGatewayMoves%len(volume.Gateways)]
 	if l.random.Float64() < otherGatewayShare {
 		gateway = volume.Gateways[l.random.Intn(len(volume.Gateways))]
 	}
 	l.send(r, gateway)
 }
 
-// otherGatewayShare is the share of requests that go to any of a volume's gateways and not to its main one.
+// otherGatewayShare is the share of requests that go to a random gateway of the volume instead of its main one.
 const otherGatewayShare = 0.4
 
-// drawClass draws a class by its share. The caller holds mu.
+// drawClass draws a request class by its share. The caller holds mu.
 func (l *Load) drawClass() (class int) {
 	remaining := l.random.Float64()
 	for i, share := range l.config.Load.Mix {
@@ -73,7 +73,7 @@
 	return class
 }
 
-// drawObject draws the object, and its shard where it isn't the volume's. The caller holds mu.
+// drawObject draws the object. It overrides the shard for the hot object and for new objects. The caller holds mu.
 func (l *Load) drawObject(r *request, class *pb.QueueType) {
 	r.object = fmt.Sprintf("%s/%d", r.volume.Name, l.random.Intn(max(int(l.config.Load.Objects), 1)))
 	if l.hotShare > 0 && l.random.Float64() < l.hotShare {
@@ -83,10 +83,10 @@
 	}
 }
 
-// anyShard leaves the shard of a new object to the gateway.
+// anyShard lets the gateway choose the shard of a new object.
 const anyShard = -1
 
-// drawTimeout draws how long the client waits. The caller holds mu.
+// drawTimeout draws the client's timeout. The caller holds mu.
 func (l *Load) drawTimeout(class *pb.QueueType) time.Duration {
 	timeout := settings.Duration(class.CommandTimeout, 0)
 	if share := l.config.Load.Impatient; share > 0 && l.random.Float64() < share {
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -1,8 +1,8 @@
-// Package client is a fake for the clients of a fleet: an open load by volumes, deadlines, retries, and connections that
-// close together. All that it sends and reads is in the record.
+// Package client is a fake of the clients of a fleet. It generates an open-loop load by volume, with deadlines, retries and
+// connections that close together. The record has everything that it sends and reads.
 //
-// Invariants: a seed draws the same load for the same sequence of outcomes; a request that a client began is open until it
-// has its last outcome. The package speaks the line protocol and knows no policy.
+// Invariants: a seed draws the same load for the same sequence of outcomes; a request is open from its first attempt to its
+// last outcome. The package speaks the line protocol and depends on no policy.
 package client
 
 import (
@@ -16,52 +16,52 @@
 	"weirhaven/internal/settings"
 )
 
-// Volume is one volume's load.
+// Volume describes the load of one volume.
 type Volume struct {
 	Name     string
 	Plan     uint32  // index of its plan
-	Shards   []int   // that hold its objects
-	Gateways []int   // that its requests go to, the first one most
+	Shards   []int   // shards that hold its objects
+	Gateways []int   // gateways that its requests go to; the first one is its main gateway at the start
 	Demand   float64 // units a second
 }
 
 // Config configures a load.
 type Config struct {
-	AddressOf     func(gateway int) string // address of a gateway now
-	Gateways      int                      // their number
+	AddressOf     func(gateway int) string // returns the current address of a gateway
+	Gateways      int                      // number of gateways
 	QueueTypes    []*pb.QueueType
 	Volumes       []Volume
 	Load          *pb.Load
-	MeanUnits     float64       // of a request
-	MaxUnits      float64       // of a request
+	MeanUnits     float64       // mean units of a request
+	MaxUnits      float64       // most units of a request
 	MaxRetryAfter time.Duration // longest Retry-After that clients obey; 0: they obey none
-	MarkRetries   bool          // a retry says that it is one
+	MarkRetries   bool          // retries are marked as such
 	Seed          int64
 	Recorder      *record.Recorder
-	// Incarnation of a gateway now, for the record.
+	// Incarnation returns the current incarnation of a gateway, for the record.
 	Incarnation func(gateway int) uint32
 }
 
-// Load is the clients while they run. Its methods may be called from any goroutine.
+// Load is the running clients. Its methods may be called from any goroutine.
 type Load struct {
 	config Config
 	ctx    context.Context
 	stop   context.CancelFunc
 	group  sync.WaitGroup
-	links  []*link // by gateway
-	body   []byte  // of a write
+	links  []*link // connections, by gateway
+	body   []byte  // body of a write
 
 	mu               sync.Mutex
 	random           *rand.Rand
-	lastNumber       uint64
+	lastNumber       uint64 // number of the last attempt
 	openRequests     int
-	rateMultiple     float64            // of all volumes
-	planMultiples    map[uint32]float64 // by plan; 0: 1
-	hotShare         float64
-	immediateRetries int // 0: clients back off
+	rateMultiple     float64            // multiple of the request rate of all volumes
+	planMultiples    map[uint32]float64 // further multiple, by plan; a missing one counts as 1
+	hotShare         float64            // share of the requests that go to one object of their volume, 0 to 1
+	immediateRetries int                // most retries of a request, all without backoff; 0: clients back off
 }
 
-// Start connects to all gateways. No request is sent before Run.
+// Start starts connecting to all gateways. No request is sent before Run.
 func Start(config Config) *Load {
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Load{config: config, ctx: ctx, stop: stop, random: rand.New(rand.NewSource(config.Seed)), rateMultiple: 1, planMultiples: map[uint32]float64{},
@@ -86,17 +86,17 @@
 	}()
 }
 
-// Run sends requests for length, then waits until none is open any more, at most for the longest command timeout and a
+// Run sends requests for length, then waits until none is open, for at most the longest request timeout plus one
 // second. It returns early when ctx ends.
 func (l *Load) Run(ctx context.Context, length time.Duration) {
 	l.sendUntil(ctx, time.Now().Add(length))
 	l.awaitOutcomes(ctx)
 }
 
-// sendUntil sends requests at exponential intervals.
+// sendUntil sends requests at exponential intervals until end, or until ctx ends.
 func (l *Load) sendUntil(ctx context.Context, end time.Time) {
 	start := time.Now()
-	leadMoves := settings.Duration(l.config.Load.LeadMoves, 0)
+	moveInterval := settings.Duration(l.config.Load.LeadMoves, 0)
 	next := start
 	for next.Before(end) && ctx.Err() == nil {
 		interval, volume := l.drawArrival()
@@ -108,15 +108,15 @@
 				return
 			}
 		}
-		lead := 0
-		if leadMoves > 0 {
-			lead = int(time.Since(start) / leadMoves)
+		mainGatewayMoves := 0
+		if moveInterval > 0 {
+			mainGatewayMoves = int(time.Since(start) / moveInterval)
 		}
-		l.newRequest(volume, lead)
+		l.newRequest(volume, mainGatewayMoves)
 	}
 }
 
-// awaitOutcomes waits until no request is open.
+// awaitOutcomes waits until no request is open, for at most the longest request timeout plus one second.
 func (l *Load) awaitOutcomes(ctx context.Context) {
 	longest := time.Duration(0)
 	for _, class := range l.config.QueueTypes {
@@ -139,7 +139,7 @@
 	l.mu.Lock()
 	for _, k := range l.links {
 		if k.conn != nil {
-			k.closedHere = true
+			k.closedByClient = true
 			_ = k.conn.Close()
 		}
 	}
--- a/internal/fake/client/connection.go
+++ b/internal/fake/client/connection.go
@@ -8,17 +8,17 @@
 	"weirhaven/internal/pb"
 )
 
-// link is the connection to one gateway; it is replaced whenever it ends.
+// link is the clients' link to one gateway. When its connection ends, it connects again.
 type link struct {
-	gateway      int
-	sender       *lineproto.Sender // nil: not connected
-	conn         net.Conn
-	closedHere   bool // by the client
-	stalledUntil time.Time
-	unanswered   map[uint64]*attempt // by number
+	gateway        int
+	sender         *lineproto.Sender // nil while not connected
+	conn           net.Conn
+	closedByClient bool
+	stalledUntil   time.Time           // before which the clients read nothing
+	unanswered     map[uint64]*attempt // attempts without a response, by number
 }
 
-// reconnectDelay is the time between the end of a connection and the next.
+// reconnectDelay is the delay between the end of a connection and the next attempt to connect.
 const reconnectDelay = 20 * time.Millisecond
 
 // keepConnected connects to a gateway until the load stops.
@@ -49,7 +49,7 @@
 	if l.ctx.Err() != nil {
 		_ = conn.Close()
 	}
-	k.conn, k.sender, k.closedHere = conn, sender, false
+	k.conn, k.sender, k.closedByClient = conn, sender, false
 	l.mu.Unlock()
 	for {
 		l.awaitStall(k)
@@ -72,7 +72,7 @@
 	writeTimeout = 10 * time.Second
 )
 
-// awaitStall waits while the clients of the gateway read nothing.
+// awaitStall waits until a stall of the gateway's clients is over.
 func (l *Load) awaitStall(k *link) {
 	l.mu.Lock()
 	stall := time.Until(k.stalledUntil)
@@ -112,12 +112,12 @@
 	}
 }
 
-// disconnected ends a connection: what is unanswered on it gets no response.
+// disconnected handles the end of a connection: its unanswered attempts get no response and are retried where possible.
 func (l *Load) disconnected(k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cause := "host"
-	if k.closedHere {
+	if k.closedByClient {
 		cause = "client"
 	}
 	k.conn, k.sender = nil, nil
--- a/internal/fake/client/faults.go
+++ b/internal/fake/client/faults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// SetRate multiplies the rate of the volumes of a plan, or of all if plan is negative.
+// SetRate sets the multiple of the request rate of a plan's volumes, or of all volumes if plan is negative.
 func (l *Load) SetRate(plan int, multiple float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -15,32 +15,32 @@
 	}
 }
 
-// SetHotShare sends a share of all requests, 0 to 1, to one object of their volume.
+// SetHotShare sets the share of all requests, 0 to 1, that go to one object of their volume.
 func (l *Load) SetHotShare(share float64) { l.set(func() { l.hotShare = share }) }
 
-// SetImmediateRetries lets clients retry without backoff, up to so many times; 0: they back off.
+// SetImmediateRetries lets clients retry without backoff, up to retries times; 0 restores the backoff.
 func (l *Load) SetImmediateRetries(retries int) { l.set(func() { l.immediateRetries = retries }) }
 
-// set changes what is guarded by mu.
+// set applies a change under mu.
 func (l *Load) set(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// Reconnect closes the connections to a share of the gateways, together.
+// Reconnect closes the connections to a share of the gateways at the same time. They connect again after reconnectDelay.
 func (l *Load) Reconnect(share float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.links {
 		if k.conn != nil && l.random.Float64() < share {
-			k.closedHere = true
+			k.closedByClient = true
 			_ = k.conn.Close()
 		}
 	}
 }
 
-// Stall lets the clients of a share of the gateways read nothing for a while.
+// Stall stops the clients of a share of the gateways from reading for duration.
 func (l *Load) Stall(share float64, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fake/client/request.go
+++ b/internal/fake/client/request.go
@@ -9,7 +9,7 @@
 	"weirhaven/internal/settings"
 )
 
-// request is what a client wants done.
+// request is a client's request.
 type request struct {
 	volume         *Volume
 	class          int
@@ -18,7 +18,7 @@
 	idempotencyKey string
 	shard          int
 	deadline       time.Time
-	firstNumber    uint64 // of its first attempt
+	firstNumber    uint64 // number of its first attempt
 	retries        int
 }
 
@@ -29,7 +29,7 @@
 	timer  *time.Timer
 }
 
-// send sends a request once. The caller holds mu.
+// send sends one attempt of a request. The caller holds mu.
 func (l *Load) send(r *request, gateway int) {
 	l.lastNumber++
 	a := &attempt{request: r, number: l.lastNumber}
@@ -56,7 +56,7 @@
 	}
 }
 
-// encode returns the attempt as it goes over the wire. The caller holds mu.
+// encode encodes an attempt in the line protocol. The caller holds mu.
 func (l *Load) encode(a *attempt, remaining time.Duration) []byte {
 	class := l.config.QueueTypes[a.class]
 	var message lineproto.Builder
@@ -74,8 +74,8 @@
 	return message.End(body).Buffer
 }
 
-// deadlinePassed records that the client gives up. It reads on for lateResponseTime: a response within it is late, and none
-// at all is a lost request.
+// deadlinePassed records that the client gives up. The client still reads for lateResponseTime: a response within that time
+// is late; without one the request is lost.
 func (l *Load) deadlinePassed(k *link, a *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,10 +93,11 @@
 	})
 }
 
-// lateResponseTime is how long after its deadline a client still reads the response.
+// lateResponseTime is how long after the deadline a client still reads a response.
 const lateResponseTime = 300 * time.Millisecond
 
-// retry retries what may be retried, after a delay; else the request is complete. The caller holds mu.
+// retry retries a request after a delay, unless it must not or can't be retried; then the request is
+// complete. The caller holds mu.
 func (l *Load) retry(failed *attempt, gateway int, retryAfter time.Duration, mayHaveRun bool) {
 	r := failed.request
 	class := l.config.QueueTypes[r.class]
@@ -118,10 +119,11 @@
 	})
 }
 
-// minRemaining is the time to its deadline from which on a request isn't retried.
+// minRemaining is the least time to its deadline with which a request is retried.
 const minRemaining = 20 * time.Millisecond
 
-// backoff returns how often a request may be retried, and the delay with its jitter. It draws once. The caller holds mu.
+// backoff returns how often a request may be retried and the delay, with jitter, before the next retry. It draws exactly once,
+// so that a seed draws the same sequence. The caller holds mu.
 func (l *Load) backoff(r *request, retryAfter time.Duration) (maxRetries int, delay time.Duration) {
 	maxRetries, delay = int(l.config.Load.Repeats), settings.Duration(l.config.Load.RepeatAfter, 0)<<min(r.retries, 6)
 	if l.immediateRetries > 0 {
--- a/internal/fake/storagenode/data.go
+++ b/internal/fake/storagenode/data.go
@@ -4,16 +4,17 @@
 	"sync"
 )
 
-// Data is the objects of a shard. It outlives the nodes that hold them one after the other.
+// Data holds the objects of a shard. It is shared by the nodes that serve the shard one after the other. Its methods may be
+// called from any goroutine.
 type Data struct {
 	mu      sync.Mutex
 	objects map[string]storedObject
 }
 
-// storedObject is the last version of an object.
+// storedObject is the latest version of an object.
 type storedObject struct {
 	body  []byte
-	times int // that it was written
+	times int // how often the object was written
 }
 
 // NewData returns an empty store.
--- a/internal/fake/storagenode/http.go
+++ b/internal/fake/storagenode/http.go
@@ -16,7 +16,7 @@
 // maxRequestBody is the longest body of a request over HTTP, in bytes.
 const maxRequestBody = 64 << 10
 
-// serveHTTP serves a connection that speaks HTTP/1.1, one request at a time. A connection that ends cancels its requests.
+// serveHTTP serves a connection that speaks HTTP/1.1. The end of the connection cancels its requests.
 func (n *Node) serveHTTP(c *connection) {
 	defer func() { _ = c.conn.Close() }()
 	unhook := context.AfterFunc(n.ctx, func() { reset(c.conn) })
@@ -52,19 +52,19 @@
 	}
 	request, err := strconv.ParseUint(head.Get("X-Txn"), 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("an id that no client sent: %w", err)
+		return nil, fmt.Errorf("X-Txn is not a request number: %w", err)
 	}
 	remaining, _ := http1.ParseDigits(head.Get("X-Remaining-Ms"))
 	path := strings.Split(head.Target, "/")
 	if len(path) != 4 {
-		return nil, fmt.Errorf("target %q", head.Target)
+		return nil, fmt.Errorf("request target %q: expected /class/volume/object", head.Target)
 	}
 	return &job{connection: c, id: id, request: request, attempt: n.config.AttemptOf(request), volume: path[2], class: path[1], object: path[3],
 		units: parseUnits(head.Get("Io-Info")), deadline: time.Now().Add(time.Duration(remaining) * time.Millisecond),
 		declaredTimeout: time.Duration(remaining) * time.Millisecond, body: body}, nil
 }
 
-// parseUnits returns the units of an IO-Info field; 1 if it has none.
+// parseUnits returns the units in an IO-Info field, or 1 if it has none.
 func parseUnits(info string) float64 {
 	for _, part := range strings.Split(info, ",") {
 		if text, ok := strings.CutPrefix(part, "units="); ok {
@@ -76,13 +76,14 @@
 	return 1
 }
 
-// ResponseBody is the body that a node makes for a request, so that the client knows whose response it got.
+// ResponseBody returns the body of the response to a request. It names the request, so that a client detects the response to
+// another one.
 func ResponseBody(request uint64) string { return "answer to " + strconv.FormatUint(request, 10) }
 
-// maxDuplicateDelay is how late the second copy of a response comes at most.
+// maxDuplicateDelay is the longest delay of the second copy of a response.
 const maxDuplicateDelay = 8 * time.Millisecond
 
-// statusLines is the status by outcome, with the fields that belong to it.
+// statusLines has the status and further fields of a response, by outcome.
 var statusLines = map[string]string{
 	lineproto.VerbServed:   "200 OK\r\n",
 	lineproto.VerbRejected: "503 Busy\r\nX-Turned-Away: 1\r\n",
--- a/internal/fake/storagenode/idempotency.go
+++ b/internal/fake/storagenode/idempotency.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// IdempotencyKeys are the idempotency keys that a group of nodes remembers. It may be shared between goroutines.
+// IdempotencyKeys holds the idempotency keys that a group of nodes remembers. Its methods may be called from any goroutine.
 type IdempotencyKeys struct {
 	mu   sync.Mutex
 	seen map[string]time.Time
 }
 
-// maxKeys is how many keys are remembered before expired ones are removed.
+// maxKeys is the number of keys above which expired ones are removed.
 const maxKeys = 1 << 16
 
-// NewIdempotencyKeys returns an empty memory.
+// NewIdempotencyKeys returns an empty set of keys.
 func NewIdempotencyKeys() *IdempotencyKeys { return &IdempotencyKeys{seen: map[string]time.Time{}} }
 
 // addNew adds a key and returns true, or returns false if it was added within the window.
--- a/internal/fake/storagenode/job.go
+++ b/internal/fake/storagenode/job.go
@@ -13,9 +13,9 @@
 // job is one attempt of a request, a health check, or deferred work.
 type job struct {
 	connection      *connection // nil: deferred work
-	id              uint64      // on the connection
-	request         uint64      // number that the client gave; 0: none
-	attempt         uint32      // from 0
+	id              uint64      // message id on the connection
+	request         uint64      // number of the request, from its client; 0: none
+	attempt         uint32      // number of the attempt, from 0
 	volume          string
 	class           string
 	object          string
@@ -23,13 +23,13 @@
 	units           float64
 	work            float64 // seconds of a worker of speed 1
 	deadline        time.Time
-	declaredTimeout time.Duration // as the gateway sent it
+	declaredTimeout time.Duration // time to the deadline, as the gateway sent it
 	body            []byte
 	healthCheck     bool
 	cancelled       bool
 }
 
-// receive admits an attempt to the queue, or answers it at once.
+// receive queues an attempt, or answers it at once if it fails, is rejected or needs no work.
 func (n *Node) receive(j *job) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,7 +69,7 @@
 	return work
 }
 
-// applyCache lowers the work of a first attempt whose object is in the cache, and caches it otherwise.
+// applyCache lowers the work of a first attempt if its object is in the cache; otherwise it adds the object to the cache.
 func (n *Node) applyCache(j *job) {
 	kind := n.config.Kind
 	if j.attempt != 0 || j.object == "" {
@@ -88,7 +88,7 @@
 	}
 }
 
-// drawFailure reports whether the attempt fails at once.
+// drawFailure draws whether an attempt fails at once.
 func (n *Node) drawFailure() bool {
 	if share := n.conditions.ErrorShare; share > 0 && n.random.Float64() < share {
 		return true
@@ -97,9 +97,9 @@
 	return share > 0 && n.random.Float64() < share
 }
 
-// cancel cancels an attempt of a connection, as far as this kind of node can. The caller holds mu.
+// cancel cancels an attempt of a connection, as far as this kind of node supports it. The caller holds mu.
 func (n *Node) cancel(from *connection, id uint64) {
-	if j := from.unanswered[id]; j != nil { // also if it is complete and its response was lost
+	if j := from.unanswered[id]; j != nil { // also true for a complete attempt whose response was lost
 		delete(from.unanswered, id)
 		n.record(j, &pb.Seen{What: pb.Seen_CALLED_OFF, Brick: n.config.Name, Connection: from.number, Command: j.request, Dispatch: j.attempt})
 	}
--- a/internal/fake/storagenode/line.go
+++ b/internal/fake/storagenode/line.go
@@ -11,23 +11,23 @@
 	"weirhaven/internal/settings"
 )
 
-// connection is a gateway's connection.
+// connection is a connection from a gateway.
 type connection struct {
 	number     int64
-	gateway    string            // its name, from the greeting
+	gateway    string            // the gateway's name, from its greeting; empty over HTTP
 	sender     *lineproto.Sender // nil over HTTP
 	conn       net.Conn
-	unanswered map[uint64]*job // by id
+	unanswered map[uint64]*job // jobs without a response, by id
 }
 
 // Bounds of a connection that speaks the line protocol.
 const (
-	maxBody          = 16 << 20 // bytes
-	maxUnsent        = 8 << 20  // bytes
-	readTimeout      = 10 * time.Second
-	writeTimeout     = 10 * time.Second
-	greetingTimeout  = 2 * time.Second
-	longSinceStarted = 1000 * time.Hour // added to the age of a node without slow start
+	maxBody         = 16 << 20 // bytes
+	maxUnsent       = 8 << 20  // bytes
+	readTimeout     = 10 * time.Second
+	writeTimeout    = 10 * time.Second
+	greetingTimeout = 2 * time.Second
+	warmAge         = 1000 * time.Hour // added to the age of a node without slow start
 )
 
 // serveLine serves a connection that speaks the line protocol.
@@ -51,7 +51,7 @@
 	n.unregister(c)
 }
 
-// greet exchanges greetings. The node sends its age, and whether it drains.
+// greet exchanges greetings. The node sends its age and whether it is draining.
 func (n *Node) greet(c *connection, reader *lineproto.Reader) error {
 	n.mu.Lock()
 	draining := n.draining
@@ -59,7 +59,7 @@
 	hello, err := lineproto.Greet(c.conn, reader, "brick", n.config.Name, greetingTimeout, func(greeting *lineproto.Builder) {
 		age := time.Since(n.started)
 		if !n.config.SlowStart {
-			age += longSinceStarted
+			age += warmAge
 		}
 		if greeting.Duration("Age", age); draining {
 			greeting.Text("State", "draining")
@@ -73,20 +73,21 @@
 	return nil
 }
 
-// register adds a connection that has greeted. A node that began to drain meanwhile says so now.
+// register adds a connection after its greeting. If the node is draining, it notifies the gateway, which the greeting may have
+// missed.
 func (n *Node) register(c *connection) {
 	n.mu.Lock()
 	n.connections[c] = true
 	draining := n.draining
 	n.mu.Unlock()
-	if draining { // the greeting said so, or was sent before
+	if draining { // the greeting may have been sent before the node began to drain
 		n.sendDraining(c)
-	} else if n.config.SlowStart { // the greeting had the age
+	} else if n.config.SlowStart { // the greeting carried the age
 		n.recordNotified(c, "serving")
 	}
 }
 
-// unregister ends a connection once what was to be sent is sent.
+// unregister closes the sender, waits until it has ended and removes the connection.
 func (n *Node) unregister(c *connection) {
 	c.sender.Close()
 	<-c.sender.Done()
@@ -95,11 +96,11 @@
 	delete(n.connections, c)
 }
 
-// handle handles one message.
+// handle handles one message of a gateway.
 func (n *Node) handle(c *connection, message *lineproto.Message) {
 	switch message.Verb {
 	case lineproto.VerbRequest:
-		n.receive(n.requestOf(c, message))
+		n.receive(n.decodeRequest(c, message))
 	case lineproto.VerbHealthCheck:
 		n.receiveHealthCheck(c, message.ID)
 	case lineproto.VerbCancel:
@@ -112,18 +113,18 @@
 	}
 }
 
-// requestOf decodes a request of the line protocol.
-func (n *Node) requestOf(c *connection, message *lineproto.Message) *job {
+// decodeRequest decodes a request of the line protocol.
+func (n *Node) decodeRequest(c *connection, message *lineproto.Message) *job {
 	units, _ := message.Float("Units", 1)
 	attempt, _ := message.Int("Dispatch", 0)
 	timeout, _ := message.Duration("Timeout", time.Hour)
 	var request uint64
-	_, _ = fmt.Sscanf(message.Get("Trace"), "%d", &request) // 0 where the client sent no number
+	_, _ = fmt.Sscanf(message.Get("Trace"), "%d", &request) // 0 if the client sent no number
 	return &job{connection: c, id: message.ID, request: request, attempt: uint32(attempt), volume: message.Get("Volume"), class: message.Get("Queue-Type"),
 		object: message.Get("Object"), idempotencyKey: message.Get("Tag"), units: units, deadline: time.Now().Add(timeout), body: message.Body}
 }
 
-// receiveHealthCheck answers a health check at once, or queues it with the requests, by the kind of node.
+// receiveHealthCheck answers a health check at once or queues it with the requests, depending on the kind of node.
 func (n *Node) receiveHealthCheck(c *connection, id uint64) {
 	j := &job{connection: c, id: id, healthCheck: true, work: settings.Duration(n.config.Kind.ProbeWork, 0).Seconds()}
 	n.mu.Lock()
@@ -137,7 +138,7 @@
 	n.wakeWorker()
 }
 
-// AnnounceDraining lets the node itself notify the connected gateways that it drains, and reject new requests.
+// AnnounceDraining makes the node reject new requests and notify the connected gateways that it is draining.
 func (n *Node) AnnounceDraining() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,14 +150,14 @@
 	}
 }
 
-// sendDraining notifies one gateway.
+// sendDraining notifies one gateway that the node is draining.
 func (n *Node) sendDraining(c *connection) {
 	var notice lineproto.Builder
 	_, _ = c.sender.Send(notice.Start(lineproto.VerbDraining, 0).End(nil).Buffer)
 	n.recordNotified(c, "draining")
 }
 
-// recordNotified records that a gateway knows the node's state from the node itself.
+// recordNotified records that the node has notified a gateway of its state.
 func (n *Node) recordNotified(c *connection, state string) {
 	if n.config.GatewayOf == nil {
 		return
--- a/internal/fake/storagenode/meter.go
+++ b/internal/fake/storagenode/meter.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Meter adds up the units served for each volume by all nodes, and reports the last complete period with a delay.
+// Meter adds up the units that all nodes serve for each volume, and reports the last complete period after a delay. Its
+// methods may be called from any goroutine.
 type Meter struct {
 	Period      time.Duration
-	ReportDelay time.Duration               // after the end of a period
-	Nominal     func(volume string) float64 // units a second
+	ReportDelay time.Duration               // delay of a period's report after its end
+	Nominal     func(volume string) float64 // nominal rate of a volume, in units a second
 
 	mu    sync.Mutex
 	start time.Time
-	units map[string]map[int64]float64 // by volume and number of the period
+	units map[string]map[int64]float64 // units served, by volume and number of the period
 }
 
 // NewMeter returns a meter whose first period begins now. nominal is the nominal rate of a volume in units a second.
@@ -39,11 +40,11 @@
 	}
 }
 
-// keptPeriods is how many periods a meter remembers.
+// keptPeriods is the number of periods for which a meter keeps the units.
 const keptPeriods = 16
 
-// lastPeriod returns 1 plus the use of a volume in percent of its nominal rate, in the last period that is reported; 0 before
-// the first.
+// lastPeriod returns 1 plus the use of a volume, in percent of its nominal rate, in the last reported period. It returns 0
+// before the first report.
 func (m *Meter) lastPeriod(volume string) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/storagenode/response.go
+++ b/internal/fake/storagenode/response.go
@@ -5,7 +5,7 @@
 	"weirhaven/internal/pb"
 )
 
-// finish completes an attempt that was worked off: a write has its effect, once for each idempotency key. The caller holds mu.
+// finish completes an attempt and sends its response. A write takes effect once for each idempotency key. The caller holds mu.
 func (n *Node) finish(j *job) {
 	write := n.config.WriteClasses[j.class]
 	first := j.idempotencyKey == "" || !write || n.config.IdempotencyWindow == 0 || n.config.Keys.addNew(j.idempotencyKey, n.config.IdempotencyWindow)
@@ -31,7 +31,7 @@
 	n.respond(j, lineproto.VerbServed, body)
 }
 
-// respond sends the outcome of an attempt, unless the response is to be lost. The caller holds mu.
+// respond sends the outcome of an attempt, unless it draws the loss of the response. The caller holds mu.
 func (n *Node) respond(j *job, verb string, body []byte) {
 	if n.conditions.LostShare > 0 && n.random.Float64() < n.conditions.LostShare {
 		if n.conditions.ResetOnLoss {
@@ -62,8 +62,8 @@
 	_, _ = j.connection.sender.Send(response.End(body).Buffer)
 }
 
-// unreportedUnits returns the units that other gateways were served for a volume since the last report to this gateway. It
-// may be negative or 0: nothing to report. The caller holds mu.
+// unreportedUnits returns the units served to other gateways for a volume since the last report to this gateway. If it is 0 or
+// negative, there is nothing to report. The caller holds mu.
 func (n *Node) unreportedUnits(gateway, volume string) float64 {
 	reported := n.reportedUnits[gateway]
 	if !n.config.ReportOtherGateways || reported == nil {
--- a/internal/fake/storagenode/slowstart.go
+++ b/internal/fake/storagenode/slowstart.go
@@ -8,13 +8,13 @@
 	"weirhaven/internal/settings"
 )
 
-// arrival is work that reached a node in slow start.
+// arrival is the work of one attempt that reached a node in slow start.
 type arrival struct {
 	at   time.Time
-	work float64
+	work float64 // seconds of a worker of speed 1
 }
 
-// capacityShare is the share of its capacity that the node has at a time; 1 after the slow start.
+// capacityShare returns the share of its capacity that the node has at a time, 0 to 1. It is 1 after the slow start.
 func (n *Node) capacityShare(now time.Time) float64 {
 	duration, initial := settings.Duration(n.config.Kind.ColdFor, 0), n.config.Kind.ColdFrom
 	age := now.Sub(n.started)
@@ -24,7 +24,7 @@
 	return initial + (1-initial)*age.Seconds()/duration.Seconds()
 }
 
-// checkOverload lets a node in slow start collapse when too much work arrived within CollapseAfter. The caller holds mu.
+// checkOverload ends a node in slow start if too much work arrived within CollapseAfter. The caller holds mu.
 func (n *Node) checkOverload(work float64) {
 	if !n.config.SlowStart || n.config.CollapseAfter == 0 || n.collapsed {
 		return
--- a/internal/fake/storagenode/storagenode.go
+++ b/internal/fake/storagenode/storagenode.go
@@ -1,9 +1,9 @@
-// Package storagenode is a fake storage node: one worker, a first-in first-out queue, work by units, a cache of the last
-// objects, deferred work of writes, a slow start in which overload makes it collapse, and faults on demand. It speaks the
-// line protocol, or the platform's HTTP/1.1 where Config.AttemptOf is set.
+// Package storagenode is a fake storage node. It has one worker, a first-in first-out queue, work in proportion to units, a
+// cache of recent objects, deferred work of writes, a slow start in which overload makes it collapse, and faults on demand.
+// It speaks the line protocol, or the platform's HTTP/1.1 if Config.AttemptOf is set.
 //
-// Invariants: all that reaches a node or leaves it is in the record, in the order in which it happened; a seed draws the
-// same work and faults for the same sequence of requests. A node doesn't know policies or plans.
+// Invariants: the record has everything that reaches or leaves a node, in the order in which it happened; a seed draws the
+// same work and faults for the same sequence of requests. A node doesn't depend on policies or plans.
 package storagenode
 
 import (
@@ -19,7 +19,7 @@
 	"weirhaven/internal/settings"
 )
 
-// Node is a fake storage node that runs. Its methods may be called from any goroutine.
+// Node is a running fake storage node. Its methods may be called from any goroutine.
 type Node struct {
 	config  Config
 	random  *rand.Rand // under mu
@@ -28,19 +28,19 @@
 
 	mu              sync.Mutex
 	conditions      Conditions
-	conditionsSince time.Time
+	conditionsSince time.Time // when conditions last changed
 	queue           []*job
-	current         *job
-	deferredWork    float64 // seconds of a worker of speed 1
-	flushAt         time.Time
+	current         *job      // that the worker works on
+	deferredWork    float64   // seconds of a worker of speed 1
+	flushAt         time.Time // when the deferred work is due
 	recentObjects   []string  // the cache, oldest first
-	recentArrivals  []arrival // within CollapseAfter, in slow start
+	recentArrivals  []arrival // arrivals within CollapseAfter, during the slow start
 	connections     map[*connection]bool
 	collapsed       bool
 	draining        bool
 	wake            chan struct{}
 
-	// Units served and reported, by volume or by gateway and volume.
+	// Units served and reported, by volume, or by gateway and then volume.
 	servedUnits          map[string]float64
 	servedUnitsByGateway map[string]map[string]float64
 	reportedUnits        map[string]map[string]float64
@@ -63,7 +63,7 @@
 	}
 	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
-		return nil, fmt.Errorf("brick %s: %w", config.Name, err)
+		return nil, fmt.Errorf("fake storage node %s: %w", config.Name, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Node{config: config, random: rand.New(rand.NewSource(config.Seed)), address: listener.Addr().String(), started: time.Now(),
@@ -76,13 +76,13 @@
 	return n, nil
 }
 
-// Address is the address on which gateways reach the node.
+// Address returns the address on which gateways reach the node.
 func (n *Node) Address() string { return n.address }
 
-// Started is when the node started.
+// Started returns the time at which the node started.
 func (n *Node) Started() time.Time { return n.started }
 
-// Name is the node's name.
+// Name returns the node's name.
 func (n *Node) Name() string { return n.config.Name }
 
 // Collapsed reports whether overload ended the node during its slow start.
@@ -92,7 +92,7 @@
 	return n.collapsed
 }
 
-// Set changes the node's conditions. Faults that alternate begin anew.
+// Set changes the node's conditions. Periodic faults start a new period.
 func (n *Node) Set(change func(*Conditions)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,18 +100,18 @@
 	n.conditionsSince = time.Now()
 }
 
-// StoredObject returns how often an object was written and what was written last; 0 and nil if it never was.
+// StoredObject returns how often an object was written and its latest body; 0 and nil if it was never written.
 func (n *Node) StoredObject(object string) (times int, body []byte) {
 	s, _ := n.config.Data.get(object)
 	return s.times, s.body
 }
 
-// Stop ends the node at once and resets its connections. It returns when all its goroutines have ended.
+// Stop stops the node at once, resets its connections and waits for its goroutines.
 func (n *Node) Stop() {
 	n.mu.Lock()
-	fell := n.collapsed
+	collapsed := n.collapsed
 	n.mu.Unlock()
-	if !fell {
+	if !collapsed {
 		n.config.Recorder.See(&pb.Seen{What: pb.Seen_BRICK_DOWN, Brick: n.config.Name})
 	}
 	n.stop()
@@ -136,7 +136,7 @@
 	}()
 }
 
-// accept serves connections until the node ends.
+// accept serves connections until the node stops.
 func (n *Node) accept(listener net.Listener) {
 	unhook := context.AfterFunc(n.ctx, func() { _ = listener.Close() })
 	defer unhook()
@@ -153,7 +153,7 @@
 	}
 }
 
-// reset closes a connection so that the other side sees a reset and not an end.
+// reset closes a connection with a TCP reset.
 func reset(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -161,8 +161,8 @@
 	_ = nc.Close()
 }
 
-// record records an event of a request whose client is in the record; requests of others have no number. Object clients
-// judge by the bytes.
+// record records an event of a request. It skips requests without a number, such as those of object clients: their clients
+// aren't in the record and check the bytes that they read instead.
 func (n *Node) record(j *job, s *pb.Seen) {
 	if j.request != 0 {
 		n.config.Recorder.See(s)
--- a/internal/fake/storagenode/worker.go
+++ b/internal/fake/storagenode/worker.go
@@ -6,7 +6,7 @@
 	"weirhaven/internal/settings"
 )
 
-// wakeWorker lets the worker look at the queue.
+// wakeWorker wakes the worker if it waits for work.
 func (n *Node) wakeWorker() {
 	select {
 	case n.wake <- struct{}{}:
@@ -14,7 +14,7 @@
 	}
 }
 
-// speed is how many seconds of work the worker does in a second, at a time. The caller holds mu.
+// speed returns how many seconds of work the worker does in a second at a time. The caller holds mu.
 func (n *Node) speed(now time.Time) float64 {
 	speed, c := n.config.Speed*n.capacityShare(now), n.conditions
 	if c.Slowdown > 1 {
@@ -30,7 +30,7 @@
 	return speed
 }
 
-// runWorker works off jobs one after the other until the node ends.
+// runWorker executes jobs one after the other until the node stops.
 func (n *Node) runWorker() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -57,7 +57,7 @@
 	}
 }
 
-// nextJob takes what the worker does next: deferred work when it is due, else the head of the queue; nil if there is none.
+// nextJob takes the worker's next job: deferred work if it is due, otherwise the head of the queue; nil if there is none.
 func (n *Node) nextJob() *job {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// execute works on a job. It returns false if the job was cancelled or the node ended before it was complete.
+// execute works on a job. It returns false if the job was cancelled or the node stopped before the job was complete.
 func (n *Node) execute(j *job, timer *time.Timer) bool {
 	last := time.Now()
 	for remaining := j.work; remaining > 0; {
@@ -111,5 +111,5 @@
 	return true
 }
 
-// workSlice is how long the worker works at most before it looks at its speed again.
+// workSlice is the longest time for which the worker works before it updates its speed.
 const workSlice = 5 * time.Millisecond
