--- a/internal/soak/connection.go
+++ b/internal/soak/connection.go
@@ -137,14 +137,14 @@
 }
 
 // holdIdle holds connections to a process that send nothing, or half of a request, until ctx ends.
-func (l *load) holdIdle(ctx context.Context, process, count int, half bool) {
+func (l *load) holdIdle(ctx context.Context, process, count int, partial bool) {
 	var held []net.Conn
 	for range count {
 		nc, err := net.DialTimeout("tcp", l.run.processes[process].address, 250*time.Millisecond)
 		if err != nil {
 			continue
 		}
-		if half {
+		if partial {
 			_, _ = io.WriteString(nc, "GET /read/0000")
 		}
 		held = append(held, nc)
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -16,7 +16,7 @@
 type endpoint struct {
 	shard   int
 	node    *storagenode.Node
-	relay   *proxy.Proxy
+	proxy   *proxy.Proxy
 	entry   agent.Server
 	retired bool // it drains, or has left the list
 }
@@ -49,7 +49,7 @@
 		node.Stop()
 		return err
 	}
-	started := &endpoint{shard: shard, node: node, relay: relay, entry: agent.Server{ID: id, Address: relay.Address(), Zone: "a", Shard: shard, Phase: agent.InService, Size: 1}}
+	started := &endpoint{shard: shard, node: node, proxy: relay, entry: agent.Server{ID: id, Address: relay.Address(), Zone: "a", Shard: shard, Phase: agent.InService, Size: 1}}
 	if warmingUp {
 		started.entry.UpSince = node.Started().UnixMilli()
 	}
--- a/internal/soak/fault_client.go
+++ b/internal/soak/fault_client.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// hold sets a percentage or multiple until ctx ends, and then the normal value.
-func (h *clientBehavior) hold(ctx context.Context, setting interface{ Store(int32) }, value, normal int32) {
+// setUntilDone sets a percentage or multiple until ctx ends, and then the normal value.
+func (h *clientBehavior) setUntilDone(ctx context.Context, setting interface{ Store(int32) }, value, normal int32) {
 	setting.Store(value)
 	<-ctx.Done()
 	setting.Store(normal)
@@ -16,22 +16,22 @@
 
 // abandonRequests lets clients close their connections before the response.
 func abandonRequests(ctx context.Context, r *run, _ *rand.Rand) {
-	r.load.behavior.hold(ctx, &r.load.behavior.abandonPercent, 40, 0)
+	r.load.behavior.setUntilDone(ctx, &r.load.behavior.abandonPercent, 40, 0)
 }
 
 // sendPiecewise lets clients send their requests in two pieces.
 func sendPiecewise(ctx context.Context, r *run, _ *rand.Rand) {
-	r.load.behavior.hold(ctx, &r.load.behavior.piecewisePercent, 60, 0)
+	r.load.behavior.setUntilDone(ctx, &r.load.behavior.piecewisePercent, 60, 0)
 }
 
 // reconnectClients lets clients open a new connection for most requests.
 func reconnectClients(ctx context.Context, r *run, _ *rand.Rand) {
-	r.load.behavior.hold(ctx, &r.load.behavior.newConnectionPercent, 90, 0)
+	r.load.behavior.setUntilDone(ctx, &r.load.behavior.newConnectionPercent, 90, 0)
 }
 
 // burstRequests multiplies the request rate.
 func burstRequests(ctx context.Context, r *run, _ *rand.Rand) {
-	r.load.behavior.hold(ctx, &r.load.behavior.rateMultiple, 4, 1)
+	r.load.behavior.setUntilDone(ctx, &r.load.behavior.rateMultiple, 4, 1)
 }
 
 // pauseThenBurst lets no client send for a while, and then all.
@@ -41,7 +41,7 @@
 	r.load.behavior.paused.Store(false)
 	burst, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	r.load.behavior.hold(burst, &r.load.behavior.rateMultiple, 6, 1)
+	r.load.behavior.setUntilDone(burst, &r.load.behavior.rateMultiple, 6, 1)
 }
 
 // floodWithClients lets more clients send at once than a process holds connections for, each on a new connection and in
@@ -65,8 +65,8 @@
 // holdIdleConnections fills the descriptors of some processes with connections that send nothing, or half of a request.
 func holdIdleConnections(ctx context.Context, r *run, rng *rand.Rand) {
 	r.load.behavior.socketsExhausted.Store(true)
-	half := rng.Intn(2) == 0
-	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) { r.load.holdIdle(ctx, p.number, sockets, half) })
+	partial := rng.Intn(2) == 0
+	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) { r.load.holdIdle(ctx, p.number, sockets, partial) })
 	time.AfterFunc(time.Second, func() { r.load.behavior.socketsExhausted.Store(false) })
 }
 
--- a/internal/soak/fault_endpoint.go
+++ b/internal/soak/fault_endpoint.go
@@ -17,7 +17,7 @@
 func crashEndpoint(ctx context.Context, r *run, rng *rand.Rand) {
 	e := pickSome(rng, r.currentEndpoints(), 8)[0]
 	e.node.Stop()
-	e.relay.Reset()
+	e.proxy.Reset()
 	wait(ctx, 300*time.Millisecond)
 	r.replace(ctx, e)
 }
--- a/internal/soak/fault_network.go
+++ b/internal/soak/fault_network.go
@@ -12,11 +12,11 @@
 func (r *run) withNetworkFault(ctx context.Context, rng *rand.Rand, divisor int, fault proxy.Fault) {
 	chosen := pickSome(rng, r.currentEndpoints(), divisor)
 	for _, e := range chosen {
-		e.relay.Set(fault)
+		e.proxy.Set(fault)
 	}
 	<-ctx.Done()
 	for _, e := range chosen {
-		e.relay.Set(proxy.Fault{})
+		e.proxy.Set(proxy.Fault{})
 	}
 }
 
@@ -34,7 +34,7 @@
 func resetNetwork(ctx context.Context, r *run, rng *rand.Rand) {
 	for ; ctx.Err() == nil; wait(ctx, 100*time.Millisecond) {
 		for _, e := range pickSome(rng, r.currentEndpoints(), 1) {
-			e.relay.Reset()
+			e.proxy.Reset()
 		}
 	}
 }
--- a/internal/soak/fault_signals.go
+++ b/internal/soak/fault_signals.go
@@ -11,7 +11,7 @@
 const (
 	repeatedSignalDelay = 100 * time.Millisecond
 	maxStartDelay       = 40 * time.Millisecond // before a process that starts is told to stop, at most
-	crowdGathers        = 300 * time.Millisecond
+	idleFillDelay        = 300 * time.Millisecond
 )
 
 // signalSeries sends processes signals in series, each ending in a graceful shutdown, and starts them again.
@@ -30,7 +30,7 @@
 }
 
 func stopTwice(p *process, _ *rand.Rand) {
-	p.stopBy(func() {
+	p.stopWith(func() {
 		p.signal(syscall.SIGTERM)
 		time.Sleep(repeatedSignalDelay)
 		p.signal(syscall.SIGTERM)
@@ -39,14 +39,14 @@
 
 // stopDuringReload signals SIGTERM right behind SIGHUP: the new configuration is read meanwhile.
 func stopDuringReload(p *process, _ *rand.Rand) {
-	p.stopBy(func() {
+	p.stopWith(func() {
 		p.reloadOrReport()
 		p.signal(syscall.SIGTERM)
 	})
 }
 
 func reloadDuringStop(p *process, rng *rand.Rand) {
-	p.stopBy(func() {
+	p.stopWith(func() {
 		p.signal(syscall.SIGTERM)
 		time.Sleep(time.Duration(rng.Int63n(int64(requestTimeout))))
 		p.reloadOrReport()
@@ -88,19 +88,19 @@
 // stopCrowded stops processes whose descriptors idle clients have filled and go on filling until the process ends.
 func stopCrowded(ctx context.Context, r *run, rng *rand.Rand) {
 	r.load.behavior.socketsExhausted.Store(true)
-	half := rng.Intn(2) == 0
+	partial := rng.Intn(2) == 0
 	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
 		r.restartAfter(p, func() {
-			crowd, leave := context.WithCancel(context.Background())
-			gone := make(chan struct{})
+			fillCtx, stopFilling := context.WithCancel(context.Background())
+			fillEnded := make(chan struct{})
 			go func() {
-				defer close(gone)
-				r.load.holdIdle(crowd, p.number, sockets, half)
+				defer close(fillEnded)
+				r.load.holdIdle(fillCtx, p.number, sockets, partial)
 			}()
-			wait(ctx, crowdGathers)
+			wait(ctx, idleFillDelay)
 			p.stop()
-			leave()
-			<-gone
+			stopFilling()
+			<-fillEnded
 		})
 	})
 	time.AfterFunc(time.Second, func() { r.load.behavior.socketsExhausted.Store(false) })
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxHold is how long a process may be held up between reading its clock and writing.
-	maxHold = 150 * time.Millisecond
+	// maxProcessStall is how long a process may be held up between reading its clock and writing.
+	maxProcessStall = 150 * time.Millisecond
 	// observationDelay is how late the recorder may see what happened, on a machine that runs the whole fleet.
 	observationDelay = 150 * time.Millisecond
 	// abandonGrace is how long after its client closed an attempt may begin.
@@ -44,14 +44,14 @@
 }
 
 // judgeDeadlines checks each attempt against its client's deadline, and against the moment at which the client closed.
-func (r *run) judgeDeadlines(seen []*pb.Seen) {
-	asked := map[uint64]*pb.Seen{}
-	for _, s := range seen {
+func (r *run) judgeDeadlines(observations []*pb.Seen) {
+	requests := map[uint64]*pb.Seen{}
+	for _, s := range observations {
 		switch s.What {
 		case pb.Seen_ASKED:
-			asked[s.Command] = s
+			requests[s.Command] = s
 		case pb.Seen_REACHED:
-			if q := asked[s.Command]; q != nil {
+			if q := requests[s.Command]; q != nil {
 				r.judgeAttempt(q, s)
 			}
 		}
@@ -59,58 +59,58 @@
 }
 
 // judgeAttempt checks one attempt: the time that it declares to the endpoint, and when it reached it.
-func (r *run) judgeAttempt(asked, reached *pb.Seen) {
-	reachedAt := time.Duration(reached.At)
-	remaining := time.Duration(asked.At+asked.Timeout) - reachedAt
-	p := r.processes[asked.Host]
-	slack := maxHold + observationDelay + p.excessSuspension(time.Duration(asked.At), reachedAt)
+func (r *run) judgeAttempt(request, arrival *pb.Seen) {
+	reachedAt := time.Duration(arrival.At)
+	remaining := time.Duration(request.At+request.Timeout) - reachedAt
+	p := r.processes[request.Host]
+	slack := maxProcessStall + observationDelay + p.excessSuspension(time.Duration(request.At), reachedAt)
 	violated := func(rule, format string, args ...any) {
-		r.report(Violation{Rule: rule, Request: asked.Command, Process: p.name(), At: reachedAt, Detail: fmt.Sprintf(format, args...), Log: p.path(".log")})
+		r.report(Violation{Rule: rule, Request: request.Command, Process: p.name(), At: reachedAt, Detail: fmt.Sprintf(format, args...), Log: p.path(".log")})
 	}
-	if declared := time.Duration(reached.Timeout); declared > max(remaining, 0)+slack {
+	if declared := time.Duration(arrival.Timeout); declared > max(remaining, 0)+slack {
 		violated("deadline told", "%v, but its client had %v left", declared, remaining)
 	}
 	if remaining < -slack {
-		violated("sent in time", "an attempt reached %s %v after the deadline", reached.Brick, -remaining)
+		violated("sent in time", "an attempt reached %s %v after the deadline", arrival.Brick, -remaining)
 	}
 	r.load.mu.Lock()
-	abandonedAt, abandoned := r.load.abandoned[asked.Command]
+	abandonedAt, abandoned := r.load.abandoned[request.Command]
 	r.load.mu.Unlock()
 	if abandoned && reachedAt > abandonedAt+abandonGrace+slack {
-		violated("sent in time", "an attempt reached %s %v after its client had left", reached.Brick, reachedAt-abandonedAt)
+		violated("sent in time", "an attempt reached %s %v after its client had left", arrival.Brick, reachedAt-abandonedAt)
 	}
 }
 
 // judgeShutdowns checks requests that came after their process was told to stop: until it is killed it owes each of them an
 // answer. The audit excuses them, since gateways of the line protocol may take nothing new then.
-func (r *run) judgeShutdowns(seen []*pb.Seen) {
-	type life struct {
+func (r *run) judgeShutdowns(observations []*pb.Seen) {
+	type incarnation struct {
 		process     uint32
 		incarnation uint32
 	}
-	asked, told, killed := map[uint64]*pb.Seen{}, map[life]time.Duration{}, map[life]bool{}
-	for _, s := range seen {
+	requests, stopSignaled, killed := map[uint64]*pb.Seen{}, map[incarnation]time.Duration{}, map[incarnation]bool{}
+	for _, s := range observations {
 		switch s.What {
 		case pb.Seen_ASKED:
-			asked[s.Command] = s
+			requests[s.Command] = s
 		case pb.Seen_HOST_DOWN:
 			if s.How == "stopping" {
-				told[life{s.Host, s.Incarnation}] = time.Duration(s.At)
+				stopSignaled[incarnation{s.Host, s.Incarnation}] = time.Duration(s.At)
 			} else {
-				killed[life{s.Host, s.Incarnation}] = true
+				killed[incarnation{s.Host, s.Incarnation}] = true
 			}
 		case pb.Seen_UNANSWERED:
-			q := asked[s.Command]
-			if q == nil || s.How != "host" || killed[life{q.Host, q.Incarnation}] {
+			q := requests[s.Command]
+			if q == nil || s.How != "host" || killed[incarnation{q.Host, q.Incarnation}] {
 				continue
 			}
-			toldAt, stopping := told[life{q.Host, q.Incarnation}]
-			if !stopping || time.Duration(q.At) < toldAt-observationDelay {
+			signaledAt, stopping := stopSignaled[incarnation{q.Host, q.Incarnation}]
+			if !stopping || time.Duration(q.At) < signaledAt-observationDelay {
 				continue
 			}
 			p := r.processes[q.Host]
 			r.report(Violation{Rule: "lost while stopping", Request: q.Command, Process: p.name(), At: time.Duration(s.At),
-				Detail: fmt.Sprintf("sent %v after SIGTERM, no answer %v after it", time.Duration(q.At)-toldAt, time.Duration(s.At)-toldAt), Log: p.path(".log")})
+				Detail: fmt.Sprintf("sent %v after SIGTERM, no answer %v after it", time.Duration(q.At)-signaledAt, time.Duration(s.At)-signaledAt), Log: p.path(".log")})
 		}
 	}
 }
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -108,15 +108,15 @@
 
 // recordNoResponse records that a connection ended, or a client stopped waiting, before the response, and whose fault it was.
 func (l *load) recordNoResponse(q request, c *connection, timedOut bool) {
-	blame := "host"
+	cause := "host"
 	switch {
 	case l.wasAbandoned(q.number):
-		blame = "client"
+		cause = "client"
 	case timedOut:
 	case c.reused, l.behavior.socketsExhausted.Load():
-		blame = "client" // it crossed the end between two requests, or met a full process: the client has to retry
+		cause = "client" // it crossed the end between two requests, or met a full process: the client has to retry
 	}
-	l.run.recorder.See(&pb.Seen{What: pb.Seen_UNANSWERED, Host: uint32(q.process), Command: q.number, How: blame})
+	l.run.recorder.See(&pb.Seen{What: pb.Seen_UNANSWERED, Host: uint32(q.process), Command: q.number, How: cause})
 }
 
 // finishWithoutResponse closes the connection of a request that gets no response.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -25,8 +25,8 @@
 	address     string
 	incarnation atomic.Uint32
 	serving     atomic.Bool
-	// stoppingSince is when the process was told to stop, in ns of the run; 0: it was not.
-	stoppingSince atomic.Int64
+	// stopSignaledAt is when the process was told to stop, in ns of the run; 0: it was not.
+	stopSignaledAt atomic.Int64
 
 	restarting sync.Mutex // held by the fault that ends the process and starts it again
 
@@ -35,9 +35,9 @@
 	cmd          *exec.Cmd
 	exited       chan struct{}
 	exit         error
-	stoppedByRun bool // or killed
+	endedByRun bool // or killed
 
-	suspensions []interval // longer than maxHold
+	suspensions []timeRange // longer than maxHold
 
 	known struct {
 		sync.Mutex
@@ -65,12 +65,12 @@
 func (r *run) makeProcesses() error {
 	ip := loopback.IP()
 	for i := range r.options.Processes {
-		held, err := net.Listen("tcp", ip+":0")
+		listener, err := net.Listen("tcp", ip+":0")
 		if err != nil {
 			return err
 		}
-		defer func() { _ = held.Close() }() // once all have their addresses
-		p := &process{run: r, number: i, address: held.Addr().String()}
+		defer func() { _ = listener.Close() }() // once all have their addresses
+		p := &process{run: r, number: i, address: listener.Addr().String()}
 		p.known.notified = map[string]int64{}
 		if p.agent, err = r.discovery.Listen(p.onNotified); err != nil {
 			return err
@@ -123,9 +123,9 @@
 		return fmt.Errorf("start %s: %w", p.name(), err)
 	}
 	p.incarnation.Add(1)
-	p.stoppingSince.Store(0)
+	p.stopSignaledAt.Store(0)
 	exited := make(chan struct{})
-	p.cmd, p.exited, p.stoppedByRun = cmd, exited, false
+	p.cmd, p.exited, p.endedByRun = cmd, exited, false
 	go func() {
 		p.exit = cmd.Wait()
 		_ = logFile.Close()
@@ -158,10 +158,10 @@
 	began := time.Now()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		answer, err := client.Get("http://" + p.address + "/-/ready")
+		response, err := client.Get("http://" + p.address + "/-/ready")
 		if err == nil {
-			_ = answer.Body.Close()
-			if answer.StatusCode == http.StatusOK {
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				break
 			}
 		}
--- a/internal/soak/process_control.go
+++ b/internal/soak/process_control.go
@@ -56,26 +56,26 @@
 func (p *process) recordEnd(cause string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.stoppedByRun {
+	if p.cmd == nil || p.endedByRun {
 		return false
 	}
-	p.stoppedByRun = true
+	p.endedByRun = true
 	p.run.recorder.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.number), Incarnation: p.incarnation.Load(), How: cause})
 	return true
 }
 
 // stop sends SIGTERM, and SIGKILL after the longest deadline and killGrace.
 func (p *process) stop() {
-	p.stopBy(func() { p.signal(syscall.SIGTERM) })
+	p.stopWith(func() { p.signal(syscall.SIGTERM) })
 }
 
-// stopBy stops the process by the signals that send sends, the last of them SIGTERM or after it, and by SIGKILL after the longest
+// stopWith stops the process by the signals that send sends, the last of them SIGTERM or after it, and by SIGKILL after the longest
 // deadline and killGrace.
-func (p *process) stopBy(send func()) {
+func (p *process) stopWith(send func()) {
 	if !p.recordEnd("stopping") {
 		return
 	}
-	p.stoppingSince.Store(int64(p.run.recorder.Now()))
+	p.stopSignaledAt.Store(int64(p.run.recorder.Now()))
 	kill := time.NewTimer(requestTimeout + killGrace)
 	defer kill.Stop()
 	send()
@@ -94,7 +94,7 @@
 // takesNewClients reports whether clients open connections to the process: the platform puts one to use once it is ready, and
 // takes one that stops out of service within newClientsAfterStop.
 func (p *process) takesNewClients() bool {
-	since := time.Duration(p.stoppingSince.Load())
+	since := time.Duration(p.stopSignaledAt.Load())
 	return p.serving.Load() && (since == 0 || p.run.recorder.Now()-since <= newClientsAfterStop)
 }
 
@@ -104,7 +104,7 @@
 	defer p.mu.Unlock()
 	select {
 	case <-p.exited:
-		return !p.stoppedByRun
+		return !p.endedByRun
 	default:
 		return false
 	}
--- a/internal/soak/process_log.go
+++ b/internal/soak/process_log.go
@@ -11,11 +11,11 @@
 // maxGoroutines bounds those of a process: two for each descriptor, and what it needs besides.
 const maxGoroutines = 2*sockets + 50
 
-// stateFigures finds heap (bytes) and goroutines in a state line.
-var stateFigures = regexp.MustCompile(`msg=state .*heap=(\d+) .*goroutines=(\d+)`)
+// stateLinePattern finds heap (bytes) and goroutines in a state line.
+var stateLinePattern = regexp.MustCompile(`msg=state .*heap=(\d+) .*goroutines=(\d+)`)
 
-// figure converts digits; a text that is none counts as 0.
-func figure(text string) int {
+// parseDigits converts digits; a text that is none counts as 0.
+func parseDigits(text string) int {
 	n, _ := strconv.Atoi(text)
 	return n
 }
@@ -31,7 +31,7 @@
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		text := lines.Text()
-		if found := stateFigures.FindStringSubmatch(text); found != nil && (figure(found[1]) > memoryMB<<20/2 || figure(found[2]) > maxGoroutines) {
+		if found := stateLinePattern.FindStringSubmatch(text); found != nil && (parseDigits(found[1]) > memoryMB<<20/2 || parseDigits(found[2]) > maxGoroutines) {
 			violations = append(violations, Violation{Rule: "bounded state", Process: p.name(), Detail: text, Log: p.path(".log")})
 		}
 		if strings.Contains(text, "invariant broken") || strings.Contains(text, "panic") || strings.Contains(text, "fatal error") {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -112,7 +112,7 @@
 		p.agent.Close()
 	}
 	for _, e := range r.allEndpoints {
-		e.relay.Close()
+		e.proxy.Close()
 		e.node.Stop()
 	}
 	for _, pipe := range r.pipes {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,38 +17,38 @@
 	"weirhaven/policy"
 )
 
-// faultVariable names, in the environment of a process, the guard that it breaks on purpose.
-const faultVariable = "WEIR_SOAK_FAULT"
+// defectVariable names, in the environment of a process, the guard that it breaks on purpose.
+const defectVariable = "WEIR_SOAK_FAULT"
 
 // TestMain lets the test binary be the gateway program too.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 2 || os.Args[1] != "platform" {
 		os.Exit(m.Run())
 	}
-	fault := faults[os.Getenv(faultVariable)]
+	broken := defects[os.Getenv(defectVariable)]
 	start := gateway.NewScheduler
-	if fault.decider != nil {
-		start = fault.decider
+	if broken.newScheduler != nil {
+		start = broken.newScheduler
 	}
 	c := httpgateway.Command{Config: os.Getenv("EDGE_CONFIG"), StateInterval: time.Second, Debug: os.Getenv("EDGE_DEBUG") != "", Customize: func(h *httpgateway.Gateway) {
-		if fault.toServer != nil {
+		if broken.wrapEndpointConn != nil {
 			h.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 				nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 				if err != nil {
 					return nil, err
 				}
-				return fault.toServer(nc, address), nil
+				return broken.wrapEndpointConn(nc, address), nil
 			}
 		}
-		h.BeforeAttemptWrite = fault.beforeWrite
-		if fault.toClient != nil {
+		h.BeforeAttemptWrite = broken.beforeAttemptWrite
+		if broken.wrapClientConn != nil {
 			h.Listen = func(ctx context.Context, address string) (net.Listener, error) {
 				l, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
-				return &wrongListener{l, fault.toClient}, err
+				return &wrappingListener{l, broken.wrapClientConn}, err
 			}
 		}
-		if fault.process != nil {
-			go fault.process()
+		if broken.inProcess != nil {
+			go broken.inProcess()
 		}
 	}}
 	if err := c.Execute(start); err != nil {
@@ -58,44 +58,44 @@
 	os.Exit(0)
 }
 
-// fault is one guard broken on purpose, and what the judge must find.
-type fault struct {
-	wanted      string // in the rule or detail of a violation
-	menu        []string
+// defect is one guard broken on purpose, and what the judge must find.
+type defect struct {
+	wantViolation      string // in the rule or detail of a violation
+	faultKinds        []string
 	rate        float64
-	toServer    func(nc net.Conn, address string) net.Conn
-	toClient    func(nc net.Conn) net.Conn
-	beforeWrite func()
-	decider     func(policy.Runtime, policy.Settings) engine.Scheduler
-	process     func()
-}
-
-var faults = map[string]fault{
-	"answer dropped":     {wanted: "no request lost", menu: []string{"clients-reconnect"}, toClient: func(nc net.Conn) net.Conn { return &dropping{nc} }},
-	"answer given twice": {wanted: "another request's answer", menu: []string{"clients-slow"}, toClient: func(nc net.Conn) net.Conn { return &repeating{nc} }},
-	"written late": {wanted: "deadline told", menu: []string{"clients-leave"},
-		toServer: func(nc net.Conn, _ string) net.Conn { return &slow{nc} }},
-	"written late, own check": {wanted: "invariant broken", menu: []string{"clients-leave"}, beforeWrite: holdUpOneIn},
-	"sent twice at once": {wanted: "no effect twice", menu: []string{"server-hangs"},
-		toServer: func(nc net.Conn, address string) net.Conn { return &doubling{nc, address} }},
-	"drains ignored": {wanted: "drains kept", menu: []string{"drain"},
-		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &deafToDrains{policy.New(h, s)} }},
-	"cold servers flooded": {wanted: "no warming endpoint overloaded", menu: []string{"drain"}, rate: 100,
-		toServer: func(nc net.Conn, address string) net.Conn { return &flooding{nc, address} }},
-	"limits not shared": {wanted: "rate limits", menu: []string{"clients-slow"},
-		decider: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &alone{policy.New(h, s)} }},
-	"ends by itself": {wanted: "ended by itself", menu: []string{"clients-slow"},
-		process: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
-}
-
-const oneIn = 20
-
-type wrongListener struct {
+	wrapEndpointConn    func(nc net.Conn, address string) net.Conn
+	wrapClientConn    func(nc net.Conn) net.Conn
+	beforeAttemptWrite func()
+	newScheduler     func(policy.Runtime, policy.Settings) engine.Scheduler
+	inProcess     func()
+}
+
+var defects = map[string]defect{
+	"answer dropped":     {wantViolation: "no request lost", faultKinds: []string{"clients-reconnect"}, wrapClientConn: func(nc net.Conn) net.Conn { return &droppingConn{nc} }},
+	"answer given twice": {wantViolation: "another request's answer", faultKinds: []string{"clients-slow"}, wrapClientConn: func(nc net.Conn) net.Conn { return &duplicatingConn{nc} }},
+	"written late": {wantViolation: "deadline told", faultKinds: []string{"clients-leave"},
+		wrapEndpointConn: func(nc net.Conn, _ string) net.Conn { return &slowConn{nc} }},
+	"written late, own check": {wantViolation: "invariant broken", faultKinds: []string{"clients-leave"}, beforeAttemptWrite: delayOccasionally},
+	"sent twice at once": {wantViolation: "no effect twice", faultKinds: []string{"server-hangs"},
+		wrapEndpointConn: func(nc net.Conn, address string) net.Conn { return &resendingConn{nc, address} }},
+	"drains ignored": {wantViolation: "drains kept", faultKinds: []string{"drain"},
+		newScheduler: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &drainIgnoringScheduler{policy.New(h, s)} }},
+	"cold servers flooded": {wantViolation: "no warming endpoint overloaded", faultKinds: []string{"drain"}, rate: 100,
+		wrapEndpointConn: func(nc net.Conn, address string) net.Conn { return &floodingConn{nc, address} }},
+	"limits not shared": {wantViolation: "rate limits", faultKinds: []string{"clients-slow"},
+		newScheduler: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &singleGatewayScheduler{policy.New(h, s)} }},
+	"ends by itself": {wantViolation: "ended by itself", faultKinds: []string{"clients-slow"},
+		inProcess: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
+}
+
+const writesPerDefect = 20
+
+type wrappingListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
 }
 
-func (l *wrongListener) Accept() (net.Conn, error) {
+func (l *wrappingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -103,63 +103,63 @@
 	return l.wrap(nc), nil
 }
 
-type dropping struct{ net.Conn }
+type droppingConn struct{ net.Conn }
 
-func (d *dropping) Write(b []byte) (int, error) {
-	if rand.Intn(oneIn) == 0 {
+func (d *droppingConn) Write(b []byte) (int, error) {
+	if rand.Intn(writesPerDefect) == 0 {
 		d.Close()
 		return len(b), nil
 	}
 	return d.Conn.Write(b)
 }
 
-type repeating struct{ net.Conn }
+type duplicatingConn struct{ net.Conn }
 
-func (r *repeating) Write(b []byte) (int, error) {
+func (r *duplicatingConn) Write(b []byte) (int, error) {
 	n, err := r.Conn.Write(b)
-	if rand.Intn(oneIn) == 0 && err == nil {
+	if rand.Intn(writesPerDefect) == 0 && err == nil {
 		r.Conn.Write(b)
 	}
 	return n, err
 }
 
-type slow struct{ net.Conn }
+type slowConn struct{ net.Conn }
 
-func (s *slow) Write(b []byte) (int, error) {
-	if rand.Intn(oneIn) == 0 {
+func (s *slowConn) Write(b []byte) (int, error) {
+	if rand.Intn(writesPerDefect) == 0 {
 		time.Sleep(600 * time.Millisecond)
 	}
 	return s.Conn.Write(b)
 }
 
-// holdUpOneIn holds the process up between its last look at the clock and its write.
-func holdUpOneIn() {
-	if rand.Intn(oneIn) == 0 {
+// delayOccasionally holds the process up between its last look at the clock and its write.
+func delayOccasionally() {
+	if rand.Intn(writesPerDefect) == 0 {
 		time.Sleep(1200 * time.Millisecond)
 	}
 }
 
-type doubling struct {
+type resendingConn struct {
 	net.Conn
 	address string
 }
 
-func (d *doubling) Write(b []byte) (int, error) {
-	if again, err := net.Dial("tcp", d.address); err == nil && rand.Intn(oneIn) == 0 {
+func (d *resendingConn) Write(b []byte) (int, error) {
+	if again, err := net.Dial("tcp", d.address); err == nil && rand.Intn(writesPerDefect) == 0 {
 		again.Write(b)
 		time.AfterFunc(time.Second, func() { again.Close() })
 	}
 	return d.Conn.Write(b)
 }
 
-// flooding sends each request many times, as processes do that don't share a recovering server's budget.
-type flooding struct {
+// floodingConn sends each request many times, as processes do that don't share a recovering server's budget.
+type floodingConn struct {
 	net.Conn
 	address string
 }
 
-func (f *flooding) Write(b []byte) (int, error) {
-	for range oneIn {
+func (f *floodingConn) Write(b []byte) (int, error) {
+	for range writesPerDefect {
 		if again, err := net.Dial("tcp", f.address); err == nil {
 			again.Write(b)
 			time.AfterFunc(time.Second, func() { again.Close() })
@@ -168,27 +168,27 @@
 	return f.Conn.Write(b)
 }
 
-type deafToDrains struct{ *policy.Scheduler }
+type drainIgnoringScheduler struct{ *policy.Scheduler }
 
-func (d *deafToDrains) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
+func (d *drainIgnoringScheduler) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
 	update.Serving, update.Removed = true, false
 	d.Scheduler.UpdateEndpoint(endpoint, update)
 }
 
-type alone struct{ *policy.Scheduler }
+type singleGatewayScheduler struct{ *policy.Scheduler }
 
-func (a *alone) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
+func (a *singleGatewayScheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	arrival.Gateways = 1
 	return a.Scheduler.RequestReceived(request, arrival)
 }
 
-func play(t *testing.T, o Options, name string, more ...string) *Report {
+func runSoak(t *testing.T, o Options, name string, more ...string) *Report {
 	t.Helper()
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Program, o.Env, o.Directory, o.Out = []string{program, "platform"}, append(more, faultVariable+"="+name), t.TempDir(), io.Discard
+	o.Program, o.Env, o.Directory, o.Out = []string{program, "platform"}, append(more, defectVariable+"="+name), t.TempDir(), io.Discard
 	report, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -198,7 +198,7 @@
 
 // A short run of the whole menu: no invariant is broken.
 func TestSoak(t *testing.T) {
-	report := play(t, Options{Seed: 1, Processes: 8, Length: 15 * time.Second}, "")
+	report := runSoak(t, Options{Seed: 1, Processes: 8, Length: 15 * time.Second}, "")
 	for _, v := range report.Violations {
 		t.Error(v)
 	}
@@ -210,7 +210,7 @@
 // Processes are told to stop by signals in series and beside a crowd of idle clients, while clients go on using their connections
 // until the kill: no request is lost.
 func TestSoakShutdowns(t *testing.T) {
-	report := play(t, Options{Seed: 2, Processes: 8, Length: 20 * time.Second, Faults: []string{"stop", "reload-while-stopping", "signals-in-series", "stop-crowded"}}, "")
+	report := runSoak(t, Options{Seed: 2, Processes: 8, Length: 20 * time.Second, Faults: []string{"stop", "reload-while-stopping", "signals-in-series", "stop-crowded"}}, "")
 	for _, v := range report.Violations {
 		t.Error(v)
 	}
@@ -224,7 +224,7 @@
 	for name, logs := range map[string]Logs{"stalled": LogsStalled, "broken": LogsBroken} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := play(t, Options{Seed: 1, Processes: 2, Length: 8 * time.Second, Rate: 40, Faults: []string{"clients-slow"}, Logs: logs}, "", "EDGE_DEBUG=true")
+			report := runSoak(t, Options{Seed: 1, Processes: 2, Length: 8 * time.Second, Rate: 40, Faults: []string{"clients-slow"}, Logs: logs}, "", "EDGE_DEBUG=true")
 			for _, v := range report.Violations {
 				t.Error(v)
 			}
@@ -237,16 +237,16 @@
 
 // Each guard broken on purpose turns the run red, by the check that is meant for it.
 func TestSoakFindsFaults(t *testing.T) {
-	for name, f := range faults {
+	for name, f := range defects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := play(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Faults: f.menu, Rate: f.rate}, name)
+			report := runSoak(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Faults: f.faultKinds, Rate: f.rate}, name)
 			for _, v := range report.Violations {
-				if strings.Contains(v.Rule+v.Detail, f.wanted) {
+				if strings.Contains(v.Rule+v.Detail, f.wantViolation) {
 					return
 				}
 			}
-			t.Errorf("%v, none of them %q", report, f.wanted)
+			t.Errorf("%v, none of them %q", report, f.wantViolation)
 		})
 	}
 }
--- a/internal/soak/suspension.go
+++ b/internal/soak/suspension.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// interval is a stretch of the run.
-type interval struct{ from, to time.Duration }
+// timeRange is a stretch of the run.
+type timeRange struct{ from, to time.Duration }
 
 // recordSuspension records that the process was stopped by a signal. The machine may have stopped it for longer than was meant.
 func (p *process) recordSuspension(from, to time.Duration) {
-	if to-from <= maxHold {
+	if to-from <= maxProcessStall {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.suspensions = append(p.suspensions, interval{from, to})
+	p.suspensions = append(p.suspensions, timeRange{from, to})
 }
 
 // excessSuspension is by how much the longest suspension within a stretch of the run exceeds maxHold.
@@ -21,7 +21,7 @@
 	defer p.mu.Unlock()
 	for _, suspension := range p.suspensions {
 		if suspension.from < to && suspension.to > from {
-			excess = max(excess, suspension.to-suspension.from-maxHold)
+			excess = max(excess, suspension.to-suspension.from-maxProcessStall)
 		}
 	}
 	return excess
