--- a/internal/object/decide/decide_test.go
+++ b/internal/object/decide/decide_test.go
@@ -17,7 +17,7 @@
 
 var day = time.Date(2026, 3, 1, 12, 0, 0, 500, time.UTC)
 
-// Conditional requests, by the steps of RFC 9110, section 13.2.2.
+// Checks preconditions in the order of RFC 9110, section 13.2.2.
 func TestPreconditions(t *testing.T) {
 	existing := &Representation{ETag: "a", Modified: day, Size: 10}
 	at := func(d time.Duration) string { return day.Add(d).Format(http.TimeFormat) }
@@ -34,8 +34,8 @@
 		{"If-Modified-Since: " + at(0), existing, true, NotModified}, {"If-Modified-Since: " + at(-time.Hour), existing, true, Proceed},
 		{"If-Modified-Since: " + at(0), existing, false, Proceed}, {"If-Modified-Since: some day", existing, true, Proceed},
 		{"If-Unmodified-Since: " + at(0), existing, true, Proceed}, {"If-Unmodified-Since: " + at(-time.Hour), existing, false, PreconditionFails},
-		{`If-Match: "a"|If-Unmodified-Since: ` + at(-time.Hour), existing, true, Proceed},   // the date does not count next to the tag
-		{`If-None-Match: "b"|If-Modified-Since: ` + at(time.Hour), existing, true, Proceed}, // nor here
+		{`If-Match: "a"|If-Unmodified-Since: ` + at(-time.Hour), existing, true, Proceed},   // the date is ignored if there is a tag condition
+		{`If-None-Match: "b"|If-Modified-Since: ` + at(time.Hour), existing, true, Proceed}, // as above
 		{`If-Match: "a"|If-None-Match: "a"`, existing, true, NotModified},
 	} {
 		h := http.Header{}
@@ -45,12 +45,12 @@
 			}
 		}
 		if got := EvaluatePreconditions(h, row.cur, row.read); got != row.want {
-			t.Errorf("%s, there %v, read %v: %v, want %v", row.fields, row.cur != nil, row.read, got, row.want)
+			t.Errorf("%s, object exists %v, read %v: %v, want %v", row.fields, row.cur != nil, row.read, got, row.want)
 		}
 	}
 }
 
-// Range requests for an object of ten bytes, by RFC 9110, section 14.
+// Checks range requests on an object of ten bytes (RFC 9110, section 14).
 func TestRanges(t *testing.T) {
 	existing := &Representation{ETag: "a", Modified: day, Size: 10}
 	for spec, want := range map[string]string{
@@ -81,7 +81,7 @@
 	}
 }
 
-// Any ranges read from any extents give the bytes that they name, each once.
+// Guards against missing, repeated or wrong bytes when a random range is read from random extents.
 func TestExtentRanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var extents []*pb.ExtentRecord
@@ -124,7 +124,7 @@
 	})
 }
 
-// Each shard gets its share of extents, and one that is removed moves only the extents that it had.
+// Guards against an uneven distribution of extents over shards, and against removing a shard moving the extents of other shards.
 func TestShardRanking(t *testing.T) {
 	shards := []uint32{1, 2, 3, 4, 5}
 	count := map[uint32]int{}
@@ -133,7 +133,7 @@
 		first := RankShards(shards, id)[0]
 		count[first]++
 		if firstOfFewer := RankShards([]uint32{1, 2, 4, 5}, id)[0]; first != 3 && firstOfFewer != first {
-			t.Fatal("moved")
+			t.Fatalf("extent %s moved from shard %d to %d although its shard was not removed", id, first, firstOfFewer)
 		}
 	}
 	for shard, n := range count {
@@ -143,8 +143,8 @@
 	}
 }
 
-// An upload is completed with three of its four parts. Parts that were not uploaded, are out of order, have another entity tag or are too
-// small end it with the fault that names the cause.
+// An upload is completed with three of its four parts. Completing it fails with the matching fault if a part was not uploaded, is out of
+// order, has a different entity tag or is too small, or if no part is listed.
 func TestCompleteUpload(t *testing.T) {
 	part := func(n uint32, size int64) *pb.PartRecord {
 		d := md5.Sum([]byte{byte(n)})
@@ -171,7 +171,8 @@
 	}
 }
 
-// The sweep removes abandoned extents that no read can still use and intended ones that are old, never a referenced one.
+// Guards against removing an extent that is still needed: one that is referenced, one that a read in progress may use, or a recent
+// intended one.
 func TestRemovableExtents(t *testing.T) {
 	unreferenced := func(id string, since int64, abandoned bool) *pb.LooseRecord {
 		return &pb.LooseRecord{Extent: &pb.ExtentRecord{Id: id}, Since: since, Doomed: abandoned}
--- a/internal/object/decide/doc.go
+++ b/internal/object/decide/doc.go
@@ -1,10 +1,11 @@
-// Package decide holds the decisions of the object API, a file a rule:
+// Package decide holds the decision rules of the object API, one rule per file:
 //   - preconditions.go: conditional requests (RFC 9110, section 13)
 //   - ranges.go: range requests (RFC 9110, section 14)
-//   - extents.go: which extents a range takes, and in which shard a new extent goes
-//   - uploads.go: what the parts of a multipart upload come to, and its limits
-//   - sweep.go: which extents may be removed
-//   - faults.go: the errors that clients get, and which of them a failed request means
+//   - extents.go: the extents that a range covers, and the shard that stores a new extent
+//   - uploads.go: the limits of multipart uploads, and the object made from the parts
+//   - sweep.go: the extents that the sweep may remove
+//   - faults.go: the errors returned to clients, and the error for each outcome of an engine request
 //
-// Its functions depend on their arguments only: no I/O, no clock, no goroutine. They are safe for concurrent use.
+// The functions depend only on their arguments: they do no I/O, read no clock and start no goroutines. They are safe for concurrent
+// use.
 package decide
--- a/internal/object/decide/extents.go
+++ b/internal/object/decide/extents.go
@@ -10,16 +10,16 @@
 	"weirhaven/internal/pb"
 )
 
-// ExtentRange is a stretch of one extent's bytes.
+// ExtentRange is a byte range within one extent.
 type ExtentRange struct {
 	Extent     *pb.ExtentRecord
-	From, Size int64 // bytes, From counted from the extent's first
+	From, Size int64 // bytes; From is the offset in the extent
 }
 
-// ExtentRanges returns the extents that a range of an object takes, in order, each with the stretch that is used. Extents have to be read
-// whole all the same: their checksum is over all their bytes.
+// ExtentRanges returns the extents that overlap a range of an object, in order, each with the overlapping bytes. The caller still has to
+// read each extent in full, because its checksum covers all its bytes.
 func ExtentRanges(extents []*pb.ExtentRecord, r Range) (used []ExtentRange) {
-	offset := int64(0) // of the extent in the object
+	offset := int64(0) // position of the extent in the object
 	for _, extent := range extents {
 		from, to := max(r.From-offset, 0), min(r.From+r.Size-offset, extent.Size)
 		if from < to {
@@ -30,9 +30,9 @@
 	return used
 }
 
-// RankShards returns a volume's shards in the order in which the extent of an id prefers them; it goes to the first. By rendezvous hashing
-// (Thaler and Ravishankar 1998) each extent has an order of its own: all shards get the same share, and a shard that comes or goes
-// moves no other's extents.
+// RankShards returns a volume's shards in order of preference for the extent with the given id; the extent is stored on the first. The
+// order comes from rendezvous hashing (Thaler and Ravishankar 1998) and differs between extents: all shards get about the same number of
+// extents, and adding or removing a shard does not move extents between the other shards.
 func RankShards(shards []uint32, id string) []uint32 {
 	ranked := slices.Clone(shards)
 	weight := func(shard uint32) uint64 { return xxhash.Sum64String(fmt.Sprint(id, "/", shard)) }
@@ -40,5 +40,5 @@
 	return ranked
 }
 
-// Units returns the units of work that a request for size bytes counts as, of unitBytes each; at least 1.
+// Units returns the cost of a request for size bytes, in units of work of unitBytes each; at least 1.
 func Units(size int64, unitBytes int64) float64 { return max(1, float64(size)/float64(unitBytes)) }
--- a/internal/object/decide/faults.go
+++ b/internal/object/decide/faults.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Fault is an error as a client gets it: status, code and message of the object API. It is one of the faults below, or a copy of one.
+// Fault is an error response to a client: HTTP status, and code and message of the object API. It is one of the faults below, or a copy
+// of one.
 type Fault struct {
-	Status     int           // of HTTP
-	Code       string        // of the object API, for programs
-	Message    string        // for people
-	RetryAfter time.Duration // when the client should retry; 0: no advice
-	MayHaveRun bool          // the request may have taken effect; false: it has not
+	Status     int           // HTTP status
+	Code       string        // machine-readable error code of the object API
+	Message    string        // human-readable description
+	RetryAfter time.Duration // delay before the client should retry; 0: not specified
+	MayHaveRun bool          // whether the request may have taken effect; false: it has not
 }
 
 // Error implements error.
 func (f *Fault) Error() string { return f.Code + ": " + f.Message }
 
-// With returns a copy of a fault with more to read in its message.
+// With returns a copy of the fault with the formatted text appended to its message.
 func (f Fault) With(format string, args ...any) *Fault {
 	f.Message += " " + fmt.Sprintf(format, args...)
 	return &f
 }
 
-// minRetryAfter is the shortest advice: the field Retry-After counts in whole seconds.
+// minRetryAfter is the minimum of RetryAfter: the Retry-After header has a resolution of one second.
 const minRetryAfter = time.Second
 
 // The faults.
@@ -54,19 +55,19 @@
 	ServiceUnavailable    = Fault{Status: http.StatusServiceUnavailable, Code: "ServiceUnavailable", Message: "It could not be done, and did not happen; come back.", RetryAfter: minRetryAfter}
 )
 
-// Outcome is how a request to the engine ended.
+// Outcome is the result of a request to the engine.
 type Outcome int
 
 // The outcomes.
 const (
 	Served   Outcome = iota
-	Rejected         // load was shed: the request has not run
-	NotRun           // it failed, and surely has not run
-	MaybeRun         // it failed, and may have run or may run still
+	Rejected         // rejected by load shedding; the request has not run
+	NotRun           // failed; the request has definitely not run
+	MaybeRun         // failed; the request may have run, or may still run
 )
 
-// ResponseFault returns what the outcome of a request to the engine means to the client; nil: it was served. retryAfter is the engine's
-// advice for a rejected request; 0: none.
+// ResponseFault returns the fault to send to the client for the outcome of an engine request; nil if the request was served. retryAfter
+// is the delay that the engine gave for a rejected request; 0: none.
 func ResponseFault(outcome Outcome, retryAfter time.Duration) *Fault {
 	var fault Fault
 	switch outcome {
--- a/internal/object/decide/preconditions.go
+++ b/internal/object/decide/preconditions.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// Representation is an object as it stands, as far as conditions and ranges look at it; a nil one does not exist.
+// Representation holds the attributes of an object that conditional and range requests depend on. A nil Representation stands for an
+// object that does not exist.
 type Representation struct {
 	ETag     string // without quotes
 	Modified time.Time
 	Size     int64 // bytes
 }
 
-// Verdict is what the preconditions of a request come to.
+// Verdict is the result of evaluating the preconditions of a request.
 type Verdict int
 
 // The verdicts.
 const (
-	Proceed           Verdict = iota
-	NotModified               // status 304
-	PreconditionFails         // status 412
+	Proceed           Verdict = iota // the request is carried out
+	NotModified                      // status 304
+	PreconditionFails                // status 412
 )
 
-// EvaluatePreconditions evaluates the preconditions of a request in the order of RFC 9110, section 13.2.2. A nil current stands for no
-// object; read is true for GET and HEAD. Dates that can't be parsed are ignored, as are dates next to an entity tag condition.
+// EvaluatePreconditions evaluates the preconditions of a request in the order of RFC 9110, section 13.2.2. current is nil if the object
+// does not exist; read is true for GET and HEAD. A date that can't be parsed is ignored, and so is a date condition if the request has
+// the corresponding entity tag condition.
 func EvaluatePreconditions(header http.Header, current *Representation, read bool) Verdict {
 	if !mayProceed(header, current) {
 		return PreconditionFails
@@ -38,7 +40,7 @@
 	return PreconditionFails
 }
 
-// mayProceed evaluates If-Match, or in its absence If-Unmodified-Since.
+// mayProceed reports whether If-Match holds or, without that header, If-Unmodified-Since. An absent condition holds.
 func mayProceed(header http.Header, current *Representation) bool {
 	if tags := header.Get("If-Match"); tags != "" {
 		return matchesETag(tags, current, false)
@@ -47,7 +49,8 @@
 	return err != nil || current == nil || !current.modifiedAfter(since)
 }
 
-// unchanged evaluates If-None-Match, or in its absence If-Modified-Since, which counts for reads only.
+// unchanged reports whether If-None-Match fails or, without that header, If-Modified-Since. If-Modified-Since applies to reads only; an
+// absent condition does not fail.
 func unchanged(header http.Header, current *Representation, read bool) bool {
 	if tags := header.Get("If-None-Match"); tags != "" {
 		return matchesETag(tags, current, true)
@@ -56,13 +59,13 @@
 	return read && err == nil && current != nil && !current.modifiedAfter(since)
 }
 
-// modifiedAfter compares in whole seconds, the unit of dates in HTTP.
+// modifiedAfter reports whether the object was modified after date. It compares whole seconds, the resolution of HTTP dates.
 func (r *Representation) modifiedAfter(date time.Time) bool {
 	return r.Modified.Truncate(time.Second).After(date)
 }
 
-// matchesETag compares a list of entity tags with the object's (section 8.8.3.2): weakly, or strongly, by which a weak tag matches
-// nothing.
+// matchesETag reports whether a list of entity tags contains the object's (RFC 9110, section 8.8.3.2). weak selects weak comparison; in
+// strong comparison, a weak tag never matches.
 func matchesETag(list string, current *Representation, weak bool) bool {
 	if strings.TrimSpace(list) == "*" {
 		return current != nil
--- a/internal/object/decide/ranges.go
+++ b/internal/object/decide/ranges.go
@@ -10,20 +10,22 @@
 	"time"
 )
 
-// Range is a stretch of an object's bytes.
+// Range is a byte range of an object.
 type Range struct{ From, Size int64 }
 
-// ContentRange returns the value of the field Content-Range for an object of size bytes.
+// ContentRange returns the value of the Content-Range header for an object of size bytes.
 func (r Range) ContentRange(size int64) string {
 	return fmt.Sprintf("bytes %d-%d/%d", r.From, r.From+r.Size-1, size)
 }
 
-// maxRanges is how many ranges of a request are served; a request for more is treated as a denial of service attack (RFC 9110, section 17.15).
+// maxRanges is the maximum number of ranges in one request. A Range header with more is ignored, because many small ranges are a
+// denial-of-service attack (RFC 9110, section 17.15).
 const maxRanges = 16
 
-// ParseRanges reads the fields Range and If-Range (RFC 9110, sections 14.2 and 13.1.5). Ranges that overlap or touch are merged; they are
-// returned in ascending order. None without a fault means that the whole object is to be served: there is no Range, it can't be
-// parsed, or If-Range does not hold. The fault is InvalidRange if no range lies within the object.
+// ParseRanges parses the Range and If-Range headers (RFC 9110, sections 14.2 and 13.1.5). It merges ranges that overlap or touch and
+// returns them in ascending order. An empty result without a fault means that the whole object is to be sent: there is no Range header,
+// it can't be parsed, it has more than maxRanges ranges, or If-Range does not hold. The fault is InvalidRange if no range lies within
+// the object.
 func ParseRanges(header http.Header, current *Representation) ([]Range, *Fault) {
 	list, ok := strings.CutPrefix(strings.ReplaceAll(header.Get("Range"), " ", ""), "bytes=")
 	if !ok || list == "" || !ifRangeHolds(header.Get("If-Range"), current) {
@@ -50,7 +52,8 @@
 	return mergeRanges(ranges), nil
 }
 
-// ifRangeHolds evaluates If-Range: a strong comparison of the entity tag, or the exact date. It holds if the field is absent.
+// ifRangeHolds reports whether If-Range holds: the entity tag matches in strong comparison, or the date is exactly the modification
+// date. An absent header holds.
 func ifRangeHolds(value string, current *Representation) bool {
 	if value == "" {
 		return true
@@ -61,7 +64,8 @@
 	return !strings.HasPrefix(value, "W/") && strings.Trim(value, `"`) == current.ETag
 }
 
-// parseRange parses FIRST-LAST, FIRST- or -LENGTH for an object of size bytes. The range may be empty or begin behind the object's end.
+// parseRange parses FIRST-LAST, FIRST- or -LENGTH for an object of size bytes. The range may be empty or start beyond the end of the
+// object.
 func parseRange(spec string, size int64) (r Range, ok bool) {
 	first, last, ok := strings.Cut(spec, "-")
 	if !ok || first == "" && last == "" {
@@ -84,7 +88,7 @@
 	return Range{from, to - from + 1}, true
 }
 
-// parseSuffix is the range of an object's last bytes.
+// parseSuffix returns the range of an object's last bytes, for an object of size bytes.
 func parseSuffix(length string, size int64) (r Range, ok bool) {
 	n, err := strconv.ParseInt(length, 10, 64)
 	if err != nil || n < 0 {
--- a/internal/object/decide/sweep.go
+++ b/internal/object/decide/sweep.go
@@ -6,12 +6,13 @@
 	"weirhaven/internal/pb"
 )
 
-// RemovableExtents returns those unreferenced extents whose bytes may be removed:
-//   - an abandoned one, if it was abandoned before oldestReader, the time at which the oldest read under way began: a later read finds
-//     nothing that names the extent;
-//   - an intended one, once it is minAge old. Its writer may be alive still: the caller leaves out what its own process writes.
+// RemovableExtents returns the unreferenced extents whose bytes may be removed:
+//   - An abandoned extent may be removed if it was abandoned before oldestReader, the start of the oldest read in progress. A read that
+//     began later can't find the extent, because no object or part refers to it.
+//   - An intended extent may be removed once it is minAge old. Its write may still be in progress; the caller must exclude the extents
+//     that its own process is writing.
 //
-// An extent that is referenced is never returned. All times are on one clock.
+// A referenced extent is never returned. All times are on the same clock.
 func RemovableExtents(unreferenced []*pb.LooseRecord, referenced func(id string) bool, now, minAge, oldestReader time.Duration) (removable []*pb.LooseRecord) {
 	for _, record := range unreferenced {
 		if !referenced(record.Extent.Id) && mayRemove(record, now, minAge, oldestReader) {
--- a/internal/object/decide/uploads.go
+++ b/internal/object/decide/uploads.go
@@ -8,30 +8,30 @@
 	"weirhaven/internal/pb"
 )
 
-// Limits of objects and uploads, as clients of the S3 API know them.
+// Limits of objects and uploads, the same as in Amazon S3.
 const (
-	MaxParts     = 10000   // of one upload
-	MinPartBytes = 5 << 20 // of each part but the last
-	MaxPartBytes = 5 << 30 // of a part, and of an object that is put at once
-	MaxNameBytes = 1024    // of an object's name
+	MaxParts     = 10000   // parts of one upload
+	MinPartBytes = 5 << 20 // size of each part except the last
+	MaxPartBytes = 5 << 30 // size of a part, and of an object stored with a single PUT
+	MaxNameBytes = 1024    // length of an object's name
 )
 
-// CompletedPart is a part as the client names it when it completes an upload.
+// CompletedPart is one entry of the part list in the client's request to complete an upload.
 type CompletedPart struct {
 	Number uint32
 	ETag   string
 }
 
-// CompletedUpload is the object that an upload comes to.
+// CompletedUpload describes the object made from the parts of an upload.
 type CompletedUpload struct {
-	Extents []*pb.ExtentRecord // of the object, in order
-	Unused  []*pb.ExtentRecord // of the parts that the client did not name
+	Extents []*pb.ExtentRecord // extents of the object, in order
+	Unused  []*pb.ExtentRecord // extents of the parts that the client did not list
 	Size    int64              // bytes
-	ETag    string             // MD5 of the parts' MD5 digests, in hex, and the number of parts
+	ETag    string             // MD5 of the parts' MD5 digests in hex, a hyphen and the number of parts
 }
 
-// CompleteUpload makes an object of the parts that the client named, out of those that were uploaded. Parts have to be named in ascending
-// order, each with its entity tag; all but the last need minPart bytes.
+// CompleteUpload makes an object from the uploaded parts that the client lists in named. The client must list the parts in ascending
+// order, each with its entity tag. Each listed part except the last must have at least minPart bytes.
 func CompleteUpload(named []CompletedPart, uploaded []*pb.PartRecord, minPart int64) (object CompletedUpload, fault *Fault) {
 	if len(named) == 0 {
 		return CompletedUpload{}, MalformedXML.With("No part is named.")
@@ -62,7 +62,8 @@
 	return object, nil
 }
 
-// checkPart checks the named part i against the uploaded one; nil: there is none, or it was named before.
+// checkPart checks entry i of the client's list against the uploaded part. part is nil if no such part was uploaded, or if an earlier
+// entry has the same number.
 func checkPart(named []CompletedPart, i int, part *pb.PartRecord, minPart int64) *Fault {
 	number := named[i].Number
 	switch {
