--- a/internal/object/decide/preconditions.go
+++ b/internal/object/decide/preconditions.go
@@ -28,10 +28,10 @@
 // does not exist; read is true for GET and HEAD. A date that can't be parsed is ignored, and so is a date condition if the request has
 // the corresponding entity tag condition.
 func EvaluatePreconditions(header http.Header, current *Representation, read bool) Verdict {
-	if !mayProceed(header, current) {
+	if !ifMatchHolds(header, current) {
 		return PreconditionFails
 	}
-	if !unchanged(header, current, read) {
+	if !ifNoneMatchFails(header, current, read) {
 		return Proceed
 	}
 	if read {
@@ -40,8 +40,8 @@
 	return PreconditionFails
 }
 
-// mayProceed reports whether If-Match holds or, without that header, If-Unmodified-Since. An absent condition holds.
-func mayProceed(header http.Header, current *Representation) bool {
+// ifMatchHolds reports whether If-Match holds or, without that header, If-Unmodified-Since. An absent condition holds.
+func ifMatchHolds(header http.Header, current *Representation) bool {
 	if tags := header.Get("If-Match"); tags != "" {
 		return matchesETag(tags, current, false)
 	}
@@ -49,9 +49,9 @@
 	return err != nil || current == nil || !current.modifiedAfter(since)
 }
 
-// unchanged reports whether If-None-Match fails or, without that header, If-Modified-Since. If-Modified-Since applies to reads only; an
+// ifNoneMatchFails reports whether If-None-Match fails or, without that header, If-Modified-Since. If-Modified-Since applies to reads only; an
 // absent condition does not fail.
-func unchanged(header http.Header, current *Representation, read bool) bool {
+func ifNoneMatchFails(header http.Header, current *Representation, read bool) bool {
 	if tags := header.Get("If-None-Match"); tags != "" {
 		return matchesETag(tags, current, true)
 	}
