--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return result, err
 	}
-	result.Measured = measure(played, run.Seen)
+	result.Measured = measure(played, run.Observations)
 	result.Deviation, result.NaiveDeviation = deviation(result.Forecast, result.Measured), deviation(result.Naive, result.Measured)
 	return result, nil
 }
--- a/internal/capacity/verify/verify_test.go
+++ b/internal/capacity/verify/verify_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	d.Length = "5s"
-	o := scenario.Options{Seed: 3, Host: []string{self, "edge"}}
+	o := scenario.Options{Seed: 3, Gateway: []string{self, "edge"}}
 	l, err := Record(context.Background(), d, o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -110,7 +110,7 @@
 		d.Hosts = c.Gateways
 	}
 	if c.Length > 0 {
-		d = scenario.Stretch(d, c.Length)
+		d = scenario.Extend(d, c.Length)
 	}
 	return d, nil
 }
@@ -196,22 +196,22 @@
 	var arms []arm
 	for i, name := range names {
 		if name == armWithoutControllerFaults {
-			d = scenario.Calm(d)
+			d = scenario.WithoutControllerFaults(d)
 		} else if i > 0 {
 			gateway = []string{self, "gateway", "--bound", "--baseline", name}
 		}
-		r, err := scenario.Run(ctx, d, scenario.Options{Seed: seed, Host: gateway, Arm: name, Logs: logs, State: c.State, Capture: c.Capture,
-			Planner: []string{self, "controller", "--bound"}})
+		r, err := scenario.Run(ctx, d, scenario.Options{Seed: seed, Gateway: gateway, Arm: name, Logs: logs, StateInterval: c.State, Capture: c.Capture,
+			Controller: []string{self, "controller", "--bound"}})
 		if err != nil {
 			return nil, err
 		}
-		arms = append(arms, arm{Name: name, Result: r, Kept: r.Verdict.Kept() && len(r.Exits) == 0 && r.Objects.Good(), Verdict: r.Verdict, Exits: r.Exits})
+		arms = append(arms, arm{Name: name, Result: r, Kept: r.Verdict.Kept() && len(r.FailedExits) == 0 && r.Objects.Good(), Verdict: r.Verdict, Exits: r.FailedExits})
 		if c.Record != "" {
 			dir := c.Record
 			if c.Seeds > 1 || i > 0 {
 				dir = fmt.Sprintf("%s/%s-%d", c.Record, name, seed)
 			}
-			if err := record.Write(dir, r.Header, r.Seen); err != nil {
+			if err := record.Write(dir, r.Header, r.Observations); err != nil {
 				return nil, err
 			}
 		}
@@ -246,9 +246,9 @@
 		for _, x := range a.Exits {
 			fmt.Printf("%s: %s\n", a.Name, x)
 		}
-		if a.Result.Planner.Kills > 0 {
-			fmt.Printf("%s: controller killed %d times, of these %d onto an older disk or none, stalled %d times\n", a.Name, a.Result.Planner.Kills, a.Result.Planner.Old,
-				a.Result.Planner.Stalls)
+		if a.Result.Controller.Kills > 0 {
+			fmt.Printf("%s: controller killed %d times, of these %d onto an older disk or none, stalled %d times\n", a.Name, a.Result.Controller.Kills, a.Result.Controller.Rollbacks,
+				a.Result.Controller.Stalls)
 		}
 		if o := a.Result.Objects; o.Requests() > 0 {
 			fmt.Printf("%s: objects: %v\n", a.Name, o)
--- a/internal/cli/scenarioages.go
+++ b/internal/cli/scenarioages.go
@@ -37,14 +37,14 @@
 		if err != nil {
 			return err
 		}
-		r, err := scenario.Run(ctx, one, scenario.Options{Seed: c.Seed, Host: []string{self, "gateway", "--bound"}, Arm: name, Logs: logs})
+		r, err := scenario.Run(ctx, one, scenario.Options{Seed: c.Seed, Gateway: []string{self, "gateway", "--bound"}, Arm: name, Logs: logs})
 		if err != nil {
 			return err
 		}
-		startup := audit.JudgeStartup(r.Header, r.Seen, startupSpan)
+		startup := audit.JudgeStartup(r.Header, r.Observations, startupSpan)
 		rules := "kept"
-		if !r.Verdict.Kept() || len(r.Exits) > 0 {
-			rules, broken = fmt.Sprint("BROKEN ", r.Verdict.Violations[1:], r.Exits), broken+1
+		if !r.Verdict.Kept() || len(r.FailedExits) > 0 {
+			rules, broken = fmt.Sprint("BROKEN ", r.Verdict.Violations[1:], r.FailedExits), broken+1
 		}
 		if i < 0 {
 			up = startup.Share
--- a/internal/cli/scenarioimport.go
+++ b/internal/cli/scenarioimport.go
@@ -21,7 +21,7 @@
 
 // Run turns a simulator's day into a scenario.
 func (c *scenarioImport) Run() error {
-	d, notes, err := scenario.Import(c.Day, scenario.Scale{Hosts: max(c.Gateways, 1), Bricks: max(c.Endpoints, 1), Length: c.Length})
+	d, notes, err := scenario.Import(c.Day, scenario.Scale{Gateways: max(c.Gateways, 1), Endpoints: max(c.Endpoints, 1), Length: c.Length})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	o := scenario.Options{Seed: c.Seed, Host: []string{self, "gateway", "--bound"}}
+	o := scenario.Options{Seed: c.Seed, Gateway: []string{self, "gateway", "--bound"}}
 	fmt.Fprintln(os.Stderr, "recording", d.Name, "for", d.Length)
 	l, err := verify.Record(ctx, d, o)
 	if err != nil {
--- a/internal/scenario/importday.go
+++ b/internal/scenario/importday.go
@@ -15,8 +15,8 @@
 
 // Scale bounds what an imported day may take of this machine.
 type Scale struct {
-	Hosts, Bricks int
-	Length        time.Duration
+	Gateways, Endpoints int
+	Length              time.Duration
 }
 
 // day is the part of a bench day file that a drill can be made of. Times are in microseconds.
@@ -163,7 +163,7 @@
 		im.note("the day's %s take %s: troubles begin and end, bricks warm up and leads move in proportion; targets and time-outs stay",
 			us(im.Length), im.scale.Length)
 	}
-	hosts := min(len(im.Balancers), im.scale.Hosts)
+	hosts := min(len(im.Balancers), im.scale.Gateways)
 	if hosts < len(im.Balancers) {
 		im.note("%d of %d hosts", hosts, len(im.Balancers))
 	}
@@ -205,7 +205,7 @@
 	}
 	n := 0
 	for _, s := range im.Servers {
-		if !s.Up || n == im.scale.Bricks || s.Kind < 0 || s.Kind >= len(t.Kinds) {
+		if !s.Up || n == im.scale.Endpoints || s.Kind < 0 || s.Kind >= len(t.Kinds) {
 			continue
 		}
 		n++
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -25,7 +25,7 @@
 	Wrong                                int // reads that gave other bytes than any that may be there
 	Lost                                 int // names that were answered and are not there
 	Checked                              int // names looked at once all was over
-	First                                string
+	FirstError                           string
 }
 
 // Requests is the number of requests sent.
@@ -36,7 +36,7 @@
 
 func (o ObjectCounts) String() string {
 	return fmt.Sprintf("%d puts, %d in parts, %d reads, %d of ranges, %d deletes; %d failed; %d names looked at in the end; %d wrong, %d lost %s", o.Puts, o.Uploads, o.Gets,
-		o.Ranges, o.Deletes, o.Failed, o.Checked, o.Wrong, o.Lost, o.First)
+		o.Ranges, o.Deletes, o.Failed, o.Checked, o.Wrong, o.Lost, o.FirstError)
 }
 
 // content is an object's bytes, made anew from its seed.
@@ -239,8 +239,8 @@
 		} else {
 			s.Lost++
 		}
-		if s.First == "" {
-			s.First = fmt.Sprintf("(first: %s/%s, %d bytes from %d of %d, there %v, %d may be)", n.volume, n.name, len(got), from, size, there, len(n.may))
+		if s.FirstError == "" {
+			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes from %d of %d, there %v, %d may be)", n.volume, n.name, len(got), from, size, there, len(n.may))
 		}
 	})
 }
--- a/internal/scenario/planner.go
+++ b/internal/scenario/planner.go
@@ -35,18 +35,18 @@
 	exited   chan struct{}
 	stopped  bool // by SIGSTOP
 	over     bool
-	troubles PlannerTroubles
+	troubles ControllerFaults
 }
 
-// Calm is a drill whose planner is left in peace.
-func Calm(d *pb.Drill) *pb.Drill {
+// WithoutControllerFaults is a drill whose planner is left in peace.
+func WithoutControllerFaults(d *pb.Drill) *pb.Drill {
 	c := proto.Clone(d).(*pb.Drill)
 	c.Trouble = slices.DeleteFunc(c.Trouble, func(t *pb.Trouble) bool { return t.Kind >= pb.Trouble_PLANNER_KILL })
 	return c
 }
 
 func (r *runner) startPlanner(ctx context.Context) error {
-	if len(r.o.Planner) == 0 {
+	if len(r.o.Controller) == 0 {
 		return fmt.Errorf("drill %s needs a planner, and no program was given for one", r.d.Name)
 	}
 	l, err := net.Listen("tcp", r.ip+":0") // its port stays its own: no other run uses the address
@@ -82,7 +82,7 @@
 	if p.over {
 		return nil
 	}
-	cmd := exec.Command(p.r.o.Planner[0], append(slices.Clone(p.r.o.Planner[1:]), "--config", p.file)...)
+	cmd := exec.Command(p.r.o.Controller[0], append(slices.Clone(p.r.o.Controller[1:]), "--config", p.file)...)
 	cmd.Env = append(os.Environ(), p.r.o.Env...)
 	tail := &tail{to: p.r.o.Logs}
 	cmd.Stderr = tail
@@ -179,16 +179,16 @@
 	}
 }
 
-func (p *plannerProcess) went() PlannerTroubles {
+func (p *plannerProcess) went() ControllerFaults {
 	if p == nil {
-		return PlannerTroubles{}
+		return ControllerFaults{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.troubles
 }
 
-func (p *plannerProcess) count(f func(t *PlannerTroubles)) {
+func (p *plannerProcess) count(f func(t *ControllerFaults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.troubles)
@@ -207,7 +207,7 @@
 			if !wait(ctx, at.Add(time.Duration(rng.Int63n(int64(max(every/2, time.Millisecond)))))) {
 				return
 			}
-			p.count(func(t *PlannerTroubles) { t.Kills++ })
+			p.count(func(t *ControllerFaults) { t.Kills++ })
 			p.end()
 			if !wait(ctx, time.Now().Add(back)) || p.start(ctx) != nil {
 				return
@@ -236,7 +236,7 @@
 				return
 			}
 		}
-		p.count(func(t *PlannerTroubles) { t.Kills++; t.Old++ })
+		p.count(func(t *ControllerFaults) { t.Kills++; t.Rollbacks++ })
 		p.end()
 		_ = os.Remove(p.disk)
 		if every > 0 {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -64,35 +64,35 @@
 // Options say how a drill is run.
 type Options struct {
 	Seed int64
-	// Host is the command that runs a host; "--config FILE" is added.
-	Host []string
-	Env  []string
+	// Gateway is the command that runs a host; "--config FILE" is added.
+	Gateway []string
+	Env     []string
 	// Arm names what decides in the hosts.
 	Arm string
 	// Logs takes what the hosts log; nil: nowhere.
 	Logs io.Writer
-	// State lets hosts log what they hold this often, as JSON; 0: not.
-	State time.Duration
-	// Planner is the command that runs a planner; "--config FILE" is added. Drills with a planner need it.
-	Planner []string
+	// StateInterval lets hosts log what they hold this often, as JSON; 0: not.
+	StateInterval time.Duration
+	// Controller is the command that runs a planner; "--config FILE" is added. Drills with a planner need it.
+	Controller []string
 	// Capture lets hosts record their load into this folder.
 	Capture string
-	// Blur is how late the observer may read; 0: 50 ms.
-	Blur time.Duration
+	// ObservationTolerance is how late the observer may read; 0: 50 ms.
+	ObservationTolerance time.Duration
 }
 
 // Result is a drill's record and verdict.
 type Result struct {
-	Header  *pb.Header
-	Seen    []*pb.Seen
-	Verdict *audit.Verdict
-	Exits   []string // of hosts told to stop that did not end well
-	Planner PlannerTroubles
-	Objects ObjectCounts
+	Header       *pb.Header
+	Observations []*pb.Seen
+	Verdict      *audit.Verdict
+	FailedExits  []string // of hosts told to stop that did not end well
+	Controller   ControllerFaults
+	Objects      ObjectCounts
 }
 
-// PlannerTroubles counts what a planner went through.
-type PlannerTroubles struct{ Kills, Old, Stalls int }
+// ControllerFaults counts what a planner went through.
+type ControllerFaults struct{ Kills, Rollbacks, Stalls int }
 
 type hostProcess struct {
 	no          int
@@ -141,8 +141,8 @@
 
 // Run plays a drill to its end.
 func Run(ctx context.Context, d *pb.Drill, o Options) (*Result, error) {
-	if o.Blur == 0 {
-		o.Blur = 50 * time.Millisecond
+	if o.ObservationTolerance == 0 {
+		o.ObservationTolerance = 50 * time.Millisecond
 	}
 	dir, err := os.MkdirTemp("", "weirhaven-drill-")
 	if err != nil {
@@ -160,9 +160,9 @@
 		return nil, err
 	}
 	h := &pb.Header{Seed: o.Seed, Drill: d.Name, Fleet: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Hosts: d.Hosts,
-		Blur: int64(o.Blur), Arm: o.Arm}
+		Blur: int64(o.ObservationTolerance), Arm: o.Arm}
 	seen := r.rec.All()
-	return &Result{Header: h, Seen: seen, Verdict: audit.Judge(h, seen), Exits: r.exits, Planner: r.plan.went(), Objects: r.works.counts()}, nil
+	return &Result{Header: h, Observations: seen, Verdict: audit.Judge(h, seen), FailedExits: r.exits, Controller: r.plan.went(), Objects: r.works.counts()}, nil
 }
 
 func (r *runner) run(ctx context.Context) (err error) {
@@ -457,8 +457,8 @@
 	if r.o.Capture != "" {
 		e.Capture = &pb.Capture{Folder: r.o.Capture, Key: filepath.Join(r.dir, "key"), On: true}
 	}
-	if r.o.State > 0 {
-		e.Log = &pb.Log{Form: "json", State: r.o.State.String()}
+	if r.o.StateInterval > 0 {
+		e.Log = &pb.Log{Form: "json", State: r.o.StateInterval.String()}
 	}
 	n := 0
 	for _, g := range r.d.Volumes {
@@ -483,7 +483,7 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(r.o.Host[0], append(slices.Clone(r.o.Host[1:]), "--config", file)...)
+	cmd := exec.Command(r.o.Gateway[0], append(slices.Clone(r.o.Gateway[1:]), "--config", file)...)
 	cmd.Env = append(os.Environ(), r.o.Env...)
 	tail := &tail{to: r.o.Logs}
 	cmd.Stderr = tail
@@ -640,8 +640,8 @@
 	return f
 }
 
-// Stretch makes a drill that is so long, its troubles played again and again.
-func Stretch(d *pb.Drill, length time.Duration) *pb.Drill {
+// Extend makes a drill that is so long, its troubles played again and again.
+func Extend(d *pb.Drill, length time.Duration) *pb.Drill {
 	long := proto.Clone(d).(*pb.Drill)
 	long.Length, long.Trouble = length.String(), nil
 	once := settings.Duration(d.Length, length)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -107,7 +107,7 @@
 func (w *wrong) Log(line string) { w.Runtime.Log(line) }
 
 func options(seed int64, rule int) Options {
-	return Options{Seed: seed, Host: []string{os.Args[0], "edge"}, Env: []string{"WRONG=" + strconv.Itoa(rule)}, Blur: 100 * time.Millisecond}
+	return Options{Seed: seed, Gateway: []string{os.Args[0], "edge"}, Env: []string{"WRONG=" + strconv.Itoa(rule)}, ObservationTolerance: 100 * time.Millisecond}
 }
 
 // short is the bad day cut down to a few seconds with the troubles given.
@@ -144,7 +144,7 @@
 				strings.Join(b.Trace, "\n"))
 		}
 	}
-	for _, x := range r.Exits {
+	for _, x := range r.FailedExits {
 		t.Error(x)
 	}
 }
@@ -212,10 +212,10 @@
 		trouble { kind: PLANNER_OLD at: "6200ms" back: "100ms" }
 		trouble { kind: PLANNER_STALL at: "7s" length: "800ms" }`), extra)
 	d.Length, d.Trouble = "8s", extra.Trouble
-	r := play(t, d, Options{Seed: 2, Host: []string{os.Args[0], "edge"}, Planner: []string{os.Args[0], "planner"}})
+	r := play(t, d, Options{Seed: 2, Gateway: []string{os.Args[0], "edge"}, Controller: []string{os.Args[0], "planner"}})
 	complain(t, r)
-	if s := r.Verdict.Total().Share(); s < 0.85 || r.Planner.Kills < 5 || r.Planner.Old != 2 || r.Planner.Stalls != 1 {
-		t.Errorf("service %.3f, %+v", s, r.Planner)
+	if s := r.Verdict.Total().Share(); s < 0.85 || r.Controller.Kills < 5 || r.Controller.Rollbacks != 2 || r.Controller.Stalls != 1 {
+		t.Errorf("service %.3f, %+v", s, r.Controller)
 	}
 }
 
@@ -233,7 +233,7 @@
 		trouble { kind: PREEMPT at: "2s" length: "400ms" on: 2 back: "300ms" }
 		trouble { kind: HOST_CRASH at: "3s" on: 0 back: "300ms" }`), extra)
 	d.Length, d.Trouble = "5s", extra.Trouble
-	r := play(t, d, Options{Seed: 3, Host: []string{os.Args[0], "edge"}})
+	r := play(t, d, Options{Seed: 3, Gateway: []string{os.Args[0], "edge"}})
 	complain(t, r)
 	if o := r.Objects; !o.Good() || o.Checked != 54 || o.Puts < 100 || o.Failed > o.Requests()/10 {
 		t.Error(o)
