--- a/internal/fake/direct/direct.go
+++ b/internal/fake/direct/direct.go
@@ -77,8 +77,8 @@
 }
 
 // BeginEndpointList implements engine.Scheduler.
-func (s *scheduler) BeginEndpointList(whole bool) {
-	if whole {
+func (s *scheduler) BeginEndpointList(complete bool) {
+	if complete {
 		s.endpoints = nil
 	}
 }
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -156,7 +156,7 @@
 const copyBufferSize = 16 << 10 // bytes
 
 // forward copies one direction until it ends, then ends both sides in the same way: a reset is forwarded as a reset. When a
-// gateway closes only its sending direction, both sides are closed all the same: its requests are cancelled, as after a close.
+// gateway closes only its sending direction, both sides are closed all the same: its requests are canceled, as after a close.
 func (p *Proxy) forward(x *pair, to, from net.Conn) {
 	defer func() { _ = from.Close() }()
 	buffer := make([]byte, copyBufferSize)
--- a/internal/fake/storagenode/job.go
+++ b/internal/fake/storagenode/job.go
@@ -26,7 +26,7 @@
 	declaredTimeout time.Duration // time to the deadline, as the gateway sent it
 	body            []byte
 	healthCheck     bool
-	cancelled       bool
+	canceled        bool
 }
 
 // receive queues an attempt, or answers it at once if it fails, is rejected or needs no work.
@@ -108,6 +108,6 @@
 	}
 	n.queue = slices.DeleteFunc(n.queue, func(j *job) bool { return j.connection == from && j.id == id })
 	if j := n.current; j != nil && j.connection == from && j.id == id && n.config.Kind.Cancel == pb.BrickKind_STOPS {
-		j.cancelled = true
+		j.canceled = true
 	}
 }
--- a/internal/fake/storagenode/worker.go
+++ b/internal/fake/storagenode/worker.go
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// execute works on a job. It returns false if the job was cancelled or the node stopped before the job was complete.
+// execute works on a job. It returns false if the job was canceled or the node stopped before the job was complete.
 func (n *Node) execute(j *job, timer *time.Timer) bool {
 	last := time.Now()
 	for remaining := j.work; remaining > 0; {
 		n.mu.Lock()
-		speed, cancelled := n.speed(last), j.cancelled
+		speed, canceled := n.speed(last), j.canceled
 		n.mu.Unlock()
-		if cancelled {
+		if canceled {
 			return false
 		}
 		slice := workSlice
--- a/internal/soak/connection.go
+++ b/internal/soak/connection.go
@@ -21,16 +21,16 @@
 // maxResponseBody is the longest body that a client reads, in bytes.
 const maxResponseBody = 1 << 20
 
-// errOutOfService says that the platform sends no new clients to a process.
+// errOutOfService is the error for a new connection to a process that takes no new clients.
 var errOutOfService = errors.New("the process is out of service")
 
-// connection leads from a client to a process.
+// connection is a connection from a client to a process.
 type connection struct {
 	conn   net.Conn
 	reader *http1.Reader
-	reused bool // a response came on it
+	reused bool // at least one response has arrived on it
 
-	incarnation uint32 // of the process that it leads to
+	incarnation uint32 // incarnation of the process
 }
 
 // connect returns an idle connection to a process, or a new one if there is none or forceNew is set.
@@ -87,7 +87,7 @@
 	l.awaitResponse(q, c)
 }
 
-// abandon closes a connection before its response.
+// abandon disconnects a client before its response and records when.
 func (l *load) abandon(q request, c *connection) {
 	l.mu.Lock()
 	l.abandoned[q.number] = l.run.recorder.Now()
@@ -95,7 +95,7 @@
 	_ = c.conn.Close()
 }
 
-// awaitResponse waits for the response, and for half a second beyond the request's timeout.
+// awaitResponse waits for the response, until some time after the request's timeout: a late response is recorded as such.
 func (l *load) awaitResponse(q request, c *connection) {
 	deadline := time.AfterFunc(requestTimeout, func() {
 		l.run.recorder.See(&pb.Seen{What: pb.Seen_GIVEN_UP, Host: uint32(q.process), Command: q.number})
@@ -117,7 +117,7 @@
 	l.release(q.process, c)
 }
 
-// readResponse reads a whole response.
+// readResponse reads a complete response.
 func (c *connection) readResponse() (*http1.Head, []byte, error) {
 	if err := c.reader.Await(); err != nil {
 		return nil, nil, err
@@ -130,13 +130,13 @@
 	return head, body, err
 }
 
-// isTimeout reports whether a read ended by its deadline.
+// isTimeout reports whether a read failed because of its deadline.
 func isTimeout(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-// holdIdle holds connections to a process that send nothing, or half of a request, until ctx ends.
+// holdIdle holds idle connections to a process until ctx ends. If partial is set, each has sent the beginning of a request.
 func (l *load) holdIdle(ctx context.Context, process, count int, partial bool) {
 	var held []net.Conn
 	for range count {
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -18,7 +18,7 @@
 	node    *storagenode.Node
 	proxy   *proxy.Proxy
 	entry   agent.Server
-	retired bool // it drains, or has left the list
+	retired bool // it is draining or removed from the list
 }
 
 // startEndpoints starts one endpoint for each shard.
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// startEndpoint starts the endpoint of a shard and publishes it. With warmingUp it goes through slow start, else it counts as
-// having run for long.
+// startEndpoint starts the endpoint of a shard and publishes it. If warmingUp is set, the endpoint goes through slow start;
+// otherwise it counts as warm.
 func (r *run) startEndpoint(shard int, warmingUp bool) error {
 	r.mu.Lock()
 	r.serial++
@@ -72,7 +72,7 @@
 	return slices.Clone(r.endpoints)
 }
 
-// replace starts another endpoint of the shard and drains the old one, which leaves the list later.
+// replace starts another endpoint of the shard and drains the old one, which is removed from the list after notifyWithin.
 func (r *run) replace(ctx context.Context, old *endpoint) {
 	r.mu.Lock()
 	alreadyRetired := old.retired
@@ -91,7 +91,7 @@
 	r.publish(old)
 }
 
-// publish sets the endpoint's state in discovery. Each process counts as notified after notifyWithin at the latest.
+// publish sets the endpoint's entry in discovery. Each process counts as notified after notifyWithin at the latest.
 func (r *run) publish(e *endpoint) {
 	r.discovery.Set(e.entry)
 	for _, p := range r.processes {
@@ -99,7 +99,7 @@
 	}
 }
 
-// recordEntry records that a process knows an entry of the endpoint list.
+// recordEntry records that a process was notified of an endpoint's entry.
 func (r *run) recordEntry(p *process, entry agent.Server) {
 	state, age := "serving", int64(-1)
 	if entry.Phase != agent.InService {
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// faultKind is one entry of the catalog. inject keeps the fault up until ctx ends, and then undoes it.
+// faultKind is one entry of the fault catalog. inject keeps the fault active until ctx ends, then undoes it.
 type faultKind struct {
 	name   string
 	inject func(ctx context.Context, r *run, rng *rand.Rand)
 }
 
-// faultKinds is the catalog. Its order matters: a seed draws by index.
+// faultKinds is the fault catalog. Its order determines which faults a seed draws.
 var faultKinds = []faultKind{
 	{"stop", stopProcesses},
 	{"kill", killProcesses},
@@ -59,26 +59,26 @@
 	return names
 }
 
-// Times of the script.
+// Timing of the faults.
 const (
-	quietPeriod         = 2 * time.Second // before the first fault, and after the last
+	quietPeriod         = 2 * time.Second // half of it passes before the first fault, all of it after the last
 	minFaultLength      = 500 * time.Millisecond
 	maxFaultLength      = 4 * time.Second
-	meanFaultInterval   = 600 * time.Millisecond // between the beginnings of two faults
+	meanFaultInterval   = 600 * time.Millisecond // mean time between the beginnings of two faults
 	maxConcurrentFaults = 3
-	maxThinkTime        = 50 * time.Millisecond   // of a flooding client between two requests
-	agentDelay          = 3500 * time.Millisecond // before a slowed agent answers a watch, at most
+	maxThinkTime        = 50 * time.Millisecond   // longest pause of a flooding client between two requests
+	agentDelay          = 3500 * time.Millisecond // time before a slowed agent answers a watch
 )
 
-// activeFaults counts the faults of a run and holds those that are up now.
+// activeFaults counts the faults of a run and tracks the active ones.
 type activeFaults struct {
 	mu          sync.Mutex
 	running     map[string]bool
-	injected    int
-	overlapping int
+	injected    int // faults so far
+	overlapping int // faults that began while another one was active
 }
 
-// begin claims a fault. It returns false if the fault is up already, or if maxConcurrentFaults are.
+// begin marks a fault as active. It returns false if the fault or maxConcurrentFaults others are already active.
 func (a *activeFaults) begin(name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,14 +95,15 @@
 	return true
 }
 
-// end releases a fault that begin claimed.
+// end marks a fault as no longer active.
 func (a *activeFaults) end(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.running, name)
 }
 
-// injectFaults draws faults until shortly before ctx ends. Whoever waits for r.faultGroup waits for those still up.
+// injectFaults injects random faults until shortly before the end of the load. Some may still be active when it returns: wait
+// for r.faultGroup.
 func (r *run) injectFaults(ctx context.Context, rng *rand.Rand) {
 	enabled := r.enabledFaults()
 	if len(enabled) == 0 {
@@ -116,7 +117,7 @@
 	}
 }
 
-// enabledFaults returns the faults that the options choose, in the order of the catalog.
+// enabledFaults returns the faults that the options select, in the order of the catalog.
 func (r *run) enabledFaults() []faultKind {
 	if len(r.options.Faults) == 0 {
 		return faultKinds
@@ -124,7 +125,7 @@
 	return slices.DeleteFunc(slices.Clone(faultKinds), func(kind faultKind) bool { return !slices.Contains(r.options.Faults, kind.name) })
 }
 
-// injectOne draws a fault and injects it, unless it or maxConcurrentFaults are up.
+// injectOne draws a fault and injects it, unless it or maxConcurrentFaults others are already active.
 func (r *run) injectOne(ctx context.Context, enabled []faultKind, rng *rand.Rand) {
 	kind := enabled[rng.Intn(len(enabled))]
 	length := minFaultLength + time.Duration(rng.Int63n(int64(maxFaultLength-minFaultLength)))
@@ -143,7 +144,7 @@
 	}()
 }
 
-// wait returns after d, or when ctx ends if that is earlier.
+// wait waits for d or until ctx ends, whichever is earlier.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -151,14 +152,14 @@
 	}
 }
 
-// pickSome draws from 1 up to a divisor-th of all, and at least 1.
+// pickSome draws a random number of items, from 1 to len(all)/divisor.
 func pickSome[T any](rng *rand.Rand, all []T, divisor int) []T {
 	picked := slices.Clone(all)
 	rng.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
 	return picked[:1+rng.Intn(max(len(picked)/divisor, 1))]
 }
 
-// forEachConcurrently calls work for each item in a goroutine of its own and waits for them all.
+// forEachConcurrently calls work for each item in its own goroutine and waits for all of them.
 func forEachConcurrently[T any](all []T, work func(T)) {
 	var wg sync.WaitGroup
 	for _, item := range all {
--- a/internal/soak/fault_client.go
+++ b/internal/soak/fault_client.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// setUntilDone sets a percentage or multiple until ctx ends, and then the normal value.
+// setUntilDone sets a percentage or multiple to value until ctx ends, then to normal.
 func (h *clientBehavior) setUntilDone(ctx context.Context, setting interface{ Store(int32) }, value, normal int32) {
 	setting.Store(value)
 	<-ctx.Done()
 	setting.Store(normal)
 }
 
-// abandonRequests lets clients close their connections before the response.
+// abandonRequests makes clients disconnect before the response for 40 % of their requests.
 func abandonRequests(ctx context.Context, r *run, _ *rand.Rand) {
 	r.load.behavior.setUntilDone(ctx, &r.load.behavior.abandonPercent, 40, 0)
 }
 
-// sendPiecewise lets clients send their requests in two pieces.
+// sendPiecewise makes clients send 60 % of their requests in two pieces.
 func sendPiecewise(ctx context.Context, r *run, _ *rand.Rand) {
 	r.load.behavior.setUntilDone(ctx, &r.load.behavior.piecewisePercent, 60, 0)
 }
 
-// reconnectClients lets clients open a new connection for most requests.
+// reconnectClients makes clients open a new connection for 90 % of their requests.
 func reconnectClients(ctx context.Context, r *run, _ *rand.Rand) {
 	r.load.behavior.setUntilDone(ctx, &r.load.behavior.newConnectionPercent, 90, 0)
 }
@@ -34,7 +34,7 @@
 	r.load.behavior.setUntilDone(ctx, &r.load.behavior.rateMultiple, 4, 1)
 }
 
-// pauseThenBurst lets no client send for a while, and then all.
+// pauseThenBurst pauses all clients until ctx ends, then multiplies the request rate for a second.
 func pauseThenBurst(ctx context.Context, r *run, _ *rand.Rand) {
 	r.load.behavior.paused.Store(true)
 	<-ctx.Done()
@@ -44,8 +44,8 @@
 	r.load.behavior.setUntilDone(burst, &r.load.behavior.rateMultiple, 6, 1)
 }
 
-// floodWithClients lets more clients send at once than a process holds connections for, each on a new connection and in
-// two pieces.
+// floodWithClients makes as many clients send at once as a process may have connections, in addition to its usual ones. Each
+// sends its requests on new connections and in two pieces.
 func floodWithClients(ctx context.Context, r *run, rng *rand.Rand) {
 	seed := rng.Int63()
 	forEachConcurrently(pickSome(rng, r.processes, 8), func(p *process) {
@@ -62,7 +62,7 @@
 	})
 }
 
-// holdIdleConnections fills the descriptors of some processes with connections that send nothing, or half of a request.
+// holdIdleConnections uses up the descriptors of some processes with connections that send nothing or a partial request.
 func holdIdleConnections(ctx context.Context, r *run, rng *rand.Rand) {
 	r.load.behavior.socketsExhausted.Store(true)
 	partial := rng.Intn(2) == 0
@@ -70,7 +70,7 @@
 	time.AfterFunc(time.Second, func() { r.load.behavior.socketsExhausted.Store(false) })
 }
 
-// floodFromOneClient sends one request after the other until ctx ends.
+// floodFromOneClient sends requests one after the other until ctx ends.
 func (l *load) floodFromOneClient(ctx context.Context, process int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		q := l.drawRequest(process, rng)
--- a/internal/soak/fault_discovery.go
+++ b/internal/soak/fault_discovery.go
@@ -7,7 +7,7 @@
 	"weirhaven/internal/fake/agent"
 )
 
-// stopDiscovery takes discovery down. Processes miss the changes meanwhile and are due to learn them once it is back.
+// stopDiscovery takes discovery down. Processes miss changes meanwhile and are notified of them when it is back.
 func stopDiscovery(ctx context.Context, r *run, _ *rand.Rand) {
 	set := func(down bool) {
 		r.mu.Lock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// silenceWatches lets open watches fall silent for good; new ones work.
+// silenceWatches makes the open watches of some processes silent for good; new ones work.
 func silenceWatches(_ context.Context, r *run, rng *rand.Rand) {
 	r.forSomeAgents(rng, 2, (*agent.Agent).Silence)
 }
@@ -53,7 +53,7 @@
 	r.forSomeAgents(rng, 1, (*agent.Agent).Reset)
 }
 
-// slowAgents delays the answer to each new watch, and resets the open ones so that new ones are needed.
+// slowAgents delays the response to new watches, and resets the open ones so that processes open new ones.
 func slowAgents(ctx context.Context, r *run, rng *rand.Rand) {
 	r.forSomeAgents(rng, 2, func(a *agent.Agent) {
 		a.Slow(agentDelay)
@@ -63,7 +63,7 @@
 	r.forAllAgents(func(a *agent.Agent) { a.Slow(0) })
 }
 
-// rejectWatches answers new watches with an error, and resets the open ones so that new ones are needed.
+// rejectWatches answers new watches with an error, and resets the open ones so that processes open new ones.
 func rejectWatches(ctx context.Context, r *run, rng *rand.Rand) {
 	r.forSomeAgents(rng, 2, func(a *agent.Agent) {
 		a.Refuse(true)
--- a/internal/soak/fault_network.go
+++ b/internal/soak/fault_network.go
@@ -8,7 +8,7 @@
 	"weirhaven/internal/fake/proxy"
 )
 
-// withNetworkFault sets a fault of the network in front of some endpoints until ctx ends.
+// withNetworkFault sets a network fault at the proxies of some endpoints until ctx ends.
 func (r *run) withNetworkFault(ctx context.Context, rng *rand.Rand, divisor int, fault proxy.Fault) {
 	chosen := pickSome(rng, r.currentEndpoints(), divisor)
 	for _, e := range chosen {
--- a/internal/soak/fault_process.go
+++ b/internal/soak/fault_process.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// restart starts a process again; one that can't be started is a violation.
+// restart starts a process again and reports a violation if it can't be started.
 func (r *run) restart(p *process) {
 	if err := p.start(); err != nil {
 		r.report(Violation{Rule: "start", Process: p.name(), At: r.recorder.Now(), Detail: err.Error(), Log: p.path(".log")})
 	}
 }
 
-// restartAfter ends a process and starts it again, unless another fault does so just now: two processes would want one address.
+// restartAfter ends a process and starts it again, unless another fault is already restarting it: two processes would need the
+// same address.
 func (r *run) restartAfter(p *process, end func()) {
 	if !p.restarting.TryLock() {
 		return
@@ -66,7 +67,7 @@
 	})
 }
 
-// reloadHalfWritten signals processes while their new configuration is being written.
+// reloadHalfWritten signals processes while their configuration file is half written, then reloads them.
 func reloadHalfWritten(_ context.Context, r *run, rng *rand.Rand) {
 	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
 		p.mu.Lock()
@@ -86,7 +87,7 @@
 	})
 }
 
-// throttleProcesses suspends processes for 50 to 150 ms, repeatedly, as a scheduler that takes the CPU away does.
+// throttleProcesses suspends processes for 50 to 150 ms, repeatedly, as CPU throttling does.
 func throttleProcesses(ctx context.Context, r *run, rng *rand.Rand) {
 	for chosen := pickSome(rng, r.processes, 3); ctx.Err() == nil; wait(ctx, 200*time.Millisecond) {
 		held := 50*time.Millisecond + time.Duration(rng.Int63n(int64(100*time.Millisecond)))
--- a/internal/soak/fault_signals.go
+++ b/internal/soak/fault_signals.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Times between signals of a series.
+// Delays of the signals of a series.
 const (
 	repeatedSignalDelay = 100 * time.Millisecond
-	maxStartDelay       = 40 * time.Millisecond // before a process that starts is told to stop, at most
-	idleFillDelay        = 300 * time.Millisecond
+	maxStartDelay       = 40 * time.Millisecond  // longest time between the start of a process and SIGTERM
+	idleFillDelay       = 300 * time.Millisecond // time for idle clients to use up the descriptors before SIGTERM
 )
 
-// signalSeries sends processes signals in series, each ending in a graceful shutdown, and starts them again.
+// signalSeries sends processes several signals in quick succession, each series with a graceful shutdown, and starts them
+// again.
 func signalSeries(_ context.Context, r *run, rng *rand.Rand) {
 	series := []func(p *process, rng *rand.Rand){reloadTwiceThenStop, stopTwice, stopDuringReload, reloadDuringStop, stopBeforeReady}
 	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
@@ -37,7 +38,7 @@
 	})
 }
 
-// stopDuringReload signals SIGTERM right behind SIGHUP: the new configuration is read meanwhile.
+// stopDuringReload sends SIGTERM right after SIGHUP, while the process reads the new configuration.
 func stopDuringReload(p *process, _ *rand.Rand) {
 	p.stopWith(func() {
 		p.reloadOrReport()
@@ -53,7 +54,7 @@
 	})
 }
 
-// stopBeforeReady stops the process, starts it again and stops that one while it starts.
+// stopBeforeReady stops the process, starts it again and stops it before it is ready.
 func stopBeforeReady(p *process, rng *rand.Rand) {
 	p.stop()
 	if err := p.launch(p.run.discovery.Whole()); err != nil {
@@ -64,7 +65,7 @@
 	p.stopStarting()
 }
 
-// stopStarting stops a process that is not ready yet. It may end by the signal itself, before it has taken hold of signals.
+// stopStarting stops a process that is not ready yet. SIGTERM may kill it, because its signal handler may not be installed.
 func (p *process) stopStarting() {
 	if !p.recordEnd("stopping") {
 		return
@@ -78,14 +79,14 @@
 	}
 }
 
-// reloadOrReport reloads the process; where that can't be done it is the run's fault and reported as such.
+// reloadOrReport reloads the process. It reports a failure of the run itself, not of the process, under the rule soak.
 func (p *process) reloadOrReport() {
 	if err := p.reload(); err != nil {
 		p.run.report(Violation{Rule: "soak", Process: p.name(), Detail: err.Error()})
 	}
 }
 
-// stopCrowded stops processes whose descriptors idle clients have filled and go on filling until the process ends.
+// stopCrowded stops processes whose descriptors are used up by idle clients. The clients stay connected until the process ends.
 func stopCrowded(ctx context.Context, r *run, rng *rand.Rand) {
 	r.load.behavior.socketsExhausted.Store(true)
 	partial := rng.Intn(2) == 0
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// maxProcessStall is how long a process may be held up between reading its clock and writing.
+	// maxProcessStall is the longest tolerated stall of a process between reading its clock and writing.
 	maxProcessStall = 150 * time.Millisecond
-	// observationDelay is how late the recorder may see what happened, on a machine that runs the whole fleet.
+	// observationDelay is the longest tolerated delay between an event and its record. One machine runs the whole fleet.
 	observationDelay = 150 * time.Millisecond
-	// abandonGrace is how long after its client closed an attempt may begin.
+	// abandonGrace is how long after its client has disconnected a request may still be sent to an endpoint.
 	abandonGrace = 100 * time.Millisecond
 )
 
-// judge judges the whole record, and the processes' own checks. The run is over.
+// judge checks the whole record and the processes' logs after the run, and returns the report.
 func (r *run) judge() *Report {
 	observations, rules := r.recorder.All(), auditHeader(r.options.Seed, len(r.processes))
-	if err := record.Write(r.directory, rules, observations); err != nil { // weirhavenctl audit judges it again
+	if err := record.Write(r.directory, rules, observations); err != nil { // for weirhavenctl audit, which can judge the record again
 		r.report(Violation{Rule: "soak", Detail: err.Error()})
 	}
 	verdict := audit.Judge(rules, observations)
@@ -43,7 +43,7 @@
 		Overlapping: r.faults.overlapping, Violations: r.violations}
 }
 
-// judgeDeadlines checks each attempt against its client's deadline, and against the moment at which the client closed.
+// judgeDeadlines checks each attempt against its client's deadline and against the time at which its client disconnected.
 func (r *run) judgeDeadlines(observations []*pb.Seen) {
 	requests := map[uint64]*pb.Seen{}
 	for _, s := range observations {
@@ -51,14 +51,14 @@
 		case pb.Seen_ASKED:
 			requests[s.Command] = s
 		case pb.Seen_REACHED:
-			if q := requests[s.Command]; q != nil {
-				r.judgeAttempt(q, s)
+			if request := requests[s.Command]; request != nil {
+				r.judgeAttempt(request, s)
 			}
 		}
 	}
 }
 
-// judgeAttempt checks one attempt: the time that it declares to the endpoint, and when it reached it.
+// judgeAttempt checks the remaining time that an attempt declares to the endpoint and the time at which it arrived there.
 func (r *run) judgeAttempt(request, arrival *pb.Seen) {
 	reachedAt := time.Duration(arrival.At)
 	remaining := time.Duration(request.At+request.Timeout) - reachedAt
@@ -77,12 +77,12 @@
 	abandonedAt, abandoned := r.load.abandoned[request.Command]
 	r.load.mu.Unlock()
 	if abandoned && reachedAt > abandonedAt+abandonGrace+slack {
-		violated("sent in time", "an attempt reached %s %v after its client had left", arrival.Brick, reachedAt-abandonedAt)
+		violated("sent in time", "an attempt reached %s %v after its client had disconnected", arrival.Brick, reachedAt-abandonedAt)
 	}
 }
 
-// judgeShutdowns checks requests that came after their process was told to stop: until it is killed it owes each of them an
-// answer. The audit excuses them, since gateways of the line protocol may take nothing new then.
+// judgeShutdowns checks that each request sent after SIGTERM gets a response, unless the process is killed. The audit doesn't
+// check these requests: gateways of the line protocol may refuse new requests during a shutdown.
 func (r *run) judgeShutdowns(observations []*pb.Seen) {
 	type incarnation struct {
 		process     uint32
@@ -100,17 +100,17 @@
 				killed[incarnation{s.Host, s.Incarnation}] = true
 			}
 		case pb.Seen_UNANSWERED:
-			q := requests[s.Command]
-			if q == nil || s.How != "host" || killed[incarnation{q.Host, q.Incarnation}] {
+			request := requests[s.Command]
+			if request == nil || s.How != "host" || killed[incarnation{request.Host, request.Incarnation}] {
 				continue
 			}
-			signaledAt, stopping := stopSignaled[incarnation{q.Host, q.Incarnation}]
-			if !stopping || time.Duration(q.At) < signaledAt-observationDelay {
+			signaledAt, stopping := stopSignaled[incarnation{request.Host, request.Incarnation}]
+			if !stopping || time.Duration(request.At) < signaledAt-observationDelay {
 				continue
 			}
-			p := r.processes[q.Host]
-			r.report(Violation{Rule: "lost while stopping", Request: q.Command, Process: p.name(), At: time.Duration(s.At),
-				Detail: fmt.Sprintf("sent %v after SIGTERM, no answer %v after it", time.Duration(q.At)-signaledAt, time.Duration(s.At)-signaledAt), Log: p.path(".log")})
+			p := r.processes[request.Host]
+			r.report(Violation{Rule: "lost while stopping", Request: request.Command, Process: p.name(), At: time.Duration(s.At),
+				Detail: fmt.Sprintf("sent %v after SIGTERM, no response %v after SIGTERM", time.Duration(request.At)-signaledAt, time.Duration(s.At)-signaledAt), Log: p.path(".log")})
 		}
 	}
 }
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -17,29 +17,29 @@
 // defaultRate is the mean number of requests a second at each process.
 const defaultRate = 12
 
-// clientBehavior is how clients misbehave now.
+// clientBehavior holds the current client faults.
 type clientBehavior struct {
-	abandonPercent       atomic.Int32 // of requests whose client closes before the response
-	piecewisePercent     atomic.Int32 // of requests that are sent in two pieces, slowly
-	newConnectionPercent atomic.Int32 // of requests that come on a new connection
-	rateMultiple         atomic.Int32 // of the usual request rate; 1 in usual moments
-	paused               atomic.Bool  // no client sends
-	socketsExhausted     atomic.Bool  // idle clients fill the descriptors: new connections may be closed unread
+	abandonPercent       atomic.Int32 // percentage of the requests whose client disconnects before the response
+	piecewisePercent     atomic.Int32 // percentage of the requests that are sent in two pieces with a delay between them
+	newConnectionPercent atomic.Int32 // percentage of the requests that are sent on a new connection
+	rateMultiple         atomic.Int32 // multiple of the usual request rate; 1 without a fault
+	paused               atomic.Bool  // clients send no requests
+	socketsExhausted     atomic.Bool  // idle clients use up the descriptors: processes may close new connections unread
 }
 
-// load is all clients of a run.
+// load is the clients of a run.
 type load struct {
 	run         *run
 	behavior    clientBehavior
 	ctx         context.Context
 	cancel      context.CancelFunc
 	group       sync.WaitGroup
-	lastRequest atomic.Uint64
-	pools       []connections // by process
+	lastRequest atomic.Uint64 // number of the last request
+	pools       []connections // idle connections, by process
 	seed        int64
 
 	mu        sync.Mutex
-	abandoned map[uint64]time.Duration // when a client closed before its response, by request
+	abandoned map[uint64]time.Duration // time at which a client disconnected before the response, by request
 }
 
 func newLoad(r *run, rng *rand.Rand) *load {
@@ -65,7 +65,7 @@
 	}
 }
 
-// stop ends the load once every request has its outcome, and closes the idle connections.
+// stop stops the load, waits until every request has its outcome and closes the idle connections.
 func (l *load) stop() {
 	l.cancel()
 	l.group.Wait()
@@ -93,7 +93,7 @@
 	}
 }
 
-// recordResponse records a whole response. A body that is not the endpoint's answer to this very request is a violation.
+// recordResponse records a complete response. It reports a violation if a body belongs to another request.
 func (l *load) recordResponse(q request, head *http1.Head, body []byte) {
 	outcome := map[int]string{200: lineproto.VerbServed, 429: lineproto.VerbRejected, 503: lineproto.VerbRejected}[head.Status]
 	if outcome == "" {
@@ -106,7 +106,8 @@
 	}
 }
 
-// recordNoResponse records that a connection ended, or a client stopped waiting, before the response, and whose fault it was.
+// recordNoResponse records that the connection ended or the client stopped waiting before the response, and which side
+// caused it.
 func (l *load) recordNoResponse(q request, c *connection, timedOut bool) {
 	cause := "host"
 	switch {
@@ -114,7 +115,7 @@
 		cause = "client"
 	case timedOut:
 	case c.reused, l.behavior.socketsExhausted.Load():
-		cause = "client" // it crossed the end between two requests, or met a full process: the client has to retry
+		cause = "client" // the process may close an idle connection, or any connection when its descriptors are used up: the client has to retry
 	}
 	l.run.recorder.See(&pb.Seen{What: pb.Seen_UNANSWERED, Host: uint32(q.process), Command: q.number, How: cause})
 }
@@ -125,7 +126,7 @@
 	l.recordNoResponse(q, c, timedOut)
 }
 
-// wasAbandoned reports whether the client closed its connection before the response.
+// wasAbandoned reports whether the client disconnected before the response.
 func (l *load) wasAbandoned(number uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -25,43 +25,44 @@
 	address     string
 	incarnation atomic.Uint32
 	serving     atomic.Bool
-	// stopSignaledAt is when the process was told to stop, in ns of the run; 0: it was not.
+	// stopSignaledAt is when the run began to stop the process, in ns since the beginning of the run; 0 before.
 	stopSignaledAt atomic.Int64
 
-	restarting sync.Mutex // held by the fault that ends the process and starts it again
+	restarting sync.Mutex // held by the fault that restarts the process
 
-	mu           sync.Mutex
-	agent        *agent.Agent
-	cmd          *exec.Cmd
-	exited       chan struct{}
-	exit         error
-	endedByRun bool // or killed
+	mu         sync.Mutex
+	agent      *agent.Agent
+	cmd        *exec.Cmd
+	exited     chan struct{}
+	exit       error
+	endedByRun bool // this run stopped or killed the process
 
-	suspensions []timeRange // longer than maxHold
+	suspensions []timeRange // suspensions longer than maxProcessStall
 
 	known struct {
 		sync.Mutex
-		notified map[string]int64 // the entryVersion last written to the process, by endpoint
+		notified map[string]int64 // entryVersion last written to the process, by endpoint
 	}
 }
 
 // Times of a process.
 const (
-	// notifyWithin is how long after a change, if discovery is up, a process counts as notified, whether it was or not.
+	// notifyWithin is the time after a change of the list at which a process counts as notified, even if it wasn't, unless
+	// discovery is down.
 	notifyWithin = 6 * time.Second
 	reloadWithin = 4 * time.Second
 	startTimeout = 10 * time.Second
 )
 
-// name is the process's name in its configuration and in file names.
+// name returns the process's name in its configuration and in file names.
 func (p *process) name() string { return fmt.Sprintf("g-%d", p.number) }
 
-// path is the process's file with an extension.
+// path returns the path of the process's file with an extension.
 func (p *process) path(extension string) string {
 	return filepath.Join(p.run.directory, p.name()+extension)
 }
 
-// makeProcesses gives each process its address and its agent.
+// makeProcesses creates the processes with their addresses and agents, without starting them.
 func (r *run) makeProcesses() error {
 	ip := loopback.IP()
 	for i := range r.options.Processes {
@@ -69,7 +70,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = listener.Close() }() // once all have their addresses
+		defer func() { _ = listener.Close() }() // at the end, so that no two processes get the same address
 		p := &process{run: r, number: i, address: listener.Addr().String()}
 		p.known.notified = map[string]int64{}
 		if p.agent, err = r.discovery.Listen(p.onNotified); err != nil {
@@ -99,7 +100,7 @@
 	return p.awaitReady(known)
 }
 
-// launch writes the configuration and starts the program.
+// launch writes the configuration and starts the program, without waiting until it is ready.
 func (p *process) launch(known agent.List) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +118,7 @@
 	cmd := exec.Command(p.run.options.Program[0], p.run.options.Program[1:]...)
 	cmd.Env = append(append(os.Environ(), p.run.options.Env...), "EDGE_CONFIG="+p.path(".json"))
 	cmd.Stderr = logFile
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives this program
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // so that no process outlives this program
 	if err := cmd.Start(); err != nil {
 		_ = logFile.Close()
 		return fmt.Errorf("start %s: %w", p.name(), err)
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// openLog opens what the process writes its log to.
+// openLog opens the destination of the process's log.
 func (p *process) openLog() (*os.File, error) {
 	if p.run.options.Logs == LogsKept {
 		return os.OpenFile(p.path(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -153,7 +154,7 @@
 	return writer, nil
 }
 
-// awaitReady waits until the process answers its readiness check.
+// awaitReady waits until the readiness check of the process succeeds.
 func (p *process) awaitReady(known agent.List) error {
 	began := time.Now()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -167,7 +168,7 @@
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended at its start: %w (log: %s)", p.name(), exitError(p.exit), p.path(".log"))
+			return fmt.Errorf("%s exited during startup: %w (log: %s)", p.name(), exitError(p.exit), p.path(".log"))
 		case <-time.After(20 * time.Millisecond):
 		}
 		if time.Since(began) > startTimeout {
@@ -182,10 +183,10 @@
 	return nil
 }
 
-// errExitedCleanly is the end of a process with exit status 0, which exec reports as no error.
+// errExitedCleanly stands for exit status 0, which exec doesn't report as an error.
 var errExitedCleanly = errors.New("exit status 0")
 
-// exitError returns the error with which a process ended; it is never nil.
+// exitError returns the exit error of a process, or errExitedCleanly if it is nil.
 func exitError(err error) error {
 	if err == nil {
 		return errExitedCleanly
--- a/internal/soak/process_control.go
+++ b/internal/soak/process_control.go
@@ -9,7 +9,7 @@
 	"weirhaven/internal/pb"
 )
 
-// signal sends a signal to the process if it runs.
+// signal sends a signal to the process unless it has exited.
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// reload moves the process to another agent, by a new configuration and SIGHUP. The old agent goes on for a moment.
+// reload moves the process to another agent by a new configuration and SIGHUP. The old agent is closed after reloadWithin/2.
 func (p *process) reload() error {
 	next, err := p.run.discovery.Listen(p.onNotified)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
 	if !p.recordEnd("killed") {
 		return
@@ -52,7 +52,7 @@
 	<-p.exited
 }
 
-// recordEnd records that this run ends the process. It returns false if it has done so before, or if the process never ran.
+// recordEnd records that this run ends the process. It returns false if that is already recorded or the process never ran.
 func (p *process) recordEnd(cause string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,8 +69,8 @@
 	p.stopWith(func() { p.signal(syscall.SIGTERM) })
 }
 
-// stopWith stops the process by the signals that send sends, the last of them SIGTERM or after it, and by SIGKILL after the longest
-// deadline and killGrace.
+// stopWith stops the process. send sends the signals, SIGTERM among them. SIGKILL follows after the longest deadline and
+// killGrace.
 func (p *process) stopWith(send func()) {
 	if !p.recordEnd("stopping") {
 		return
@@ -82,7 +82,7 @@
 	select {
 	case <-p.exited:
 		if p.exit != nil {
-			p.run.report(Violation{Rule: "crash", Process: p.name(), At: p.run.recorder.Now(), Detail: "told to stop: " + p.exit.Error(), Log: p.path(".log")})
+			p.run.report(Violation{Rule: "crash", Process: p.name(), At: p.run.recorder.Now(), Detail: "exited with an error after SIGTERM: " + p.exit.Error(), Log: p.path(".log")})
 		}
 	case <-kill.C:
 		_ = p.cmd.Process.Kill()
@@ -91,14 +91,14 @@
 	p.serving.Store(false)
 }
 
-// takesNewClients reports whether clients open connections to the process: the platform puts one to use once it is ready, and
-// takes one that stops out of service within newClientsAfterStop.
+// takesNewClients reports whether clients open new connections to the process: from its readiness until newClientsAfterStop
+// after SIGTERM, by which time the platform has taken a stopping process out of service.
 func (p *process) takesNewClients() bool {
 	since := time.Duration(p.stopSignaledAt.Load())
 	return p.serving.Load() && (since == 0 || p.run.recorder.Now()-since <= newClientsAfterStop)
 }
 
-// crashed reports whether the process ended by itself.
+// crashed reports whether the process exited without being stopped or killed by this run.
 func (p *process) crashed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// shutDownProcesses stops all processes and reports those that had ended by themselves.
+// shutDownProcesses stops all processes and reports those that had already crashed.
 func (r *run) shutDownProcesses() {
 	forEachConcurrently(r.processes, func(p *process) {
 		if p.crashed() {
--- a/internal/soak/process_log.go
+++ b/internal/soak/process_log.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// maxGoroutines bounds those of a process: two for each descriptor, and what it needs besides.
+// maxGoroutines is the most goroutines of a process: two for each descriptor, and some for the rest of the program.
 const maxGoroutines = 2*sockets + 50
 
-// stateLinePattern finds heap (bytes) and goroutines in a state line.
+// stateLinePattern matches a state line and captures its heap size in bytes and its number of goroutines.
 var stateLinePattern = regexp.MustCompile(`msg=state .*heap=(\d+) .*goroutines=(\d+)`)
 
-// parseDigits converts digits; a text that is none counts as 0.
+// parseDigits returns the number in text, or 0 if it is none.
 func parseDigits(text string) int {
 	n, _ := strconv.Atoi(text)
 	return n
 }
 
-// scanLog reads the process's log for broken invariants, panics, and state that exceeds its bounds.
+// scanLog searches the process's log for broken invariants, panics, fatal errors and state that exceeds its bounds.
 func (p *process) scanLog() (violations []Violation) {
 	logFile, err := os.Open(p.path(".log"))
 	if err != nil {
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -9,14 +9,14 @@
 type Report struct {
 	Seed        int64
 	Processes   int
-	Requests    int // that clients sent
-	Completed   int // that were answered with success
-	Faults      int // that were injected
-	Overlapping int // of Faults, those that began while another one was up
+	Requests    int // requests that clients sent
+	Completed   int // requests that succeeded
+	Faults      int // faults that were injected
+	Overlapping int // faults that began while another one was active
 	Violations  []Violation
 }
 
-// String is the last line that the command prints. Scripts read it: its text stays.
+// String returns the last line that the command prints. Scripts parse it, so its text must not change.
 func (r *Report) String() string {
 	return fmt.Sprintf("soak seed %d: %d processes, %d requests, %d troubles (%d overlapping), %d violations", r.Seed, r.Processes, r.Requests,
 		r.Faults, r.Overlapping, len(r.Violations))
@@ -24,15 +24,15 @@
 
 // Violation is one broken invariant.
 type Violation struct {
-	Rule    string        // the rule of package audit, or the check of this package
-	Request uint64        // 0: not about one request
-	Process string        // name; may be empty
-	At      time.Duration // since the beginning of the run; 0: at its end
+	Rule    string        // rule of package audit or check of this package
+	Request uint64        // number of the request; 0 if it concerns no single request
+	Process string        // name of the process; may be empty
+	At      time.Duration // time since the beginning of the run; 0: at its end
 	Detail  string
-	Log     string // file or folder to look into
+	Log     string // log file or directory with the details
 }
 
-// String describes the violation in one line, and the file to look into.
+// String returns a line with the violation and the log file to read.
 func (v Violation) String() string {
 	return fmt.Sprintf("VIOLATION %s: request %d, process %s, at %.3f s: %s (log: %s)", v.Rule, v.Request, v.Process, v.At.Seconds(), v.Detail, v.Log)
 }
--- a/internal/soak/request.go
+++ b/internal/soak/request.go
@@ -11,24 +11,24 @@
 // request is one request of a client.
 type request struct {
 	number        uint64
-	process       int
-	class         int
-	plan          int
+	process       int // number of the process that it is sent to
+	class         int // index in classes
+	plan          int // index in plans
 	volume        string
 	object        string
 	shard         int
 	units         int
-	piecewise     bool
-	abandonAfter  time.Duration // the client closes so long after it has sent; 0: it waits
-	newConnection bool
-	closeAfter    bool // the connection is closed after the response
+	piecewise     bool          // sent in two pieces
+	abandonAfter  time.Duration // time after sending at which the client disconnects; 0: it waits for the response
+	newConnection bool          // sent on a new connection
+	closeAfter    bool          // the client closes the connection after the response
 }
 
-// drawRequest draws a request to a process. The number and order of the draws belong to the seed.
+// drawRequest draws a request to a process. A change of the number or the order of the draws changes the load of every seed.
 func (l *load) drawRequest(process int, rng *rand.Rand) request {
 	q := request{number: l.lastRequest.Add(1), process: process, shard: rng.Intn(shardCount), units: 1}
 	count := len(l.run.processes)
-	volume := (process + count - rng.Intn(min(gatewaysPerVolume, count))) % count // each volume comes through gatewaysPerVolume processes
+	volume := (process + count - rng.Intn(min(gatewaysPerVolume, count))) % count // the requests of a volume are spread over gatewaysPerVolume processes
 	q.volume, q.object = fmt.Sprintf("%016x", volume+1), fmt.Sprintf("%016x", rng.Intn(1000))
 	if volume%4 == limitedPlanIndex {
 		q.plan = limitedPlanIndex
@@ -45,7 +45,7 @@
 	return q
 }
 
-// drawClass draws a class by its share.
+// drawClass draws a request class by its share.
 func drawClass(rng *rand.Rand) (class int) {
 	remaining := rng.Float64()
 	for i, c := range classes {
@@ -57,7 +57,7 @@
 	return class
 }
 
-// text is the request as it goes over the wire.
+// text returns the request in its wire format.
 func (q *request) text() string {
 	c := classes[q.class]
 	var b strings.Builder
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -9,40 +9,40 @@
 	"weirhaven/internal/pb"
 )
 
-// The fleet of a run.
+// Settings of the fleet of a run.
 const (
 	shardCount        = 8
-	gatewaysPerVolume = 3 // processes through which the requests of a volume come
+	gatewaysPerVolume = 3 // number of processes that receive the requests of a volume
 	requestTimeout    = time.Second
 	drainGrace        = 250 * time.Millisecond
-	answerSlack       = 500 * time.Millisecond // after the deadline; a later response is a lost request
-	idempotencyWindow = 500 * time.Millisecond // for which an endpoint remembers a key
-	collapseMultiple  = 2                      // of its capacity that an endpoint in slow start doesn't survive ...
-	collapseAfter     = time.Second            // ... for so long
+	answerSlack       = 500 * time.Millisecond // time after the deadline; a request without a response by then is lost
+	idempotencyWindow = 500 * time.Millisecond // time for which an endpoint remembers an idempotency key
+	collapseMultiple  = 2                      // multiple of its capacity at which an endpoint in slow start collapses ...
+	collapseAfter     = time.Second            // ... if the work arrives within this time
 	slowStartDuration = 8 * time.Second
-	slowStartFraction = 0.05 // of its capacity that an endpoint has when it starts
-	slowStartUnits    = 40   // units of work of a request that an endpoint in slow start may get
+	slowStartFraction = 0.05 // share of its capacity that an endpoint has at its start
+	slowStartUnits    = 40   // most units of a request that an endpoint in slow start may receive
 	unitWork          = 2 * time.Millisecond
-	meanUnits         = 1.5 // units of work of a request
+	meanUnits         = 1.5 // mean units of a request
 	maxAttempts       = 3
-	sockets           = 96                     // connections that a process may hold
-	memoryMB          = 64                     // that a process may use, in MiB
-	killGrace         = 700 * time.Millisecond // after the longest deadline, before SIGKILL
-	// newClientsAfterStop is how long after SIGTERM clients still open connections.
+	sockets           = 96                     // most connections of a process
+	memoryMB          = 64                     // memory limit of a process, in MiB
+	killGrace         = 700 * time.Millisecond // time between the longest deadline and SIGKILL
+	// newClientsAfterStop is how long after SIGTERM clients still open new connections.
 	newClientsAfterStop = 400 * time.Millisecond
 )
 
 var nodeKind = &pb.BrickKind{Name: "usual", UnitWork: unitWork.String(), Vary: 0.3, Queue: 200, ColdFrom: slowStartFraction, ColdFor: slowStartDuration.String(),
 	Cancel: pb.BrickKind_DROPS_WAITING, DropsExpired: true}
 
-// class is one class of requests.
+// class is a request class.
 type class struct {
 	name           string
 	method         string
 	semantics      string
 	auditSemantics pb.Semantics
-	idempotencyKey bool
-	requestShare   float64
+	idempotencyKey bool    // requests carry an idempotency key
+	requestShare   float64 // share of all requests, 0 to 1
 }
 
 var classes = []class{
@@ -51,7 +51,7 @@
 	{name: "append", method: "PUT", semantics: "by_key", auditSemantics: pb.Semantics_TAGGED, idempotencyKey: true, requestShare: 0.15},
 }
 
-// writeClasses reports by class name whether its requests change data.
+// writeClasses returns, by class name, whether the requests of a class change data.
 func writeClasses() map[string]bool {
 	m := map[string]bool{}
 	for _, c := range classes {
@@ -60,7 +60,7 @@
 	return m
 }
 
-// limitedPlanIndex is the plan with a limit.
+// limitedPlanIndex is the index of the plan with a limit.
 const limitedPlanIndex = 1
 
 var plans = []*pb.Plan{
@@ -68,16 +68,16 @@
 	{Name: "limited", Nominal: 10, Limit: 12, Depth: 36, Slack: 12, Weight: 1, Importance: 1},
 }
 
-// auditHeader is what the audit judges by.
+// auditHeader returns the header of the record, with the settings that the audit judges by.
 func auditHeader(seed int64, processes int) *pb.Header {
-	built := &pb.Header{Seed: seed, Drill: "soak", Hosts: uint32(processes), Plan: plans, Blur: int64(observationDelay),
+	header := &pb.Header{Seed: seed, Drill: "soak", Hosts: uint32(processes), Plan: plans, Blur: int64(observationDelay),
 		Fleet: &pb.Fleet{Cancel: true, MaxDispatches: maxAttempts, AnswerSlack: answerSlack.String(), Resolution: "2ms", DrainGrace: drainGrace.String(),
 			ColdFrom: slowStartFraction, ColdFor: slowStartDuration.String(), ColdUnits: slowStartUnits, FallMultiple: collapseMultiple, FallAfter: collapseAfter.String(), UsualUnits: meanUnits, MostUnits: 8}}
 	for _, c := range classes {
-		built.QueueType = append(built.QueueType, &pb.QueueType{Name: c.name, ServiceTarget: "400ms", CommandTimeout: requestTimeout.String(), TagWindow: idempotencyWindow.String(),
+		header.QueueType = append(header.QueueType, &pb.QueueType{Name: c.name, ServiceTarget: "400ms", CommandTimeout: requestTimeout.String(), TagWindow: idempotencyWindow.String(),
 			Importance: 1, Semantics: c.auditSemantics, Writes: c.method == "PUT"})
 	}
-	return built
+	return header
 }
 
 // object is a JSON object of the configuration file.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,10 +1,10 @@
-// Package soak runs a few dozen gateway processes on loopback, under load and with several faults at a time, and judges
-// the invariants from what crossed the sockets and from the processes' own logs. One seed draws the whole script; the
-// machine's scheduling stays its own.
+// Package soak runs a few dozen gateway processes on loopback, under load and with several faults at a time. It checks the
+// system's invariants from the traffic on the sockets and from the processes' logs. One seed determines the load and the
+// faults; the scheduling by the operating system still varies between runs.
 //
-// Invariants: a fault undoes itself when its time is over, except that silenced watches stay silent and that replaced
-// processes and endpoints stay replaced; whatever a client or an endpoint sends or receives is in the record. The package
-// doesn't know the gateway's inside: it judges the program as its users see it.
+// Invariants: a fault is undone when its time is over, except that silenced watches stay silent and that replaced processes
+// and endpoints stay replaced; the record has everything that a client or an endpoint sends or receives. The package doesn't
+// depend on the gateway's internals: it tests the program from outside.
 package soak
 
 import (
@@ -21,26 +21,26 @@
 
 // Options configure a run.
 type Options struct {
-	Seed      int64         // draws the load and the faults
-	Processes int           // gateway processes
-	Length    time.Duration // of the load
-	Rate      float64       // requests a second at each process; 0: defaultRate
+	Seed      int64         // determines the load and the faults
+	Processes int           // number of gateway processes
+	Length    time.Duration // duration of the load
+	Rate      float64       // mean requests a second at each process; 0: defaultRate
 	Faults    []string      // names of the faults to inject; empty: all
-	Program   []string      // the command line of a gateway process
-	Env       []string      // added to its environment, as KEY=VALUE
-	Logs      Logs          // what becomes of the processes' logs
-	Directory string        // for configurations and logs; empty: a temporary one
-	Out       io.Writer     // a line for each fault that is injected
+	Program   []string      // command line of a gateway process
+	Env       []string      // additions to its environment, as KEY=VALUE
+	Logs      Logs          // destination of the processes' logs
+	Directory string        // directory for configurations and logs; empty: a temporary one
+	Out       io.Writer     // receives a line for each injected fault
 }
 
-// Logs is what becomes of the processes' logs. The zero value keeps them.
+// Logs is the destination of the processes' logs. The zero value keeps them.
 type Logs int
 
-// Uses of the logs.
+// Destinations of the logs.
 const (
-	LogsKept    Logs = iota // in a file of the run's directory
-	LogsStalled             // a pipe that is not read
-	LogsBroken              // a pipe whose reader has ended
+	LogsKept    Logs = iota // a file in the run's directory
+	LogsStalled             // a pipe that nobody reads
+	LogsBroken              // a pipe whose read end is closed
 )
 
 // run is the state of one run.
@@ -55,17 +55,17 @@
 	faultGroup sync.WaitGroup
 
 	mu            sync.Mutex
-	endpoints     []*endpoint // in service, by shard
+	endpoints     []*endpoint // endpoints in service, by shard
 	allEndpoints  []*endpoint
-	serial        int
-	attempts      map[uint64]uint32
+	serial        int               // number of the last endpoint
+	attempts      map[uint64]uint32 // attempts so far, by request
 	violations    []Violation
-	discoveryDown bool       // so processes miss changes
-	pipes         []*os.File // of logs that are not read
+	discoveryDown bool       // processes miss changes meanwhile
+	pipes         []*os.File // read ends of LogsStalled
 }
 
-// Run plays a whole run and returns its report. It returns an error when the run could not be played or ctx ended, not
-// when an invariant was broken.
+// Run executes a whole run and returns its report. It returns an error if the run could not be executed or ctx ended. A
+// broken invariant is no error: the report has it as a violation.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if options.Rate <= 0 {
 		options.Rate = defaultRate
@@ -93,7 +93,7 @@
 	return r.judge(), ctx.Err()
 }
 
-// makeDirectory makes the run's directory, a temporary one if the options name none.
+// makeDirectory creates the run's directory, or a temporary one if the options name none.
 func (r *run) makeDirectory() error {
 	if r.directory == "" {
 		directory, err := os.MkdirTemp("", "weir-soak-")
@@ -105,7 +105,7 @@
 	return os.MkdirAll(r.directory, 0o755)
 }
 
-// close ends everything that the run started.
+// close stops all processes, agents, endpoints and proxies of the run.
 func (r *run) close() {
 	for _, p := range r.processes {
 		p.kill()
@@ -127,7 +127,7 @@
 	r.violations = append(r.violations, v)
 }
 
-// nextAttempt numbers the attempts of a request, from 0.
+// nextAttempt returns the number, from 0, of the next attempt of a request.
 func (r *run) nextAttempt(request uint64) uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,10 +17,11 @@
 	"weirhaven/policy"
 )
 
-// defectVariable names, in the environment of a process, the guard that it breaks on purpose.
+// defectVariable is the environment variable that names the defect of a gateway process.
 const defectVariable = "WEIR_SOAK_FAULT"
 
-// TestMain lets the test binary be the gateway program too.
+// TestMain runs the gateway program, with the defect that the environment names, if the first argument is "platform"; otherwise
+// it runs the tests.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 2 || os.Args[1] != "platform" {
 		os.Exit(m.Run())
@@ -58,38 +59,44 @@
 	os.Exit(0)
 }
 
-// defect is one guard broken on purpose, and what the judge must find.
+// defect is a fault built into the gateway processes, and the violation that the run must report.
 type defect struct {
-	wantViolation      string // in the rule or detail of a violation
-	faultKinds        []string
-	rate        float64
-	wrapEndpointConn    func(nc net.Conn, address string) net.Conn
-	wrapClientConn    func(nc net.Conn) net.Conn
+	wantViolation      string   // part of the rule or detail of the expected violation
+	faults             []string // faults that the run injects
+	rate               float64  // Options.Rate of the run
+	wrapEndpointConn   func(nc net.Conn, address string) net.Conn
+	wrapClientConn     func(nc net.Conn) net.Conn
 	beforeAttemptWrite func()
-	newScheduler     func(policy.Runtime, policy.Settings) engine.Scheduler
-	inProcess     func()
+	newScheduler       func(policy.Runtime, policy.Settings) engine.Scheduler
+	inProcess          func() // runs beside the gateway
 }
 
 var defects = map[string]defect{
-	"answer dropped":     {wantViolation: "no request lost", faultKinds: []string{"clients-reconnect"}, wrapClientConn: func(nc net.Conn) net.Conn { return &droppingConn{nc} }},
-	"answer given twice": {wantViolation: "another request's answer", faultKinds: []string{"clients-slow"}, wrapClientConn: func(nc net.Conn) net.Conn { return &duplicatingConn{nc} }},
-	"written late": {wantViolation: "deadline told", faultKinds: []string{"clients-leave"},
+	"response dropped":    {wantViolation: "no request lost", faults: []string{"clients-reconnect"}, wrapClientConn: func(nc net.Conn) net.Conn { return &droppingConn{nc} }},
+	"response sent twice": {wantViolation: "another request's answer", faults: []string{"clients-slow"}, wrapClientConn: func(nc net.Conn) net.Conn { return &duplicatingConn{nc} }},
+	"attempt written late": {wantViolation: "deadline told", faults: []string{"clients-leave"},
 		wrapEndpointConn: func(nc net.Conn, _ string) net.Conn { return &slowConn{nc} }},
-	"written late, own check": {wantViolation: "invariant broken", faultKinds: []string{"clients-leave"}, beforeAttemptWrite: delayOccasionally},
-	"sent twice at once": {wantViolation: "no effect twice", faultKinds: []string{"server-hangs"},
+	"attempt written late, gateway's own check": {wantViolation: "invariant broken", faults: []string{"clients-leave"}, beforeAttemptWrite: delayOccasionally},
+	"attempt sent twice at once": {wantViolation: "no effect twice", faults: []string{"server-hangs"},
 		wrapEndpointConn: func(nc net.Conn, address string) net.Conn { return &resendingConn{nc, address} }},
-	"drains ignored": {wantViolation: "drains kept", faultKinds: []string{"drain"},
-		newScheduler: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &drainIgnoringScheduler{policy.New(h, s)} }},
-	"cold servers flooded": {wantViolation: "no warming endpoint overloaded", faultKinds: []string{"drain"}, rate: 100,
+	"drains ignored": {wantViolation: "drains kept", faults: []string{"drain"},
+		newScheduler: func(h policy.Runtime, s policy.Settings) engine.Scheduler {
+			return &drainIgnoringScheduler{policy.New(h, s)}
+		}},
+	"endpoints in slow start flooded": {wantViolation: "no warming endpoint overloaded", faults: []string{"drain"}, rate: 100,
 		wrapEndpointConn: func(nc net.Conn, address string) net.Conn { return &floodingConn{nc, address} }},
-	"limits not shared": {wantViolation: "rate limits", faultKinds: []string{"clients-slow"},
-		newScheduler: func(h policy.Runtime, s policy.Settings) engine.Scheduler { return &singleGatewayScheduler{policy.New(h, s)} }},
-	"ends by itself": {wantViolation: "ended by itself", faultKinds: []string{"clients-slow"},
+	"limits not shared": {wantViolation: "rate limits", faults: []string{"clients-slow"},
+		newScheduler: func(h policy.Runtime, s policy.Settings) engine.Scheduler {
+			return &singleGatewayScheduler{policy.New(h, s)}
+		}},
+	"process exits by itself": {wantViolation: "ended by itself", faults: []string{"clients-slow"},
 		inProcess: func() { time.Sleep(4 * time.Second); os.Exit(3) }},
 }
 
+// writesPerDefect is the mean number of writes for each one that a defect affects.
 const writesPerDefect = 20
 
+// wrappingListener wraps the connections that it accepts.
 type wrappingListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
@@ -103,6 +110,7 @@
 	return l.wrap(nc), nil
 }
 
+// droppingConn closes the connection instead of some writes.
 type droppingConn struct{ net.Conn }
 
 func (d *droppingConn) Write(b []byte) (int, error) {
@@ -113,6 +121,7 @@
 	return d.Conn.Write(b)
 }
 
+// duplicatingConn repeats some writes on the same connection.
 type duplicatingConn struct{ net.Conn }
 
 func (r *duplicatingConn) Write(b []byte) (int, error) {
@@ -123,6 +132,7 @@
 	return n, err
 }
 
+// slowConn delays some writes.
 type slowConn struct{ net.Conn }
 
 func (s *slowConn) Write(b []byte) (int, error) {
@@ -132,13 +142,14 @@
 	return s.Conn.Write(b)
 }
 
-// delayOccasionally holds the process up between its last look at the clock and its write.
+// delayOccasionally delays some attempts after the last check of their deadline and before their write.
 func delayOccasionally() {
 	if rand.Intn(writesPerDefect) == 0 {
 		time.Sleep(1200 * time.Millisecond)
 	}
 }
 
+// resendingConn sends some requests a second time, on another connection.
 type resendingConn struct {
 	net.Conn
 	address string
@@ -152,7 +163,7 @@
 	return d.Conn.Write(b)
 }
 
-// floodingConn sends each request many times, as processes do that don't share a recovering server's budget.
+// floodingConn sends each request many times, like gateways that don't share the budget of an endpoint in slow start.
 type floodingConn struct {
 	net.Conn
 	address string
@@ -168,6 +179,7 @@
 	return f.Conn.Write(b)
 }
 
+// drainIgnoringScheduler takes draining and removed endpoints for serving ones.
 type drainIgnoringScheduler struct{ *policy.Scheduler }
 
 func (d *drainIgnoringScheduler) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
@@ -175,6 +187,7 @@
 	d.Scheduler.UpdateEndpoint(endpoint, update)
 }
 
+// singleGatewayScheduler takes its gateway for the only one of each volume, and so doesn't share the volume's limit.
 type singleGatewayScheduler struct{ *policy.Scheduler }
 
 func (a *singleGatewayScheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
@@ -182,6 +195,8 @@
 	return a.Scheduler.RequestReceived(request, arrival)
 }
 
+// runSoak executes a run with the test binary as the gateway program. name is the processes' defect, if any; more is added to
+// their environment.
 func runSoak(t *testing.T, o Options, name string, more ...string) *Report {
 	t.Helper()
 	program, err := os.Executable()
@@ -196,7 +211,7 @@
 	return report
 }
 
-// A short run of the whole menu: no invariant is broken.
+// A short run with all faults reports no violation.
 func TestSoak(t *testing.T) {
 	report := runSoak(t, Options{Seed: 1, Processes: 8, Length: 15 * time.Second}, "")
 	for _, v := range report.Violations {
@@ -207,8 +222,8 @@
 	}
 }
 
-// Processes are told to stop by signals in series and beside a crowd of idle clients, while clients go on using their connections
-// until the kill: no request is lost.
+// No request is lost in a shutdown by several signals in quick succession, or while idle clients use up the descriptors. Clients
+// go on using their connections after SIGTERM.
 func TestSoakShutdowns(t *testing.T) {
 	report := runSoak(t, Options{Seed: 2, Processes: 8, Length: 20 * time.Second, Faults: []string{"stop", "reload-while-stopping", "signals-in-series", "stop-crowded"}}, "")
 	for _, v := range report.Violations {
@@ -219,7 +234,7 @@
 	}
 }
 
-// Whoever reads the logs stalls, or ends: the processes serve on.
+// Processes keep serving when the reader of their log stalls or closes the pipe.
 func TestLogReaderFails(t *testing.T) {
 	for name, logs := range map[string]Logs{"stalled": LogsStalled, "broken": LogsBroken} {
 		t.Run(name, func(t *testing.T) {
@@ -235,18 +250,18 @@
 	}
 }
 
-// Each guard broken on purpose turns the run red, by the check that is meant for it.
-func TestSoakFindsFaults(t *testing.T) {
-	for name, f := range defects {
+// A run reports each defect by the check that is meant for it.
+func TestSoakFindsDefects(t *testing.T) {
+	for name, d := range defects {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			report := runSoak(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Faults: f.faultKinds, Rate: f.rate}, name)
+			report := runSoak(t, Options{Seed: 1, Processes: 4, Length: 10 * time.Second, Faults: d.faults, Rate: d.rate}, name)
 			for _, v := range report.Violations {
-				if strings.Contains(v.Rule+v.Detail, f.wantViolation) {
+				if strings.Contains(v.Rule+v.Detail, d.wantViolation) {
 					return
 				}
 			}
-			t.Errorf("%v, none of them %q", report, f.wantViolation)
+			t.Errorf("%v; want a violation %q", report, d.wantViolation)
 		})
 	}
 }
--- a/internal/soak/suspension.go
+++ b/internal/soak/suspension.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// timeRange is a stretch of the run.
+// timeRange is a period of the run, in time since its beginning.
 type timeRange struct{ from, to time.Duration }
 
-// recordSuspension records that the process was stopped by a signal. The machine may have stopped it for longer than was meant.
+// recordSuspension records that the process was suspended by a signal, if for longer than maxProcessStall. On a busy machine a
+// suspension may take longer than intended.
 func (p *process) recordSuspension(from, to time.Duration) {
 	if to-from <= maxProcessStall {
 		return
@@ -15,7 +16,7 @@
 	p.suspensions = append(p.suspensions, timeRange{from, to})
 }
 
-// excessSuspension is by how much the longest suspension within a stretch of the run exceeds maxHold.
+// excessSuspension returns by how much the longest suspension within a period exceeds maxProcessStall, or 0.
 func (p *process) excessSuspension(from, to time.Duration) (excess time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
