--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -39,7 +39,7 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-var errBound = errors.New("longer than allowed")
+var errTooLong = errors.New("longer than allowed")
 
 // boundedReader lets at most remaining bytes through.
 type boundedReader struct {
@@ -51,8 +51,8 @@
 // Read returns errBound once remaining is 0.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
-		b.err = errBound
-		return 0, errBound
+		b.err = errTooLong
+		return 0, errTooLong
 	}
 	n, err := b.source.Read(p[:min(int64(len(p)), b.remaining)])
 	b.remaining -= int64(n)
@@ -109,7 +109,7 @@
 func (r *Reader) cause(err error) error {
 	var protocol textproto.ProtocolError
 	switch {
-	case errors.Is(r.bound.err, errBound):
+	case errors.Is(r.bound.err, errTooLong):
 		return malformed(431, "longer than allowed")
 	case r.bound.err != nil:
 		err = r.bound.err
--- a/internal/httpgateway/command.go
+++ b/internal/httpgateway/command.go
@@ -22,14 +22,14 @@
 	StateInterval time.Duration `name:"state" default:"5s" help:"How often totals are logged; 0: never."`
 	Debug         bool          `env:"EDGE_DEBUG" help:"Log each request and each attempt, with its outcome and reason."`
 
-	// Customize, for tests, changes the gateway before it runs.
+	// Customize is a hook for tests that changes the gateway before it runs.
 	Customize func(*Gateway) `kong:"-"`
 }
 
 // Execute runs the gateway until SIGTERM or SIGINT and then shuts it down gracefully. SIGHUP reloads the configuration. It
-// returns an error when the configuration can't be read or the client address can't be listened on.
+// returns an error if the configuration can't be read or the gateway can't listen on the client address.
 func (c *Command) Execute(newScheduler func(policy.Runtime, policy.Settings) engine.Scheduler) error {
-	// Signals are caught before all else: one that comes early must not end the program.
+	// The handlers are installed first: a signal that arrives during startup must not kill the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -48,7 +48,7 @@
 		c.Customize(g)
 	}
 	reloads := make(chan *config.Config, 1)
-	go c.reload(hangups, reloads, g.Log) // ends with the process
+	go c.reload(hangups, reloads, g.Log) // runs until the process exits
 	return g.Run(ctx, reloads)
 }
 
@@ -59,8 +59,8 @@
 	return slog.LevelInfo
 }
 
-// applyLimits keeps the Go runtime within the platform's limits. The heap may grow to half of the allowed memory before the
-// collector works harder; the rest is for the program itself, its stacks and the kernel.
+// applyLimits configures the Go runtime for the platform's limits. The soft memory limit is half of the allowed memory; the
+// other half is for the program itself, its stacks and the kernel.
 func applyLimits(limits config.Limits) {
 	if limits.Cores <= 1 {
 		runtime.GOMAXPROCS(1)
@@ -68,8 +68,8 @@
 	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 / 2)
 }
 
-// reload reads the configuration again on each signal and hands it on. A reload that was not picked up yet is replaced by
-// the newer one.
+// reload reads the configuration again on each signal and sends it to reloads. A newer configuration replaces one that was
+// not received yet.
 func (c *Command) reload(hangups <-chan os.Signal, reloads chan *config.Config, log *slog.Logger) {
 	for range hangups {
 		next, err := loadWithRetry(c.Config)
@@ -85,7 +85,7 @@
 	}
 }
 
-// A configuration file that is still being written fails to parse; it is read again a few times before the reload fails.
+// Retries of reading the configuration. A file that is still being written fails to parse.
 const (
 	loadAttempts      = 10
 	loadRetryInterval = 50 * time.Millisecond
--- a/internal/httpgateway/config/list.go
+++ b/internal/httpgateway/config/list.go
@@ -92,12 +92,12 @@
 	} else if !entry.Removed {
 		return entry, errors.New("cell: no whole number from 0")
 	}
-	entry.Started = startOf(member)
+	entry.Started = startTime(member)
 	return entry, nil
 }
 
-// startOf is when an endpoint started, as Unix time on the agent's wall clock; 0: long ago.
-func startOf(member *fastjson.Value) time.Duration {
+// startTime is when an endpoint started, as Unix time on the agent's wall clock; 0: long ago.
+func startTime(member *fastjson.Value) time.Duration {
 	if startMs := member.GetFloat64("up_since_ms"); startMs > 0 && startMs < math.MaxInt64/1e6 {
 		return time.Duration(startMs) * time.Millisecond
 	}
--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -9,7 +9,7 @@
 	"weirhaven/policy"
 )
 
-var idempotencyOf = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey,
+var idempotencyBySemantics = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey,
 	"once": policy.NotIdempotent}
 
 // ParseSettings reads the settings object, the one that a simulated gateway gets in its first message and a real one finds in its
@@ -74,7 +74,7 @@
 }
 
 func parseClass(v *fastjson.Value) (policy.RequestClass, error) {
-	idempotency, ok := idempotencyOf[stringAt(v, "semantics")]
+	idempotency, ok := idempotencyBySemantics[stringAt(v, "semantics")]
 	if !ok {
 		return policy.RequestClass{}, fmt.Errorf("class %s: unknown semantics %s", v.Get("name"), v.Get("semantics"))
 	}
--- a/internal/httpgateway/discovery/stream.go
+++ b/internal/httpgateway/discovery/stream.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	connectTimeout = 2 * time.Second // of the dial, and of the write of the request
-	maxListBytes   = 4 << 20         // of one list
-	maxReadBytes   = 16 << 10        // of one read
+	connectTimeout = 2 * time.Second // for the dial, and for writing the request
+	maxListBytes   = 4 << 20         // maximum size of a list in bytes
+	maxReadBytes   = 16 << 10        // maximum size of a read in bytes
 )
 
-// stream is one connection to the agent. It is read by one goroutine, which Watch.Run joins; what it receives goes to Run as
+// stream is one connection to the agent. One goroutine, which Watch.Run joins, reads it and sends what it receives to Run as
 // events.
 type stream struct {
 	address string
 	cancel  context.CancelFunc
 }
 
-// eventKind is what a stream received.
+// eventKind is the kind of an event on a stream.
 type eventKind int
 
 const (
-	dataReceived eventKind = iota // a part of a list: a sign of life and no more
-	keepAlive                     // an empty line between lists: the last list still holds
+	dataReceived eventKind = iota // part of a list; shows only that the agent is alive
+	keepAlive                     // an empty line between lists; confirms the last list
 	listReceived
 	streamEnded
 )
@@ -41,11 +41,11 @@
 type event struct {
 	stream *stream
 	kind   eventKind
-	list   config.List // of listReceived
-	err    error       // of streamEnded
+	list   config.List // set for listReceived
+	err    error       // set for streamEnded
 }
 
-// send hands an event to Run; false: ctx has ended.
+// send sends an event to Run; it returns false if ctx has ended.
 func send(ctx context.Context, events chan<- event, e event) bool {
 	select {
 	case events <- e:
@@ -55,7 +55,7 @@
 	}
 }
 
-// read asks for what came after a revision and sends what it receives, until the connection or ctx ends.
+// read requests the changes after a revision and sends what it receives as events, until the connection or ctx ends.
 func (s *stream) read(ctx context.Context, revision int64, events chan<- event) error {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", s.address)
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer func() { _ = nc.Close() }()
-	defer context.AfterFunc(ctx, func() { _ = nc.Close() })() // ends the reads
+	defer context.AfterFunc(ctx, func() { _ = nc.Close() })() // interrupts a read
 	body, err := s.request(nc, revision)
 	if err != nil {
 		return err
@@ -74,9 +74,9 @@
 	return s.readLists(ctx, bounded, events)
 }
 
-// request asks the agent for the changes after a revision and returns the endless body of its response.
+// request requests the changes after a revision from the agent. It returns the body of the response, which has no end.
 func (s *stream) request(nc net.Conn, revision int64) (io.Reader, error) {
-	_ = nc.SetWriteDeadline(time.Now().Add(connectTimeout)) // a broken connection fails the write
+	_ = nc.SetWriteDeadline(time.Now().Add(connectTimeout)) // an error is ignored: the write then fails
 	if _, err := fmt.Fprintf(nc, "GET /api/targets?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\n\r\n", revision, s.address); err != nil {
 		return nil, err
 	}
@@ -91,8 +91,8 @@
 	return reader.Stream(head, maxReadBytes)
 }
 
-// readLists sends one list after the other. A list may be spread over several lines, with empty ones in it; one that the end
-// of the stream cut is dropped.
+// readLists sends an event for each list. A list may span several lines, some of them empty. An incomplete list at the end of
+// the stream is dropped.
 func (s *stream) readLists(ctx context.Context, body *boundedReader, events chan<- event) error {
 	decoder := json.NewDecoder(body)
 	var parser fastjson.Parser
@@ -112,17 +112,17 @@
 	}
 }
 
-// boundedReader bounds what one list may hold, and reports each read as a sign of life.
+// boundedReader limits the size of a list and reports each read.
 type boundedReader struct {
 	io.Reader
-	remaining int // bytes of the list being read
+	remaining int // number of bytes that the current list may still have
 	onRead    func(kind eventKind) bool
 }
 
-// Read reads and reports what it got, as keepAlive if it is blank and stands between two lists.
+// Read reads and calls onRead: with keepAlive for blank bytes between two lists, else with dataReceived.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
-		return 0, fmt.Errorf("a list of more than %d bytes", maxListBytes)
+		return 0, fmt.Errorf("endpoint list larger than %d bytes", maxListBytes)
 	}
 	n, err := b.Reader.Read(p)
 	kind := dataReceived
--- a/internal/httpgateway/discovery/watch.go
+++ b/internal/httpgateway/discovery/watch.go
@@ -1,9 +1,9 @@
-// Package discovery watches the platform's list of endpoints at the agent on this machine. Each list is handed on as the
-// agent sent it; while the agent is silent or down, the last list holds.
+// Package discovery watches the platform's endpoint list through the agent on this machine. It passes each list to its caller
+// as the agent sent it. While the agent is silent or down, the last list stays in use.
 //
-// Its invariants: lists are handed on in the agent's order, from one stream at a time; a silent agent is asked again beside
-// the open stream, so that a change is known in time whatever happened to a connection; lists and streams are bounded. It
-// doesn't know what a list means.
+// Its invariants: lists are delivered in the agent's order, from one stream at a time. While the agent is silent, the watch
+// opens further streams beside the open one, so that a change is received in time even if a connection hangs. The size of
+// lists and the number of streams are bounded. The package does not interpret the lists.
 package discovery
 
 import (
@@ -16,60 +16,62 @@
 	"weirhaven/internal/httpgateway/config"
 )
 
-// Options are what a watch is made with.
+// Options configures a Watch.
 type Options struct {
-	Address  string // of the agent, with its port
-	Revision int64  // of the list held so far; the agent sends what came after it
+	Address  string // address of the agent, with its port
+	Revision int64  // revision of the initial list; the agent sends the changes after it
 
-	// OnList gets each list. sinceConfirmed is how long ago the list before it was last known to hold; below 0: never.
+	// OnList is called with each list. sinceConfirmed is the time since the agent last confirmed the previous list; negative:
+	// never.
 	OnList func(list config.List, sinceConfirmed time.Duration)
-	// OnCurrent is called once, when the agent has sent what it has; may be nil.
+	// OnCurrent is called once, when the agent has sent its current list; may be nil.
 	OnCurrent func()
 
 	Log *slog.Logger
 }
 
-// A change of the list must be known 6 s after the agent fell silent, whatever happened meanwhile: nothing new may be sent
-// to an endpoint that drains. The agent sends something every 2 s, so silence of silenceTimeout means that the stream may be
-// dead though its connection is up. Then another stream is opened beside it, and one more after each retryInterval; the
-// older ones stay open, since one of them may deliver first. Each has at least maxStreams times retryInterval, so that a
-// slow agent is heard too. All of this counts from the last event received, so it does not depend on how a stream hangs.
+// Time limits of the watch. A gateway must receive a change of the list within 6 s after its agent fell silent, since it may
+// send no new attempt to a draining endpoint. The agent sends data every 2 s, so after silenceTimeout without data the stream
+// may be dead although its connection is open. Then the watch opens another stream beside it, and one more after each
+// retryInterval. The older streams stay open, since any of them may deliver first. Each stream has at least maxStreams times
+// retryInterval to deliver, which is enough for a slow agent. All intervals start at the last event received, so they don't
+// depend on the way in which a stream hangs.
 const (
 	silenceTimeout = 2500 * time.Millisecond
 	retryInterval  = 1500 * time.Millisecond
-	maxStreams     = 4 // at a time; the oldest ends for one more
+	maxStreams     = 4 // limit on open streams; the oldest one is closed for a new one
 	minBackoff     = 10 * time.Millisecond
-	maxBackoff     = 250 * time.Millisecond // between two streams that failed
+	maxBackoff     = 250 * time.Millisecond // maximum delay after a failed stream
 )
 
-// Watch is one watch of the list. Its methods are safe for concurrent use; Run is called once.
+// Watch is a watch of the endpoint list. Its methods are safe for concurrent use; Run is called once.
 type Watch struct {
 	options        Options
-	addressChanged chan struct{} // holds one
+	addressChanged chan struct{} // signal, with a buffer of one
 
 	mu      sync.Mutex // guards address
 	address string
 
 	// Owned by Run.
-	streams   []*stream // oldest first; once one delivers, the others end
-	events    chan event
-	tasks     sync.WaitGroup // one for each stream
-	retry     *time.Timer    // when another stream is opened
-	backoff   time.Duration
-	healthy   bool      // for the log: no stream has failed or fallen silent since the last event
-	heardAt   time.Time // of the last event
-	revision  int64
-	confirmed time.Time // the list handed on last was known to hold then; zero: none was handed on
-	onCurrent func()    // OnCurrent until it was called
+	streams     []*stream // open streams, oldest first; once one delivers, the others are closed
+	events      chan event
+	tasks       sync.WaitGroup // one task for each stream
+	retry       *time.Timer    // fires when another stream is to be opened
+	backoff     time.Duration
+	healthy     bool      // true: no stream has failed or fallen silent since the last event; used for logging
+	lastEventAt time.Time // time of the last event
+	revision    int64
+	confirmed   time.Time // time at which the agent last confirmed the delivered list; zero: none was delivered
+	onCurrent   func()    // Options.OnCurrent; nil once it was called
 }
 
-// New makes a watch.
+// New returns a watch that does nothing before Run.
 func New(options Options) *Watch {
 	return &Watch{options: options, address: options.Address, addressChanged: make(chan struct{}, 1), events: make(chan event),
 		revision: options.Revision, onCurrent: options.OnCurrent}
 }
 
-// SetAddress lets the watch go on at another agent at once. The same address as before changes nothing.
+// SetAddress makes the watch switch to another agent at once. Setting the current address has no effect.
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,13 +91,13 @@
 	return w.address
 }
 
-// Run watches until ctx ends and joins its goroutines. It alone decides which stream counts: the first that delivers. What
-// the others still send is dropped, so the lists come in the agent's order.
+// Run watches until ctx ends and joins its goroutines. Only Run selects the stream in use: the first that delivers. It drops
+// events of the other streams, so that lists are delivered in the agent's order.
 func (w *Watch) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer w.tasks.Wait()
 	defer stop()
-	w.backoff, w.healthy, w.heardAt = minBackoff, true, time.Now()
+	w.backoff, w.healthy, w.lastEventAt = minBackoff, true, time.Now()
 	w.retry = time.NewTimer(0)
 	defer w.retry.Stop()
 	for {
@@ -112,7 +114,7 @@
 	}
 }
 
-// restart ends all streams and opens one to the new address.
+// restart closes all streams and opens one to the new address.
 func (w *Watch) restart(ctx context.Context) {
 	for _, s := range w.streams {
 		s.cancel()
@@ -125,7 +127,7 @@
 // openAnother opens a stream beside those that are silent, or after one that failed.
 func (w *Watch) openAnother(ctx context.Context) {
 	if w.healthy && len(w.streams) > 0 {
-		w.options.Log.Info("watch silent; opening another stream", "agent", w.currentAddress(), "silent_for", time.Since(w.heardAt))
+		w.options.Log.Info("watch silent; opening another stream", "agent", w.currentAddress(), "silent_for", time.Since(w.lastEventAt))
 		w.healthy = false
 	}
 	w.open(ctx)
@@ -148,19 +150,19 @@
 	})
 }
 
-// handle takes an event. One of a stream that was ended here does not count.
+// handle handles an event. It ignores events of streams that Run has closed.
 func (w *Watch) handle(e event) {
 	switch i := slices.Index(w.streams, e.stream); {
 	case i < 0:
 	case e.kind == streamEnded:
 		w.streams = slices.Delete(w.streams, i, i+1)
-		w.streamFailed(e)
+		w.handleStreamEnd(e)
 	default:
-		w.delivered(e)
+		w.handleData(e)
 	}
 }
 
-func (w *Watch) streamFailed(e event) {
+func (w *Watch) handleStreamEnd(e event) {
 	if w.healthy {
 		w.options.Log.Info("watch ended; opening another stream", "agent", e.stream.address, "err", e.err)
 		w.healthy = false
@@ -171,24 +173,24 @@
 	}
 }
 
-// delivered takes a sign of life: its stream is the one that counts from now on.
-func (w *Watch) delivered(e event) {
+// handleData handles received data: it closes all streams but the one that delivered.
+func (w *Watch) handleData(e event) {
 	for _, s := range w.streams {
 		if s != e.stream {
 			s.cancel()
 		}
 	}
 	if !w.healthy {
-		w.options.Log.Info("watch recovered", "agent", e.stream.address, "silent_for", time.Since(w.heardAt))
+		w.options.Log.Info("watch recovered", "agent", e.stream.address, "silent_for", time.Since(w.lastEventAt))
 	}
-	w.streams, w.backoff, w.healthy, w.heardAt = []*stream{e.stream}, minBackoff, true, time.Now()
+	w.streams, w.backoff, w.healthy, w.lastEventAt = []*stream{e.stream}, minBackoff, true, time.Now()
 	w.retry.Reset(silenceTimeout)
 	if e.kind == listReceived {
 		w.revision = e.list.Revision
 		w.options.OnList(e.list, w.sinceConfirmed())
 	}
 	if e.kind == listReceived || e.kind == keepAlive {
-		w.confirmed = w.heardAt
+		w.confirmed = w.lastEventAt
 		if w.onCurrent != nil {
 			w.onCurrent()
 			w.onCurrent = nil
@@ -196,7 +198,7 @@
 	}
 }
 
-// sinceConfirmed is how long ago the last list was known to hold, -1 if there was none.
+// sinceConfirmed returns the time since the agent last confirmed the list, or -1 if there was none.
 func (w *Watch) sinceConfirmed() time.Duration {
 	if w.confirmed.IsZero() {
 		return -1
--- a/internal/httpgateway/doc.go
+++ b/internal/httpgateway/doc.go
@@ -1,17 +1,17 @@
-// Package httpgateway runs a gateway over HTTP/1.1: requests come in from clients (package downstream), the engine and its
-// scheduler decide where and when each runs, and attempts go out to storage endpoints over pooled connections (package
-// upstream). The list of endpoints comes from the agent on this machine (package discovery).
+// Package httpgateway runs a gateway over HTTP/1.1. Package downstream receives requests from clients, the engine and its
+// scheduler decide where and when each request runs, and package upstream sends attempts to storage endpoints over pooled
+// connections. Package discovery gets the endpoint list from the agent on this machine.
 //
-// Its invariants; those with a counter for where they would be broken are metrics.Invariants:
+// Its invariants (metrics.Invariants lists those with a violation counter):
 //
-//   - A request that was read whole gets exactly one final response, or its client has gone.
-//   - No byte of an attempt is sent long after the client left, after the final response, past the deadline, or to a draining
-//     endpoint past the grace.
-//   - The deadline that an endpoint is given is at most what the client has left.
-//   - One attempt is one send; nothing is sent again below the scheduler.
+//   - A request that was read completely gets exactly one final response, unless its client has disconnected.
+//   - No byte of an attempt is sent long after the client disconnected, after the final response, after the deadline, or to a
+//     draining endpoint after the grace period.
+//   - The remaining time sent to an endpoint is at most the time left until the client's deadline.
+//   - Each attempt is sent at most once; only the scheduler retries.
 //   - An attempt is reported to the scheduler exactly once.
-//   - Nothing is buffered without bound: connections, bytes and queued events all have a limit.
+//   - Connections, buffered bytes and queued events all have a limit.
 //
-// It knows nothing of the line protocol, the control plane or the object API; other servers and stores aren't started here,
-// since the platform's limits on memory and descriptors leave no room for them.
+// The package has no notion of the line protocol, the control plane or the object API. It starts no other servers or stores,
+// since the platform's limits on memory and descriptors leave no capacity for them.
 package httpgateway
--- a/internal/httpgateway/gateway.go
+++ b/internal/httpgateway/gateway.go
@@ -24,13 +24,13 @@
 	Config        *config.Config
 	Log           *slog.Logger
 	NewScheduler  func(policy.Runtime, policy.Settings) engine.Scheduler
-	StateInterval time.Duration  // between log lines with totals; 0: none are logged
-	OnListening   func(net.Addr) // called once with the client address, when it is listened on; nil: not called
+	StateInterval time.Duration  // interval between log lines with totals; 0: none are logged
+	OnListening   func(net.Addr) // called once with the client address, after the gateway listens on it; may be nil
 
-	Dial   func(ctx context.Context, address string) (net.Conn, error)     // to endpoints; nil: TCP
-	Listen func(ctx context.Context, address string) (net.Listener, error) // for clients; nil: TCP
+	Dial   func(ctx context.Context, address string) (net.Conn, error)     // dials endpoints; nil: TCP
+	Listen func(ctx context.Context, address string) (net.Listener, error) // listens for clients; nil: TCP
 
-	// BeforeAttemptWrite, for tests, is called right before each write of an attempt; nil: not called.
+	// BeforeAttemptWrite is a hook for tests that is called right before each write of an attempt; may be nil.
 	BeforeAttemptWrite func()
 
 	loop     *engine.Loop
@@ -39,21 +39,21 @@
 }
 
 const (
-	eventQueueLength   = 4096              // events that wait for the engine's loop
-	readyTimeout       = time.Second       // a new gateway waits so long for its agent before it reports ready
-	healthCheckTimeout = time.Second       // between the engine's periodic steps
-	unknownSince       = -time.Duration(1) // the endpoint list was never confirmed by the agent
+	eventQueueLength   = 4096              // capacity of the queue of the engine's loop
+	readyTimeout       = time.Second       // limit on the wait for the agent's list before the gateway reports ready
+	healthCheckTimeout = time.Second       // interval between the engine's periodic steps
+	neverConfirmed     = -time.Duration(1) // value of sinceConfirmed if the agent never confirmed the endpoint list
 )
 
-// Run serves until ctx ends, shuts down gracefully and joins all goroutines. Each configuration from reloads takes effect
-// while it runs and while it shuts down; of it only the agent's address may change.
+// Run serves until ctx ends, shuts down gracefully and joins all goroutines. It applies each configuration from reloads, also
+// during the shutdown; only the agent's address may change.
 func (g *Gateway) Run(ctx context.Context, reloads <-chan *config.Config) error {
 	listener, err := g.listen(ctx)
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	defer func() { _ = listener.Close() }() // the shutdown closed it already
-	shares := divide(g.Config.Limits)
+	defer func() { _ = listener.Close() }() // an error is ignored: the shutdown has closed it already
+	shares := divideLimits(g.Config.Limits)
 	g.loop = engine.NewLoop(eventQueueLength)
 	g.recorder = metrics.New(g.Log)
 	g.pool = g.newPool(shares)
@@ -68,7 +68,7 @@
 	tasks.Go(func() { watch.Run(running) })
 	server := g.newServer(shares)
 	tasks.Go(func() { server.Serve(listener) })
-	tasks.Go(func() { markReady(running, server, listCurrent) })
+	tasks.Go(func() { markReadyOnList(running, server, listCurrent) })
 	g.logServing(listener.Addr(), shares)
 	if g.OnListening != nil {
 		g.OnListening(listener.Addr())
@@ -98,7 +98,7 @@
 func (g *Gateway) newPool(shares shares) *upstream.Pool {
 	connectTimeout := g.Config.ConnectTimeout
 	if grace := g.Config.Settings.DrainGrace; grace > 0 {
-		// The endpoint may start to drain while an attempt waits for its connection: it must not begin past the grace.
+		// If the endpoint starts to drain while an attempt waits for a connection, the attempt must not begin after the grace period.
 		connectTimeout = min(connectTimeout, grace)
 	}
 	return upstream.New(upstream.Options{Loop: g.loop, MaxConnections: shares.upstreamConnections, ConnectTimeout: connectTimeout,
@@ -106,19 +106,19 @@
 		BeforeWrite: g.BeforeAttemptWrite, ResponseMemory: shares.responseMemory})
 }
 
-// newCore makes the engine, which knows the endpoints that stand in the configuration. The start times are used in the
-// engine's loop only, once that runs.
+// newCore creates the engine with the endpoints from the configuration. Once the engine's loop runs, only the loop uses the
+// returned start times.
 func (g *Gateway) newCore() (*engine.Core, *starttimes.StartTimes) {
 	core := engine.New(g.Config.Settings, endpointstate.Rules{}, g.NewScheduler, outbound{g}, nil, healthCheckTimeout, g.loop.Now())
 	core.OnOverlap = func(request string) {
-		g.recorder.RecordViolation(metrics.OneAttemptInFlight, request, "an attempt began beside another one")
+		g.recorder.RecordViolation(metrics.OneAttemptInFlight, request, "an attempt began while another one was in flight")
 	}
 	startTimes := starttimes.New()
-	core.AuthoritativeList(true, startTimes.Translate(true, g.Config.KnownEndpoints.Entries, g.clockReadings(unknownSince)))
+	core.AuthoritativeList(true, startTimes.Translate(true, g.Config.KnownEndpoints.Entries, g.clockReadings(neverConfirmed)))
 	return core, startTimes
 }
 
-// newWatch makes the watch of the agent's endpoint list; onCurrent is called once the agent has sent what it has.
+// newWatch creates the watch of the agent's endpoint list. onCurrent is called once the agent has sent its current list.
 func (g *Gateway) newWatch(startTimes *starttimes.StartTimes, onCurrent func()) *discovery.Watch {
 	return discovery.New(discovery.Options{Address: g.Config.Discovery, Revision: g.Config.KnownEndpoints.Revision, Log: g.Log,
 		OnCurrent: onCurrent,
@@ -135,9 +135,9 @@
 		Log: g.Log, Recorder: g.recorder, ReadAheadBytes: shares.readAheadMemory})
 }
 
-// markReady lets the server report ready once the agent has sent its list: a drain that began before this process counts
-// from its first moment on. While the agent is silent the list of the configuration has to do.
-func markReady(ctx context.Context, server *downstream.Server, listCurrent <-chan struct{}) {
+// markReadyOnList makes the server report ready once the agent has sent its list, so that the gateway knows of drains that
+// began before it started. After readyTimeout it uses the list from the configuration.
+func markReadyOnList(ctx context.Context, server *downstream.Server, listCurrent <-chan struct{}) {
 	select {
 	case <-listCurrent:
 	case <-time.After(readyTimeout):
@@ -146,8 +146,8 @@
 	server.Ready()
 }
 
-// applyReloads moves the watch to each new agent's address until ctx ends, also during the shutdown: a gateway that shuts
-// down goes on sending attempts and has to hear of drains.
+// applyReloads points the watch to the agent's address from each new configuration until ctx ends. It also runs during the
+// shutdown, since a gateway that shuts down goes on sending attempts and needs to know of drains.
 func (g *Gateway) applyReloads(ctx context.Context, reloads <-chan *config.Config, watch *discovery.Watch) {
 	for {
 		select {
@@ -160,8 +160,8 @@
 	}
 }
 
-// clockReadings reads the clocks for a list that was received now; sinceConfirmed is how long ago the list before it was
-// last confirmed, unknownSince if none was.
+// clockReadings reads the clocks for a list that was received now. sinceConfirmed is the time since the previous list was last
+// confirmed, or neverConfirmed.
 func (g *Gateway) clockReadings(sinceConfirmed time.Duration) starttimes.ClockReadings {
 	readings := starttimes.ClockReadings{Now: g.loop.Now(), Wall: time.Duration(time.Now().UnixNano())}
 	if sinceConfirmed >= 0 {
--- a/internal/httpgateway/limits.go
+++ b/internal/httpgateway/limits.go
@@ -4,14 +4,13 @@
 
 // Shares of the platform's limits.
 const (
-	reservedDescriptors    = 24   // for the listener, the watch, files and the Go runtime
-	clientConnectionShare  = 0.55 // of the other descriptors; connections to endpoints get what is left
-	responseMemoryDivisor  = 6    // 1/6 of the memory is for bodies of responses on their way to clients
-	readAheadMemoryDivisor = 16   // 1/16 of the memory is for pipelined requests before their turn
+	reservedDescriptors    = 24   // descriptors for the listener, the watch, files and the Go runtime
+	clientConnectionShare  = 0.55 // fraction of the other descriptors; endpoint connections get the remainder
+	responseMemoryDivisor  = 6    // 1/6 of the memory is for response bodies that are not yet written to clients
+	readAheadMemoryDivisor = 16   // 1/16 of the memory is for buffered pipelined requests
 )
 
-// shares are the parts of the process's limits that each side may use. Together they stay within the limits whatever
-// clients and endpoints do.
+// shares holds the parts of the process's limits for the client side and the endpoint side. Their sum is within the limits.
 type shares struct {
 	clientConnections   int
 	upstreamConnections int
@@ -19,7 +18,7 @@
 	readAheadMemory     int64 // bytes
 }
 
-func divide(limits config.Limits) shares {
+func divideLimits(limits config.Limits) shares {
 	usable := limits.Sockets - reservedDescriptors
 	clients := int(float64(usable) * clientConnectionShare)
 	memory := int64(limits.MemoryMB) << 20
--- a/internal/httpgateway/outbound.go
+++ b/internal/httpgateway/outbound.go
@@ -8,16 +8,17 @@
 	"weirhaven/internal/fleet/membership"
 )
 
-// outbound is what the engine's loop may call. On this platform that is endpoints and a log: the watch of the endpoint list
-// is always open, and gateways don't talk to each other, so the other calls do nothing.
+// outbound implements the calls of the engine's loop to the outside. Only connections to endpoints and the log are used on
+// this platform. The other calls do nothing, since the watch of the endpoint list is always open and gateways don't
+// communicate with each other.
 type outbound struct{ *Gateway }
 
-// Connect returns the way to one endpoint. It opens no connection.
+// Connect returns a handle for sending attempts to an endpoint. It opens no connection.
 func (o outbound) Connect(endpoint, address string) engine.EndpointConn {
 	return o.pool.Connect(endpoint, address)
 }
 
-// Log writes a line of the scheduler.
+// Log logs a line of the scheduler.
 func (o outbound) Log(line string) { o.Gateway.Log.Info(line, "from", "scheduler") }
 
 // RequestEndpointList does nothing: the watch is always open.
--- a/internal/httpgateway/shutdown.go
+++ b/internal/httpgateway/shutdown.go
@@ -10,18 +10,18 @@
 )
 
 // After SIGTERM the platform takes a gateway out of service and kills it no sooner than min(longest request timeout,
-// maxKillDelay) + killGrace later. It gets no new clients until then however soon it ends, so it goes on serving those that
-// are still connected for as long as it may.
+// maxKillDelay) + killGrace later. Until then the gateway gets no new clients, even if it exits and restarts earlier, so it
+// serves those that are still connected for as long as possible.
 const (
 	maxKillDelay        = 3 * time.Second
 	killGrace           = 700 * time.Millisecond
-	responseMargin      = 250 * time.Millisecond // so long before the kill all requests have their responses
-	connectionDrainTime = 250 * time.Millisecond // before that, connections end with their next response
-	shutdownOverrun     = time.Second            // so long after longest timeout and killGrace connections are closed whatever they owe
+	responseMargin      = 250 * time.Millisecond // margin between the last response and the kill
+	connectionDrainTime = 250 * time.Millisecond // time before responseMargin during which connections close after their next response
+	shutdownOverrun     = time.Second            // time after the longest timeout and killGrace at which all connections are closed
 )
 
-// shutDownServer returns when every client has its response, or at the latest shutdownOverrun past the longest timeout and
-// killGrace.
+// shutDownServer shuts the server down gracefully. It returns when every client has its response, but no later than
+// shutdownOverrun after the longest timeout plus killGrace.
 func (g *Gateway) shutDownServer(ctx context.Context, server *downstream.Server, listener net.Listener) {
 	longest := longestTimeout(g.Config.Settings)
 	killAfter := min(longest, maxKillDelay) + killGrace
@@ -31,7 +31,7 @@
 	server.Shutdown(bounded, listener, g.loop.Now()+killAfter-responseMargin, connectionDrainTime)
 }
 
-// longestTimeout is the longest timeout of any request class.
+// longestTimeout returns the longest timeout of any request class.
 func longestTimeout(settings policy.Settings) (longest time.Duration) {
 	for _, class := range settings.Classes {
 		longest = max(longest, class.Timeout)
--- a/internal/httpgateway/state.go
+++ b/internal/httpgateway/state.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// logState logs the totals of the engine, of both sides and of the process; it logs nothing once the loop has ended. Its
-// message and the attributes heap and goroutines are read by package soak.
+// logState logs the totals of the engine, the client and endpoint connections, and the process. It logs nothing once the loop
+// has ended. Package soak parses the message and the attributes heap and goroutines.
 func (g *Gateway) logState(server *downstream.Server) {
 	requests, loopDelay, ok := g.engineCounts()
 	if !ok {
@@ -69,8 +69,7 @@
 	g.Log.LogAttrs(context.Background(), slog.LevelInfo, "state", attrs...)
 }
 
-// engineCounts asks the loop for its totals and measures how long the question waited there; ok is false once the loop has
-// ended.
+// engineCounts gets the totals from the loop. delay is the time until the loop answered; ok is false once the loop has ended.
 func (g *Gateway) engineCounts() (counts engine.Counts, delay time.Duration, ok bool) {
 	replies := make(chan engine.Counts, 1)
 	askedAt := time.Now()
