--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,8 +5,8 @@
 	"net/http/httputil"
 )
 
-// Body reads a whole body of at most limit bytes; a longer one is an Error with status 413. A body without a length ends with
-// its connection and is whole where that ended in good order (RFC 9112, 6.3); a reset is no end.
+// Body reads the complete body, which may have at most limit bytes; for a longer one it returns an Error with status 413. A
+// body without a length is complete when the peer closes the connection normally (RFC 9112, 6.3); a reset is an error.
 func (r *Reader) Body(h *Head, limit int) ([]byte, error) {
 	switch {
 	case h.Length == UntilEnd:
@@ -34,7 +34,7 @@
 }
 
 func (r *Reader) chunkedBody(limit int) ([]byte, error) {
-	// The bound leaves space for the lines between chunks, not for a body of chunks of a byte each.
+	// The bound allows for the lines between chunks, but not for a body in chunks of one byte each.
 	r.bound.remaining, r.bound.err = 2*int64(limit)+maxHead, nil
 	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(r.buffer), int64(limit)+1))
 	if err != nil {
@@ -47,14 +47,14 @@
 		return nil, malformed(413, "body of more than %d bytes", limit)
 	}
 	r.bound.remaining = maxHead
-	if _, err := r.text.ReadMIMEHeader(); err != nil { // trailers are dropped
+	if _, err := r.text.ReadMIMEHeader(); err != nil { // trailers are ignored
 		return nil, r.cause(err)
 	}
 	return body, nil
 }
 
-// Stream returns an endless chunked body as a reader. One read takes at most limit bytes; whoever reads bounds what a value in
-// the stream may hold. It returns an Error where the body isn't chunked.
+// Stream returns a reader of a chunked body of unlimited length. A single read returns at most limit bytes; the caller limits
+// the size of a value in the stream. Stream returns an Error if the body isn't chunked.
 func (r *Reader) Stream(h *Head, limit int) (io.Reader, error) {
 	if h.Length != Chunked {
 		return nil, malformed(502, "the body is not chunked")
@@ -65,10 +65,10 @@
 type stream struct {
 	reader *Reader
 	chunks io.Reader
-	limit  int64 // bytes of one read
+	limit  int64 // maximum size of a read in bytes
 }
 
-// Read renews the bound, which holds for one read each.
+// Read resets the bound, which applies to each read separately.
 func (s *stream) Read(p []byte) (int, error) {
 	s.reader.bound.remaining = s.limit + maxHead
 	return s.chunks.Read(p[:min(int64(len(p)), s.limit)])
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// Head is a start line with its fields.
+// Head is the start line and the header fields of a message.
 type Head struct {
-	Method, Target string // of a request
-	Status         int    // of a response
-	Close          bool   // the sender closes the connection after this message
-	Length         int64  // of the body in bytes, or Chunked or UntilEnd
+	Method, Target string // set for a request
+	Status         int    // set for a response
+	Close          bool   // true: the sender closes the connection after this message
+	Length         int64  // length of the body in bytes, or Chunked or UntilEnd
 	fields         textproto.MIMEHeader
 }
 
-// Lengths of a body that no number gives.
+// Values of Head.Length for a body of unknown length.
 const (
-	Chunked  = -1 // its last chunk ends it
-	UntilEnd = -2 // the end of the connection ends it
+	Chunked  = -1 // the body ends with its last chunk
+	UntilEnd = -2 // the body ends when the connection is closed
 )
 
-// Get is a field's value, empty when absent; more than one value is none. The name must be in canonical form.
+// Get returns the value of a field, or "" if the field is absent or occurs more than once. The name must be in canonical form.
 func (h *Head) Get(name string) string {
 	if values := h.fields[name]; len(values) == 1 {
 		return values[0]
@@ -31,17 +31,17 @@
 	return ""
 }
 
-// Count is how often a field stands in the head. The name must be in canonical form.
+// Count returns the number of occurrences of a field. The name must be in canonical form.
 func (h *Head) Count(name string) int { return len(h.fields[name]) }
 
-// hopByHop fields are for the next hop alone (RFC 9110, 7.6.1), as are those that Connection names; the framing of what is
-// passed on is its sender's own.
+// hopByHop is the set of fields that are not forwarded (RFC 9110, 7.6.1), besides those that Connection names. It includes the
+// framing fields, since each sender frames the forwarded message itself.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Content-Length": true}
 
-// AppendForward appends the fields that a proxy has to pass on, known to it or not, but for those that it sets itself (own, in
-// canonical form).
+// AppendForward appends the fields that a proxy has to forward, including unknown ones, except those that it sets itself (own,
+// in canonical form).
 func (h *Head) AppendForward(text []byte, own ...string) []byte {
 	named := h.connectionOptions()
 	for i, option := range named {
@@ -58,7 +58,7 @@
 	return text
 }
 
-// connectionOptions are the tokens of all Connection fields.
+// connectionOptions returns the tokens of all Connection fields.
 func (h *Head) connectionOptions() (options []string) {
 	for _, value := range h.fields["Connection"] {
 		for _, option := range strings.Split(value, ",") {
@@ -68,7 +68,7 @@
 	return options
 }
 
-// readFields reads the fields of a head whose start line was read, and how its body is framed.
+// readFields reads the fields that follow the start line and sets Length and Close from them.
 func (r *Reader) readFields(h *Head) (err error) {
 	if h.fields, err = r.text.ReadMIMEHeader(); err != nil {
 		return r.cause(err)
@@ -83,7 +83,8 @@
 	return err
 }
 
-// checkFields checks the bounds of fields, and that none holds what a less strict reader could take for another field.
+// checkFields checks the number and size of the fields. It rejects characters that a less strict parser could interpret as the
+// start of another field.
 func checkFields(fields textproto.MIMEHeader) error {
 	n := 0
 	for name, values := range fields {
@@ -92,7 +93,7 @@
 		}
 		for _, value := range values {
 			if n++; n > maxFields || len(value) > maxLine {
-				return malformed(431, "fields longer or more than allowed")
+				return malformed(431, "header fields exceed the size or count limit")
 			}
 			if strings.IndexFunc(value, isControl) >= 0 {
 				return malformed(400, "control character in field %s", clip(name))
@@ -106,17 +107,17 @@
 
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// framing is how the end of a body is found. A message that gives two ways is an error and not guessed at: the next hop might
-// take the other way, and another message might hide in the body (request smuggling).
+// framing returns the length of the body, or how its end is found. A message with contradicting framing fields is an error:
+// the next hop might interpret them differently, so that another message could hide in the body (request smuggling).
 func framing(h *Head) (int64, error) {
 	length, coding := h.fields["Content-Length"], h.fields["Transfer-Encoding"]
 	switch {
 	case len(length) > 0 && len(coding) > 0:
 		return 0, malformed(400, "both Content-Length and Transfer-Encoding")
 	case len(length) > 1:
-		return 0, malformed(400, "%d lengths", len(length))
+		return 0, malformed(400, "%d Content-Length fields", len(length))
 	case len(coding) > 1 || len(coding) == 1 && !strings.EqualFold(coding[0], "chunked"):
-		return 0, malformed(501, "transfer coding %q", clip(strings.Join(coding, ", ")))
+		return 0, malformed(501, "unsupported transfer coding %q", clip(strings.Join(coding, ", ")))
 	case len(coding) == 1:
 		return Chunked, nil
 	case len(length) == 0:
@@ -124,12 +125,12 @@
 	}
 	n, ok := ParseDigits(length[0])
 	if !ok {
-		return 0, malformed(400, "length %q is no whole number", clip(length[0]))
+		return 0, malformed(400, "invalid Content-Length %q", clip(length[0]))
 	}
 	return n, nil
 }
 
-// ParseDigits reads a number of digits only, without a sign, of at most 18 digits; ok is false for all else.
+// ParseDigits parses a non-negative decimal number of at most 18 digits, without a sign; ok is false for any other text.
 func ParseDigits(text string) (n int64, ok bool) {
 	if text == "" || len(text) > 18 || strings.Trim(text, "0123456789") != "" {
 		return 0, false
@@ -138,11 +139,11 @@
 	return n, err == nil
 }
 
-// clip bounds what an error quotes.
+// clip shortens a text to be quoted in an error.
 func clip(text string) string {
-	const most = 32
-	if len(text) > most {
-		return text[:most] + "..."
+	const maxLength = 32 // bytes
+	if len(text) > maxLength {
+		return text[:maxLength] + "..."
 	}
 	return text
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -45,8 +45,9 @@
 	return good()
 }
 
-// A client sends what another hop would read differently: two lengths, a space before a colon, an unknown coding, bytes beyond
-// a bound. Each is an error with its status, so that no request hides in another. What is whole and certain is read.
+// A client sends a request that another hop could parse differently: two lengths, a space before a colon, an unknown transfer
+// coding, a field beyond a limit. Each must be an error with its status, so that no request can hide in another one. Valid
+// requests must be parsed.
 func TestRequests(t *testing.T) {
 	head := "PUT /a HTTP/1.1\r\nHost: h\r\n"
 	for in, want := range map[string]string{
@@ -56,14 +57,14 @@
 		head + "Content-Length: 3\r\n\r\nabcGET":                                   `PUT /a "abc", 3 buffered`,
 		head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\nX": `PUT /a "abc", 1 buffered`,
 		head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":           "400: both Content-Length and Transfer-Encoding",
-		head + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc":                 "400: 2 lengths",
-		head + "Content-Length: -3\r\n\r\nabc":                                     `400: length "-3" is no whole number`,
-		head + "Content-Length: +3\r\n\r\nabc":                                     `400: length "+3" is no whole number`,
-		head + "Content-Length: 1\r\n 2\r\n\r\nabc":                                `400: length "1 2" is no whole number`,
-		head + "Content-Length: 99999999999999999999\r\n\r\n":                      `400: length "99999999999999999999" is no whole number`,
+		head + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc":                 "400: 2 Content-Length fields",
+		head + "Content-Length: -3\r\n\r\nabc":                                     `400: invalid Content-Length "-3"`,
+		head + "Content-Length: +3\r\n\r\nabc":                                     `400: invalid Content-Length "+3"`,
+		head + "Content-Length: 1\r\n 2\r\n\r\nabc":                                `400: invalid Content-Length "1 2"`,
+		head + "Content-Length: 99999999999999999999\r\n\r\n":                      `400: invalid Content-Length "99999999999999999999"`,
 		head + "Content-Length: 17\r\n\r\n":                                        "413: body of 17 bytes, at most 16",
 		head + "Content-Length: 3\r\n\r\nab":                                       "unexpected EOF",
-		head + "Transfer-Encoding: gzip\r\n\r\n":                                   `501: transfer coding "gzip"`,
+		head + "Transfer-Encoding: gzip\r\n\r\n":                                   `501: unsupported transfer coding "gzip"`,
 		head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n":           "400: malformed chunk",
 		head + "Transfer-Encoding: chunked\r\n\r\n11\r\n12345678901234567\r\n":     "413: body of more than 16 bytes",
 		head + "Content-Length : 3\r\n\r\nabc":                                     "400: malformed field name",
@@ -76,9 +77,9 @@
 		"GET /a b HTTP/1.1\r\nHost: h\r\n\r\n":                                     "505: version is not HTTP/1.1",
 		"\x16\x03\x01\r\n":                                                         "400: malformed start line",
 		"GET /" + strings.Repeat("a", 5000) + " HTTP/1.1\r\n":                      "431: start line longer than 4096 bytes",
-		"GET /" + strings.Repeat("a", 50000):                                       "431: longer than allowed",
-		head + strings.Repeat("X: y\r\n", 100) + "\r\n":                            "431: fields longer or more than allowed",
-		head + strings.Repeat("X: y\r\n", 100000):                                  "431: longer than allowed",
+		"GET /" + strings.Repeat("a", 50000):                                       "431: message exceeds the size limit",
+		head + strings.Repeat("X: y\r\n", 100) + "\r\n":                            "431: header fields exceed the size or count limit",
+		head + strings.Repeat("X: y\r\n", 100000):                                  "431: message exceeds the size limit",
 		head + "X: y": "unexpected EOF",
 	} {
 		if got := readRequest(in); got != want {
@@ -87,7 +88,8 @@
 	}
 }
 
-// An endpoint sends interim responses, noise, endless heads and bodies. Each is read, or is an error within the bounds.
+// An endpoint sends interim responses, random bytes, or a head or body without an end. Each must be parsed or be an error, with
+// bounded memory.
 func TestResponses(t *testing.T) {
 	interim := "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 	ok := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -96,7 +98,7 @@
 		ok + ok:                         fmt.Sprintf(`200 "ok", close false, %d buffered`, len(ok)),
 		strings.Repeat(interim, 7) + ok: `200 "ok", close false, 0 buffered`,
 		strings.Repeat(interim, 8) + ok: "502: more than 8 interim responses",
-		"HTTP/1.1 101 Switching Protocols\r\n\r\n":                          "502: unrequested upgrade",
+		"HTTP/1.1 101 Switching Protocols\r\n\r\n":                          "502: unexpected protocol upgrade",
 		"HTTP/1.1 204 No Content\r\n\r\n":                                   `204 "", close false, 0 buffered`,
 		"HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n": `200 "", close true, 0 buffered`,
 		"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n":                      `200 "", close true, 0 buffered`,
@@ -106,7 +108,7 @@
 		"HTTP/1.1 2000 OK\r\n\r\n":                                          "502: malformed status line",
 		"noise noise noise\r\n\r\n":                                         "502: malformed status line",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok":                    "unexpected EOF",
-		strings.Repeat("x", 1<<20):                                          "431: longer than allowed",
+		strings.Repeat("x", 1<<20):                                          "431: message exceeds the size limit",
 	} {
 		if got := readResponse(in); got != want {
 			t.Errorf("%.80q:\n got %s\nwant %s", in, got, want)
@@ -114,7 +116,8 @@
 	}
 }
 
-// An endless body is handed on as it arrives, in whatever pieces; one that is not chunked is an error.
+// A body of unlimited length must be readable as it arrives, whatever the size of its pieces; a body that is not chunked must
+// be an error.
 func TestStream(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	r := NewReader(iotest.OneByteReader(strings.NewReader(head + "5\r\na\nbc\n\r\n1\r\n\n\r\n3\r\ncut\r\n9\r\nbroken")))
@@ -134,8 +137,8 @@
 	}
 }
 
-// A proxy passes on fields that it doesn't know: another customer's requests carry a mark in one. It doesn't pass on what is for
-// this hop alone, framing, or a field that it sets itself.
+// A proxy must forward unknown fields, such as the idempotency key of some customers' requests. It must not forward hop-by-hop
+// fields, framing fields, or a field that it sets itself.
 func TestAppendForward(t *testing.T) {
 	r := NewReader(strings.NewReader("PUT /a HTTP/1.1\r\nHost: h\r\nX-Mine: 1\r\nidempotency-key: k\r\nVia: a\r\nVia: b\r\n" +
 		"Connection: keep-alive, X-Hop\r\nX-Hop: 2\r\nKeep-Alive: 5\r\nTE: x\r\nExpect: y\r\nContent-Length: 0\r\n\r\n"))
@@ -148,7 +151,8 @@
 	}
 }
 
-// A body is longer than its length says, and the rest would be read as the next request. It is told apart by the first bytes.
+// A body is longer than its Content-Length, so the excess bytes would be parsed as the next request. MayStartRequest must
+// detect this by the first bytes.
 func TestMayStartRequest(t *testing.T) {
 	for b, want := range map[string]bool{"": true, "G": true, "GET ": true, "PUT /a": true, "\r\nDELETE ": true, "\r": true,
 		"GETS": false, "abc": false, "get /": false, "\x00": false, "PU/": false, " GET": false, "\r\nx": false} {
@@ -158,8 +162,8 @@
 	}
 }
 
-// An endpoint sends a body without a length and its connection is reset in the middle. Were the part taken for the whole body, a
-// client would get damaged data; only an end in good order makes it whole.
+// An endpoint sends a body without a length, and its connection is reset in the middle. If Body returned the part that arrived,
+// a client would get truncated data. Only a normal close completes such a body.
 func TestBodyUntilEnd(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\n\r\nok"
 	broken := errors.New("reset")
@@ -173,7 +177,8 @@
 	}
 }
 
-// However a message is made, reading it is bounded, and what was read can be written and read again.
+// For any input, reading a request must be bounded, and a request that was read must be the same after being written and read
+// again.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nT: x\r\n\r\n"))
@@ -202,7 +207,7 @@
 	})
 }
 
-// However a response is made, reading it is bounded.
+// For any input, reading a response must be bounded.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,11 +1,11 @@
-// Package http1 reads and writes HTTP/1.1 messages of either direction on one connection. What it reads is bounded and strict:
-// a message whose end isn't certain is an error, since another message might hide in it. It stands on net/textproto and on the
-// chunk reader of net/http/httputil, beneath which the reader is bounded here.
+// Package http1 reads and writes HTTP/1.1 requests and responses on a connection. Reading is bounded and strict: a message
+// whose end is ambiguous is an error, since another message might hide in it. The package uses net/textproto and the chunk
+// reader of net/http/httputil on top of its own bounded reader.
 //
-// It has no clock: whoever owns the connection sets its deadlines. Nothing in it is safe for concurrent use.
+// The package has no clock: the owner of the connection sets its deadlines. Its types are not safe for concurrent use.
 //
-// net/http is not used on purpose: its client sends requests again by itself and hides when the last byte left, and its
-// server drops one of two contradicting lengths unseen.
+// The package deliberately doesn't use net/http. The client of net/http retries requests on its own and doesn't expose when
+// the last byte was sent; its server silently drops one of two contradicting lengths.
 package http1
 
 import (
@@ -16,19 +16,19 @@
 	"net/textproto"
 )
 
-// Bounds of a message's head; what is beyond them is an Error with status 431 or 502.
+// Limits on a message's head. Beyond them reading returns an Error with status 431 or 502.
 const (
-	maxLine    = 4 << 10  // bytes of the start line, and of a field's value
-	maxFields  = 64       // values of fields
-	maxHead    = 16 << 10 // bytes of all
-	readAhead  = 4 << 10  // bytes of the buffer
-	maxInterim = 8        // interim responses before a final one
+	maxLine    = 4 << 10  // size of the start line and of a field's value in bytes
+	maxFields  = 64       // number of field values
+	maxHead    = 16 << 10 // size of the head in bytes
+	readAhead  = 4 << 10  // size of the read buffer in bytes
+	maxInterim = 8        // number of interim responses before a final one
 )
 
-// Error says what is wrong with a message, and which status a server owes for it. The connection can't be used any further:
-// it isn't known where the next message begins.
+// Error reports a malformed message. After it the connection can't be used any further, since the start of the next message is
+// unknown.
 type Error struct {
-	Status int
+	Status int // status with which a server should answer
 	Reason string
 }
 
@@ -39,16 +39,16 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-var errTooLong = errors.New("longer than allowed")
+var errTooLong = errors.New("message exceeds the size limit")
 
-// boundedReader lets at most remaining bytes through.
+// boundedReader reads at most remaining bytes from source.
 type boundedReader struct {
 	source    io.Reader
 	remaining int64
-	err       error // of the last read
+	err       error // error of the last read
 }
 
-// Read returns errBound once remaining is 0.
+// Read returns errTooLong once remaining is 0.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
 		b.err = errTooLong
@@ -67,7 +67,7 @@
 	text   *textproto.Reader
 }
 
-// NewReader reads from source.
+// NewReader returns a Reader that reads from source.
 func NewReader(source io.Reader) *Reader {
 	r := &Reader{bound: boundedReader{source: source}}
 	r.buffer = bufio.NewReaderSize(&r.bound, readAhead)
@@ -75,19 +75,19 @@
 	return r
 }
 
-// Await returns nil when a byte of the next message is there, else the connection's error.
+// Await blocks until a byte of the next message is available. It returns the connection's error otherwise.
 func (r *Reader) Await() error {
 	r.bound.remaining = maxHead + readAhead
 	_, err := r.buffer.Peek(1)
 	return err
 }
 
-// Buffered is the number of bytes read beyond what was asked for.
+// Buffered returns the number of bytes that were read from the connection and not parsed yet.
 func (r *Reader) Buffered() int { return r.buffer.Buffered() }
 
-// Peek returns the first n bytes, or fewer, of those read beyond what was asked for. They are valid until the next read.
+// Peek returns the first n buffered bytes, or fewer, without consuming them. They are valid until the next read.
 func (r *Reader) Peek(n int) []byte {
-	bytes, _ := r.buffer.Peek(min(n, r.buffer.Buffered())) // no more than is buffered: it can't fail
+	bytes, _ := r.buffer.Peek(min(n, r.buffer.Buffered())) // can't fail: at most the buffered bytes are requested
 	return bytes
 }
 
@@ -95,7 +95,7 @@
 func (r *Reader) line() (string, error) {
 	r.bound.remaining, r.bound.err = maxHead+readAhead, nil
 	line, err := r.text.ReadLine()
-	if err != nil || r.bound.err != nil { // what a broken connection cut comes as if it were a line
+	if err != nil || r.bound.err != nil { // ReadLine returns a line that was cut by a broken connection without an error
 		return "", r.cause(err)
 	}
 	if len(line) > maxLine {
@@ -104,13 +104,13 @@
 	return line, nil
 }
 
-// cause finds what is behind an error of the readers above the bound: textproto takes the line that a broken connection cut
-// for a malformed one, and a client that has gone would be answered.
+// cause returns the cause of an error of the readers on top of boundedReader. textproto reports a line that was cut by a broken
+// connection as malformed; without cause the gateway would answer a client that has disconnected.
 func (r *Reader) cause(err error) error {
 	var protocol textproto.ProtocolError
 	switch {
 	case errors.Is(r.bound.err, errTooLong):
-		return malformed(431, "longer than allowed")
+		return malformed(431, "message exceeds the size limit")
 	case r.bound.err != nil:
 		err = r.bound.err
 	case errors.As(err, &protocol):
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -4,11 +4,11 @@
 
 var methods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"}
 
-// MinRequestPrefix is how many bytes MayStartRequest needs to be sure.
+// MinRequestPrefix is the number of bytes that MayStartRequest needs for a definite result.
 const MinRequestPrefix = len("\r\nCONNECT ")
 
-// MayStartRequest reports whether a pipelined request may begin with prefix, of which more may come. What can't be a request
-// was meant as a body: the length before it was wrong.
+// MayStartRequest reports whether a pipelined request may begin with prefix, which may be incomplete. If not, the bytes belong
+// to the preceding body, whose length was wrong.
 func MayStartRequest(prefix []byte) bool {
 	text := strings.TrimPrefix(string(prefix), "\r\n")
 	if text == "\r" || text == "" {
@@ -22,10 +22,11 @@
 	return false
 }
 
-// Request reads the head of a request. An *Error says that it is malformed; any other error is the connection's.
+// Request reads the head of a request. It returns an *Error if the head is malformed; any other error comes from the
+// connection.
 func (r *Reader) Request() (*Head, error) {
 	line, err := r.line()
-	if err == nil && line == "" { // RFC 9112, 2.2: an empty line before a request is to be passed over
+	if err == nil && line == "" { // RFC 9112, 2.2: a server should ignore an empty line before a request
 		line, err = r.line()
 	}
 	if err != nil {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Response reads the head of a response; interim ones before it are skipped, a bounded number of them. An *Error says that it is
-// malformed; any other error is the connection's.
+// Response reads the head of a final response and skips up to maxInterim interim responses before it. It returns an *Error if
+// a head is malformed; any other error comes from the connection.
 func (r *Reader) Response() (*Head, error) {
 	for range maxInterim {
 		line, err := r.line()
@@ -19,7 +19,7 @@
 		}
 		switch {
 		case h.Status == 101:
-			return nil, malformed(502, "unrequested upgrade")
+			return nil, malformed(502, "unexpected protocol upgrade")
 		case h.Status < 200:
 			r.bound.remaining = maxHead + readAhead
 			continue
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendField appends a field to a head. Control characters are left out of the value: they could end the field early.
+// AppendField appends a field to a head. It omits control characters from the value, since they could end the field early.
 func AppendField(head []byte, name, value string) []byte {
 	head = append(append(head, name...), ": "...)
 	for i := range len(value) {
@@ -13,7 +13,7 @@
 	return append(head, "\r\n"...)
 }
 
-// AppendBody ends a head with its body's length, and appends the body.
+// AppendBody appends the Content-Length field, the end of the head and the body.
 func AppendBody(head, body []byte) []byte {
 	head = strconv.AppendInt(append(head, "Content-Length: "...), int64(len(body)), 10)
 	return append(append(head, "\r\n\r\n"...), body...)
--- a/internal/httpgateway/clients_test.go
+++ b/internal/httpgateway/clients_test.go
@@ -9,9 +9,9 @@
 	"weirhaven/policy"
 )
 
-// A client sends what can't be a request. It gets an error and its connection ends; nothing reaches an endpoint, and the
-// next client is served.
-func TestBadClients(t *testing.T) {
+// A client sends an invalid request. It must get an error status and nothing may reach the endpoint. The next client must be
+// served.
+func TestInvalidRequests(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
 	hidden := "GET /read/00000000000000aa/00000000000000bb HTTP/1.1\r\nX-Txn: hidden\r\n\r\n"
@@ -54,8 +54,8 @@
 	wantResponse(t, gateway.dial(), readRequest("good"), 200, "answer 0")
 }
 
-// A client announces a body that is too large and goes on sending it. It is answered without the body being read, and the
-// answer is not lost to a reset.
+// A client sends a Content-Length that is too large, and then the body. The gateway must respond without reading the body into
+// memory, and a reset must not destroy the response.
 func TestLargeRequestBody(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
@@ -70,8 +70,8 @@
 	endpoint.wantNoRequest(t)
 }
 
-// Clients connect and send nothing, or half a request, and take up all connections. Others are served all the same, and the
-// silent ones end within the bound of the platform.
+// Clients use up all connections and send nothing or an incomplete request. Other clients must still be served, and the silent
+// connections must be closed within the platform's limit.
 func TestSilentClients(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
@@ -87,16 +87,16 @@
 	began := time.Now()
 	for _, c := range silent {
 		if s, _ := receive(c); s != 0 && s != 408 {
-			t.Errorf("%d", s)
+			t.Errorf("%d, wanted 408 or no response", s)
 		}
 	}
 	if d := time.Since(began); d > 3*time.Second {
-		t.Errorf("the last of them ended after %v", d)
+		t.Errorf("the last silent connection was closed after %v, wanted 3 s at most", d)
 	}
 }
 
-// A client disconnects while its request is in progress. That is noticed at once, and its attempt is canceled: the endpoint
-// would do work that nobody waits for.
+// A client disconnects while its request is in progress. The gateway must detect it at once and cancel the attempt, or the
+// endpoint would do useless work.
 func TestClientDisconnects(t *testing.T) {
 	endpoint := newEndpoint(t, func(c net.Conn, _ int) bool { _, err := c.Read(make([]byte, 1)); return err == nil })
 	gateway := startGateway(t, endpoint)
--- a/internal/httpgateway/config/config.go
+++ b/internal/httpgateway/config/config.go
@@ -1,8 +1,8 @@
-// Package config reads what the platform gives a gateway: its configuration file, and the endpoint lists that stand in it or
-// come from the agent. The JSON keys are the platform's; they are mapped to this program's terms here and nowhere else.
+// Package config parses the input from the platform: a gateway's configuration file, and the endpoint lists from that file and
+// from the agent. Only this package maps the platform's JSON keys to this program's terms.
 //
-// A configuration is read whole or not at all: an error names the field. A list from the agent is read as far as it can be,
-// since the other entries must not suffer from one. The package does no I/O but Load.
+// An invalid field makes the whole configuration invalid; the error names the field. An invalid entry in a list from the agent
+// doesn't affect the other entries. Only Load does I/O.
 package config
 
 import (
@@ -18,32 +18,32 @@
 	"weirhaven/policy"
 )
 
-// Config is a whole configuration.
+// Config is the configuration of a gateway.
 type Config struct {
 	Name                string
 	Listen              string // address for clients, with its port
 	Discovery           string // address of the agent, with its port
 	Limits              Limits
-	KnownEndpoints      List // as of when the configuration was written; empty if it has none
+	KnownEndpoints      List // endpoint list at the time the configuration was written; may be empty
 	Settings            policy.Settings
-	ConnectTimeout      time.Duration // the longest time that a connection to an endpoint may take to come up; above 0
-	EndpointIdleTimeout time.Duration // an endpoint closes a connection that was idle for so long; above 0
+	ConnectTimeout      time.Duration // limit on establishing a connection to an endpoint; above 0
+	EndpointIdleTimeout time.Duration // idle time after which an endpoint closes a connection; above 0
 }
 
-// Limits are those of all processes of the gateway together.
+// Limits are the resource limits of all processes of the gateway together.
 type Limits struct {
-	Cores    float64 // above 0
-	MemoryMB int     // MiB, above 0
-	Sockets  int     // at least MinSockets
+	Cores    float64 // CPU cores; above 0
+	MemoryMB int     // memory in MiB; above 0
+	Sockets  int     // open sockets; at least MinSockets
 }
 
-// MinSockets is the least number of sockets with which a gateway can work at all.
+// MinSockets is the minimum number of sockets that a gateway needs.
 const MinSockets = 64
 
-// maxFile is the largest configuration file that is read, in bytes.
+// maxFile is the maximum size of a configuration file in bytes.
 const maxFile = 4 << 20
 
-// Load reads a configuration file. It returns an error when the file can't be read, is too large or is no configuration.
+// Load reads a configuration file. It returns an error if the file can't be read, is too large or isn't a valid configuration.
 func Load(path string) (*Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return c, nil
 }
 
-// Parse reads a configuration. An error names the field.
+// Parse parses a configuration. An error names the invalid field.
 func Parse(text []byte) (*Config, error) {
 	var parser fastjson.Parser
 	v, err := parser.ParseBytes(text)
@@ -94,7 +94,7 @@
 func (c *Config) checkAddresses() error {
 	for field, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return fmt.Errorf("%s: %q is no address with a port", field, address)
+			return fmt.Errorf("%s: %q is not an address with a port", field, address)
 		}
 	}
 	return nil
@@ -113,11 +113,11 @@
 	return limits, nil
 }
 
-// parseSettings reads the scheduler's settings and the time limits that stand among them.
+// parseSettings parses the scheduler's settings and the timeouts in the same JSON object.
 func (c *Config) parseSettings(v *fastjson.Value) error {
 	seed, err := strconv.ParseUint(stringAt(v, "seed"), 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %s is no hexadecimal number", v.Get("seed"))
+		return fmt.Errorf("seed: %s is not a hexadecimal number", v.Get("seed"))
 	}
 	settings := v.Get("settings")
 	if c.Settings, err = ParseSettings(settings, int64(seed)); err != nil {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// checkSettings refuses settings without what the scheduler needs in each class and plan; the rest is left to the platform.
+// checkSettings rejects settings that lack what the scheduler needs in each class and plan. It doesn't check other values.
 func checkSettings(settings policy.Settings) error {
 	if len(settings.Classes) == 0 || len(settings.Plans) == 0 {
 		return errors.New("no classes or no plans")
--- a/internal/httpgateway/config/config_test.go
+++ b/internal/httpgateway/config/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// wholeText is a configuration with all that is checked.
+// wholeText is a configuration with every field that the tests check.
 const wholeText = `{"name":"h1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.25,"memory_mb":64,"sockets":256},
 "known":{"revision":41,"complete":true,"members":[
@@ -18,7 +18,7 @@
 "settings":{"balancers":3,"limits":{"max_attempts":4,"conn_idle_us":30000000,"connect_timeout_us":250000,"retry_after":true,"max_retry_after_us":2000000},
 "classes":[{"name":"read","aim_us":500000,"give_up_us":3000000,"semantics":"repeatable"}],"plans":[{"name":"plain","never_over":2}]}}`
 
-// Each field of a configuration and of its endpoint list is read, in the units of the platform.
+// Fields of a configuration and of its endpoint list must be converted from the platform's units.
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(wholeText))
 	if err != nil {
@@ -35,9 +35,9 @@
 	}
 }
 
-// A configuration is wrong in one field. The gateway must not start with a guess in its place; the error names the field, so
-// that whoever wrote it finds it.
-func TestBadConfiguration(t *testing.T) {
+// A configuration has one invalid field. The gateway must not start with a default in its place, and the error must name the
+// field so that an operator can find it.
+func TestInvalidConfiguration(t *testing.T) {
 	for _, row := range [][3]string{
 		{wholeText, "", "not JSON"},
 		{wholeText, "[]", "not an object"},
@@ -62,8 +62,7 @@
 	}
 }
 
-// Whatever stands in a file or comes from an agent, reading it does not panic, and what is read keeps the bounds that others
-// rely on.
+// Parsing any configuration or list must not panic, and the result must be within the bounds that other packages rely on.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(wholeText))
 	f.Add([]byte(`{"revision":1,"members":[{"id":"a","host_port":"127.0.0.1:3","cell":1e3,"phase":"in_service"}]}`))
--- a/internal/httpgateway/config/list.go
+++ b/internal/httpgateway/config/list.go
@@ -13,25 +13,25 @@
 	"weirhaven/internal/engine"
 )
 
-// List is a list of endpoints, or what changed in it.
+// List is a complete list of endpoints, or the changes to one.
 type List struct {
 	Revision int64
-	Complete bool // it is the whole list; else the entries are those that changed
+	Complete bool // true: Entries is the complete list; false: it holds the changed entries
 	Entries  []engine.EndpointEntry
 }
 
 // Phases of an endpoint on the wire.
 const (
 	phaseInService   = "in_service"
-	phaseTerminating = "terminating" // it drains
+	phaseTerminating = "terminating" // draining
 	phaseTerminated  = "terminated"
 )
 
-// onBadEntry decides what becomes of an entry that can't be read; an error makes the whole list unreadable.
+// onBadEntry returns the replacement for an invalid entry; an error makes the whole list invalid.
 type onBadEntry func(entry engine.EndpointEntry, err error) (engine.EndpointEntry, error)
 
-// ParseList reads a list from the agent. An entry that can't be read does not take the others with it: it is marked
-// Unreadable, or left out where it has no name. What parser holds is overwritten; the list keeps nothing of it.
+// ParseList parses a list from the agent. An invalid entry is marked Unreadable, or omitted if it has no name; the other
+// entries are kept. ParseList overwrites the values held by parser; the returned list doesn't refer to them.
 func ParseList(parser *fastjson.Parser, text []byte) (List, error) {
 	v, err := parser.ParseBytes(text)
 	if err != nil {
@@ -42,7 +42,7 @@
 	})
 }
 
-// parseKnownEndpoints reads the list of a configuration, which has to be readable as a whole.
+// parseKnownEndpoints parses the list in a configuration, in which every entry must be valid.
 func parseKnownEndpoints(v *fastjson.Value) (List, error) {
 	return parseEntries(v, func(entry engine.EndpointEntry, err error) (engine.EndpointEntry, error) { return entry, err })
 }
@@ -53,7 +53,7 @@
 	}
 	members := v.Get("members")
 	if members == nil || members.Type() != fastjson.TypeArray {
-		return List{}, errors.New("no members")
+		return List{}, errors.New("members: missing or not an array")
 	}
 	list := List{Revision: v.GetInt64("revision"), Complete: v.GetBool("complete")}
 	for i, member := range members.GetArray() {
@@ -71,8 +71,8 @@
 	return list, nil
 }
 
-// parseEntry reads one endpoint of a list. An error names the field; the endpoint's name is there if it can be read. Of one
-// that is gone only the name counts.
+// parseEntry parses one endpoint of a list. An error names the invalid field; the returned entry then still has the endpoint's
+// name, if that is valid. For a terminated endpoint only the name is checked.
 func parseEntry(member *fastjson.Value) (engine.EndpointEntry, error) {
 	entry := engine.EndpointEntry{Name: stringAt(member, "id"), Address: stringAt(member, "host_port"),
 		Zone: stringAt(member, "locality"), Shard: -1}
@@ -82,21 +82,21 @@
 		return entry, fmt.Errorf("phase: unknown phase %q", phase)
 	}
 	if entry.Name == "" {
-		return entry, errors.New("id: none")
+		return entry, errors.New("id: missing")
 	}
 	if _, err := netip.ParseAddrPort(entry.Address); err != nil && !entry.Removed {
-		return entry, fmt.Errorf("host_port: %q is no address with a port", entry.Address)
+		return entry, fmt.Errorf("host_port: %q is not an address with a port", entry.Address)
 	}
 	if shard, err := strconv.Atoi(jsonText(member.Get("cell"))); err == nil && shard >= 0 {
 		entry.Shard = shard
 	} else if !entry.Removed {
-		return entry, errors.New("cell: no whole number from 0")
+		return entry, errors.New("cell: not a non-negative integer")
 	}
 	entry.Started = startTime(member)
 	return entry, nil
 }
 
-// startTime is when an endpoint started, as Unix time on the agent's wall clock; 0: long ago.
+// startTime returns the start time of an endpoint as Unix time on the agent's wall clock; 0: long ago.
 func startTime(member *fastjson.Value) time.Duration {
 	if startMs := member.GetFloat64("up_since_ms"); startMs > 0 && startMs < math.MaxInt64/1e6 {
 		return time.Duration(startMs) * time.Millisecond
@@ -104,7 +104,7 @@
 	return 0
 }
 
-// jsonText is a value as it stands in the text; empty if there is none.
+// jsonText returns the JSON text of a value, or "" for nil.
 func jsonText(v *fastjson.Value) string {
 	if v == nil {
 		return ""
--- a/internal/httpgateway/config/settings.go
+++ b/internal/httpgateway/config/settings.go
@@ -12,9 +12,9 @@
 var idempotencyBySemantics = map[string]policy.Idempotency{"repeatable": policy.Idempotent, "by_key": policy.IdempotentByKey,
 	"once": policy.NotIdempotent}
 
-// ParseSettings reads the settings object, the one that a simulated gateway gets in its first message and a real one finds in its
-// configuration. A key that isn't read here is skipped; a key that is missing leaves the setting at 0 or off. It returns an
-// error when v is no object or a class has unknown semantics; the values themselves aren't checked.
+// ParseSettings parses the settings object, which a simulated gateway gets in its first message and a real one in its
+// configuration. It ignores unknown keys; a missing key leaves the setting at 0 or off. It returns an error if v is not an
+// object or a class has unknown semantics; it doesn't check the values themselves.
 func ParseSettings(v *fastjson.Value, seed int64) (policy.Settings, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return policy.Settings{}, errors.New("not an object")
@@ -44,7 +44,7 @@
 	return settings, nil
 }
 
-// readCapabilities reads what the gateway may do, and what clients do.
+// readCapabilities reads which features the gateway may use, and whether clients mark retries.
 func readCapabilities(v *fastjson.Value, settings *policy.Settings) {
 	settings.Hedging = v.GetBool("limits", "second_copies")
 	settings.CanCancel = v.GetBool("limits", "cancel")
@@ -57,7 +57,7 @@
 	}
 }
 
-// readContract reads what endpoints and the platform promise or demand.
+// readContract reads the limits and guarantees of the endpoints and the platform.
 func readContract(v *fastjson.Value, settings *policy.Settings) {
 	settings.MaxListAge = microseconds(v, "contract", "ask_within_us")
 	settings.DrainGrace = microseconds(v, "contract", "drain_grace_us")
--- a/internal/httpgateway/config/stored_data_test.go
+++ b/internal/httpgateway/config/stored_data_test.go
@@ -29,8 +29,8 @@
 		TypicalUnits: 1.5}
 }
 
-// A configuration as the platform gives it to a host of version a32f63c. Every later version must read the same from it: each value, and
-// the list of servers in its order.
+// The stored configuration was written by the platform for a gateway of version a32f63c. Every later version must parse the same
+// values from it, and the endpoint list in the same order.
 func TestStoredConfigurationIsRead(t *testing.T) {
 	got, err := Load(filepath.Join("testdata", "stored", "host.json"))
 	if err != nil {
--- a/internal/httpgateway/configuration_test.go
+++ b/internal/httpgateway/configuration_test.go
@@ -11,7 +11,7 @@
 	"weirhaven/internal/httpgateway/config"
 )
 
-// A configuration can't be read. The error names its field, and no gateway starts without one.
+// A configuration is missing or has an invalid field. The error must name the field, and the gateway must not start.
 func TestUnreadableConfiguration(t *testing.T) {
 	file := t.TempDir() + "/c.json"
 	if err := os.WriteFile(file, []byte(`{"listen":"127.0.0.1:x","discovery":"127.0.0.1:1"}`), 0o600); err != nil {
@@ -26,13 +26,13 @@
 	}
 }
 
-// minimalConfig holds what must stand in a configuration, and no more.
+// minimalConfig is a configuration with only the required fields.
 const minimalConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","limits":{"cores":1,"memory_mb":16,"sockets":64},
 "settings":{"limits":{"max_attempts":1,"conn_idle_us":1000000,"connect_timeout_us":200000},
 "classes":[{"name":"read","aim_us":400000,"give_up_us":1000000,"semantics":"once"}],"plans":[{"name":"plain"}]}}`
 
-// Settings lack all that another customer's have; there are as few descriptors as may be, idle clients take them all, and
-// the agent refuses connections. The gateway becomes ready and serves, and gets the list once the agent is there.
+// The configuration has only the required settings and the minimum number of sockets, idle clients use all of them, and the
+// agent refuses connections. The gateway must become ready and serve, and must get the list once the agent is available.
 func TestMinimalConfiguration(t *testing.T) {
 	t.Parallel()
 	endpoint, second := newEndpoint(t, respondNumbered), newEndpoint(t, respondNumbered)
@@ -63,13 +63,13 @@
 	send(agent, fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list))
 	for i, began := 0, time.Now(); len(second.requests) == 0; i++ {
 		if roundTrip(gateway.dial(), readRequest(fmt.Sprint("c", i))); time.Since(began) > 5*time.Second {
-			t.Fatal("the list does not count")
+			t.Fatal("the gateway did not apply the list within 5 s")
 		}
 	}
 }
 
-// SIGHUP comes while the configuration is being written. Half a file is read again until it is whole; else the reload would
-// be lost.
+// SIGHUP arrives while the configuration file is being written. The gateway must read an incomplete file again until it is
+// complete; otherwise the reload would be lost.
 func TestHalfWrittenConfiguration(t *testing.T) {
 	file := t.TempDir() + "/c.json"
 	os.WriteFile(file, []byte(`{"listen":`), 0o600)
--- a/internal/httpgateway/connecting_test.go
+++ b/internal/httpgateway/connecting_test.go
@@ -10,7 +10,7 @@
 	"weirhaven/policy"
 )
 
-// dialGate holds connections to endpoints back until the test permits one to come up.
+// dialGate blocks dials of endpoints until the test permits one to succeed.
 type dialGate struct {
 	dials   chan bool
 	permits chan bool
@@ -26,7 +26,7 @@
 	}
 }
 
-func startGated(t *testing.T, endpoint *testEndpoint, cancel bool) (*testGateway, *dialGate) {
+func startWithDialGate(t *testing.T, endpoint *testEndpoint, cancel bool) (*testGateway, *dialGate) {
 	t.Parallel()
 	g := &dialGate{make(chan bool, 100), make(chan bool, 100)}
 	gateway := newGateway(t, endpoint)
@@ -35,13 +35,13 @@
 	return gateway, g
 }
 
-// A client disconnects while its attempt waits for a connection, and the connection comes up afterwards. Nothing is sent on
-// it, whether settings allow attempts to be canceled or not.
+// A client disconnects while its attempt waits for a connection, which is established afterwards. The attempt must not be sent
+// on it, whether settings allow canceling attempts or not.
 func TestClientDisconnectsWhileConnecting(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		t.Run(fmt.Sprint(cancel), func(t *testing.T) {
 			endpoint := newEndpoint(t, respondNumbered)
-			gateway, g := startGated(t, endpoint, cancel)
+			gateway, g := startWithDialGate(t, endpoint, cancel)
 			c := gateway.dial()
 			send(c, readRequest("a1"))
 			<-g.dials
@@ -58,11 +58,12 @@
 	}
 }
 
-// Settings don't allow attempts to be canceled, and a request fails at its deadline while its attempt waits for a
-// connection. The client got a response that says it did not run, so nothing may be sent when the connection comes up.
+// Settings don't allow canceling attempts, and a request fails at its deadline while its attempt waits for a connection. The
+// client got a response which means that the request did not run, so the attempt must not be sent once the connection is
+// established.
 func TestRequestFailsWhileConnecting(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
-	gateway, g := startGated(t, endpoint, false)
+	gateway, g := startWithDialGate(t, endpoint, false)
 	c := gateway.dial()
 	send(c, strings.Replace(readRequest("a1"), "Ms: 1000", "Ms: 150", 1))
 	<-g.dials
@@ -75,15 +76,15 @@
 	}
 	wantResponse(t, c, readRequest("a2"), 200, "answer 0")
 	if s := <-endpoint.requests; !strings.Contains(s, "a2") {
-		t.Errorf("%s was sent after its final answer", s)
+		t.Errorf("%s was sent after its final response", s)
 	}
 }
 
-// An endpoint begins to drain while an attempt waits for its connection there. The attempt never begins, though the
-// connection comes up within its time.
+// An endpoint begins to drain while an attempt waits for a connection to it. The attempt must not be sent, even if the
+// connection is established before the request's deadline.
 func TestDrainBeforeConnected(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
-	gateway, g := startGated(t, endpoint, false)
+	gateway, g := startWithDialGate(t, endpoint, false)
 	c := gateway.dial()
 	send(c, readRequest("a1"))
 	<-g.dials
@@ -99,21 +100,21 @@
 	endpoint.wantNoRequest(t)
 }
 
-// The packets of a dial are lost and the connection hangs. Another is opened beside it, so the attempt does not fail with
-// the first. The deadline that the endpoint is given is true as of the write, not as of when the attempt was placed.
+// A dial hangs because its packets are lost. The gateway must open another connection beside it, so that the attempt succeeds.
+// The remaining time sent to the endpoint must be computed when the attempt is written, not when it is scheduled.
 func TestSlowConnection(t *testing.T) {
 	endpoint, heads := oneRequest(t)
-	gateway, g := startGated(t, endpoint, true)
+	gateway, g := startWithDialGate(t, endpoint, true)
 	c := gateway.dial()
 	send(c, readRequest("a1"))
 	<-g.dials // the first hangs
-	<-g.dials // opened beside it
+	<-g.dials // the second is opened beside it
 	g.permits <- true
 	if s, _ := receive(c); s != 200 {
 		t.Errorf("%d", s)
 	}
 	var remainingMs int
 	if fmt.Sscan((<-heads).Get("X-Remaining-Ms"), &remainingMs); remainingMs < 500 || remainingMs > 950 {
-		t.Errorf("%d ms left, some 62 ms of 1000 had passed", remainingMs)
+		t.Errorf("remaining time %d ms, wanted 500 to 950 ms: about 62 of 1000 ms had passed", remainingMs)
 	}
 }
--- a/internal/httpgateway/discovery/watch_test.go
+++ b/internal/httpgateway/discovery/watch_test.go
@@ -17,7 +17,7 @@
 	"weirhaven/internal/httpgateway/config"
 )
 
-// fakeAgent hands the connection of each stream to the test, which writes the response.
+// fakeAgent passes the connection of each stream to the test, which writes the response.
 type fakeAgent struct {
 	t         *testing.T
 	listener  net.Listener
@@ -60,12 +60,12 @@
 	select {
 	case c := <-a.conns:
 		if got := <-a.revisions; got != after {
-			a.t.Errorf("asked for what came after %s, wanted %s", got, after)
+			a.t.Errorf("requested the changes after revision %s, wanted %s", got, after)
 		}
 		a.t.Cleanup(func() { c.Close() })
 		return c
 	case <-time.After(5 * time.Second):
-		a.t.Fatal("no stream is opened")
+		a.t.Fatal("no stream was opened within 5 s")
 		return nil
 	}
 }
@@ -99,14 +99,14 @@
 	select {
 	case l := <-lists:
 		if l.Revision != revision {
-			t.Errorf("list %d, wanted %d", l.Revision, revision)
+			t.Errorf("got list revision %d, wanted %d", l.Revision, revision)
 		}
 	case <-time.After(6 * time.Second):
-		t.Fatalf("list %d is not heard", revision)
+		t.Fatalf("list revision %d was not delivered within 6 s", revision)
 	}
 }
 
-// silentAgent has sent one list, 8, and then nothing; its connection stays open.
+// silentAgent starts an agent and a watch. The agent sends the list with revision 8 and then nothing more on its open connection.
 func silentAgent(t *testing.T) (*fakeAgent, chan config.List, net.Conn) {
 	a := newAgent(t)
 	_, lists := startWatch(t, a)
@@ -116,8 +116,8 @@
 	return a, lists, first
 }
 
-// An agent writes a list over several lines and chunks, with empty lines in it, and then its connection ends in the middle of
-// a list. The whole lists are handed on; the one that was cut is dropped, and the next stream asks for it again.
+// An agent sends a list in several lines and chunks, with empty lines in it, and its connection closes in the middle of a
+// later list. The complete lists must be delivered. The incomplete one must be dropped and requested again on the next stream.
 func TestListOverSeveralLines(t *testing.T) {
 	a := newAgent(t)
 	_, lists := startWatch(t, a)
@@ -130,33 +130,33 @@
 	respond(a.nextStream("10"), listText(11))
 	wantList(t, lists, 11)
 	if len(lists) > 0 {
-		t.Error("half a list was handed on")
+		t.Error("an incomplete list was delivered")
 	}
 }
 
-// The agent's machine stalls: its open stream falls silent without an end, and the next one is accepted and gets nothing
-// either. Were the watch to wait for a connection's end, drains would not be known for as long as it hangs. A third stream delivers; its
-// list is handed on within 6 s of the first silence, and the older streams end only then.
+// The agent's machine stalls: the open stream falls silent without being closed, and the next one is accepted but gets no data
+// either. If the watch waited for the connection to close, it would miss drains while the connection hangs. A list on a third
+// stream must be delivered within 6 s after the first stream fell silent, and only then may the older streams be closed.
 func TestSilentAgent(t *testing.T) {
 	a, lists, first := silentAgent(t)
 	silent := time.Now()
-	mute := a.nextStream("8")
+	silentStream := a.nextStream("8")
 	third := a.nextStream("8")
 	respond(third, listText(9))
 	wantList(t, lists, 9)
 	if d := time.Since(silent); d > 5*time.Second {
-		t.Errorf("heard %v after the agent fell silent", d)
+		t.Errorf("list delivered %v after the agent fell silent", d)
 	}
-	for _, c := range []net.Conn{first, mute} {
+	for _, c := range []net.Conn{first, silentStream} {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("a stream that lost stays open")
+			t.Error("an older stream stays open after another one delivered")
 		}
 	}
 }
 
-// The stream that fell silent delivers again, before the one that was opened beside it does. The older one counts, and what the
-// other still sends is dropped: it could be an older list.
+// A stream that had fallen silent delivers before the stream that was opened beside it. The watch must use the older stream and
+// drop the data of the other one, which could be an older list.
 func TestSilentStreamDeliversAgain(t *testing.T) {
 	a, lists, first := silentAgent(t)
 	second := a.nextStream("8")
@@ -167,8 +167,8 @@
 	wantList(t, lists, 10)
 }
 
-// A reload names another agent. What the old one still sends is dropped, and the new one is asked for what came after the
-// last list. Setting the same address again opens no second stream.
+// A reload sets the address of another agent. The watch must drop further data of the old agent and request the changes after
+// the last list from the new one. Setting the same address again must not open a second stream.
 func TestSetAddress(t *testing.T) {
 	a, b := newAgent(t), newAgent(t)
 	w, lists := startWatch(t, a)
@@ -182,12 +182,12 @@
 	respond(c, listText(9))
 	wantList(t, lists, 9)
 	if len(b.conns) > 0 {
-		t.Error("the same address again opened another stream")
+		t.Error("setting the same address again opened another stream")
 	}
 }
 
-// The agent is down and its port refuses connections. The watch goes on opening streams with a short backoff, so a list that
-// the agent has when it is back is handed on at once.
+// The agent is down and its port refuses connections. The watch must retry with a short backoff, so that the list is delivered
+// at once when the agent is available again.
 func TestAgentRefusesConnections(t *testing.T) {
 	a := newAgent(t)
 	address := a.listener.Addr().String()
@@ -209,12 +209,12 @@
 	respond(c, listText(8))
 	wantList(t, lists, 8)
 	if d := time.Since(began); d > time.Second {
-		t.Errorf("heard after %v", d)
+		t.Errorf("list delivered after %v, wanted 1 s at most", d)
 	}
 }
 
-// A loaded agent takes longer to respond than the watch waits before it opens another stream. Were the older stream closed
-// then, such an agent would never be heard.
+// An overloaded agent takes longer to respond than the interval after which the watch opens another stream. If the watch closed
+// the older stream then, it would never receive a list from such an agent.
 func TestSlowAgent(t *testing.T) {
 	a := newAgent(t)
 	_, lists := startWatch(t, a)
@@ -234,8 +234,8 @@
 	wantList(t, lists, 8)
 }
 
-// A list holds an entry that can't be read. Were the list dropped for it, a drain in another entry would be missed. The entry
-// is marked as unreadable, or left out where it has no name, and the others are handed on.
+// A list contains an invalid entry. If the whole list were dropped, a drain in another entry would be missed. The entry must be
+// marked Unreadable, or omitted if it has no name, and the other entries must be delivered.
 func TestUnreadableEntry(t *testing.T) {
 	a := newAgent(t)
 	_, lists := startWatch(t, a)
@@ -247,6 +247,6 @@
 			t.Errorf("%+v", l.Entries)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("the list is not handed on")
+		t.Error("the list was not delivered within 3 s")
 	}
 }
--- a/internal/httpgateway/downstream/conn.go
+++ b/internal/httpgateway/downstream/conn.go
@@ -154,7 +154,7 @@
 	case c.pendingID != "":
 		recorder.RecordViolation(metrics.OneResponse, c.pendingID, "closed without a response: "+string(c.closeReason))
 	case c.mayDropPipelined():
-	case c.hasWholePipelinedHead():
+	case c.hasCompletePipelinedHead():
 		recorder.RecordViolation(metrics.OneResponse, "pipelined", "closed over a request that was read: "+string(c.closeReason))
 	}
 }
@@ -168,8 +168,8 @@
 	return false
 }
 
-// hasWholePipelinedHead reports whether the complete head of a pipelined request was read.
-func (c *conn) hasWholePipelinedHead() bool {
+// hasCompletePipelinedHead reports whether the complete head of a pipelined request was read.
+func (c *conn) hasCompletePipelinedHead() bool {
 	unparsed := c.reader.Peek(c.reader.Buffered())
 	return bytes.Contains(append(unparsed[:len(unparsed):len(unparsed)], c.pipeline.buffered...), []byte("\r\n\r\n"))
 }
--- a/internal/httpgateway/eviction_test.go
+++ b/internal/httpgateway/eviction_test.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// A client has just connected and hasn't sent its request. It is not the one that makes room while others have had their
-// response and stay.
-func TestJustConnected(t *testing.T) {
+// A client has just connected and hasn't sent its request yet. Its connection must not be evicted while there are idle
+// connections whose requests were answered.
+func TestNewConnectionNotEvicted(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
 	for i := range 21 {
 		wantResponse(t, gateway.dial(), readRequest(fmt.Sprint("a", i)), 200, fmt.Sprint("answer ", i))
 	}
-	just := gateway.dial()
+	newClient := gateway.dial()
 	wantResponse(t, gateway.dial(), readRequest("b"), 200, "answer 21")
 	wantResponse(t, gateway.dial(), readRequest("c"), 200, "answer 22")
-	wantResponse(t, just, readRequest("d"), 200, "answer 23")
+	wantResponse(t, newClient, readRequest("d"), 200, "answer 23")
 }
 
-// concurrently runs clients beside each other and waits for them.
+// concurrently runs one for each client at the same time and waits for all.
 func concurrently(clients int, one func(client int)) {
 	var wg sync.WaitGroup
 	for i := range clients {
@@ -41,7 +41,7 @@
 	wg.Wait()
 }
 
-// startBusyGateway starts a gateway with one quick endpoint, for tests that don't look at single attempts.
+// startBusyGateway starts a gateway with a fast endpoint for tests that don't check single attempts; their outcomes are dropped.
 func startBusyGateway(t *testing.T) *testGateway {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
@@ -60,11 +60,11 @@
 	return gateway
 }
 
-// There are more clients than connections, each request comes on a new connection and in two pieces. Whichever connection
-// makes room, a request that was sent whole gets a response.
+// There are more clients than connections, and each request is sent on a new connection in two pieces. Whichever connection is
+// evicted, a request that was sent completely must get a response.
 func TestEvictionAnswersRequests(t *testing.T) {
 	gateway := startBusyGateway(t)
-	var whole, unanswered atomic.Int64
+	var complete, unanswered atomic.Int64
 	concurrently(60, func(client int) {
 		rng := rand.New(rand.NewSource(int64(client)))
 		for n := range 20 {
@@ -75,33 +75,33 @@
 			}
 			time.Sleep(time.Duration(rng.Int63n(int64(30 * ms))))
 			if !send(c, text[40:]) {
-				continue // closed in the middle of the request
+				continue // evicted before the request was complete
 			}
-			whole.Add(1)
+			complete.Add(1)
 			if status, _ := receive(c); status == 0 {
 				unanswered.Add(1)
 			}
 			c.Close()
 		}
 	})
-	if whole.Load() < 1000 || unanswered.Load() > 0 {
-		t.Errorf("of %d requests sent whole %d got no answer", whole.Load(), unanswered.Load())
+	if complete.Load() < 1000 || unanswered.Load() > 0 {
+		t.Errorf("%d requests were sent completely, %d of them got no response", complete.Load(), unanswered.Load())
 	}
 }
 
-// There are more clients than connections, and each sends several requests on one, the next as soon as it has a response. A
-// connection may end between two requests, but not over one that was read; when the gateway ends, its own check tells
-// whether one did.
+// There are more clients than connections, and each sends several requests on one connection, the next as soon as it has a
+// response. A connection may be closed between two requests, but not with a request that was read and has no response. The
+// invariant check at the end of the gateway detects the latter.
 func TestEvictionBetweenRequests(t *testing.T) {
 	gateway := startBusyGateway(t)
 	var answered, firstPrompt, firstUnanswered atomic.Int64
 	concurrently(40, func(client int) {
 		for n := range 40 {
-			dialedAt := time.Now() // not after: the connection ages at the gateway while dial is yet to return
+			dialedAt := time.Now() // before dial: the gateway may accept the connection before dial returns
 			c := gateway.dial()
 			for k := range 5 {
 				send(c, readRequest(fmt.Sprintf("c%d-%d-%d", client, n, k)))
-				prompt := time.Since(dialedAt) < 20*ms // else this client was held up: it looked like a silent one
+				prompt := time.Since(dialedAt) < 20*ms // otherwise the gateway may evict the delayed client as a silent one
 				if k == 0 && prompt {
 					firstPrompt.Add(1)
 				}
@@ -118,61 +118,61 @@
 		}
 	})
 	if answered.Load() < 1600 || firstPrompt.Load() < 800 || firstUnanswered.Load() > 0 {
-		t.Errorf("%d answered; of %d prompt first requests of a connection %d were not", answered.Load(), firstPrompt.Load(), firstUnanswered.Load())
+		t.Errorf("%d requests answered; of %d first requests that were sent in time, %d were not answered", answered.Load(), firstPrompt.Load(), firstUnanswered.Load())
 	}
 }
 
-// A request arrives whole in the moment in which its connection is evicted. It is served, and its response is the last on
-// the connection.
-func TestRequestMeetsEviction(t *testing.T) {
+// A complete request arrives just as its connection is evicted. It must be served, and the connection must close after its
+// response.
+func TestRequestDuringEviction(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
-	resting := gateway.dial()
-	wantResponse(t, resting, readRequest("a0"), 200, "answer 0")
-	for i := range 21 { // now all connections rest, and that one is the oldest
+	idleClient := gateway.dial()
+	wantResponse(t, idleClient, readRequest("a0"), 200, "answer 0")
+	for i := range 21 { // now all connections are idle, and idleClient is the oldest
 		wantResponse(t, gateway.dial(), readRequest(fmt.Sprint("b", i)), 200, fmt.Sprint("answer ", i+1))
 	}
-	send(resting, readRequest("a1"))
+	send(idleClient, readRequest("a1"))
 	if status, _ := roundTrip(gateway.dial(), readRequest("c")); status != 200 {
-		t.Errorf("the request that needed room got %d", status)
+		t.Errorf("the request on the new connection got %d", status)
 	}
-	if status, _ := receive(resting); status != 200 {
-		t.Errorf("the request of a connection that made room got %d", status)
+	if status, _ := receive(idleClient); status != 200 {
+		t.Errorf("the request on the evicted connection got %d", status)
 	}
 }
 
-// A client has just connected and is evicted before it sends. Its request, which comes a moment later, is answered: it has
-// no reason to expect that the connection ends.
-func TestFirstRequestMeetsEviction(t *testing.T) {
+// A connection is evicted before its client has sent the first request, which arrives within the grace period. The request must
+// be answered, since the client can't know that the connection is being closed.
+func TestFirstRequestAfterEviction(t *testing.T) {
 	t.Parallel()
 	for range 5 {
 		gateway := newGateway(t, newEndpoint(t, respondNumbered))
 		gateway.start()
 		evicted := gateway.dial()
-		for range 21 { // now all places are taken by clients that have not sent yet, and that one is the oldest
+		for range 21 { // now the limit is reached by clients that have not sent a request, and evicted is the oldest
 			gateway.dial()
 		}
-		time.Sleep(80 * ms) // longer than a connection is spared
+		time.Sleep(80 * ms) // longer than a new connection is protected from eviction
 		began := time.Now()
-		other, _ := roundTrip(gateway.dial(), readRequest("b")) // needs room
+		other, _ := roundTrip(gateway.dial(), readRequest("b")) // causes an eviction
 		time.Sleep(20 * ms)
 		send(evicted, readRequest("a"))
-		held := time.Since(began) > 80*ms
+		delayed := time.Since(began) > 80*ms
 		status, _ := receive(evicted)
-		if held && status == 0 {
-			continue // the test was held up for longer than the last moment lasts
+		if delayed && status == 0 {
+			continue // the test was delayed beyond the grace period
 		}
 		if status != 200 || other != 200 {
-			t.Errorf("the evicted client's first request got %d, the one that needed room %d", status, other)
+			t.Errorf("the first request on the evicted connection got %d, the request on the new connection %d", status, other)
 		}
 		return
 	}
-	t.Error("the machine was too loaded to tell, five times")
+	t.Error("inconclusive five times: the machine is overloaded")
 }
 
-// A client has just connected when the process, which shuts down, ends the connections without a request. Its first request
-// comes a moment later and is answered.
-func TestFirstRequestMeetsShutdown(t *testing.T) {
+// A client has just connected when the gateway, during shutdown, retires the connections without a request. Its first request
+// arrives within the grace period and must be answered.
+func TestFirstRequestAfterShutdown(t *testing.T) {
 	t.Parallel()
 	for range 5 {
 		gateway := newGateway(t, newEndpoint(t, respondNumbered))
@@ -193,19 +193,19 @@
 		time.Sleep(10 * ms)
 		status, _ := roundTrip(dialed[len(dialed)-2], readRequest("a")) // the last one may not have been accepted
 		if time.Since(began) > 80*ms && status == 0 {
-			continue // the test was held up for longer than the last moment lasts
+			continue // the test was delayed beyond the grace period
 		}
 		if status != 200 {
 			t.Errorf("the first request got %d", status)
 		}
 		return
 	}
-	t.Error("the machine was too loaded to tell, five times")
+	t.Error("inconclusive five times: the machine is overloaded")
 }
 
-// An idle connection is evicted while its client sends the next request. That request stays unread, so that the client may
-// retry it: one that was read would be owed a response.
-func TestNextRequestMeetsEviction(t *testing.T) {
+// An idle connection is evicted while its client sends the next request. The gateway must leave the request unread, so that the
+// client may retry it; a request that was read would need a response.
+func TestNextRequestAfterEviction(t *testing.T) {
 	t.Parallel()
 	gateway := newGateway(t, newEndpoint(t, respondNumbered))
 	gateway.start()
@@ -216,18 +216,18 @@
 	}
 	wantResponse(t, gateway.dial(), readRequest("c"), 200, "answer 22")
 	if _, err := evicted.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("%v, wanted an end in good order", err)
+		t.Fatalf("%v, wanted a normal close", err)
 	}
 	send(evicted, readRequest("a1"))
 	for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(10 * ms) {
 		if socketError(t, evicted) != 0 {
-			return // a reset: the kernel sends one where bytes are left unread
+			return // the kernel sends a reset if bytes are left unread
 		}
 	}
-	t.Error("what came on the connection was read, and nothing answered")
+	t.Error("the gateway read the request and sent no response")
 }
 
-// socketError is the pending error of a connection's socket, 0 if there is none.
+// socketError returns the pending error of a connection's socket, or 0 if there is none.
 func socketError(t *testing.T, c net.Conn) (pending int) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -243,9 +243,9 @@
 	return pending
 }
 
-// All connections have a request in progress, so none can make room. One more request is answered 503 at once, nothing of it
-// is sent, and the others are served. What waits for a place is given up after a while, so a test that is held up for longer
-// than that finds room and tells nothing.
+// All connections have a request in progress, so none can be evicted. One more request must be answered 503 at once and must not
+// reach the endpoint, and the others must be served. Queued requests are rejected after some time, so a delayed test finds free
+// connections and is inconclusive.
 func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
 	for range 5 {
@@ -253,25 +253,26 @@
 			return
 		}
 	}
-	t.Error("requests in progress ended before one more came, five times")
+	t.Error("inconclusive five times: requests in progress ended before the additional one arrived")
 }
 
-// connectionLimitHolds fails the test if the limit does not hold; false: it was not reached all the time.
-func connectionLimitHolds(t *testing.T) (told bool) {
+// connectionLimitHolds fails the test if the limit does not hold. It returns false if the limit was not reached during the whole
+// check, which makes the run inconclusive.
+func connectionLimitHolds(t *testing.T) (conclusive bool) {
 	hold := make(chan bool)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool { <-hold; return respondNumbered(c, n) })
 	gateway := newGateway(t, endpoint)
 	gateway.start()
-	const places = 22
+	const capacity = 22
 	var waiting []net.Conn
-	for i := range places {
+	for i := range capacity {
 		c := gateway.dial()
 		send(c, readRequest(fmt.Sprint("a", i)))
 		waiting = append(waiting, c)
 	}
 	allInProgress := func() bool {
 		counts, _, _ := gateway.gateway.engineCounts()
-		return counts.Received == places && counts.Open == places
+		return counts.Received == capacity && counts.Open == capacity
 	}
 	for began := time.Now(); !allInProgress() && time.Since(began) < time.Second; {
 		time.Sleep(ms)
@@ -279,20 +280,20 @@
 	began := time.Now()
 	status, _ := roundTrip(gateway.dial(), readRequest("b"))
 	took := time.Since(began)
-	told = allInProgress()
-	if told && (status != 503 || took > 300*ms) {
+	conclusive = allInProgress()
+	if conclusive && (status != 503 || took > 300*ms) {
 		t.Errorf("%d after %v, wanted 503 at once", status, took)
 	}
 	close(hold)
 	for i, c := range waiting {
 		if status, _ := receive(c); status == 0 {
-			t.Errorf("request %d got no answer", i)
+			t.Errorf("request %d got no response", i)
 		}
 	}
 	for len(endpoint.requests) > 0 {
-		if s := <-endpoint.requests; told && strings.Contains(s, " b ") {
+		if s := <-endpoint.requests; conclusive && strings.Contains(s, " b ") {
 			t.Errorf("%s reached the endpoint", s)
 		}
 	}
-	return told
+	return conclusive
 }
--- a/internal/httpgateway/fakes_test.go
+++ b/internal/httpgateway/fakes_test.go
@@ -11,20 +11,20 @@
 	"weirhaven/internal/http1"
 )
 
-// testEndpoint is a scripted endpoint: it records the requests that reach it and does with each what the test says.
+// testEndpoint is a scripted endpoint. It records the requests that it receives and calls respond for each.
 type testEndpoint struct {
 	listener net.Listener
 	tasks    sync.WaitGroup
-	requests chan string                  // method, target, id and body
-	respond  func(c net.Conn, n int) bool // the n-th request; false: the connection is done with
+	requests chan string                  // method, target, id and body of each request
+	respond  func(c net.Conn, n int) bool // responds to request n; false closes the connection
 	mu       sync.Mutex
 	count    int
 	conns    map[net.Conn]bool
 }
 
-// newEndpoint starts an endpoint that calls respond for each request with its number from 0; false ends the connection.
-func newEndpoint(t *testing.T, do func(c net.Conn, n int) bool) *testEndpoint {
-	endpoint := &testEndpoint{listener: listen(t), requests: make(chan string, 1000), respond: do, conns: map[net.Conn]bool{}}
+// newEndpoint starts an endpoint that calls respond for each request with its number, from 0; false closes the connection.
+func newEndpoint(t *testing.T, respond func(c net.Conn, n int) bool) *testEndpoint {
+	endpoint := &testEndpoint{listener: listen(t), requests: make(chan string, 1000), respond: respond, conns: map[net.Conn]bool{}}
 	endpoint.tasks.Add(1)
 	go func() {
 		defer endpoint.tasks.Done()
@@ -76,7 +76,7 @@
 	}
 }
 
-// oneRequest starts an endpoint that responds to one request and hands its head to the test.
+// oneRequest starts an endpoint that responds to one request and sends its head to the test.
 func oneRequest(t *testing.T) (*testEndpoint, chan *http1.Head) {
 	b, heads := &testEndpoint{listener: listen(t)}, make(chan *http1.Head, 1)
 	t.Cleanup(func() { b.listener.Close(); b.tasks.Wait() })
@@ -107,7 +107,7 @@
 // send writes text and reports whether that succeeded.
 func send(c net.Conn, s string) bool { _, err := io.WriteString(c, s); return err == nil }
 
-// okResponse is a response with status 200.
+// okResponse returns a response with status 200.
 func okResponse(body string) string {
 	return string(http1.AppendBody([]byte("HTTP/1.1 200 OK\r\n"), []byte(body)))
 }
@@ -115,20 +115,20 @@
 // respondNumbered responds with "answer" and the number of the request.
 func respondNumbered(c net.Conn, n int) bool { return send(c, okResponse(fmt.Sprint("answer ", n))) }
 
-// reset ends a connection with a reset in place of an end in good order.
+// reset makes the following close of a connection send a reset. It returns false, which closes the connection.
 func reset(c net.Conn) bool { c.(*net.TCPConn).SetLinger(0); return false }
 
-// testAgent sends lists on one stream after the other.
+// testAgent serves one stream at a time and sends lists on it.
 type testAgent struct {
 	listener    net.Listener
 	lists       chan string
 	requests    chan string
-	silentStart chan bool // holds one: the next stream begins without an empty line
+	silentStart chan bool // signal, with a buffer of one: the next stream starts without an empty line
 	done        chan bool
 	closeOnce   sync.Once
 }
 
-// newAgent starts an agent that the end of the test closes.
+// newAgent starts an agent that is closed at the end of the test.
 func newAgent(t *testing.T) *testAgent {
 	a := &testAgent{listener: listen(t), lists: make(chan string, 10), requests: make(chan string, 100), silentStart: make(chan bool, 1), done: make(chan bool)}
 	go func() {
@@ -182,7 +182,7 @@
 	}
 }
 
-// close ends the listener and the open stream; a second call does nothing.
+// close closes the listener and the open stream; a second call has no effect.
 func (a *testAgent) close() {
 	a.closeOnce.Do(func() {
 		a.listener.Close()
@@ -195,22 +195,22 @@
 	})
 }
 
-// sendList sends a list of entries as entryJSON makes them.
+// sendList sends a list of entries, each as returned by entryJSON.
 func (a *testAgent) sendList(revision int, complete bool, entries ...string) {
 	a.lists <- fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(entries, ","))
 }
 
-// entryJSON is the endpoint's entry in a list.
+// entryJSON returns the endpoint's entry in a list.
 func (e *testEndpoint) entryJSON(name string, shard int, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":%d,"phase":%q,"up_since_ms":0}`, name, e.listener.Addr(), shard, phase)
 }
 
-// wantNoRequest fails the test if a request reached the endpoint that was not taken from requests.
+// wantNoRequest fails the test if the endpoint has received a request that the test has not taken from requests.
 func (e *testEndpoint) wantNoRequest(t *testing.T) {
 	t.Helper()
 	select {
 	case s := <-e.requests:
-		t.Errorf("%s reached an endpoint", s)
+		t.Errorf("%s reached the endpoint", s)
 	default:
 	}
 }
--- a/internal/httpgateway/forwarding_test.go
+++ b/internal/httpgateway/forwarding_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// A request passes unchanged, and its response comes back, on connections that are used again on both sides.
+// Requests and responses must be forwarded unchanged, and connections must be reused on both sides.
 func TestForwarding(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
 	c := gateway.dial()
 	wantResponse(t, c, readRequest("a1"), 200, "answer 0")
-	time.Sleep(minRest)
+	time.Sleep(reuseDelay)
 	wantResponse(t, c, writeRequest("a2", "some bytes"), 200, "answer 1")
-	time.Sleep(minRest)
+	time.Sleep(reuseDelay)
 	wantResponse(t, c, strings.Replace(readRequest("a3"), "bb HTTP", "bb?q=%20 HTTP", 1), 200, "answer 2")
 	for _, s := range []string{`GET /read/00000000000000aa/00000000000000bb a1 ""`, `PUT /write/00000000000000aa/00000000000000bb a2 "some bytes"`,
 		`GET /read/00000000000000aa/00000000000000bb?q=%20 a3 ""`} {
@@ -29,8 +29,8 @@
 	}
 }
 
-// A customer's requests carry a field that this gateway knows nothing of. It reaches the endpoint; what is for this hop
-// alone doesn't.
+// Some customers' requests have a field that is unknown to the gateway. The gateway must forward it to the endpoint, but not
+// the hop-by-hop fields.
 func TestUnknownFieldsForwarded(t *testing.T) {
 	endpoint, heads := oneRequest(t)
 	gateway := startGateway(t, endpoint)
@@ -40,12 +40,12 @@
 	}
 }
 
-// minRest is longer than a connection to an endpoint has to rest after a response before it is used again.
-const minRest = 40 * ms
+// reuseDelay is longer than the delay before a connection to an endpoint is reused after a response.
+const reuseDelay = 40 * ms
 
-// A network sends a copy of a request, while the first one is in progress or a moment later. The copy would have its effect
-// a second time, so an id that is in use or was a moment ago is refused.
-func TestIDInUse(t *testing.T) {
+// The network duplicates a request, and the copy arrives while the first one is in progress or shortly afterwards. The copy
+// would take effect a second time, so the gateway must reject the duplicate id.
+func TestDuplicateRequestID(t *testing.T) {
 	hold := make(chan bool)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool { <-hold; return respondNumbered(c, n) })
 	gateway := startGateway(t, endpoint)
@@ -61,9 +61,9 @@
 	endpoint.wantNoRequest(t)
 }
 
-// A client names a volume with the wrong plan. Were the volume bound to the first plan that was seen, all others would be
-// held under that plan's limit.
-func TestOtherPlan(t *testing.T) {
+// A client sends a request for a volume with the wrong service plan. If the volume were bound to the plan of its first request,
+// later requests of the volume would be throttled to that plan's limit.
+func TestWrongPlan(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
 	wantResponse(t, gateway.dial(), strings.Replace(readRequest("bad"), "plain", "capped", 1), 200, "answer 0")
@@ -73,8 +73,8 @@
 	}
 }
 
-// Endpoints send responses far longer than the platform's page says. They pass whole, and the memory that is reserved for
-// them is released, also where the client disconnects as its response comes; else the gateway would stall.
+// Endpoints send responses much larger than the platform documents. They must be forwarded completely, and the memory reserved
+// for them must be released even if the client disconnects while its response arrives; otherwise the gateway would stall.
 func TestLargeResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 40000)
 	endpoint := newEndpoint(t, func(c net.Conn, _ int) bool { return send(c, okResponse(body)) })
--- a/internal/httpgateway/gateway.go
+++ b/internal/httpgateway/gateway.go
@@ -98,7 +98,7 @@
 func (g *Gateway) newPool(shares shares) *upstream.Pool {
 	connectTimeout := g.Config.ConnectTimeout
 	if grace := g.Config.Settings.DrainGrace; grace > 0 {
-		// If the endpoint starts to drain while an attempt waits for a connection, the attempt must not begin after the grace period.
+		// If the endpoint starts to drain while an attempt waits for a connection, the attempt must not begin past the grace.
 		connectTimeout = min(connectTimeout, grace)
 	}
 	return upstream.New(upstream.Options{Loop: g.loop, MaxConnections: shares.upstreamConnections, ConnectTimeout: connectTimeout,
--- a/internal/httpgateway/lifecycle_test.go
+++ b/internal/httpgateway/lifecycle_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// An endpoint began to drain before this gateway started. Were the gateway put to use with the list of its configuration, it
-// would send there. So it reports ready once its agent has sent what it has; a silent agent holds it up for a second and no
-// longer.
-func TestReady(t *testing.T) {
+// An endpoint began to drain before the gateway started. If the gateway became ready with the list from its configuration, it
+// would send requests to that endpoint. It must report ready only once its agent has sent the current list, or after a second
+// if the agent is silent.
+func TestReadiness(t *testing.T) {
 	t.Parallel()
 	const ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	wait := func(gateway *testGateway) time.Duration {
 		c, began := gateway.dial(), time.Now()
 		for s := 0; s != 200; s, _ = roundTrip(c, ready) {
 			if time.Since(began) > 5*time.Second {
-				t.Fatal("never ready")
+				t.Fatal("not ready within 5 s")
 			}
 		}
 		return time.Since(began)
@@ -31,7 +31,7 @@
 	wantResponse(t, gateway.dial(), ready, 503, "")
 	gateway.agent.sendList(8, false)
 	if d := wait(gateway); d > 900*ms {
-		t.Errorf("ready %v after the agent spoke", d)
+		t.Errorf("ready %v after the agent sent its list", d)
 	}
 	mute := newGateway(t, newEndpoint(t, respondNumbered))
 	l := listen(t)
@@ -43,8 +43,8 @@
 	}
 }
 
-// An endpoint begins to drain while an attempt is in flight there. That attempt ends as usual, and nothing new is sent
-// there: an endpoint that drains may end at any time after its grace.
+// An endpoint begins to drain while an attempt is in flight on it. The attempt must complete normally, and no new attempt may be
+// sent to the endpoint, since it may stop at any time after its grace period.
 func TestDrain(t *testing.T) {
 	hold := make(chan bool)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool {
@@ -57,17 +57,17 @@
 	c := gateway.dial()
 	send(c, readRequest("a1"))
 	<-endpoint.requests
-	if asked := <-gateway.agent.requests; asked != "/api/targets?watch=1&after=7" {
-		t.Error(asked)
+	if target := <-gateway.agent.requests; target != "/api/targets?watch=1&after=7" {
+		t.Error(target)
 	}
 	gateway.agent.sendList(8, false, endpoint.entryJSON("b0", 0, "terminating"))
 	other, began := gateway.dial(), time.Now()
-	for i := 0; ; i++ { // served until the list has passed through the loop
+	for i := 0; ; i++ { // requests are served until the engine's loop has handled the list
 		if s, _ := roundTrip(other, readRequest(fmt.Sprint("b", i))); s == 503 {
 			break
 		}
 		if <-endpoint.requests; time.Since(began) > 3*time.Second {
-			t.Error("the drain does not count")
+			t.Error("the gateway did not apply the drain within 3 s")
 			break
 		}
 	}
@@ -78,7 +78,8 @@
 	endpoint.wantNoRequest(t)
 }
 
-// A reload names an agent that is still down. Requests are served by the old list until the new agent sends one.
+// A reload sets the address of an agent that is still down. Requests must be served by the old list until the new agent sends a
+// list.
 func TestReload(t *testing.T) {
 	a, endpoint := newEndpoint(t, respondNumbered), newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, a)
@@ -109,20 +110,21 @@
 			second.serve(c)
 		}
 	}()
-	if asked := <-second.requests; asked != "/api/targets?watch=1&after=7" {
-		t.Error(asked)
+	if target := <-second.requests; target != "/api/targets?watch=1&after=7" {
+		t.Error(target)
 	}
 	second.sendList(9, true, endpoint.entryJSON("b1", 0, "in_service"))
 	for i := 0; len(endpoint.requests) == 0 && i < 1000; i++ {
 		roundTrip(c, readRequest(fmt.Sprint("c", i)))
 	}
 	if len(endpoint.requests) == 0 {
-		t.Error("the new agent's list does not count")
+		t.Error("the gateway did not apply the new agent's list")
 	}
 }
 
-// SIGTERM comes while a request is in progress and an idle connection is open. Clients go on using the connections they
-// have, so these are served on; all requests are answered before the platform may kill the process, and it ends.
+// SIGTERM arrives while a request is in progress and an idle connection is open. Clients go on using their open connections, so
+// requests on these must still be served. All requests must be answered before the platform may kill the process, and the
+// process must exit.
 func TestGracefulShutdown(t *testing.T) {
 	hold := make(chan bool)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool {
@@ -152,8 +154,8 @@
 	gateway.done <- nil
 }
 
-// A request crosses the close of its idle connection at shutdown. The connection is half-closed and drained, so that the
-// client sees an end in good order and retries, in place of a reset that may mean anything.
+// A request is sent just as the gateway closes its idle connection during shutdown. The gateway must half-close the connection,
+// so that the client sees a normal close and retries, instead of a reset, after which the request may have run or not.
 func TestRequestAtShutdown(t *testing.T) {
 	t.Parallel()
 	for range 5 {
@@ -169,12 +171,12 @@
 			t.Fatal(err)
 		}
 		send(c, readRequest("a2"))
-		_, err := c.Write([]byte("x")) // fails where the first was answered by a reset
+		_, err := c.Write([]byte("x")) // fails if the first write was answered by a reset
 		if time.Since(began) > 1400*ms {
-			continue // the machine was loaded: the gateway may be past its end
+			continue // the machine is overloaded: the gateway may have exited already
 		}
 		if err != nil {
-			t.Errorf("%v, wanted an end in good order", err)
+			t.Errorf("%v, wanted a normal close", err)
 		}
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Error(err)
@@ -182,11 +184,11 @@
 		endpoint.wantNoRequest(t)
 		return
 	}
-	t.Error("the machine was too loaded to tell, five times")
+	t.Error("inconclusive five times: the machine is overloaded")
 }
 
-// SIGHUP comes after SIGTERM. The process still sends attempts for seconds, so it must follow the new agent, or it would
-// miss a drain.
+// SIGHUP arrives after SIGTERM. The process still sends attempts for some seconds, so it must switch to the new agent, or it
+// would miss drains.
 func TestReloadDuringShutdown(t *testing.T) {
 	gateway := startGateway(t, newEndpoint(t, respondNumbered))
 	second := newAgent(t)
@@ -197,17 +199,17 @@
 	select {
 	case gateway.reloads <- &next:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the reload is not taken")
+		t.Fatal("the gateway did not receive the reload within 5 s")
 	}
 	select {
 	case <-second.requests:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the new agent is not asked")
+		t.Fatal("the new agent got no request within 5 s")
 	}
 }
 
-// The entry of an endpoint can't be read. It may say that the endpoint drains, so nothing new is sent there until an entry
-// can be read.
+// The entry of an endpoint is invalid. The endpoint may be draining, so no new attempt may be sent to it until the agent sends a
+// valid entry.
 func TestUnreadableEntry(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
@@ -225,5 +227,5 @@
 			}
 		}
 	}
-	t.Error("an entry that can't be read changed nothing, or for good")
+	t.Error("the invalid entry did not suspend the endpoint, or a valid entry did not restore it")
 }
--- a/internal/httpgateway/metrics/metrics.go
+++ b/internal/httpgateway/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what a gateway process did and why, under one typed name for each reason: the log, the counters
-// and the operators' page use the same words. It also counts violated invariants, which must stay at 0: a fault of this
-// program shows there before a client reports it.
+// Package metrics counts the events of a gateway process by reason. Each reason has one typed name, which the log, the
+// counters and the operators' documentation share. The package also counts invariant violations, which reveal bugs of this
+// program before a client reports them; these counters must stay at 0.
 package metrics
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// logInterval bounds how often a violation of one invariant is logged.
+// logInterval is the minimum time between log lines about violations of one invariant.
 const logInterval = time.Second
 
-// Recorder counts for one process. It is safe for concurrent use.
+// Recorder holds the counters of a process. It is safe for concurrent use.
 type Recorder struct {
 	log        *slog.Logger
 	set        *metrics.Set
@@ -42,13 +42,13 @@
 	return r
 }
 
-// Count adds one to the counter of a reason.
+// Count increments the counter of a kind and a reason.
 func (r *Recorder) Count(kind Kind, reason Reason) {
 	r.set.GetOrCreateCounter(fmt.Sprintf(`weirhaven_%s_total{reason=%q}`, kind, reason)).Inc()
 }
 
-// RecordViolation counts a violated invariant and, at a bounded rate, logs which request it concerned. The message is read by
-// package soak.
+// RecordViolation counts a violation of an invariant and logs the request, at most once per logInterval for each invariant.
+// Package soak parses the message.
 func (r *Recorder) RecordViolation(invariant Invariant, request, detail string) {
 	v := r.violations[invariant]
 	v.count.Add(1)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Violations is how often any invariant was violated.
+// Violations returns the total number of violations of all invariants.
 func (r *Recorder) Violations() (total int64) {
 	for _, v := range r.violations {
 		total += v.count.Load()
--- a/internal/httpgateway/outcomes_test.go
+++ b/internal/httpgateway/outcomes_test.go
@@ -17,12 +17,12 @@
 	"weirhaven/policy"
 )
 
-// An endpoint responds with an error, with noise, in part or not at all. Each attempt ends with its outcome, and nothing but
-// a whole response reaches a client: with part of one it would get damaged data.
+// An endpoint sends an error, random bytes, an incomplete response or none. Each attempt must end with the right outcome, and
+// only a complete response may reach the client; otherwise the client would get truncated data.
 func TestOutcomes(t *testing.T) {
 	for name, row := range map[string]struct {
 		text    string
-		end     func(net.Conn) bool // after the text
+		end     func(net.Conn) bool // called after the text was sent; false: the connection is closed
 		outcome policy.Outcome
 		status  int
 	}{
@@ -52,8 +52,8 @@
 	}
 }
 
-// An endpoint sends its response twice. The first stands, and the next request goes on another connection: on this one it
-// would get the copy for its own response.
+// An endpoint sends its response twice. The gateway must use the first and must not reuse the connection; otherwise the next
+// request would get the duplicate as its response.
 func TestDuplicateResponse(t *testing.T) {
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool {
 		return send(c, okResponse(fmt.Sprint("answer ", n))+okResponse("a second copy"))
@@ -65,8 +65,8 @@
 	}
 }
 
-// An endpoint closes an idle connection in the moment in which an attempt is handed to it. That is noticed before anything
-// is written, and the attempt is sent, once, on a new connection.
+// An endpoint closes an idle connection just as the gateway is about to use it for an attempt. The gateway must detect the close
+// before it writes, and send the attempt once on a new connection.
 func TestIdleConnectionClosed(t *testing.T) {
 	closed := make(chan bool, 100)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool { respondNumbered(c, n); c.Close(); closed <- true; return false })
@@ -79,8 +79,8 @@
 	}
 }
 
-// An endpoint's port refuses connections. The attempt never reached it, so a request that isn't idempotent is rejected with
-// 503, after which the client may retry.
+// An endpoint's port refuses connections. The attempt never reached the endpoint, so a non-idempotent request must be rejected
+// with 503, after which the client may retry.
 func TestConnectionRefused(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
@@ -91,18 +91,19 @@
 	gateway.wantOutcomes(policy.ConnectFailed)
 }
 
-// An endpoint accepts a connection and never responds. The client is answered within its time with 504: the request may
-// still run.
+// An endpoint accepts a connection and never responds. The client must get 504 within its timeout, since the request may still
+// run.
 func TestSilentEndpoint(t *testing.T) {
 	endpoint := newEndpoint(t, func(c net.Conn, _ int) bool { _, err := c.Read(make([]byte, 1)); return err == nil })
 	gateway := startGateway(t, endpoint)
 	began := time.Now()
 	if s, _ := roundTrip(gateway.dial(), writeRequest("a1", "x")); s != 504 || time.Since(began) > 1050*ms {
-		t.Errorf("%d after %v, wanted 504 within its time", s, time.Since(began))
+		t.Errorf("%d after %v, wanted 504 within 1.05 s", s, time.Since(began))
 	}
 }
 
-// An endpoint responds after its attempt was canceled. The response goes nowhere, and the next request gets its own.
+// An endpoint responds after its attempt was canceled. The response must be dropped, and the next request must get its own
+// response.
 func TestResponseAfterCancel(t *testing.T) {
 	late := make(chan bool)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool {
@@ -122,22 +123,22 @@
 	wantResponse(t, gateway.dial(), readRequest("a2"), 200, "answer 1")
 }
 
-// An endpoint sends a duplicate of its response some milliseconds late. A connection rests after a response, so that the
-// duplicate isn't taken for the response to the next request; requests that come sooner go on another connection. The
-// endpoint measures the rest.
-func TestRestAfterResponse(t *testing.T) {
+// An endpoint may send a duplicate of its response some milliseconds late. The gateway must not reuse a connection for some
+// time after a response, or it would forward the duplicate as the response to the next request. The endpoint measures the time
+// between a response and the next request on the same connection.
+func TestReuseDelay(t *testing.T) {
 	var mu sync.Mutex
 	last := map[net.Conn]time.Time{}
-	again := 0
+	reuses := 0
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if at, ok := last[c]; ok {
-			if again++; time.Since(at) < 10*ms {
-				t.Errorf("used again %v after the answer before", time.Since(at))
+			if reuses++; time.Since(at) < 10*ms {
+				t.Errorf("connection reused %v after its last response, wanted 10 ms at least", time.Since(at))
 			}
 		}
-		last[c] = time.Now() // before the response leaves: the gateway can't have it sooner
+		last[c] = time.Now() // before the response is sent, so that the measured delay is not too short
 		return respondNumbered(c, n)
 	})
 	gateway := startGateway(t, endpoint)
@@ -146,15 +147,15 @@
 		wantResponse(t, c, readRequest(fmt.Sprint("a", i)), 200, fmt.Sprint("answer ", i))
 		time.Sleep(time.Duration(i%3) * 6 * ms)
 	}
-	if mu.Lock(); again < 50 {
+	if mu.Lock(); reuses < 50 {
 		t.Errorf("%d connections for 100 requests", len(last))
 	}
 	mu.Unlock()
 }
 
-// A connection breaks after some bytes of an attempt and before its last. The endpoint never had all of it, so it did not
-// run, and a request that isn't idempotent is rejected rather than failed as one that may have run.
-func TestWriteCut(t *testing.T) {
+// A connection breaks after part of an attempt was written. The endpoint never received the complete attempt, so it did not run.
+// A non-idempotent request must be rejected, not failed as one that may have run.
+func TestPartialWrite(t *testing.T) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 	}}
@@ -188,7 +189,7 @@
 	loop.Post(func(c *engine.Core) {
 		c.AuthoritativeList(true, gateway.config.KnownEndpoints.Entries)
 		c.Submit(&engine.Request{Volume: "v", Plan: "plain", Gateways: 1, Class: "write", Units: 1, Header: []byte("PUT / HTTP/1.1\r\n"),
-			Body: make([]byte, 16<<20), Respond: func(a engine.Response) { answered <- a }}) // more than all buffers between hold
+			Body: make([]byte, 16<<20), Respond: func(a engine.Response) { answered <- a }}) // larger than all socket buffers together
 	})
 	gateway.wantOutcomes(policy.ConnectFailed)
 	if a := <-answered; a.Result != engine.Rejected {
--- a/internal/httpgateway/pipeline_test.go
+++ b/internal/httpgateway/pipeline_test.go
@@ -15,15 +15,15 @@
 	"weirhaven/policy"
 )
 
-// A client sends many requests at once, and the network splits them anywhere. Each gets its response in order, and one is in
-// progress at a time.
+// A client pipelines many requests, and the network splits them at arbitrary positions. Each must get its response in order,
+// and only one may be in progress at a time.
 func TestPipelined(t *testing.T) {
-	var out, most atomic.Int64
+	var concurrent, maxConcurrent atomic.Int64
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool {
-		if now := out.Add(1); now > most.Load() {
-			most.Store(now)
+		if now := concurrent.Add(1); now > maxConcurrent.Load() {
+			maxConcurrent.Store(now)
 		}
-		out.Add(-1)
+		concurrent.Add(-1)
 		return respondNumbered(c, n)
 	})
 	gateway := startGateway(t, endpoint)
@@ -37,12 +37,12 @@
 		}
 	}
 	text := all.String()
-	send(c, text[:len(text)/2-7]) // a break in the middle of one
+	send(c, text[:len(text)/2-7]) // splits a request
 	go send(c, text[len(text)/2-7:])
 	in := http1.NewReader(c)
 	for i := range 40 {
 		if in.Await() != nil {
-			t.Fatal("the connection ended")
+			t.Fatal("the connection was closed")
 		}
 		a, err := in.Response()
 		if err != nil {
@@ -55,15 +55,15 @@
 			t.Errorf("%s, wanted a%d", s, i)
 		}
 	}
-	if most.Load() > 1 {
-		t.Errorf("%d at a time", most.Load())
+	if maxConcurrent.Load() > 1 {
+		t.Errorf("%d requests in progress at a time, wanted 1", maxConcurrent.Load())
 	}
 }
 
-// A client pipelines a request behind Connection: close, or bytes that begin no request, or far more than is kept, and
-// disconnects. What follows is not served: where a length was wrong it may be a hidden request. A client that has gone is
-// noticed also behind what it sent.
-func TestPipelinedEnds(t *testing.T) {
+// A client pipelines a request after Connection: close, or bytes that don't start a request, or far more than the buffer limit,
+// and disconnects. The gateway must not serve these bytes, since after a wrong length they may hide a request. It must detect
+// the disconnect although the client sent more bytes before it.
+func TestPipelinedInvalidBytes(t *testing.T) {
 	endpoint := newEndpoint(t, respondNumbered)
 	gateway := startGateway(t, endpoint)
 	wantResponse(t, gateway.dial(), readRequest("a1", "Connection: close\r\n")+readRequest("a2"), 200, "answer 0")
@@ -72,7 +72,7 @@
 	wantResponse(t, gateway.dial(), writeRequest("a4", "")+"\x00\x01", 400, "")
 	wantResponse(t, gateway.dial(), readRequest("a5"), 200, "answer 1")
 	if s := <-endpoint.requests; !strings.Contains(s, "a5") {
-		t.Errorf("%s was taken", s)
+		t.Errorf("%s reached the endpoint", s)
 	}
 	release := make(chan bool)
 	slowEndpoint := newEndpoint(t, func(c net.Conn, n int) bool {
@@ -95,7 +95,7 @@
 	c = slowGateway.dial()
 	send(c, readRequest("b2"))
 	<-slowEndpoint.requests
-	for i := range 4000 { // far more than is kept
+	for i := range 4000 { // far more than the buffer limit
 		send(c, readRequest(fmt.Sprint("c", i)))
 	}
 	c.Close()
@@ -106,8 +106,8 @@
 	}
 }
 
-// A client sends more at once than may be kept. What was kept is served, the first that was not is answered 503, and with
-// that the connection ends in good order: no request is dropped without a response.
+// A client pipelines more than the buffer limit. The gateway must serve the buffered requests, answer the first discarded one
+// with 503 and then close the connection normally, so that the client knows which requests were not served.
 func TestPipelineLimit(t *testing.T) {
 	hold := make(chan bool)
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool { <-hold; return respondNumbered(c, n) })
@@ -134,12 +134,12 @@
 		}
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || got < 3 || got == n || refused != 1 {
-		t.Errorf("%v after %d answers, %d of them refusals", err, got, refused)
+		t.Errorf("%v after %d responses, %d of them 503", err, got, refused)
 	}
 }
 
-// A request arrives behind a slow one on the same connection. Its timeout counts from when its own bytes arrived; the client
-// counts from then, and once the slow one is answered no time is left.
+// A request is pipelined after a slow one. Its timeout must start when its bytes arrived, as the client's does; here it has
+// expired when the slow request is answered.
 func TestPipelinedTimeout(t *testing.T) {
 	endpoint := newEndpoint(t, func(c net.Conn, n int) bool { time.Sleep(300 * ms); return respondNumbered(c, n) })
 	gateway := startGateway(t, endpoint)
@@ -159,6 +159,6 @@
 		got = append(got, a.Status)
 	}
 	if !slices.Equal(got, []int{200, 503}) || len(endpoint.requests) != 1 {
-		t.Errorf("%v, %d sent", got, len(endpoint.requests))
+		t.Errorf("statuses %v, %d requests reached the endpoint; wanted 200 and 503, and 1", got, len(endpoint.requests))
 	}
 }
--- a/internal/httpgateway/rig_test.go
+++ b/internal/httpgateway/rig_test.go
@@ -22,15 +22,15 @@
 
 const ms = time.Millisecond
 
-// recordingScheduler is the scheduler, with the outcomes of its attempts handed to the test.
+// recordingScheduler is the scheduler. It also sends the outcomes of its attempts to the test.
 type recordingScheduler struct {
 	*policy.Scheduler
 	outcomes chan policy.Outcome
 }
 
-func (w *recordingScheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
-	w.outcomes <- result.Outcome
-	w.Scheduler.AttemptEnded(attempt, result)
+func (s *recordingScheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+	s.outcomes <- result.Outcome
+	s.Scheduler.AttemptEnded(attempt, result)
 }
 
 // testGateway is a gateway under test, with its agent.
@@ -42,14 +42,15 @@
 	reloads       chan *config.Config
 	config        *config.Config
 	dialEndpoint  func(ctx context.Context, address string) (net.Conn, error)     // nil: TCP
-	expectPanics  bool                                                            // in its log
+	expectPanics  bool                                                            // true: the log is discarded
 	listenClients func(ctx context.Context, address string) (net.Listener, error) // nil: TCP
 	stop          context.CancelFunc
 	done          chan error
 	gateway       *Gateway
 }
 
-// startGateway starts a gateway whose configuration holds the endpoints, b0 and on, each in a shard of its own.
+// startGateway starts a gateway with the endpoints in its configuration. They are named b0, b1 and so on, and each has its own
+// shard.
 func startGateway(t *testing.T, endpoints ...*testEndpoint) *testGateway {
 	t.Parallel()
 	gateway := newGateway(t, endpoints...)
@@ -57,7 +58,7 @@
 	return gateway
 }
 
-// newGateway makes a gateway that has not started, so that a test may change its configuration.
+// newGateway returns a gateway that is not started yet, so that a test may change its configuration.
 func newGateway(t *testing.T, endpoints ...*testEndpoint) *testGateway {
 	gateway := &testGateway{t: t, agent: newAgent(t), outcomes: make(chan policy.Outcome, 1000), reloads: make(chan *config.Config), done: make(chan error, 1)}
 	gateway.config = &config.Config{Name: "h", Listen: "127.0.0.1:0", Discovery: gateway.agent.listener.Addr().String(), ConnectTimeout: 2 * time.Second, EndpointIdleTimeout: 20 * time.Second,
@@ -77,7 +78,7 @@
 	return gateway
 }
 
-// start runs the gateway until the test ends; then the gateway must end within its time and have violated no invariant.
+// start runs the gateway until the test ends. Then the gateway must stop within 10 s and have no invariant violations.
 func (gateway *testGateway) start() {
 	t := gateway.t
 	listening := make(chan net.Addr, 1)
@@ -98,16 +99,16 @@
 				t.Error(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Error("the gateway does not end")
+			t.Error("the gateway did not stop within 10 s")
 			return
 		}
 		if n := started.recorder.Violations(); n > 0 {
-			t.Errorf("%d violations of invariants", n)
+			t.Errorf("%d invariant violations", n)
 		}
 	})
 }
 
-// log is where the gateway logs errors.
+// log returns the destination of the gateway's log.
 func (gateway *testGateway) log() io.Writer {
 	if gateway.expectPanics {
 		return io.Discard
@@ -127,22 +128,22 @@
 	return c
 }
 
-// readRequest is a read as the usual clients send it, with more fields.
+// readRequest returns a read request as typical clients send it, with additional fields.
 func readRequest(id string, more ...string) string {
 	return "GET /read/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: x\r\nX-Lane: read\r\nTier: plain\r\nX-Remaining-Ms: 1000\r\n" +
 		"IO-Info: units=1,shard=0,hosts=1\r\nX-Txn: " + id + "\r\n" + strings.Join(more, "") + "\r\n"
 }
 
-// writeRequest is a write as the usual clients send it.
+// writeRequest returns a write request as typical clients send it.
 func writeRequest(id, body string) string {
 	r := strings.NewReplacer("GET /read", "PUT /write", "Lane: read", "Lane: write").Replace(readRequest(id))
 	return strings.TrimSuffix(r, "\r\n") + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// roundTrip sends a request and returns its response's status and body; 0: the connection ended without one.
+// roundTrip sends a request and returns the status and body of its response; status 0: the connection closed without a response.
 func roundTrip(c net.Conn, text string) (int, string) { send(c, text); return receive(c) }
 
-// receive reads a response and returns its status and body; 0: the connection ended without one.
+// receive reads a response and returns its status and body; status 0: the connection closed without a response.
 func receive(c net.Conn) (int, string) {
 	r := http1.NewReader(c)
 	if r.Await() != nil {
@@ -156,7 +157,7 @@
 	return h.Status, string(b)
 }
 
-// wantResponse fails the test if a request does not get this status and body.
+// wantResponse fails the test if the response to a request doesn't have this status and body.
 func wantResponse(t *testing.T, c net.Conn, text string, status int, body string) {
 	t.Helper()
 	if gotStatus, gotBody := roundTrip(c, text); gotStatus != status || gotBody != body {
@@ -164,7 +165,7 @@
 	}
 }
 
-// wantOutcomes fails the test if the next attempts do not end with these outcomes.
+// wantOutcomes fails the test if the next attempts don't end with these outcomes.
 func (gateway *testGateway) wantOutcomes(want ...policy.Outcome) {
 	gateway.t.Helper()
 	for _, w := range want {
--- a/internal/httpgateway/samedecisions_test.go
+++ b/internal/httpgateway/samedecisions_test.go
@@ -20,7 +20,7 @@
 	"weirhaven/policy"
 )
 
-// profileText is the settings of the scripted day, as the platform and the simulator give them.
+// profileText is the settings for the script, in the format of the platform and the simulator.
 const profileText = `{"balancers":2,"ordinal":0,"zone":"hall","discovery":"push","resolution_us":2000,
 "limits":{"cancel":true,"max_attempts":3,"retry_after":true,"max_retry_after_us":1000000},"client_habits":{"marks_retry":true},
 "contract":{"answer_slack_us":8000,"ask_within_us":1000000,"drain_grace_us":250000,"cold_from":0.2,"cold_us":10000000,"fall_multiple":2,"overload_for_us":1000000},
@@ -30,11 +30,11 @@
 "plans":[{"name":"plain","nominal":10,"never_over":0,"parts":1,"worth_factor":1},
 {"name":"capped","nominal":10,"never_over":20,"cap_depth":10,"cap_slack":4,"parts":1,"worth_factor":1}]}`
 
-// scriptEvent is what reaches a gateway from outside, at a time: an endpoint list or a request.
+// scriptEvent is an external event at a given time: an endpoint list or a request.
 type scriptEvent struct {
 	at      time.Duration
-	serving []string // an endpoint list: those of a and b that serve
-	id      int64    // of a request
+	serving []string // of an endpoint list: the serving endpoints among a and b; nil: the event is a request
+	id      int64    // of a request, as are the fields below
 	class   string
 	plan    string
 	units   int
@@ -57,13 +57,13 @@
 	return events
 }
 
-// serviceOf is how long an attempt takes and how it ends, drawn from the request alone.
+// serviceOf returns the duration of an attempt and how it ends. Both depend only on the request id.
 func serviceOf(id int64) (time.Duration, string) {
 	rng := rand.New(rand.NewSource(id))
 	return time.Duration(rng.Intn(60000)+1) * time.Microsecond, []string{"S", "S", "S", "E", "F"}[rng.Intn(5)]
 }
 
-// viaSimulatorWire plays the script through the simulator's adapter.
+// viaSimulatorWire runs the script through the simulator adapter and returns the decisions.
 func viaSimulatorWire(t *testing.T) (trace []string) {
 	in, input := io.Pipe()
 	replies, out := io.Pipe()
@@ -136,7 +136,7 @@
 	return trace
 }
 
-// recordingOutbound records what the engine sends and completes attempts after the script's times.
+// recordingOutbound records the attempts that the engine sends and completes each after the duration from serviceOf.
 type recordingOutbound struct {
 	outbound
 	core  *engine.Core
@@ -192,7 +192,7 @@
 	})
 }
 
-// viaEngine plays the script through the engine as the gateway drives it.
+// viaEngine runs the script through the engine in the same way as the gateway and returns the decisions.
 func viaEngine(t *testing.T) []string {
 	settings, err := config.ParseSettings(fastjson.MustParse(profileText), 7)
 	if err != nil {
@@ -233,7 +233,7 @@
 			}
 		}
 		at, f := outbound.dueAt[first], outbound.due[first]
-		if next, ok := outbound.core.Next(); ok && next <= at { // what it brings may be due before the rest
+		if next, ok := outbound.core.Next(); ok && next <= at { // the timer may schedule events that are due before the others
 			outbound.core.Advance(next)
 			continue
 		}
@@ -244,9 +244,9 @@
 	return outbound.trace
 }
 
-// The scheduler is tuned on the simulator and runs in the gateway. Were the same events reported to it in another way there, its
-// decisions would be others than those that were measured. The same requests, lists and outcomes have to give the same
-// decisions at the same times.
+// The scheduler is tuned on the simulator and runs in the gateway. If the gateway reported the same events to it differently, its
+// decisions would differ from the measured ones. The same requests, lists and outcomes must lead to the same decisions at the
+// same times.
 func TestSameDecisions(t *testing.T) {
 	bySimulator, byEngine := viaSimulatorWire(t), viaEngine(t)
 	if len(bySimulator) < 300 {
@@ -254,7 +254,7 @@
 	}
 	for i := range min(len(bySimulator), len(byEngine)) {
 		if bySimulator[i] != byEngine[i] {
-			t.Fatalf("decision %d of %d and %d: by the simulator %q, by the engine %q", i, len(bySimulator), len(byEngine), bySimulator[i], byEngine[i])
+			t.Fatalf("decision %d of %d and %d: simulator %q, engine %q", i, len(bySimulator), len(byEngine), bySimulator[i], byEngine[i])
 		}
 	}
 	if len(bySimulator) != len(byEngine) {
--- a/internal/httpgateway/shutdown.go
+++ b/internal/httpgateway/shutdown.go
@@ -15,8 +15,8 @@
 const (
 	maxKillDelay        = 3 * time.Second
 	killGrace           = 700 * time.Millisecond
-	responseMargin      = 250 * time.Millisecond // margin between the last response and the kill
-	connectionDrainTime = 250 * time.Millisecond // time before responseMargin during which connections close after their next response
+	responseMargin      = 250 * time.Millisecond // time before the kill by which all requests have their responses
+	connectionDrainTime = 250 * time.Millisecond // period before that in which connections close after their next response
 	shutdownOverrun     = time.Second            // time after the longest timeout and killGrace at which all connections are closed
 )
 
--- a/internal/httpgateway/slowstart_test.go
+++ b/internal/httpgateway/slowstart_test.go
@@ -9,8 +9,8 @@
 	"weirhaven/internal/engine"
 )
 
-// An endpoint restarts, and the wall clock was stepped by an hour, so that its start of this moment looks an hour old. With
-// a full share of the load it would be pushed over; it is warmed up all the same.
+// An endpoint restarts after the wall clock was stepped by an hour, so it seems to have been up for an hour. The full share of
+// the load would overload it, so the gateway must still apply the slow start.
 func TestStartAfterClockStep(t *testing.T) {
 	t.Parallel()
 	hold := make(chan bool)
@@ -22,8 +22,8 @@
 	gateway.config.KnownEndpoints.Entries = []engine.EndpointEntry{{Name: "b0", Address: endpoint.listener.Addr().String(), Serving: true,
 		Started: time.Duration(time.Now().Add(-24 * time.Hour).UnixNano())}}
 	gateway.start()
-	time.Sleep(s.OverloadWindow)     // a gateway that has just started sends nothing to endpoints that it may have filled before
-	gateway.agent.sendList(8, false) // nothing has changed until here
+	time.Sleep(s.OverloadWindow)     // a new gateway sends nothing to endpoints that its former instance may have overloaded
+	gateway.agent.sendList(8, false) // confirms the previous list
 	started := time.Now().Add(-time.Hour).UnixMilli()
 	gateway.agent.lists <- fmt.Sprintf(`{"revision":9,"complete":false,"members":[{"id":"b0","host_port":%q,"locality":"a","cell":0,"phase":"in_service","up_since_ms":%d}]}`,
 		endpoint.listener.Addr(), started)
@@ -33,6 +33,6 @@
 	}
 	time.Sleep(300 * ms)
 	if n := len(endpoint.requests); n > 2 {
-		t.Errorf("%d requests reached an endpoint that had just started, which bears 2 from this gateway", n)
+		t.Errorf("%d requests reached an endpoint that had just started, wanted 2 at most", n)
 	}
 }
--- a/internal/httpgateway/socket/socket.go
+++ b/internal/httpgateway/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket looks at the receive buffer of a TCP connection without reading from it or waiting. A connection on which
-// no goroutine reads tells nothing by itself of a peer that has gone.
+// Package socket inspects the receive buffer of a TCP connection without consuming its bytes. A disconnect of the peer goes
+// undetected on a connection that no goroutine reads.
 package socket
 
 import (
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// State is what lies unread in a connection's receive buffer.
+// State is the state of a connection's receive buffer.
 type State int
 
 // The states of a receive buffer.
 const (
-	Empty  State = iota // nothing, and the connection is open
-	Unread              // bytes
-	Closed              // the peer closed or reset the connection, or it can't be used
+	Empty  State = iota // no bytes, and the connection is open
+	Unread              // unread bytes
+	Closed              // no bytes, and the peer has closed or reset the connection or it is unusable
 )
 
-// Peek looks at the receive buffer; a read deadline that has passed doesn't matter. A connection that is not TCP is Empty. It
-// may be called from any goroutine, beside one that reads.
+// Peek returns the state of the receive buffer without blocking, even if the read deadline has passed. It returns Empty for a
+// connection that is not TCP. Peek may be called concurrently with a read.
 func Peek(nc net.Conn) State {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -36,8 +36,8 @@
 	return state
 }
 
-// AwaitClose returns when the peer has closed or reset the connection and no byte lies before that in the receive buffer, or
-// at the read deadline. It reads nothing.
+// AwaitClose blocks until the peer has closed or reset the connection with no unread bytes in the receive buffer, or until the
+// read deadline. It consumes no bytes.
 func AwaitClose(nc net.Conn) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
--- a/internal/httpgateway/starttimes/starttimes.go
+++ b/internal/httpgateway/starttimes/starttimes.go
@@ -1,7 +1,7 @@
-// Package starttimes puts the start times of endpoints on this process's monotonic clock. The agent reports a start as a
-// wall-clock time, and a wall clock may be stepped by an hour; then an endpoint that has just started looks an hour old, gets
-// its full share at once and is overloaded. How long an endpoint has been up is a span of real time, so a start time is
-// translated once, when it is first reported, and doesn't move with the wall clock afterwards.
+// Package starttimes translates the start times of endpoints to this process's monotonic clock. The agent reports a start as a
+// wall-clock time, and a wall clock may be stepped by an hour. Then an endpoint that has just started would seem to have been
+// up for an hour, would get its full share of the load at once and be overloaded. So a start time is translated once, when it
+// is first reported, and later steps of the wall clock don't affect it.
 //
 // The package has no clock and no I/O, and is not safe for concurrent use.
 package starttimes
@@ -12,37 +12,38 @@
 	"weirhaven/internal/engine"
 )
 
-// ClockReadings are the clocks at the moment in which a list was received.
+// ClockReadings are the clock readings at the time a list was received.
 type ClockReadings struct {
-	Now       time.Duration // the process's clock, which began as a wall clock and is monotonic since
-	Wall      time.Duration // the wall clock, as Unix time
-	Confirmed time.Duration // on the process's clock: until then the list before was known to hold; 0: not known
+	Now       time.Duration // process's clock, which was set from the wall clock once and is monotonic
+	Wall      time.Duration // wall clock, as Unix time
+	Confirmed time.Duration // time, on the process's clock, at which the previous list was last confirmed; 0: unknown
 }
 
 const (
-	// minClockStep is the difference between the wall clock and the process's clock from which the wall clock was stepped; less
-	// is slewing, or the time between the two readings.
+	// minClockStep is the minimum difference between the wall clock and the process's clock that counts as a step of the wall
+	// clock. A smaller difference comes from slewing, or from the time between the two readings.
 	minClockStep = 100 * time.Millisecond
-	// maxReportDelay is how long the agent may take to report a restart. A restart that seems to lie further before the list
-	// that still had the former start can't be: the wall clock is off.
+	// maxReportDelay is the maximum delay with which the agent reports a restart. If a restart seems to be earlier than this
+	// before the last list with the former start, the wall clock is wrong.
 	maxReportDelay = 6 * time.Second
 )
 
-// StartTimes remembers what was reported of each endpoint, and what that is on the process's clock.
+// StartTimes holds the reported and the translated start time of each endpoint.
 type StartTimes struct {
 	endpoints map[string]startTime
 }
 
 type startTime struct {
-	reported time.Duration // as the agent reported it; 0: long ago
-	local    time.Duration // on the process's clock; 0: long ago
+	reported time.Duration // start as the agent reported it; 0: long ago
+	local    time.Duration // start on the process's clock; 0: long ago
 }
 
-// New returns StartTimes that know no endpoint.
+// New returns an empty StartTimes.
 func New() *StartTimes { return &StartTimes{endpoints: map[string]startTime{}} }
 
-// Translate returns the entries of a list with their starts on the process's clock. complete: the list is the whole one, and
-// an endpoint that isn't in it is forgotten, as is one that is gone. The entries that are passed in are not changed.
+// Translate returns the entries of a list with their starts translated to the process's clock. It removes the start times of
+// endpoints that the list marks as removed and, if complete is true, of endpoints that are not in the list. It doesn't change
+// the entries that are passed in.
 func (s *StartTimes) Translate(complete bool, entries []engine.EndpointEntry, readings ClockReadings) []engine.EndpointEntry {
 	known := s.endpoints
 	if complete {
@@ -68,14 +69,16 @@
 	return translated
 }
 
-// localStart translates a start that was not reported before; restarted: the endpoint had another start before.
+// localStart translates a start time that is reported for the first time. restarted is true if a different start time of the
+// endpoint was reported before.
 func localStart(reported time.Duration, restarted bool, readings ClockReadings) time.Duration {
 	if reported == 0 {
 		return 0
 	}
 	start := reported
 	if offset := readings.Wall - readings.Now; offset < -minClockStep || offset > minClockStep {
-		// The start was read before or after the step: the younger of the two is safe, it only warms up for longer.
+		// The agent read its clock before or after the step. The later of the two start times is safe: at worst the endpoint's slow
+		// start lasts longer.
 		start = max(reported, reported-offset)
 	}
 	if restarted && start < readings.Confirmed-maxReportDelay {
--- a/internal/httpgateway/starttimes/starttimes_test.go
+++ b/internal/httpgateway/starttimes/starttimes_test.go
@@ -7,24 +7,24 @@
 	"weirhaven/internal/engine"
 )
 
-// The wall clock reads the same as the process's clock, apart from the step that a row names.
+// The wall clock equals the process's clock, apart from the step given in a test case.
 const (
 	now  = 1_000_000 * time.Second
 	hour = time.Hour
 )
 
-// oneEntry is a list of one endpoint, s.
+// oneEntry returns a list of one endpoint, s.
 func oneEntry(started time.Duration) []engine.EndpointEntry {
 	return []engine.EndpointEntry{{Name: "s", Started: started, Serving: true}}
 }
 
-// The wall clock is stepped by an hour, before or after an endpoint restarts and reports its start. Were the start taken as
-// reported, an endpoint that has just started would look old and get its full share, or an old one would look young. The
-// translated start may err by the row's tolerance, and doesn't move when the same start is reported again.
-func TestStart(t *testing.T) {
+// The wall clock is stepped by an hour before or after an endpoint restarts. If the reported start were used unchanged, an
+// endpoint that has just started would seem old and get its full share, or an old one would seem new. The translated start
+// must be within the tolerance of the test case and must not change when the same start is reported again.
+func TestStartTimeAfterClockStep(t *testing.T) {
 	for _, row := range []struct {
 		name             string
-		before, reported time.Duration // before 0: not listed before
+		before, reported time.Duration // before: former start; 0: not listed before
 		step, confirmed  time.Duration
 		want, tolerance  time.Duration
 	}{
@@ -35,9 +35,9 @@
 		{"reported after the clock was set forward", 0, now - time.Second + hour, hour, 0, now, time.Second},
 		{"reported before the clock was set back", 0, now - time.Second, -hour, 0, now, time.Second},
 		{"reported after the clock was set back", 0, now - time.Second - hour, -hour, 0, now - time.Second, 0},
-		{"an old one after a step stays old", 0, now - 24*hour, hour, 0, now - 24*hour, hour},
-		{"restarted: not before it was last listed with its former start", now - 24*hour, now - hour, 0, now - 2*time.Second, now - 2*time.Second, 0},
-		{"restarted, reported as late as may be: as reported", now - 24*hour, now - 7*time.Second, 0, now - 2*time.Second, now - 7*time.Second, 0},
+		{"an old endpoint stays old after a step", 0, now - 24*hour, hour, 0, now - 24*hour, hour},
+		{"restarted: not earlier than the last list with the former start", now - 24*hour, now - hour, 0, now - 2*time.Second, now - 2*time.Second, 0},
+		{"restarted, reported within the maximum delay: as reported", now - 24*hour, now - 7*time.Second, 0, now - 2*time.Second, now - 7*time.Second, 0},
 		{"restarted, after a long silence: as reported", now - 24*hour, now - time.Minute, 0, now - hour, now - time.Minute, 0},
 	} {
 		d := New()
@@ -55,12 +55,13 @@
 	}
 }
 
-// Endpoints come and go for months. One that is gone, or no longer in a complete list, is forgotten, so that nothing grows.
-func TestForgets(t *testing.T) {
+// Endpoints are added and removed over months. The start times of removed endpoints, and of those missing from a complete
+// list, must be dropped, or the map would grow without bound.
+func TestRemovedEndpointsAreDropped(t *testing.T) {
 	d := New()
 	d.Translate(true, append(oneEntry(now), engine.EndpointEntry{Name: "other"}), ClockReadings{Now: now, Wall: now})
 	d.Translate(false, []engine.EndpointEntry{{Name: "s", Removed: true}}, ClockReadings{Now: now, Wall: now})
 	if d.Translate(true, nil, ClockReadings{Now: now, Wall: now}); len(d.endpoints) != 0 {
-		t.Errorf("%d endpoints are remembered", len(d.endpoints))
+		t.Errorf("%d start times are left, wanted 0", len(d.endpoints))
 	}
 }
--- a/internal/httpgateway/state.go
+++ b/internal/httpgateway/state.go
@@ -72,13 +72,13 @@
 // engineCounts gets the totals from the loop. delay is the time until the loop answered; ok is false once the loop has ended.
 func (g *Gateway) engineCounts() (counts engine.Counts, delay time.Duration, ok bool) {
 	replies := make(chan engine.Counts, 1)
-	askedAt := time.Now()
+	postedAt := time.Now()
 	if !g.loop.Post(func(core *engine.Core) { replies <- core.Counts() }) {
 		return counts, 0, false
 	}
 	select {
 	case counts = <-replies:
-		return counts, time.Since(askedAt), true
+		return counts, time.Since(postedAt), true
 	case <-g.loop.Done():
 		return counts, 0, false
 	}
--- a/internal/httpgateway/syscalls_test.go
+++ b/internal/httpgateway/syscalls_test.go
@@ -13,9 +13,9 @@
 	"weirhaven/policy"
 )
 
-// A dial fails on this machine, for want of ports, routes or memory. That says nothing about the endpoint: the dial is
-// repeated, the request is served, and no attempt counts as refused by the endpoint, which could be ejected for it.
-func TestConnectFailsHere(t *testing.T) {
+// A dial fails because this machine has no free port, no route or no memory. The endpoint is not at fault: the gateway must
+// repeat the dial and serve the request. No attempt may count as refused by the endpoint, since that could eject it.
+func TestLocalConnectErrors(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED} {
 		t.Run(number.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -34,7 +34,7 @@
 	}
 }
 
-// failingListener fails some accepts.
+// failingListener fails the next accepts, as many as failures.
 type failingListener struct {
 	net.Listener
 	number   syscall.Errno
@@ -48,9 +48,9 @@
 	return l.Listener.Accept()
 }
 
-// Accepts fail for a moment. Accepting goes on, and no healthy connection is closed for it; that helps only where this
-// process has no descriptor left.
-func TestAcceptFails(t *testing.T) {
+// Accepts fail for a short time. The gateway must go on accepting and must not evict a healthy connection, which would help only
+// if this process had no descriptor left.
+func TestAcceptErrors(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO} {
 		t.Run(number.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -78,9 +78,9 @@
 	}
 }
 
-// A connection breaks with ETIMEDOUT or EHOSTUNREACH. After the whole request was written it may have run; where the write
-// failed halfway it did not.
-func TestConnectionBreaks(t *testing.T) {
+// A connection to an endpoint fails with a system error. If the complete request was written, it may have run; if the write
+// failed halfway, it did not.
+func TestConnectionErrors(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		for _, half := range []bool{false, true} {
 			t.Run(fmt.Sprint(number.Error(), half), func(t *testing.T) {
@@ -92,17 +92,17 @@
 				}
 				gateway.start()
 				wanted := map[bool]struct {
-					status int
-					how    policy.Outcome
+					status  int
+					outcome policy.Outcome
 				}{false: {504, policy.ConnectionReset}, true: {503, policy.ConnectFailed}}[half]
 				wantResponse(t, gateway.dial(), writeRequest("a1", "x"), wanted.status, "")
-				gateway.wantOutcomes(wanted.how)
+				gateway.wantOutcomes(wanted.outcome)
 			})
 		}
 	}
 }
 
-// brokenConn fails at the write, after half of the message, or at the read behind it.
+// brokenConn fails in the write, after half of the message, or in the read after it.
 type brokenConn struct {
 	net.Conn
 	number syscall.Errno
@@ -122,7 +122,7 @@
 	return 0, os.NewSyscallError("read", c.number)
 }
 
-// panickingConn panics once, at a write.
+// panickingConn panics once, in a write.
 type panickingConn struct {
 	net.Conn
 	writesLeft *atomic.Int32
@@ -135,7 +135,7 @@
 	return c.Conn.Write(p)
 }
 
-// panickingListener accepts connections that panic.
+// panickingListener wraps accepted connections in panickingConn.
 type panickingListener struct {
 	net.Listener
 	writesLeft *atomic.Int32
@@ -146,8 +146,8 @@
 	return &panickingConn{nc, l.writesLeft}, err
 }
 
-// A fault of this program panics on one connection. Its client is answered, once, and no other connection is harmed: without
-// a recover all requests in progress would be lost.
+// A bug of this program causes a panic on one connection. Its client must get one response, and other connections must not be
+// affected; without a recover all requests in progress would be lost.
 func TestPanicOnConnection(t *testing.T) {
 	for _, side := range []string{"client", "endpoint", "connect"} {
 		t.Run(side, func(t *testing.T) {
@@ -178,10 +178,10 @@
 				t.Errorf("%d, wanted %d", status, wanted)
 			}
 			if status, _ := roundTrip(gateway.dial(), writeRequest("a2", "x")); status != 200 {
-				t.Errorf("%d after a fault on another connection, wanted 200", status)
+				t.Errorf("%d after a panic on another connection, wanted 200", status)
 			}
 			if open := gateway.gateway.pool.Counts().Open; open > 1 {
-				t.Errorf("%d connections to endpoints count as open, wanted 1 at most", open)
+				t.Errorf("%d connections to endpoints are counted as open, wanted 1 at most", open)
 			}
 		})
 	}
