--- a/internal/httpgateway/config/list.go
+++ b/internal/httpgateway/config/list.go
@@ -92,7 +92,7 @@
 	} else if !entry.Removed {
 		return entry, errors.New("cell: not a non-negative integer")
 	}
-	entry.Started = startTime(member)
+	entry.StartedAt = startTime(member)
 	return entry, nil
 }
 
--- a/internal/httpgateway/samedecisions_test.go
+++ b/internal/httpgateway/samedecisions_test.go
@@ -233,7 +233,7 @@
 			}
 		}
 		at, f := outbound.dueAt[first], outbound.due[first]
-		if next, ok := outbound.core.Next(); ok && next <= at { // the timer may schedule events that are due before the others
+		if next, ok := outbound.core.NextTimer(); ok && next <= at { // the timer may schedule events that are due before the others
 			outbound.core.Advance(next)
 			continue
 		}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 
 const millisecond = time.Millisecond
 
-// harness is a Runtime that prints what the scheduler does and keeps its timers.
+// harness is a Runtime that prints the scheduler's calls and keeps its timers.
 type harness struct {
 	now       time.Duration
 	scheduler *Scheduler
@@ -105,8 +105,8 @@
 	return request
 }
 
-// endOldest gives the oldest attempt in flight its outcome.
-func (h *harness) endOldest(outcome Outcome, over bool) {
+// endOldestAttempt ends the oldest attempt in flight with an outcome.
+func (h *harness) endOldestAttempt(outcome Outcome, over bool) {
 	attempt := h.sent[0]
 	h.sent = h.sent[1:]
 	h.scheduler.AttemptEnded(attempt, AttemptResult{Outcome: outcome, Duration: h.now - attempt.sentAt, RequestOver: over})
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Active health checks tell whether an endpoint that left an attempt unanswered is slow, or only that answer was lost. They are
-// sent only where settings allow them and gossip, so that one gateway's check serves all.
+// After an attempt without a response, an active health check distinguishes a slow endpoint from a lost response. Health checks are
+// sent only where the settings allow both health checks and gossip, so that one gateway's check serves all gateways.
 
-// quickAnswer: an answer or a health check within so many congestion thresholds shows an endpoint that is well.
-const quickAnswer = 2
+// quickResponse is the latency up to which a response or a health check proves an endpoint healthy, in congestion thresholds.
+const quickResponse = 2
 
 // checkHealth sends a health check, unless one is in flight.
 func (s *Scheduler) checkHealth(e *Endpoint, now time.Duration) {
@@ -17,14 +17,14 @@
 	}
 }
 
-// HealthChecked takes the outcome of a health check.
+// HealthChecked reports the outcome of a health check.
 func (s *Scheduler) HealthChecked(e *Endpoint, outcome Outcome, duration time.Duration) {
 	now := s.runtime.Now()
 	e.checkInFlight = false
-	running := s.suspensions.running(e.checkSentAt, e.checkSentAt+duration)
-	timedOut := outcome == TimedOut && running == duration
-	quick := outcome == Served && running <= quickAnswer*s.congestionThreshold
-	late := timedOut || outcome == Served && running > s.shortestObjective
+	elapsed := s.suspensions.runningTime(e.checkSentAt, e.checkSentAt+duration)
+	timedOut := outcome == TimedOut && elapsed == duration
+	quick := outcome == Served && elapsed <= quickResponse*s.congestionThreshold
+	late := timedOut || outcome == Served && elapsed > s.shortestObjective
 	switch {
 	case quick:
 		e.consecutiveFailures = 0
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,42 +6,41 @@
 	"time"
 )
 
-// Endpoint selection: which endpoint gets the next request, and when one may be sent at all. An endpoint has a free place while it
-// accepts attempts, is not ejected and has fewer in flight than its limit. When a request comes, its queue is offered to the endpoints with a
-// free place, the one that is expected to answer soonest first; when a place becomes free, its endpoint takes the next request of
-// all queues that it serves (fairqueue.go).
+// Endpoint selection: an endpoint has a free slot while it accepts attempts, is not ejected and has fewer attempts in flight than its
+// limit. When a request arrives, its queue is offered to the endpoints with a free slot in order of expected latency. When a slot
+// becomes free, its endpoint takes the next request of all queues that it serves (fairqueue.go).
 
-// serveQueue offers a queue's requests to the endpoints with a free place, the one that is expected to answer soonest first.
+// serveQueue offers a queue's requests to the endpoints with a free slot, lowest expected latency first.
 func (s *Scheduler) serveQueue(queue *volumeQueue) {
 	free := slices.Clone(s.endpointsOf(queue.shard))
 	for len(queue.waiting) > 0 {
-		free = slices.DeleteFunc(free, func(e *Endpoint) bool { return s.freePlaces(e) <= 0 })
+		free = slices.DeleteFunc(free, func(e *Endpoint) bool { return s.freeSlots(e) <= 0 })
 		if len(free) == 0 {
 			return
 		}
 		soonest := slices.MinFunc(free, func(a, b *Endpoint) int { return cmp.Compare(a.expectedLatency(), b.expectedLatency()) })
-		if !s.sendNext(soonest) { // held back by pace or slow start: another one may do
+		if !s.sendNext(soonest) { // blocked here by pace or slow start: try another endpoint
 			free = without(free, soonest)
 		}
 	}
 }
 
-// fillEndpoint sends requests to an endpoint while it has free places and takes them.
+// fillEndpoint sends requests to an endpoint until it has no free slot or no request is eligible.
 func (s *Scheduler) fillEndpoint(e *Endpoint) {
-	for s.freePlaces(e) > 0 {
+	for s.freeSlots(e) > 0 {
 		if !s.sendNext(e) {
 			return
 		}
 	}
 }
 
-// expectedLatency is when one more request would be answered, from now.
+// expectedLatency estimates the latency of one more request.
 func (e *Endpoint) expectedLatency() time.Duration {
 	return e.smoothedLatency * time.Duration(e.inFlight+1)
 }
 
-// freePlaces is how many more attempts an endpoint may have in flight from this gateway.
-func (s *Scheduler) freePlaces(e *Endpoint) int {
+// freeSlots returns how many more attempts this gateway may have in flight at an endpoint.
+func (s *Scheduler) freeSlots(e *Endpoint) int {
 	now := s.runtime.Now()
 	if !e.accepting || now < e.ejectedUntil {
 		return 0
@@ -55,12 +54,12 @@
 		allOverdue = allOverdue && s.overdue(attempt, now)
 	}
 	if s.settings.CanCancel && !s.sharedHealthChecks && allOverdue {
-		return max(free, 1) // without health checks one more request shows whether what is in flight was lost
+		return max(free, 1) // without health checks, one more request shows whether the responses of the overdue attempts were lost
 	}
 	return free
 }
 
-// sendNext sends the next request to an endpoint with a free place; it tells whether there was one.
+// sendNext sends the next request to an endpoint with a free slot and reports whether it found one.
 func (s *Scheduler) sendNext(e *Endpoint) bool {
 	now := s.runtime.Now()
 	next, ok := s.nextFor(e, now)
@@ -78,7 +77,7 @@
 	return true
 }
 
-// send begins an attempt.
+// send starts an attempt.
 func (s *Scheduler) send(r *Request, e *Endpoint, now time.Duration) {
 	attempt := &Attempt{
 		Request:         r,
@@ -86,7 +85,7 @@
 		Number:          len(r.attempts),
 		StartBy:         r.startBy(),
 		sentAt:          now,
-		minSendInterval: s.openingInterval(e),
+		minSendInterval: s.baseInterval(e),
 		mayHaveRun:      true,
 	}
 	r.attempts = append(r.attempts, attempt)
@@ -97,6 +96,6 @@
 		e.slowStartAttempts = append(e.slowStartAttempts, attempt)
 	}
 	s.runtime.Send(attempt)
-	e.noteSent(now)
+	e.recordSent(now)
 	e.limitReached = e.limitReached || e.inFlight >= e.limit
 }
