--- a/internal/httpgateway/upstream/assign.go
+++ b/internal/httpgateway/upstream/assign.go
@@ -8,7 +8,7 @@
 	"weirhaven/internal/engine"
 )
 
-// dialsPerAttempt is the number of dials made within ConnectTimeout for one attempt. A slow dial may have lost packets, so
+// dialsPerAttempt is the maximum number of dials made within ConnectTimeout for one attempt. A slow dial may have lost packets, so
 // another dial is started after each ConnectTimeout/dialsPerAttempt. The slow connection is kept for later attempts.
 const dialsPerAttempt = 4
 
--- a/internal/httpgateway/upstream/send_test.go
+++ b/internal/httpgateway/upstream/send_test.go
@@ -128,7 +128,7 @@
 }
 
 // The process is suspended while it sends an attempt, between any two clock readings. The remaining time sent to the endpoint must
-// not exceed that of the client by more than schedulingSlack; otherwise the endpoint would work after the client has given up.
+// not exceed that of the client by more than schedulingSlack; otherwise the endpoint would work after the client has stopped waiting.
 func TestSuspendedWhileSending(t *testing.T) {
 	for beforeReading := 1; beforeReading <= 6; beforeReading++ {
 		t.Run(fmt.Sprint("before reading ", beforeReading), func(t *testing.T) {
