--- a/internal/fleet/endpointstate/addressfilter.go
+++ b/internal/fleet/endpointstate/addressfilter.go
@@ -9,14 +9,14 @@
 //
 // Inputs: the address of a report (host:port), Rules.Networks.
 //
-// A forged or mistyped list must not make the gateway send requests to hosts that are no endpoints. Each report is judged by itself, so one
-// bad entry costs nothing else.
+// A forged or mistyped list must not make the gateway send requests to hosts that are not endpoints. Reports are checked one by
+// one, so a bad entry does not affect the others.
 
-// maxLoggedAddresses bounds how many rejected reports are remembered, each of which is logged once: a source of ever new
-// addresses fills neither the memory nor the log.
+// maxLoggedAddresses limits how many rejected reports are remembered, each of which is logged once. It keeps a source that sends
+// ever new addresses from filling the memory and the log.
 const maxLoggedAddresses = 1024
 
-// addressAllowed reports whether a report's address is in the allowed networks, and logs the first rejection of each name and
+// addressAllowed reports whether a report's address is in the allowed networks. It logs the first rejection of each name and
 // address.
 func (f *Fleet) addressAllowed(r Report, source Source) bool {
 	if f.rules.Networks == nil {
--- a/internal/fleet/endpointstate/completelist.go
+++ b/internal/fleet/endpointstate/completelist.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// Rule 4: what a complete list omits is gone, but a list that drops more than half of the endpoints has to be confirmed.
+// Rule 4: an endpoint that a complete list omits is removed, but a list that drops more than half of the endpoints needs
+// confirmation.
 //
 // Inputs: the names in a complete list; the endpoints that are not barred.
 //
-// A list service that came back with part of its data, or none, must not stop the fleet at once. Until a second list of a higher
-// number omits them too, the endpoints of such a drop are doubted, and those that were heard themselves stay as they are.
-// The price is one list's delay where half a fleet really was taken away. A drop of a single endpoint is always believed.
+// A discovery service that comes back with part of its data, or none, must not take the whole fleet out of service. The endpoints
+// of such a drop are doubted until a second list with a higher number omits them too; an endpoint whose belief is its own report
+// stays as it is. The price is a delay of one list when half of the fleet really was removed. A drop of a single endpoint is always
+// accepted.
 //
-// An omitted endpoint is removed, not drained: a later list that names it brings it back without a new start. Otherwise one
-// short list would bar endpoints until somebody restarts them.
+// An omitted endpoint is removed, not drained: a later list that names it restores it without a new start. Otherwise one
+// incomplete list would bar endpoints until they are restarted.
 
-// confirmations is how many complete lists in a row have to omit an endpoint when the drop is implausible.
-const confirmations = 2
+// requiredOmissions is the number of consecutive complete lists that must omit an endpoint when the drop is implausible.
+const requiredOmissions = 2
 
-// weighOmissions takes what a complete list did not name.
-func (f *Fleet) weighOmissions(named map[string]bool, now time.Duration) {
+// applyOmissions processes the endpoints that a complete list did not name.
+func (f *Fleet) applyOmissions(named map[string]bool, now time.Duration) {
 	serving, dropped := f.countDropped(named)
 	implausible := dropped > 1 && 2*dropped > serving
 	for _, b := range f.sorted() {
@@ -32,7 +34,7 @@
 			continue
 		}
 		b.OmittedByLists++
-		if implausible && b.OmittedByLists < confirmations {
+		if implausible && b.OmittedByLists < requiredOmissions {
 			if b.Source != SelfReported {
 				b.ObservedAt = 0
 			}
@@ -47,7 +49,7 @@
 	}
 }
 
-// countDropped counts the endpoints that are not barred, and those of them that a list omits.
+// countDropped counts the endpoints that are not barred, and how many of those a list omits.
 func (f *Fleet) countDropped(named map[string]bool) (serving, dropped int) {
 	for name, b := range f.endpoints {
 		if b.Trust == Barred {
--- a/internal/fleet/endpointstate/endpointstate_test.go
+++ b/internal/fleet/endpointstate/endpointstate_test.go
@@ -15,7 +15,7 @@
 
 const s = time.Second
 
-// The same cases each time; -rapid.seed asks for others.
+// TestMain fixes the seed of rapid, so that each run checks the same cases. -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
@@ -25,16 +25,16 @@
 	os.Exit(m.Run())
 }
 
-// recordingSink keeps the latest notification of each endpoint, and all of them in order.
+// recordingSink records the last notification about each endpoint, and all notifications in order.
 type recordingSink struct {
 	serving       map[string]bool
 	startedAt     map[string]time.Duration
 	notifications []string
 }
 
-func (m *recordingSink) EndpointChanged(name, address, _ string, _ int, serving, gone bool, startedAt time.Duration) {
+func (m *recordingSink) EndpointChanged(name, address, _ string, _ int, serving, removed bool, startedAt time.Duration) {
 	m.serving[name], m.startedAt[name] = serving, startedAt
-	m.notifications = append(m.notifications, fmt.Sprintf("%s %s serving %v gone %v started at %v", name, address, serving, gone, startedAt))
+	m.notifications = append(m.notifications, fmt.Sprintf("%s %s serving %v removed %v started at %v", name, address, serving, removed, startedAt))
 }
 
 func rules() Rules {
@@ -58,8 +58,8 @@
 	return all
 }
 
-// A gateway restarts while the list service is down. What it saved is trusted by its age; a doubted endpoint goes to the scheduler as
-// just started, and its greeting puts the start right or bars it.
+// A gateway restarts while the discovery service is down. Saved beliefs must be trusted according to their age. A doubted
+// endpoint must be notified as just started until its greeting reports the real start or bars it.
 func TestSavedBeliefsAreTrustedByAge(t *testing.T) {
 	f, _, _ := newFleet(rules())
 	f.ListReceived(Generation{"e", 7}, true, servingReports("b1", "b2"), 1000*s)
@@ -72,7 +72,7 @@
 		}
 		f.Greeted("b1", "127.0.0.1:11", 300*s, false, 1001*s+age)
 		if b := f.Beliefs()[0]; b.Trust != Trusted || m.startedAt["b1"] != 300*s || b.Source != SelfReported {
-			t.Errorf("age %v: its greeting was not taken: %+v", age, b)
+			t.Errorf("age %v: the endpoint's greeting was not applied: %+v", age, b)
 		}
 		f.Greeted("b2", "127.0.0.1:12", 0, true, 1001*s+age)
 		if f.Beliefs()[1].Trust != Barred || m.serving["b2"] {
@@ -81,9 +81,9 @@
 	}
 }
 
-// An operator drains an endpoint. Lists and peers that lag behind go on reporting that it serves, and the gateway restarts. The drain holds
-// through all of it, whoever reported it, and ends only with a later start or an operator's order to forget it.
-func TestDrainWins(t *testing.T) {
+// A drained endpoint must not serve again because a lagging list or peer reports that it serves, or because the gateway
+// restarts. Only a later start, or an operator's order to forget it, ends the drain, whichever source reported it.
+func TestDrainTakesPrecedence(t *testing.T) {
 	f, m, _ := newFleet(rules())
 	f.ListReceived(Generation{"e", 1}, true, []Report{report("b1", true, 100*s), report("b2", true, 0)}, 200*s)
 	f.PeerReported([]Report{{Name: "b1", ObservedAt: 210 * s, Started: 100 * s}}, 211*s)
@@ -103,34 +103,35 @@
 	}
 	f.ListReceived(Generation{"e", 4}, false, []Report{report("b1", true, 235*s), report("b2", true, 236*s)}, 241*s)
 	if !m.serving["b1"] || !m.serving["b2"] || m.startedAt["b1"] != 235*s {
-		t.Errorf("started again, but %+v", f.Beliefs())
+		t.Errorf("the endpoints started again and still do not serve: %+v", f.Beliefs())
 	}
 	f.PeerReported([]Report{{Name: "b1", ObservedAt: 242 * s, Started: 100 * s}}, 242*s)
 	if !m.serving["b1"] {
-		t.Error("the drain of an earlier process bars a later one")
+		t.Error("the drain of an earlier process barred a later one")
 	}
 	if f.ListReceived(Generation{"e", 5}, false, []Report{report("b1", false, 235*s)}, 250*s); m.serving["b1"] || !f.Forget("b1") || f.Forget("b1") {
-		t.Error("forget")
+		t.Error("a drain was not applied, or Forget did not delete the endpoint exactly once")
 	}
 	if f.ListReceived(Generation{"e", 6}, false, []Report{report("b1", true, 235*s)}, 252*s); !m.serving["b1"] {
 		t.Error("an operator's forget did not lift the drain")
 	}
 }
 
-// The list service comes back from an old replica, or with half its data, or none. A list whose number does not rise is stale, whatever
-// the clock reads; a list that drops more than half, or all, takes nothing away until a second one confirms it.
+// The discovery service returns with an old replica's list, with half of its data, or with none. A list whose number does not
+// increase must be treated as stale, whatever the clock reads. A list that drops more than half of the endpoints must not
+// remove any until a second list confirms it.
 func TestStaleAndImplausibleLists(t *testing.T) {
 	f, m, log := newFleet(rules())
 	f.ListReceived(Generation{"e", 9}, true, servingReports("b1", "b2", "b3", "b4"), 10*s)
 	if f.ListReceived(Generation{"e", 3}, true, append(servingReports("b1"), report("b2", false, 0), report("b9", true, 0)), 20*s) {
-		t.Error("an old list was believed")
+		t.Error("a list with a lower number was accepted")
 	}
 	if !m.serving["b3"] || m.serving["b2"] || f.Beliefs()[4].Trust != Doubted {
 		t.Errorf("%+v", f.Beliefs())
 	}
 	f.ListReceived(Generation{"e", 10}, true, nil, 30*s)
 	if !m.serving["b1"] || f.Beliefs()[0].Trust != Doubted || m.startedAt["b1"] != 30*s {
-		t.Errorf("an empty list took all away, or changed nothing: %+v", f.Beliefs()[0])
+		t.Errorf("an empty list removed all endpoints, or did not make them doubted: %+v", f.Beliefs()[0])
 	}
 	f.Greeted("b1", "127.0.0.1:11", 1*s, false, 31*s)
 	f.ListReceived(Generation{"e", 11}, true, servingReports("b1", "b3", "b4"), 40*s)
@@ -140,24 +141,25 @@
 	f.ListReceived(Generation{"e", 12}, true, nil, 50*s)
 	f.ListReceived(Generation{"e", 13}, true, nil, 60*s)
 	if m.serving["b1"] || m.serving["b3"] {
-		t.Error("two lists omitted all, and still they serve")
+		t.Error("endpoints still serve after two lists omitted them")
 	}
 	f.Greeted("b1", "127.0.0.1:11", 1*s, false, 61*s)
 	f.PeerReported([]Report{report("b3", true, 0)}, 61*s)
 	if m.serving["b1"] || m.serving["b3"] {
-		t.Error("a list took them away, and another source brought them back")
+		t.Error("another source restored endpoints that a list removed")
 	}
 	f.ListReceived(Generation{"e", 14}, true, servingReports("b1", "b3"), 70*s)
 	if !m.serving["b1"] || !m.serving["b3"] {
-		t.Error("a later list names them, and they stay away")
+		t.Error("a later list did not restore the endpoints that it names")
 	}
 	if !strings.Contains(fmt.Sprint(*log), "doubted until a second list omits them") {
 		t.Errorf("%q", *log)
 	}
 }
 
-// A forged list names addresses outside the networks; an endpoint's address is taken over by another one; an endpoint that no
-// list names greets; all sources fall silent until trust, and then the belief, expires. Only settings need no list.
+// A forged list with addresses outside the networks must be rejected. An endpoint whose address was taken over must become
+// doubted, and a greeting from an endpoint that no list names must be ignored. When all sources go silent, trust must expire
+// and then the belief, except for endpoints from the settings.
 func TestAddressesExpiryAndSettings(t *testing.T) {
 	r := rules()
 	var b netipx.IPSetBuilder
@@ -174,51 +176,51 @@
 	f.Greeted("b7", "127.0.0.1:17", 0, false, 11*s)
 	f.WrongEndpoint("b1", "127.0.0.1:99", 11*s)
 	if len(f.Beliefs()) != 1 || f.Beliefs()[0].Trust != Trusted {
-		t.Error("a greeting on a connection to an old address was taken")
+		t.Error("a greeting from an unknown endpoint, or one at an earlier address, changed the beliefs")
 	}
 	f.WrongEndpoint("b1", "127.0.0.1:11", 12*s)
 	if f.Beliefs()[0].Trust != Doubted || len(f.Doubtful()) != 1 {
-		t.Error("another endpoint is at the address, and the belief is not doubted")
+		t.Error("another endpoint answers at the address, but the belief is not doubted")
 	}
 	f.Answered("b1", 13*s)
 	f.Tick(60 * s)
 	if f.Beliefs()[0].Trust != Trusted {
-		t.Error("it answered a minute ago")
+		t.Error("an endpoint that answered within Rules.Fresh is not trusted")
 	}
 	f.Tick(80 * s)
 	if f.Beliefs()[0].Trust != Doubted || m.startedAt["b1"] != 0 {
-		t.Errorf("doubted by age, it answered a moment ago: no slow start; %v", m.startedAt["b1"])
+		t.Errorf("an endpoint that answered within GreetingValid was put into slow start, or is not doubted: started at %v", m.startedAt["b1"])
 	}
 	f.Tick(2000 * s)
 	if len(f.Beliefs()) != 0 || m.serving["b1"] {
-		t.Error("what nobody reported for so long is still there")
+		t.Error("an endpoint that no source reported for Rules.Expire is still present")
 	}
 	f.Configured([]Report{report("b1", true, 0)}, 2000*s)
 	f.Tick(9000 * s)
 	if len(f.Beliefs()) != 1 || f.Beliefs()[0].Trust != Trusted {
-		t.Error("what the settings name needs no list")
+		t.Error("an endpoint from the settings expired without a list")
 	}
 }
 
-// Reports get lost, come twice and in any order, and the gateway restarts between them. None of that lets an endpoint serve in the
-// process for which a drain was reported, and two gateways with the same evidence agree, in whatever order it came.
+// Reports are lost, duplicated and reordered, and the gateway restarts between them. A process that was reported as draining
+// must never serve, and two gateways with the same reports must agree whatever the order of arrival.
 func TestDrainHoldsInAnyOrder(t *testing.T) {
-	type evidence struct {
+	type reportEvent struct {
 		kind    int
 		number  int64
 		serving bool
 		started time.Duration
 		at      time.Duration
 	}
-	apply := func(f *Fleet, p evidence, now time.Duration) {
-		l := Report{Name: "b1", Address: "127.0.0.1:1", Serving: p.serving, Started: p.started, ObservedAt: p.at}
-		switch p.kind {
+	apply := func(f *Fleet, e reportEvent, now time.Duration) {
+		r := Report{Name: "b1", Address: "127.0.0.1:1", Serving: e.serving, Started: e.started, ObservedAt: e.at}
+		switch e.kind {
 		case 0:
-			f.ListReceived(Generation{"e", p.number}, false, []Report{l}, now)
+			f.ListReceived(Generation{"e", e.number}, false, []Report{r}, now)
 		case 1:
-			f.PeerReported([]Report{l}, now)
+			f.PeerReported([]Report{r}, now)
 		case 2:
-			f.Greeted("b1", "127.0.0.1:1", p.started, !p.serving, now)
+			f.Greeted("b1", "127.0.0.1:1", e.started, !e.serving, now)
 		case 3:
 			saved, last := f.Beliefs(), f.LastGeneration()
 			*f = *New(rules(), f.sink, f.log)
@@ -228,45 +230,45 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		lives := []time.Duration{100 * s, 200 * s, 300 * s}
-		evidences := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) evidence {
-			return evidence{kind: rapid.IntRange(0, 4).Draw(t, "kind"), number: rapid.Int64Range(1, 20).Draw(t, "number"),
-				serving: rapid.Bool().Draw(t, "serving"), started: rapid.SampledFrom(lives).Draw(t, "started"),
+		starts := []time.Duration{100 * s, 200 * s, 300 * s}
+		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) reportEvent {
+			return reportEvent{kind: rapid.IntRange(0, 4).Draw(t, "kind"), number: rapid.Int64Range(1, 20).Draw(t, "number"),
+				serving: rapid.Bool().Draw(t, "serving"), started: rapid.SampledFrom(starts).Draw(t, "started"),
 				at: time.Duration(rapid.IntRange(300, 400).Draw(t, "at")) * s}
 		}), 1, 25).Draw(t, "reports")
 		f, m, _ := newFleet(rules())
-		f.ListReceived(Generation{"e", 1}, true, []Report{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: lives[0]}}, 400*s)
+		f.ListReceived(Generation{"e", 1}, true, []Report{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: starts[0]}}, 400*s)
 		drained := time.Duration(0)
-		held := lives[0]
-		for i, p := range evidences {
+		latestStart := starts[0]
+		for i, e := range reports {
 			now := 401*s + time.Duration(i)*s
-			if p.kind <= 2 && !p.serving && p.started >= held {
-				drained = max(drained, p.started)
+			if e.kind <= 2 && !e.serving && e.started >= latestStart {
+				drained = max(drained, e.started)
 			}
-			apply(f, p, now)
-			held = max(held, f.Beliefs()[0].Started)
+			apply(f, e, now)
+			latestStart = max(latestStart, f.Beliefs()[0].Started)
 			if b := f.Beliefs()[0]; (b.Trust != Barred || m.serving["b1"]) && b.Started <= drained {
-				t.Fatalf("after %+v: %+v serves though its start %v was drained", p, b, drained)
+				t.Fatalf("after %+v: %+v serves though its start %v was drained", e, b, drained)
 			}
 		}
 	})
-	rapid.Check(t, func(t *rapid.T) { // reports of peers, in two orders
-		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) evidence {
-			return evidence{kind: 1, serving: rapid.Bool().Draw(t, "serving"), started: time.Duration(rapid.IntRange(1, 4).Draw(t, "life")) * 100 * s,
+	rapid.Check(t, func(t *rapid.T) { // the same peer reports in two orders
+		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) reportEvent {
+			return reportEvent{kind: 1, serving: rapid.Bool().Draw(t, "serving"), started: time.Duration(rapid.IntRange(1, 4).Draw(t, "start")) * 100 * s,
 				at: time.Duration(rapid.IntRange(500, 900).Draw(t, "at")) * s}
 		}), 1, 12).Draw(t, "reports")
 		other := rapid.Permutation(reports).Draw(t, "other order")
 		var got [2]bool
-		for i, order := range [][]evidence{reports, other} {
+		for i, order := range [][]reportEvent{reports, other} {
 			f, m, _ := newFleet(rules())
 			f.ListReceived(Generation{"e", 1}, true, []Report{{Name: "b1", Address: "127.0.0.1:1", Serving: true, Started: 50 * s}}, 400*s)
-			for _, p := range order {
-				apply(f, p, 1000*s)
+			for _, e := range order {
+				apply(f, e, 1000*s)
 			}
 			got[i] = m.serving["b1"]
 		}
 		if got[0] != got[1] {
-			t.Fatalf("one gateway lets it serve, the other does not: %v", got)
+			t.Fatalf("two gateways with the same reports disagree on whether the endpoint serves: %v", got)
 		}
 	})
 }
--- a/internal/fleet/endpointstate/fleet.go
+++ b/internal/fleet/endpointstate/fleet.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Fleet is what one gateway believes of all endpoints. It is not safe for concurrent use.
+// Fleet is one gateway's view of all endpoints. It is not safe for concurrent use.
 type Fleet struct {
 	rules     Rules
 	sink      Sink
 	log       func(line string)
 	endpoints map[string]*Belief // by name
 
-	lastGeneration Generation // of the latest list believed
-	listReceived   bool       // a list was believed since the start
+	lastGeneration Generation // generation of the latest accepted list
+	listReceived   bool       // whether a list was accepted since the start
 
-	loggedAddresses map[string]bool // "name address" of rejected reports
+	loggedAddresses map[string]bool // rejected reports that were logged, by "name address"
 }
 
-// New returns a fleet that believes nothing yet. Both sink and log are called from within the calls of the fleet.
+// New returns a fleet without beliefs. The fleet calls sink and log synchronously from its methods.
 func New(rules Rules, sink Sink, log func(line string)) *Fleet {
 	return &Fleet{rules: rules, sink: sink, log: log, endpoints: map[string]*Belief{}, loggedAddresses: map[string]bool{}}
 }
 
-// LastGeneration identifies the latest endpoint list that was believed; the zero value: none.
+// LastGeneration returns the generation of the latest accepted endpoint list, or the zero value if there is none.
 func (f *Fleet) LastGeneration() Generation { return f.lastGeneration }
 
 // Beliefs returns copies of all beliefs, sorted by name.
@@ -36,7 +36,7 @@
 	return all
 }
 
-// Belief returns what is held of one endpoint; false: nothing.
+// Belief returns a copy of the belief about one endpoint, and false if there is none.
 func (f *Fleet) Belief(name string) (Belief, bool) {
 	if b := f.endpoints[name]; b != nil {
 		return *b, true
@@ -44,8 +44,7 @@
 	return Belief{}, false
 }
 
-// Restore takes back saved beliefs, each as old as its ObservedAt says. It is to be called before any evidence arrives.
-// The saved drains hold.
+// Restore loads saved beliefs, drains included; the age of each follows from its ObservedAt. Call it before any report arrives.
 func (f *Fleet) Restore(saved []Belief, last Generation, now time.Duration) {
 	f.lastGeneration = last
 	for _, b := range saved {
@@ -53,17 +52,17 @@
 			continue
 		}
 		b.Source = Saved
-		if b.ObservedAt > now { // the clock was set back since the save: the age is not known
+		if b.ObservedAt > now { // the clock was set back since the save, so the age is unknown
 			b.ObservedAt = 0
 		}
 		b.notified, b.OmittedByLists, b.GreetedAt = notification{}, 0, 0
-		b.removedByList = !b.Serving && b.DrainedUpTo == 0 // not saved, but nothing else leaves this trace
+		b.removedByList = !b.Serving && b.DrainedUpTo == 0 // removedByList is not saved; only it gives this combination
 		f.endpoints[b.Name] = &b
 		f.update(&b, now)
 	}
 }
 
-// Forget drops all that is held of an endpoint, its drain too: an operator's order. It returns whether anything was held.
+// Forget deletes the belief about an endpoint, including its drain, at an operator's request. It reports whether there was one.
 func (f *Fleet) Forget(name string) bool {
 	b := f.endpoints[name]
 	if b == nil {
@@ -74,7 +73,7 @@
 	return true
 }
 
-// sorted gives the beliefs by name, so that notifications come in the same order in each run.
+// sorted returns the beliefs sorted by name, so that the order of notifications is reproducible.
 func (f *Fleet) sorted() []*Belief {
 	all := make([]*Belief, 0, len(f.endpoints))
 	for _, b := range f.endpoints {
--- a/internal/fleet/endpointstate/greeting.go
+++ b/internal/fleet/endpointstate/greeting.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Rule 2: an endpoint's own greeting outweighs other reports, except a drain.
+// Rule 2: an endpoint's own greeting takes precedence over other reports, except a drain.
 //
-// Inputs: the greeting (name, address, start of the process, draining or not) and answers on a greeted connection, each heard now;
-// ObservedAt of other reports.
+// Inputs: the greeting (name, address, start of the process, draining or not) and responses on a greeted connection, each received
+// at now; ObservedAt of other reports.
 //
-// The endpoint knows its own state first and by no detour. A report of another source replaces it only where it was true later or speaks
-// of a later start.
+// The endpoint knows its own state first, and its greeting arrives directly. A report from another source replaces it only if
+// that report was true later or refers to a later start.
 
-// Greeted takes an endpoint's greeting on a connection to address ("": not known which): it is there, started then (0: not
-// given), and drains or not. An endpoint that no source has reported is ignored, since its shard is not known.
+// Greeted processes an endpoint's greeting on a connection to address (empty: unknown). started is the start time of the
+// endpoint's process (0: not given). A greeting of an endpoint that no source has reported is ignored, since its shard is unknown.
 func (f *Fleet) Greeted(name, address string, started time.Duration, draining bool, now time.Duration) {
 	b := f.endpoints[name]
 	if b == nil {
 		return
 	}
 	if address != b.Address && address != "" {
-		return // a connection to the address of before
+		return // the connection goes to an earlier address of the endpoint
 	}
 	r := b.Report
 	r.ObservedAt, r.Serving, r.Removed = now, !draining, false
 	if started != 0 {
 		r.Started = started
 	}
-	f.weigh(r, SelfReported, now)
+	f.applyReport(r, SelfReported, now)
 }
 
-// Answered takes an answer of an endpoint on a connection that it greeted: it is there. A drain stands.
+// Answered processes a response on a greeted connection as evidence that the endpoint is up. It does not lift a drain.
 func (f *Fleet) Answered(name string, now time.Duration) {
 	b := f.endpoints[name]
 	if b == nil || f.isBarred(b) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// WrongEndpoint takes the greeting of another endpoint at an endpoint's address: what was reported of it is not trusted any
-// more, unless it comes from the endpoint itself.
+// WrongEndpoint processes a greeting from a different endpoint at this endpoint's address: reports about this endpoint are no
+// longer trusted, except its own.
 func (f *Fleet) WrongEndpoint(name, address string, now time.Duration) {
 	b := f.endpoints[name]
 	if b == nil || b.Address != address || b.Source == SelfReported {
@@ -57,7 +57,8 @@
 	f.update(b, now)
 }
 
-// greetingOutweighs reports whether the belief is the endpoint's own word and the report is another source's, true no later.
-func greetingOutweighs(b *Belief, r Report, source Source) bool {
+// greetingTakesPrecedence reports whether the belief was reported by the endpoint itself and the report comes from another
+// source and is not newer.
+func greetingTakesPrecedence(b *Belief, r Report, source Source) bool {
 	return b.Source == SelfReported && source != SelfReported && r.ObservedAt <= b.ObservedAt
 }
--- a/internal/fleet/endpointstate/trust.go
+++ b/internal/fleet/endpointstate/trust.go
@@ -9,11 +9,12 @@
 //
 // Inputs: the age of a belief (now - ObservedAt), Rules.Fresh, Rules.Expire, Rules.GreetingValid; the last greeting.
 //
-// A belief is trusted up to the age Fresh, then doubted, and dropped after Expire; one from the settings is trusted at any age. A doubted
-// endpoint may have been restarted unnoticed, and all gateways together would overload one that is still warming up. So the sink
-// is notified of it as just started, which puts it in slow start until its greeting gives the real start.
+// A belief is trusted up to the age Fresh, then doubted, and dropped after Expire. A belief from the settings is trusted at any
+// age. A doubted endpoint may have been restarted unnoticed, and all gateways together would overload an endpoint that is still
+// warming up. The sink is therefore notified of it as just started, which keeps it in slow start until its greeting reports the
+// real start.
 
-// Tick lets time pass: trust decays, and endpoints that nobody reported for Rules.Expire are dropped. Call it about once a second.
+// Tick updates the trust of all beliefs and drops endpoints that no source reported for Rules.Expire. Call it about once a second.
 func (f *Fleet) Tick(now time.Duration) {
 	for _, b := range f.sorted() {
 		f.update(b, now)
@@ -24,13 +25,13 @@
 	}
 }
 
-// isExpired reports whether neither a report nor a drain of an endpoint is younger than Rules.Expire. A belief whose age is not
-// known (ObservedAt is 0) is kept: it may have been contradicted a moment ago.
+// isExpired reports whether the latest report and the latest drain of an endpoint are both older than Rules.Expire. A belief of
+// unknown age (ObservedAt is 0) does not expire, since it may have been contradicted only recently.
 func (f *Fleet) isExpired(b *Belief, now time.Duration) bool {
 	return b.Source != Settings && b.ObservedAt != 0 && now-b.ObservedAt > f.rules.Expire && now-b.DrainKnownAt > f.rules.Expire
 }
 
-// Doubtful returns the names of the doubted endpoints, sorted: those whose greeting would end the doubt.
+// Doubtful returns the names of the doubted endpoints, sorted. A greeting from one of them ends its doubt.
 func (f *Fleet) Doubtful() (names []string) {
 	for _, b := range f.sorted() {
 		if b.Trust == Doubted {
@@ -40,7 +41,7 @@
 	return names
 }
 
-// update sets a belief's trust, notifies the sink of what has changed and logs a change of trust.
+// update recomputes a belief's trust, notifies the sink of any change and logs a change of trust.
 func (f *Fleet) update(b *Belief, now time.Duration) {
 	previous, known := b.Trust, b.notified.sent
 	b.Trust = f.trust(b, now)
@@ -48,7 +49,7 @@
 	case Barred: // the reason was set with the drain or the removal
 		f.notify(b, false, b.Removed, b.Started)
 	case Trusted:
-		b.Reason = reasonToldBy + b.Source.String()
+		b.Reason = reasonReportedBy + b.Source.String()
 		f.notify(b, true, false, b.Started)
 	case Doubted:
 		b.Reason = reasonDoubted
@@ -69,8 +70,8 @@
 	return Doubted
 }
 
-// assumedStart is the start that a doubted endpoint is notified with: the moment at which the doubt began, or its real start
-// where it was trusted and heard itself so recently that a restart would have been noticed.
+// assumedStart returns the start time to report for a doubted endpoint: the time at which the doubt began, or the real start if
+// the endpoint was trusted and last answered so recently that a restart would have been noticed.
 func (f *Fleet) assumedStart(b *Belief, previous Trust, now time.Duration) time.Duration {
 	if !b.notified.sent {
 		return now
