--- a/internal/fleet/membership/dissemination.go
+++ b/internal/fleet/membership/dissemination.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Updates ride on the messages that are sent anyway (the paper's infection-style dissemination): each goes out with some
-// messages, a number that grows with the logarithm of the members, which reaches all of them with high probability.
+// Dissemination: updates are piggybacked on other messages (the paper's infection-style dissemination). Each update is sent with a
+// number of messages that grows with the logarithm of the number of members, so that it reaches all of them with high probability.
 
-// pressureFactor is how many times UpdatesPerMessage may go with one message while more than that are queued.
-const pressureFactor = 4
+// backlogFactor multiplies UpdatesPerMessage for one message while more than that many updates are queued.
+const backlogFactor = 4
 
-// queuedUpdate is an update to be passed on.
+// queuedUpdate is an update to be disseminated.
 type queuedUpdate struct {
 	member Member
-	sent   int // messages that carried it
+	sent   int // number of messages that carried the update
 }
 
-// disseminate queues an update in place of older ones of the same member. The change of a known member goes first, before
-// members that were not known.
+// disseminate queues an update and drops queued updates about the same member. Changes of known members are queued in front of new
+// members.
 func (g *Group) disseminate(m Member, change bool) {
 	g.updates = slices.DeleteFunc(g.updates, func(u *queuedUpdate) bool { return u.member.Name == m.Name })
 	if change {
@@ -28,18 +28,18 @@
 	}
 }
 
-// send sends a message from this gateway, with queued updates.
+// send sends a message from this gateway with queued updates attached.
 func (g *Group) send(address string, m Message) {
 	m.From = g.self
-	m.Updates = append(m.Updates, g.takeUpdates()...)
+	m.Updates = append(m.Updates, g.dequeueUpdates()...)
 	g.outbound.Send(address, m)
 }
 
-// takeUpdates takes the first queued updates; those that have not gone out often enough are queued again, at the end.
-func (g *Group) takeUpdates() (members []Member) {
+// dequeueUpdates returns the first queued updates. Updates that have not been sent often enough are queued again at the end.
+func (g *Group) dequeueUpdates() (members []Member) {
 	count := g.rules.UpdatesPerMessage
-	if len(g.updates) > pressureFactor*count {
-		count *= pressureFactor
+	if len(g.updates) > backlogFactor*count {
+		count *= backlogFactor
 	}
 	count = min(count, len(g.updates))
 	first := g.updates[:count]
@@ -54,7 +54,7 @@
 	return members
 }
 
-// transmissionLimit is with how many messages an update goes out.
+// transmissionLimit returns the number of messages that carry each update.
 func (g *Group) transmissionLimit() int {
 	return 3 + int(4*math.Log10(float64(len(g.members)+1)))
 }
--- a/internal/fleet/membership/group.go
+++ b/internal/fleet/membership/group.go
@@ -15,35 +15,35 @@
 	rng      *rand.Rand
 	seeds    []string // addresses to join through
 
-	members  map[string]*entry // by name, without this gateway
-	joined   bool              // somebody has sent all that it knows
-	departed bool              // Leave was called
+	members  map[string]*entry // other members by name
+	joined   bool              // whether another gateway has sent all members that it knows
+	departed bool              // whether Leave was called
 
 	// Failure detection (probe.go).
-	order         []string // of pinging, drawn anew each round
+	order         []string // names in ping order, shuffled anew each round
 	orderPosition int
 	nextPeriodAt  time.Duration
-	periods       int // begun since the start
+	periods       int // number of protocol periods begun
 	lastSeq       uint64
-	probe         *probe                   // of this period; nil: none, or acknowledged
-	forwarded     map[uint64]forwardedPing // pings sent for others, by their Seq
-	updates       []*queuedUpdate          // to be passed on (dissemination.go)
+	probe         *probe                   // probe of the current period; nil: none, or acknowledged
+	forwarded     map[uint64]forwardedPing // pings sent on behalf of others, by their Seq
+	updates       []*queuedUpdate          // updates to be disseminated (dissemination.go)
 
 	counts      Counts
-	countsStale bool // they may have changed
+	countsStale bool // whether counts must be recomputed
 }
 
 // New returns a group that knows only this gateway and joins through the seeds (addresses). The incarnation of self must be
-// above that of its last life. It calls outbound.MembershipChanged before it returns.
+// above that of its previous run. New calls outbound.MembershipChanged before it returns.
 func New(self Member, rules Rules, seeds []string, outbound Outbound, rng *rand.Rand, now time.Duration) *Group {
 	g := &Group{self: self, rules: rules, outbound: outbound, rng: rng, members: map[string]*entry{},
 		forwarded: map[uint64]forwardedPing{}, seeds: seeds, countsStale: true}
-	g.nextPeriodAt = now + time.Duration(rng.Int63n(int64(rules.PingInterval))) // so that gateways started together don't ping in step
+	g.nextPeriodAt = now + time.Duration(rng.Int63n(int64(rules.PingInterval))) // spreads the pings of gateways started together
 	g.updateCounts()
 	return g
 }
 
-// Restore takes saved members: they are asked first, and count in Parts until they say goodbye.
+// Restore loads saved members. They become additional seeds and count in Parts until they leave.
 func (g *Group) Restore(saved []Member, now time.Duration) {
 	for _, m := range saved {
 		if m.Name != g.self.Name && m.State != Departed {
@@ -56,7 +56,7 @@
 	g.updateCounts()
 }
 
-// Members returns all members known, this gateway too, sorted by name.
+// Members returns all known members, including this gateway, sorted by name.
 func (g *Group) Members() []Member {
 	all := []Member{g.self}
 	for _, e := range g.members {
@@ -66,11 +66,11 @@
 	return all
 }
 
-// Counts returns the present counts.
+// Counts returns the current counts.
 func (g *Group) Counts() Counts { return g.counts }
 
-// CountedByAll reports whether every member that may be sending counts this gateway in its Parts. Members whose own plan
-// includes this gateway count it anyway.
+// CountedByAll reports whether every member that may be sending counts this gateway in its Parts. Members whose planned number
+// includes this gateway always count it.
 func (g *Group) CountedByAll() bool {
 	if g.self.Ordinal >= g.self.Planned && !g.joined {
 		return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-// updateCounts counts again if anything has changed, and passes new counts on.
+// updateCounts recomputes the counts if they may have changed, and reports new counts to outbound.
 func (g *Group) updateCounts() {
 	if !g.countsStale {
 		return
@@ -108,7 +108,7 @@
 		}
 	}
 	c.Parts = max(c.Parts, planned)
-	if !g.joined { // it knows nobody yet, which doesn't mean that it is alone
+	if !g.joined { // other gateways may exist that this one does not know yet
 		c.Serving = max(c.Serving, planned)
 	}
 	if !g.CountedByAll() {
@@ -117,7 +117,7 @@
 	return c
 }
 
-// SetPlanned sets how many gateways there are to be, as the control plane says. It only ever raises what the settings say.
+// SetPlanned sets the planned number of gateways from the control plane. It can only raise the number from the settings.
 func (g *Group) SetPlanned(gateways int) {
 	if gateways > g.self.Planned {
 		g.self.Planned, g.countsStale = gateways, true
--- a/internal/fleet/membership/leave.go
+++ b/internal/fleet/membership/leave.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// goodbyeCopies is how often the goodbye goes to each member that hears it: any datagram may be lost, and a goodbye that nobody hears
-// keeps the part of this gateway unused until Rules.RetainDeparted.
-const goodbyeCopies = 2
+// leaveCopies is the number of copies of the leave message that each recipient gets. Any datagram may be lost, and if no member
+// receives the message, the part of this gateway stays unused until Rules.RetainDeparted.
+const leaveCopies = 2
 
-// Leave says goodbye to some members, suspected ones too, which pass it on. Afterwards the group sends nothing and ignores
-// all it receives.
+// Leave sends a leave message to some members, including suspected ones, which disseminate it. Afterwards the group sends nothing
+// and ignores all messages.
 func (g *Group) Leave() {
 	g.self.Incarnation++
-	goodbye := g.self
-	goodbye.State = Departed
+	leaveUpdate := g.self
+	leaveUpdate.State = Departed
 	recipients, limit := 0, 2*g.rules.IndirectPings+2
 	for _, name := range g.order {
 		e := g.members[name]
@@ -19,14 +19,15 @@
 			continue
 		}
 		recipients++
-		for range goodbyeCopies {
-			g.outbound.Send(e.Address, Message{Kind: Ping, From: g.self, Updates: []Member{goodbye}})
+		for range leaveCopies {
+			g.outbound.Send(e.Address, Message{Kind: Ping, From: g.self, Updates: []Member{leaveUpdate}})
 		}
 	}
 	g.departed = true
 }
 
-// Forget takes an operator's word that the gateway named sends nothing any more. It returns whether it was known.
+// Forget marks a gateway as departed after an operator confirmed that it sends nothing any more. It reports whether the gateway was
+// known.
 func (g *Group) Forget(name string, now time.Duration) bool {
 	e := g.members[name]
 	if e == nil {
@@ -34,7 +35,7 @@
 	}
 	forgotten := e.Member
 	forgotten.State = Departed
-	forgotten.Incarnation++ // overrides whatever is known of its present life
+	forgotten.Incarnation++ // overrides every update about its current incarnation
 	g.apply(forgotten, now)
 	g.updateCounts()
 	return true
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// State of a member. Of two updates with the same incarnation the one with the higher state overrides. The numbers go over
-// the wire and to disk.
+// State is the state of a member. Of two updates with the same incarnation, the one with the higher state overrides. The numbers
+// are sent on the wire and stored on disk.
 type State int
 
 // The states of a member.
 const (
 	Alive    State = iota
-	Suspect        // it did not answer, and may yet refute that
-	Faulty         // it didn't refute the suspicion in time
-	Departed       // it said goodbye, or an operator said that it is gone
+	Suspect        // did not answer; may still refute the suspicion
+	Faulty         // did not refute the suspicion in time
+	Departed       // sent a leave message, or was removed by an operator
 )
 
-// String names the state in logs.
+// String returns the name of the state for logs.
 func (s State) String() string { return [...]string{"alive", "suspect", "faulty", "departed"}[s] }
 
-// Member is what is known of one gateway.
+// Member describes one gateway.
 type Member struct {
 	Name        string
-	Ordinal     int    // its number, from 0; those below Planned are the planned gateways
+	Ordinal     int    // number of the gateway, from 0; the planned gateways are those below Planned
 	Address     string // host:port for messages
-	Planned     int    // how many gateways its settings plan for
-	Incarnation uint64 // raised by the member itself alone, or for it by Forget
+	Planned     int    // number of gateways that this gateway's settings plan for
+	Incarnation uint64 // raised only by the member itself, or on its behalf by Forget
 	State       State
 }
 
-// Counts are what the membership amounts to.
+// Counts are the numbers derived from the membership.
 type Counts struct {
-	Serving int // gateways that are alive or suspect, this one too; not below the planned number until it has joined
-	Parts   int // over how many gateways to split what all may use together; 0: this one may use nothing yet
+	Serving int // number of alive and suspect gateways, including this one; at least the planned number until this one has joined
+	Parts   int // number of gateways that shared limits are split over; 0: this gateway has no part yet
 }
 
-// entry is a member as this gateway keeps it.
+// entry is a member with this gateway's local state about it.
 type entry struct {
 	Member
-	since        time.Duration // of its state
-	acknowledged bool          // it has answered this gateway's present incarnation, so it counts this gateway
+	since        time.Duration // time of the last state change
+	acknowledged bool          // whether the member has answered this gateway's current incarnation and so counts this gateway
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// network carries messages in virtual time: some are lost, late or doubled, and none crosses from one side to another.
+// network simulates message delivery in virtual time. It loses, delays and duplicates messages, and delivers none between sides.
 type network struct {
 	now      time.Duration
 	rng      *rand.Rand
@@ -18,7 +18,7 @@
 	events   events
 	seq      int
 	nodes    []*node
-	side     func(i int) int // nil: one side; gateways on different sides don't reach each other
+	side     func(i int) int // side of gateway i; gateways on different sides cannot reach each other; nil: one side
 	bytes    int
 	log      []string
 }
@@ -66,10 +66,10 @@
 
 func (member *node) Send(address string, m Message) {
 	n := member.net
-	n.bytes += 40 + 28*(1+len(m.Updates)) + 9*len(m.Checksums) // what the names, numbers and states take on the wire, about
+	n.bytes += 40 + 28*(1+len(m.Updates)) + 9*len(m.Checksums) // approximate size on the wire
 	var to int
 	fmt.Sscan(address, &to)
-	for range 1 + n.rng.Intn(20)/19 { // now and then one is doubled
+	for range 1 + n.rng.Intn(20)/19 { // one message in 20 is duplicated
 		if n.rng.Float64() < n.lossRate || n.side != nil && n.side(member.ordinal) != n.side(to) {
 			continue
 		}
@@ -101,9 +101,9 @@
 	member.net.after(member.group.NextTick()-member.net.now, tick)
 }
 
-func startNetwork(hosts, planned int, lost float64, seed int64) *network {
-	n := &network{rng: rand.New(rand.NewSource(seed)), lossRate: lost, maxDelay: 40 * time.Millisecond}
-	for i := range hosts {
+func startNetwork(gateways, planned int, lossRate float64, seed int64) *network {
+	n := &network{rng: rand.New(rand.NewSource(seed)), lossRate: lossRate, maxDelay: 40 * time.Millisecond}
+	for i := range gateways {
 		member := &node{net: n, ordinal: i}
 		n.nodes = append(n.nodes, member)
 		member.start(planned)
@@ -111,7 +111,8 @@
 	return n
 }
 
-// runUntilServing runs until all gateways that are up count so many as serving. It returns how long that took; false: longer than within.
+// runUntilServing runs until every gateway that is up counts the wanted number as serving. It returns the time that took, or false
+// after the time limit.
 func (n *network) runUntilServing(want int, within time.Duration) (time.Duration, bool) {
 	for begin := n.now; n.now-begin < within; n.run(100 * time.Millisecond) {
 		ok := true
@@ -125,7 +126,7 @@
 	return within, false
 }
 
-// falselyFaulty counts how often a gateway that is up is held for faulty by another.
+// falselyFaulty counts the pairs of gateways in which one considers the other faulty although it is up.
 func (n *network) falselyFaulty() (wrong int) {
 	for _, member := range n.nodes {
 		if member.down {
@@ -140,18 +141,18 @@
 	return wrong
 }
 
-// Twelve gateways start, with a fifth of the messages lost. Four crash and are found faulty, which lowers what serves but no parts, and
-// are counted again once they are back.
+// Twelve gateways start while a fifth of the messages is lost. When four of them crash, they must be detected as faulty, which lowers
+// Serving but not Parts. After their restart they must be counted again.
 func TestJoinCrashReturn(t *testing.T) {
 	n := startNetwork(12, 12, 0.2, 1)
 	if _, ok := n.runUntilServing(12, 20*time.Second); !ok {
-		t.Fatal("they did not find each other")
+		t.Fatal("the gateways did not all join")
 	}
 	for i := range 4 {
 		n.nodes[2+i].down = true
 	}
 	if _, ok := n.runUntilServing(8, 40*time.Second); !ok {
-		t.Fatal("four that died are still counted")
+		t.Fatal("four crashed gateways are still counted as serving")
 	}
 	for _, member := range n.nodes {
 		if !member.down && member.counts.Parts != 12 {
@@ -162,32 +163,33 @@
 		n.nodes[2+i].start(12)
 	}
 	if _, ok := n.runUntilServing(12, 40*time.Second); !ok {
-		t.Error("four that came back are not counted")
+		t.Error("four restarted gateways are not counted as serving")
 	}
 }
 
-// The network splits and heals. Neither side may take the parts of the other; afterwards all count all again.
-func TestSplitHeals(t *testing.T) {
+// During a network split, neither side may take over the parts of the other. After the split has healed, all gateways must count all
+// others again.
+func TestNetworkSplitKeepsParts(t *testing.T) {
 	n := startNetwork(10, 10, 0.1, 2)
 	n.run(10 * time.Second)
 	n.runUntilServing(10, 20*time.Second)
 	n.side = func(i int) int { return i / 5 }
 	if _, ok := n.runUntilServing(5, 60*time.Second); !ok {
-		t.Fatal("the sides still count each other")
+		t.Fatal("the sides still count each other as serving")
 	}
 	for _, member := range n.nodes {
 		if member.counts.Parts != 10 {
-			t.Errorf("a split raised parts: %+v", member.counts)
+			t.Errorf("a split changed Parts: %+v", member.counts)
 		}
 	}
 	n.side = nil
 	if _, ok := n.runUntilServing(10, 120*time.Second); !ok {
-		t.Error("the split did not heal")
+		t.Error("the gateways do not all count each other after the split")
 	}
 }
 
-// Gateways come and go around the planned number. A goodbye lowers the parts, but not below the plan, and a newcomer beyond the
-// plan has no part until all count it: at no moment do the parts of all add up to more than one.
+// Gateways join and leave around the planned number. The parts of all gateways must never add up to more than one: a leave message
+// lowers Parts, but not below the planned number, and a gateway beyond that number has no part until all others count it.
 func TestPartsNeverExceedOne(t *testing.T) {
 	n := startNetwork(5, 3, 0.3, 3)
 	check := func() {
@@ -211,11 +213,11 @@
 	watch(10 * time.Second)
 	n.nodes[3].start(3)
 	if n.nodes[3].counts.Parts != 0 {
-		t.Error("a newcomer beyond the plan began with a part")
+		t.Error("a gateway beyond the planned number started with a part")
 	}
 	watch(10 * time.Second)
 	if n.nodes[3].counts.Parts != 4 || n.nodes[0].counts.Parts != 4 {
-		t.Errorf("the newcomer is not counted: %+v %+v", n.nodes[3].counts, n.nodes[0].counts)
+		t.Errorf("the joined gateway is not counted: %+v %+v", n.nodes[3].counts, n.nodes[0].counts)
 	}
 	n.nodes[4].start(3)
 	watch(10 * time.Second)
@@ -225,17 +227,17 @@
 	}
 	watch(30 * time.Second)
 	if v := n.nodes[0].counts; v.Parts != 3 || v.Serving != 3 {
-		t.Errorf("after two goodbyes: %+v", v)
+		t.Errorf("after two leave messages: %+v", v)
 	}
 	n.nodes[1].down = true
 	watch(40 * time.Second)
 	if v := n.nodes[0].counts; v.Parts != 3 || v.Serving != 2 {
-		t.Errorf("after a death: %+v", v)
+		t.Errorf("after a crash: %+v", v)
 	}
 }
 
-// An update that was overtaken, and one that takes the receiver itself for faulty, arrive late: the first changes nothing, the second is
-// refuted. An operator's Forget is taken.
+// Two late updates arrive. An update with an old incarnation must not change anything, and one that reports the receiver as faulty
+// must be refuted. An operator's Forget must take effect.
 func TestStaleUpdates(t *testing.T) {
 	n := startNetwork(3, 3, 0, 4)
 	n.run(10 * time.Second)
@@ -248,11 +250,11 @@
 		t.Errorf("%+v %+v", v, g.Members()[0])
 	}
 	if !g.Forget("h1", n.now) || g.Counts().Serving != 2 || g.Forget("nobody", n.now) {
-		t.Error("an operator's Forget was not taken")
+		t.Error("an operator's Forget had no effect, or reported an unknown gateway as known")
 	}
 }
 
-// A run has to be the same for the same seed, or no failure of the others could be replayed.
+// Two runs with the same seed must be identical; otherwise failures of the other tests could not be reproduced.
 func TestSameSeedSameRun(t *testing.T) {
 	one := func() (string, int) {
 		n := startNetwork(20, 20, 0.2, 9)
@@ -261,20 +263,20 @@
 	}
 	a, firstBytes := one()
 	if b, secondBytes := one(); a != b || firstBytes != secondBytes {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 }
 
-// Groups of growing size lose a tenth of the messages; no gateway may be held for faulty by mistake, and when 30% crash at once all have
-// to agree on that. SCALE=1 prints the table of docs/ROADMAP.md.
+// Groups of several sizes lose a tenth of the messages. No gateway may be detected as faulty by mistake, and when 30% crash at once,
+// all others must agree on it. SCALE=1 prints the table of docs/ROADMAP.md.
 func TestScale(t *testing.T) {
 	sizes := []int{10, 100}
 	if os.Getenv("SCALE") != "" {
 		sizes = append(sizes, 500)
 	}
-	for _, hosts := range sizes {
-		n := startNetwork(hosts, hosts, 0.1, int64(hosts))
-		joined, ok1 := n.runUntilServing(hosts, 5*time.Minute)
+	for _, gateways := range sizes {
+		n := startNetwork(gateways, gateways, 0.1, int64(gateways))
+		joined, ok1 := n.runUntilServing(gateways, 5*time.Minute)
 		n.run(10 * time.Second)
 		n.bytes = 0
 		wrong := 0
@@ -282,15 +284,15 @@
 			n.run(time.Second)
 			wrong += n.falselyFaulty()
 		}
-		rate := float64(n.bytes) / 60 / float64(hosts)
-		for i := range hosts * 3 / 10 {
+		rate := float64(n.bytes) / 60 / float64(gateways)
+		for i := range gateways * 3 / 10 {
 			n.nodes[i*3+2].down = true
 		}
-		left, ok2 := n.runUntilServing(hosts-hosts*3/10, 5*time.Minute)
-		t.Logf("%d gateways: all joined after %v, falsely faulty %d in a minute, %.0f bytes a gateway a second; agreed on 30%% gone after %v",
-			hosts, joined, wrong, rate, left)
+		left, ok2 := n.runUntilServing(gateways-gateways*3/10, 5*time.Minute)
+		t.Logf("%d gateways: all joined after %v, falsely faulty %d in a minute, %.0f bytes a gateway a second; agreed on 30%% crashed after %v",
+			gateways, joined, wrong, rate, left)
 		if !ok1 || !ok2 || wrong > 0 {
-			t.Errorf("%d gateways: joined %v, agreed %v, falsely faulty %d", hosts, ok1, ok2, wrong)
+			t.Errorf("%d gateways: joined %v, agreed %v, falsely faulty %d", gateways, ok1, ok2, wrong)
 		}
 	}
 }
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -1,29 +1,30 @@
 package membership
 
-// Kind of a message. The numbers go over the wire.
+// Kind is the type of a message. The numbers are sent on the wire.
 type Kind int
 
 // The kinds of messages.
 const (
 	Ping        Kind = iota
 	Ack              // answers a Ping, or a PingRequest once its target has answered
-	PingRequest      // the paper's ping-req: ping Target for the sender
-	Join             // asks for all that differs from Checksums
+	PingRequest      // the paper's ping-req: asks the receiver to ping Target for the sender
+	Join             // requests all members that differ from Checksums
 	Sync             // answers a Join
 )
 
-// Message is what gateways send each other. Any may be lost, repeated or late.
+// Message is a message between gateways. Any message may be lost, duplicated or late.
 type Message struct {
 	Kind      Kind
 	Seq       uint64 // pairs an Ack with its Ping or PingRequest
 	From      Member
-	Target    string   // of a PingRequest, and of the Ack that answers one: the name of the member pinged
-	Total     int      // of a Sync: how many members the sender knows, itself too
-	Checksums []uint64 // of a Join: what the sender knows, a checksum a bucket of names; none: it knows nothing
+	Target    string   // PingRequest and the Ack that answers it: name of the member pinged
+	Total     int      // Sync: number of members that the sender knows, including itself
+	Checksums []uint64 // Join: one checksum per bucket of the members that the sender knows; empty: it knows none
 	Updates   []Member
 }
 
-// Outbound takes what a Group sends and decides. It is called from within the calls of the group; no call may block or call back.
+// Outbound receives the messages, changes and log lines of a Group. The group calls it synchronously; no method may block or
+// call back.
 type Outbound interface {
 	Send(address string, m Message)
 	MembershipChanged(c Counts)
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Failure detection: in each protocol period one member is pinged. If its ack is late, some others are asked to ping it for this
-// gateway, since the fault may lie between the two alone. A period without an ack is repeated once before the member is
-// suspected: where messages are lost, one period says little, and each suspicion costs an update to all.
+// Failure detection: each protocol period, one member is pinged. If its ack is late, some others are asked to ping it on behalf of
+// this gateway, since the fault may lie on the path between the two. A period without an ack is repeated once before the member is
+// suspected: on a lossy network one period is weak evidence, and each suspicion costs an update to all members.
 
-// probe is the ping of the present period.
+// probe is the ping of the current period.
 type probe struct {
-	target        string // member's name
+	target        string // name of the member
 	seq           uint64
 	sentAt        time.Duration
-	indirectSent  bool // others were asked to ping
-	isSecondProbe bool // the period before was without an ack too
+	indirectSent  bool // whether indirect pings were requested
+	isSecondProbe bool // whether the previous period also ended without an ack
 }
 
-// revisitFaulty: one faulty member in so many turns is pinged all the same, since a network split may have healed.
-const revisitFaulty = 4
+// faultyPingRatio is the mean number of turns of a faulty member per ping. Faulty members are still pinged now and then, since a
+// network split may have healed.
+const faultyPingRatio = 4
 
-// NextTick is when Tick is to be called next.
+// NextTick returns the time of the next call of Tick.
 func (g *Group) NextTick() time.Duration {
 	if p := g.probe; p != nil && !p.indirectSent {
 		return min(g.nextPeriodAt, p.sentAt+g.rules.AckTimeout)
@@ -29,7 +30,7 @@
 	return g.nextPeriodAt
 }
 
-// Tick lets time pass: it asks for indirect pings and begins protocol periods when they are due.
+// Tick requests indirect pings and begins protocol periods when they are due.
 func (g *Group) Tick(now time.Duration) {
 	if g.departed {
 		return
@@ -39,10 +40,10 @@
 		return
 	}
 	g.nextPeriodAt = now + g.rules.PingInterval
-	repeat := g.endProbe(now)
+	unanswered := g.endProbe(now)
 	g.expire(now)
 	g.requestSync()
-	if target := repeat; target != nil {
+	if target := unanswered; target != nil {
 		g.ping(target, true, now)
 	} else if target = g.nextTarget(); target != nil {
 		g.ping(target, false, now)
@@ -56,7 +57,7 @@
 	g.send(target.Address, Message{Kind: Ping, Seq: g.lastSeq})
 }
 
-// requestIndirectPings asks others to ping the target of a probe whose ack is late.
+// requestIndirectPings asks other members to ping the target of a probe whose ack is late.
 func (g *Group) requestIndirectPings(now time.Duration) {
 	p := g.probe
 	if p == nil || p.indirectSent || now < p.sentAt+g.rules.AckTimeout {
@@ -68,8 +69,9 @@
 	}
 }
 
-// endProbe ends the period's probe. It returns the target if it is to be pinged once more, and suspects it after the second time.
-func (g *Group) endProbe(now time.Duration) (repeat *entry) {
+// endProbe ends the period's probe. It returns the target if it is to be pinged once more; after the second probe it suspects the
+// target.
+func (g *Group) endProbe(now time.Duration) (unanswered *entry) {
 	p := g.probe
 	if p == nil {
 		return nil
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// nextTarget is the member to ping next: each once a round, in an order drawn anew for each.
+// nextTarget returns the next member to ping. Each member comes up once a round, in an order that is shuffled each round.
 func (g *Group) nextTarget() *entry {
 	for range len(g.order) + 1 {
 		if g.orderPosition >= len(g.order) {
@@ -99,7 +101,7 @@
 		}
 		e := g.members[g.order[g.orderPosition]]
 		g.orderPosition++
-		if e == nil || e.State == Departed || e.State == Faulty && g.rng.Intn(revisitFaulty) > 0 {
+		if e == nil || e.State == Departed || e.State == Faulty && g.rng.Intn(faultyPingRatio) > 0 {
 			continue
 		}
 		return e
@@ -107,13 +109,13 @@
 	return nil
 }
 
-// shuffle begins a round of pings.
+// shuffle begins a round of pings in a new random order.
 func (g *Group) shuffle() {
 	g.order, g.orderPosition = g.names(), 0
 	g.rng.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
 }
 
-// names are sorted, so that one seed gives one run.
+// names returns the names of the members, sorted so that a run is reproducible from its seed.
 func (g *Group) names() []string {
 	all := make([]string, 0, len(g.members))
 	for name := range g.members {
@@ -123,7 +125,7 @@
 	return all
 }
 
-// RandomAddresses returns the addresses of up to n members that are alive.
+// RandomAddresses returns the addresses of up to n alive members.
 func (g *Group) RandomAddresses(n int) (addresses []string) {
 	for _, e := range g.randomAlive(n, "") {
 		addresses = append(addresses, e.Address)
@@ -131,7 +133,7 @@
 	return addresses
 }
 
-// randomAlive are up to n members that are alive and not named except, drawn from the present order.
+// randomAlive returns up to n alive members other than except, starting at a random position of the current ping order.
 func (g *Group) randomAlive(n int, except string) (found []*entry) {
 	if len(g.order) == 0 {
 		return nil
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxForwarded bounds the pings that are out for others: a flood of requests must not take the memory.
+// maxForwarded limits the outstanding pings on behalf of others, so that a flood of requests cannot exhaust the memory.
 const maxForwarded = 1024
 
-// forwardedPing is a ping sent for another member that asked for it.
+// forwardedPing is a ping sent on behalf of another member.
 type forwardedPing struct {
 	requester    string // address
 	requesterSeq uint64
@@ -13,13 +13,13 @@
 	expiresAt    time.Duration
 }
 
-// Receive takes a message of another gateway.
+// Receive processes a message from another gateway.
 func (g *Group) Receive(m Message, now time.Duration) {
 	if g.departed || m.From.Name == g.self.Name {
 		return
 	}
 	from := m.From
-	from.State = Alive // it sends
+	from.State = Alive // a member that sends is alive
 	g.apply(from, now)
 	for _, update := range m.Updates {
 		g.apply(update, now)
@@ -43,7 +43,7 @@
 	g.updateCounts()
 }
 
-// receivePing acknowledges. A sender that is suspect or faulty here is told so: only it can refute that.
+// receivePing sends an ack. A sender that is suspect or faulty here gets that update back, since only the sender can refute it.
 func (g *Group) receivePing(m Message, sender *entry) {
 	var toRefute []Member
 	if sender.State != Alive {
@@ -52,7 +52,7 @@
 	g.send(m.From.Address, Message{Kind: Ack, Seq: m.Seq, Updates: toRefute})
 }
 
-// receivePingRequest pings the target for the sender.
+// receivePingRequest pings the target on behalf of the sender.
 func (g *Group) receivePingRequest(m Message, now time.Duration) {
 	target := g.members[m.Target]
 	if target == nil || len(g.forwarded) >= maxForwarded {
@@ -64,8 +64,8 @@
 	g.send(target.Address, Message{Kind: Ping, Seq: g.lastSeq})
 }
 
-// receiveAck takes the answer to this gateway's ping, to its request for an indirect one (m.Target is set), or to a ping that
-// it sent for another.
+// receiveAck processes the answer to this gateway's ping, to its request for an indirect ping (m.Target is set), or to a ping that
+// it sent on behalf of another member.
 func (g *Group) receiveAck(m Message, sender *entry) {
 	direct := m.Target == ""
 	if f, ok := g.forwarded[m.Seq]; ok && direct && f.target == sender.Name {
@@ -82,7 +82,7 @@
 	}
 }
 
-// expireForwarded gives up on pings sent for others that nobody answered.
+// expireForwarded drops pings on behalf of others that were not answered in time.
 func (g *Group) expireForwarded(now time.Duration) {
 	for seq, f := range g.forwarded {
 		if now > f.expiresAt {
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// expire ends suspicions that nobody refuted, and forgets members that are faulty or departed for Rules.RetainDeparted.
+// expire turns suspects that did not refute in time into faulty members, and deletes members that have been faulty or departed for
+// Rules.RetainDeparted.
 func (g *Group) expire(now time.Duration) {
 	for _, name := range g.expired(now) {
 		e := g.members[name]
@@ -24,7 +25,7 @@
 	g.expireForwarded(now)
 }
 
-// expired are the names of members whose state has lasted for its time, sorted, so that one seed gives one run.
+// expired returns the names of members whose state has timed out, sorted so that a run is reproducible from its seed.
 func (g *Group) expired(now time.Duration) (names []string) {
 	timeout := g.suspicionTimeout()
 	for name, e := range g.members {
@@ -37,7 +38,8 @@
 	return names
 }
 
-// suspicionTimeout grows with the logarithm of the members, as the time does that an update takes to reach all.
+// suspicionTimeout returns Rules.SuspicionTimeout scaled by the logarithm of the number of members, as the time does that an update
+// takes to reach all.
 func (g *Group) suspicionTimeout() time.Duration {
 	return time.Duration(float64(g.rules.SuspicionTimeout) * math.Max(1, math.Log10(float64(len(g.members)+1))))
 }
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -7,21 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Updates may be lost, so each gateway asks another now and then for all that differs (Join, answered by Sync). Whole member lists would
-// grow with the square of the gateways. A Join thus carries a checksum for each of some buckets of names, and one update
-// missed costs one bucket.
+// Anti-entropy: since updates may be lost, each gateway regularly requests the differing members from another one (Join, answered by
+// Sync). The traffic of complete member lists would grow with the square of the number of gateways. A Join therefore carries one
+// checksum per bucket of names, and one missed update costs one bucket.
 
-// checksumBuckets is how many buckets the members are split into by name. All gateways have to use the same number.
+// checksumBuckets is the number of buckets that the members are split into by name. It must be the same on all gateways.
 const checksumBuckets = 32
 
-// requestSync asks a seed until the group has joined, and then a random member each FullSyncTurns periods.
+// requestSync sends a Join to a random seed until the group has joined, and then to a random member every FullSyncPeriods periods.
 func (g *Group) requestSync() {
 	g.periods++
 	if !g.joined && len(g.seeds) > 0 {
 		g.send(g.seeds[g.rng.Intn(len(g.seeds))], Message{Kind: Join})
 		return
 	}
-	if g.periods%g.rules.FullSyncTurns != 0 {
+	if g.periods%g.rules.FullSyncPeriods != 0 {
 		return
 	}
 	for _, e := range g.randomAlive(1, "") {
@@ -29,7 +29,7 @@
 	}
 }
 
-// receiveJoin answers with the members of all buckets that differ, or of all buckets where no checksums came.
+// receiveJoin answers with the members of all buckets that differ, or with all members if the Join has no checksums.
 func (g *Group) receiveJoin(m Message) {
 	all := g.Members()
 	differing := slices.Clone(all)
@@ -43,19 +43,20 @@
 	if len(differing) == 0 {
 		g.send(m.From.Address, Message{Kind: Sync, Seq: m.Seq, Total: len(all)})
 	}
-	for part := range slices.Chunk(differing, pressureFactor*g.rules.UpdatesPerMessage) {
+	for part := range slices.Chunk(differing, backlogFactor*g.rules.UpdatesPerMessage) {
 		g.send(m.From.Address, Message{Kind: Sync, Seq: m.Seq, Total: len(all), Updates: part})
 	}
 }
 
-// receiveSync takes the answer to a Join; its updates are applied already. The group has joined once it knows as many as the sender.
+// receiveSync processes the answer to a Join, whose updates are already applied. The group has joined once it knows as many members
+// as the sender.
 func (g *Group) receiveSync(m Message, sender *entry) {
 	g.countsStale = g.countsStale || !sender.acknowledged || !g.joined
 	g.joined = g.joined || len(g.members)+1 >= m.Total
 	sender.acknowledged = true
 }
 
-// checksum gives a member's bucket and what it adds to the checksum of that bucket.
+// checksum returns a member's bucket and its contribution to the checksum of that bucket.
 func checksum(m Member) (bucket int, sum uint64) {
 	return int(xxhash.Sum64String(m.Name) % checksumBuckets),
 		xxhash.Sum64String(fmt.Sprint(m.Name, " ", m.Incarnation, " ", int(m.State)))
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// apply weighs one update: a higher incarnation overrides, and within one incarnation a higher state. Since only the member
-// itself raises its incarnation, the latest that it said of itself wins whatever the order of arrival.
+// apply processes one update: a higher incarnation overrides, and within one incarnation a higher state. Since only the member
+// itself raises its incarnation, its own latest statement prevails whatever the order of arrival.
 func (g *Group) apply(m Member, now time.Duration) {
 	if m.Name == g.self.Name {
 		g.refute(m)
@@ -14,7 +14,7 @@
 	}
 	e := g.members[m.Name]
 	if e == nil {
-		g.learn(m, now)
+		g.addMember(m, now)
 		return
 	}
 	if m.Incarnation < e.Incarnation || m.Incarnation == e.Incarnation && m.State <= e.State {
@@ -25,14 +25,14 @@
 		e.since = now
 	}
 	if m.Incarnation > e.Incarnation && m.State == Alive && e.State >= Faulty {
-		e.acknowledged = false // it was restarted, and has forgotten whom it counted
+		e.acknowledged = false // the member restarted and no longer knows which gateways it counted
 	}
 	e.Member, g.countsStale = m, true
 	g.disseminate(m, true)
 }
 
-// learn adds a member that was not known.
-func (g *Group) learn(m Member, now time.Duration) {
+// addMember adds an unknown member.
+func (g *Group) addMember(m Member, now time.Duration) {
 	if m.State == Departed {
 		return
 	}
@@ -42,7 +42,7 @@
 	g.countsStale = true
 }
 
-// refute answers an update that takes this gateway for anything but alive with a higher incarnation.
+// refute answers an update that reports this gateway as anything but alive, by raising its incarnation.
 func (g *Group) refute(m Member) {
 	if m.State != Alive && m.Incarnation >= g.self.Incarnation {
 		g.self.Incarnation = m.Incarnation + 1
