--- a/internal/fleet/memberpb/memberpb.go
+++ b/internal/fleet/memberpb/memberpb.go
@@ -1,5 +1,5 @@
-// Package memberpb maps a member of the membership to its protobuf form, the same on the wire and on disk. The protobuf names and
-// numbers stay as they are, so that gateways of different versions understand each other and read each other's files.
+// Package memberpb converts members of the membership to and from protobuf. The form is the same on the wire and on disk, so the
+// protobuf names and numbers must not change: gateways of different versions exchange messages and read each other's files.
 package memberpb
 
 import (
@@ -13,7 +13,7 @@
 		Incarnation: m.Incarnation, State: int32(m.State)}
 }
 
-// Decode returns the member of a protobuf form as it is; nil gives the zero Member. It checks nothing.
+// Decode returns the member that a protobuf form describes, without validation; nil gives the zero Member.
 func Decode(h *pb.Gossip_Host) membership.Member {
 	return membership.Member{Name: h.GetName(), Ordinal: int(h.GetOrdinal()), Address: h.GetAddress(), Planned: int(h.GetPlanned()),
 		Incarnation: h.GetIncarnation(), State: membership.State(h.GetState())}
--- a/internal/fleet/store/beliefs.go
+++ b/internal/fleet/store/beliefs.go
@@ -11,16 +11,17 @@
 	"weirhaven/internal/pb"
 )
 
-// AgeGranularity is how much older a belief may be on disk than it is: one that is merely confirmed is not written each time.
+// AgeGranularity limits how often a confirmed belief is written: only after its ObservedAt has advanced by this much. A belief on
+// disk may seem that much older than it is.
 const AgeGranularity = 30 * time.Second
 
-// Load reads all beliefs, sorted by name, and the generation of the list that was believed last. An empty store gives none.
-// Errors: ErrNotAStore, ErrNewerFormat, ErrOtherGateway, or an entry that can't be read.
+// Load returns all beliefs, sorted by name, and the generation of the latest accepted list. An empty store has none. Load fails with
+// ErrNotAStore, ErrNewerFormat or ErrOtherGateway, or if an entry is unreadable.
 func (s *Store) Load() (beliefs []endpointstate.Belief, last endpointstate.Generation, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if meta == nil {
-			return nil // new
+			return nil // new file
 		}
 		if last, err = s.decodeMeta(meta.Get(metaKey)); err != nil {
 			return err
@@ -32,7 +33,7 @@
 		return endpoints.ForEach(func(name, value []byte) error {
 			saved := &pb.SavedBrick{}
 			if err := proto.Unmarshal(value, saved); err != nil || saved.Name != string(name) {
-				return fmt.Errorf("the entry of endpoint %q can't be read", name)
+				return fmt.Errorf("the entry of endpoint %q is unreadable", name)
 			}
 			beliefs = append(beliefs, decodeBelief(saved))
 			return nil
@@ -41,9 +42,9 @@
 	return beliefs, last, err
 }
 
-// Save writes the beliefs that have changed since the last save and deletes those that are not among them any more, in one
-// transaction. It returns how many entries it wrote or deleted. Growing older by less than AgeGranularity is no change, and where
-// there is none, last is not written either. Errors: ErrReadOnly, or that of the disk.
+// Save writes the beliefs that have changed since the last save and deletes those that are no longer present, in one transaction.
+// It returns the number of entries written or deleted. A belief whose ObservedAt only advanced by less than AgeGranularity counts as
+// unchanged, and without changed beliefs last is not written either. Save fails with ErrReadOnly or a disk error.
 func (s *Store) Save(beliefs []endpointstate.Belief, last endpointstate.Generation) (written int, err error) {
 	changed, dropped := s.changes(beliefs)
 	if len(changed)+len(dropped) == 0 {
@@ -67,7 +68,7 @@
 	return len(changed) + len(dropped), nil
 }
 
-// changes are the beliefs to write and the names to delete.
+// changes returns the beliefs to write and the names to delete.
 func (s *Store) changes(beliefs []endpointstate.Belief) (changed []endpointstate.Belief, dropped []string) {
 	current := map[string]bool{}
 	for _, b := range beliefs {
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// markUncertain notes what a failed save wrote: the disk may hold it as it was before the save or after, so the next save has to write
-// it whatever it is then.
+// markUncertain records the entries of a failed save. The disk may hold their state before or after that save, so the next save
+// must write them whatever their state.
 func (s *Store) markUncertain(changed []endpointstate.Belief, dropped []string) {
 	for _, b := range changed {
 		s.uncertain[b.Name] = true
@@ -125,8 +126,8 @@
 	}
 }
 
-// differs reports whether a belief has to be written. A change of the source, the reason or DrainKnownAt alone waits for the next
-// change of the rest.
+// differs reports whether a belief must be written. If only the source, the reason or DrainKnownAt changed, the belief is not written
+// until something else changes too.
 func differs(saved, current endpointstate.Belief) bool {
 	return saved.Address != current.Address || saved.Zone != current.Zone || saved.Shard != current.Shard ||
 		saved.Serving != current.Serving || saved.Removed != current.Removed ||
--- a/internal/fleet/store/encoding.go
+++ b/internal/fleet/store/encoding.go
@@ -11,9 +11,9 @@
 	"weirhaven/internal/pb"
 )
 
-// The protobuf names of what is stored (brick, cell, host) are the format's and stay.
+// The protobuf names (brick, cell, host) are part of the file format and must not change.
 
-// writeMeta writes whose file it is, in which format, and the generation of the list believed last.
+// writeMeta writes the format version, the owner of the file and the generation of the latest accepted list.
 func (s *Store) writeMeta(tx *bbolt.Tx, last endpointstate.Generation) error {
 	bucket, err := tx.CreateBucketIfNotExists(metaBucket)
 	if err != nil {
@@ -26,17 +26,17 @@
 	return bucket.Put(metaKey, value)
 }
 
-// decodeMeta reads what writeMeta wrote and checks that the file is this gateway's and its format known.
+// decodeMeta decodes what writeMeta wrote, and checks the format version and the owner of the file.
 func (s *Store) decodeMeta(value []byte) (last endpointstate.Generation, err error) {
 	meta := &pb.SavedMeta{}
 	if err := proto.Unmarshal(value, meta); err != nil || meta.Format == 0 {
 		return last, ErrNotAStore
 	}
 	if meta.Format > FormatVersion {
-		return last, fmt.Errorf("%w: it has format %d, this one knows %d", ErrNewerFormat, meta.Format, FormatVersion)
+		return last, fmt.Errorf("%w: the file has format %d, this program supports %d", ErrNewerFormat, meta.Format, FormatVersion)
 	}
 	if meta.Host != s.gateway {
-		return last, fmt.Errorf("%w: it is that of %q, this is %q", ErrOtherGateway, meta.Host, s.gateway)
+		return last, fmt.Errorf("%w: the file belongs to %q, this gateway is %q", ErrOtherGateway, meta.Host, s.gateway)
 	}
 	return endpointstate.Generation{Epoch: meta.Epoch, Number: meta.Number}, nil
 }
--- a/internal/fleet/store/members.go
+++ b/internal/fleet/store/members.go
@@ -12,7 +12,7 @@
 	"weirhaven/internal/pb"
 )
 
-// Members reads the members, sorted by name.
+// Members returns the stored members, sorted by name.
 func (s *Store) Members() (all []membership.Member, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(memberBucket)
@@ -22,7 +22,7 @@
 		return bucket.ForEach(func(name, value []byte) error {
 			saved := &pb.Gossip_Host{}
 			if err := proto.Unmarshal(value, saved); err != nil || saved.Name != string(name) {
-				return fmt.Errorf("the entry of gateway %q can't be read", name)
+				return fmt.Errorf("the entry of gateway %q is unreadable", name)
 			}
 			all = append(all, memberpb.Decode(saved))
 			return nil
@@ -31,7 +31,7 @@
 	return all, err
 }
 
-// SaveMembers replaces the members in one transaction, if they have changed. Errors: ErrReadOnly, or that of the disk.
+// SaveMembers replaces the stored members in one transaction if they have changed. It fails with ErrReadOnly or a disk error.
 func (s *Store) SaveMembers(all []membership.Member) error {
 	if slices.Equal(all, s.members) && !s.membersUncertain {
 		return nil
--- a/internal/fleet/store/open.go
+++ b/internal/fleet/store/open.go
@@ -14,16 +14,16 @@
 	"weirhaven/internal/fleet/membership"
 )
 
-// lockTimeout is how long to wait for a file that another process has open. It covers the end of a process that is being
-// replaced, and no more: two gateways with one store would count as one.
+// lockTimeout is the time to wait for a file that another process has open. It covers only the exit of a process that is being
+// replaced: two gateways with one store would count as one.
 const lockTimeout = 200 * time.Millisecond
 
-// openFile is os.OpenFile, but in tests.
+// openFile opens a file. It is os.OpenFile except in tests.
 type openFile func(name string, flag int, perm os.FileMode) (*os.File, error)
 
-// Open opens or creates the store of a gateway. A file that can't be read is renamed, and aside says to what and why; the
-// store is then empty. A disk that takes no writes gives a store that can be loaded, whose saves return ErrReadOnly. Errors:
-// ErrLocked, or that the file can be neither opened nor set aside.
+// Open opens or creates the store of a gateway. An unreadable file is renamed and the store is then empty; aside gives the new name
+// and the reason. On a read-only disk, the store can be loaded, but its saves return ErrReadOnly. Open fails with ErrLocked, or if
+// the file can be neither opened nor set aside.
 func Open(file, gateway string) (s *Store, aside string, err error) {
 	return openWith(os.OpenFile, file, gateway)
 }
@@ -38,13 +38,13 @@
 	if err == nil || errors.Is(err, ErrLocked) || errors.Is(err, os.ErrPermission) {
 		return s, "", err
 	}
-	if _, statErr := os.Stat(file); statErr != nil { // nothing there to set aside: the folder is missing, or the disk full
+	if _, statErr := os.Stat(file); statErr != nil { // no file to set aside: the directory is missing, or the disk is full
 		return nil, "", err
 	}
 	unreadable := err
 	aside = fmt.Sprintf("%s.aside-%d", file, time.Now().UnixNano())
 	if err := os.Rename(file, aside); err != nil {
-		return nil, "", fmt.Errorf("store %s can't be read (%w) nor set aside: %w", file, unreadable, err)
+		return nil, "", fmt.Errorf("store %s can neither be read (%w) nor set aside: %w", file, unreadable, err)
 	}
 	if s, err = open(openFile, file, gateway, false); err != nil {
 		return nil, aside, err
@@ -52,11 +52,11 @@
 	return s, fmt.Sprintf("%s (%v)", aside, unreadable), nil
 }
 
-// open opens a file and reads it. Some torn pages make bbolt panic; that becomes an error, so that the file is set aside.
+// open opens and reads a file. bbolt panics on some corrupted pages; open turns that into an error, so that the file is set aside.
 func open(openFile openFile, file, gateway string, readOnly bool) (s *Store, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("store %s is torn: %v", file, p)
+			err = fmt.Errorf("store %s is corrupted: %v", file, p)
 		}
 	}()
 	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: lockTimeout, OpenFile: openFile, ReadOnly: readOnly})
@@ -69,13 +69,13 @@
 	s = &Store{db: db, gateway: gateway, readOnly: readOnly, update: db.Update,
 		beliefs: map[string]endpointstate.Belief{}, uncertain: map[string]bool{}}
 	if err := s.readAll(); err != nil {
-		_ = db.Close() // the error before it says more
+		_ = db.Close() // the read error is more useful
 		return nil, err
 	}
 	return s, nil
 }
 
-// readAll reads what is on disk.
+// readAll reads the contents of the file.
 func (s *Store) readAll() error {
 	beliefs, _, err := s.Load()
 	if err != nil {
@@ -88,8 +88,8 @@
 	return err
 }
 
-// Dump reads the store of a gateway that is not running. It sets nothing aside. Errors: as of Open, and ErrNotAStore,
-// ErrNewerFormat, ErrOtherGateway.
+// Dump reads the store of a gateway that is not running, and never sets the file aside. It fails like Open, and with ErrNotAStore,
+// ErrNewerFormat or ErrOtherGateway.
 func Dump(file, gateway string) (beliefs []endpointstate.Belief, members []membership.Member, last endpointstate.Generation, err error) {
 	s, err := open(os.OpenFile, file, gateway, false)
 	if err != nil {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps on disk what a gateway believes of the fleet: its endpoint beliefs, the generation of the endpoint list and the
-// members. One bbolt file belongs to one gateway.
+// Package store persists a gateway's view of the fleet: its endpoint beliefs, the generation of the endpoint list and the members.
+// Each gateway has one bbolt file of its own.
 //
-// Each save is one transaction, so a gateway that is killed at any moment finds the state before it or after it. A file that
-// can't be read is set aside under another name, never deleted. The package decides nothing about what it keeps.
+// Each save is one transaction, so a gateway that is killed at any moment finds the state before or after that save. An unreadable
+// file is set aside (renamed), never deleted. The package does not interpret what it stores.
 package store
 
 import (
@@ -14,20 +14,20 @@
 	"weirhaven/internal/fleet/membership"
 )
 
-// FormatVersion of the file; a program that knows a lower one only sets it aside.
+// FormatVersion is the version of the file format. A program that supports only lower versions sets the file aside.
 const FormatVersion = 1
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrLocked is returned where another gateway has the file open.
+	// ErrLocked is returned if another gateway has the file open.
 	ErrLocked = errors.New("another gateway has this store open; each gateway needs one of its own (setting store)")
-	// ErrReadOnly is returned by saves where the disk takes no writes. What is stored there is read all the same.
-	ErrReadOnly = errors.New("the disk is read-only: the next start finds what was stored before, no more")
-	// ErrNotAStore is returned for a file of something else.
+	// ErrReadOnly is returned by saves if the disk is read-only. The stored data can still be loaded.
+	ErrReadOnly = errors.New("the disk is read-only: changes are not saved, and the next start loads the last saved state")
+	// ErrNotAStore is returned if the file is not a store.
 	ErrNotAStore = errors.New("the file is not a gateway's store")
-	// ErrNewerFormat is returned for a file of a later version of the program.
+	// ErrNewerFormat is returned if a later version of the program wrote the file.
 	ErrNewerFormat = errors.New("the file was written by a later version of the program")
-	// ErrOtherGateway is returned for the store of a gateway of another name.
+	// ErrOtherGateway is returned if the store belongs to a gateway of another name.
 	ErrOtherGateway = errors.New("the file is another gateway's store")
 )
 
@@ -40,21 +40,21 @@
 	metaKey = []byte("meta") // the only key of metaBucket
 )
 
-// Store is one open file. It is not safe for concurrent use.
+// Store is an open file. It is not safe for concurrent use.
 type Store struct {
 	db       *bbolt.DB
-	gateway  string // whose store it is
-	readOnly bool   // the disk takes no writes
-	// update runs a transaction: db.Update, but in tests.
+	gateway  string // name of the gateway that owns the store
+	readOnly bool   // whether the disk is read-only
+	// update runs a transaction. It is db.Update except in tests.
 	update func(func(*bbolt.Tx) error) error
 
-	// What is on disk. A save that failed may have reached it all the same, so what it wrote is uncertain until the next
-	// one has succeeded.
+	// Contents of the file. A failed save may still have reached the disk, so its entries are uncertain until the next save
+	// succeeds.
 	beliefs          map[string]endpointstate.Belief // by name
-	uncertain        map[string]bool                 // names of beliefs
+	uncertain        map[string]bool                 // names of beliefs whose entry on disk is unknown
 	members          []membership.Member
 	membersUncertain bool
 }
 
-// Close closes the file. The store is of no use afterwards.
+// Close closes the file. The store must not be used afterwards.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -27,9 +27,9 @@
 	return all
 }
 
-func mustOpen(t testing.TB, file, host string) (*Store, string) {
+func mustOpen(t testing.TB, file, gateway string) (*Store, string) {
 	t.Helper()
-	s, aside, err := Open(file, host)
+	s, aside, err := Open(file, gateway)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	return s, aside
 }
 
-// A restart finds what was saved; only what has changed is written.
+// A restart must load what was saved, and a save must write only the entries that have changed.
 func TestSaveAndLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
@@ -61,12 +61,12 @@
 	if err != nil || aside != "" || last != gen || len(got) != 4 || got[1].DrainedUpTo != 7 || got[0].Report != all[1].Report {
 		t.Errorf("%v %q %v %+v", err, aside, last, got)
 	}
-	if n, err := s.Save(all[2:], gen); n != 1 || err != nil { // what an earlier process saved can be dropped by this one
+	if n, err := s.Save(all[2:], gen); n != 1 || err != nil { // a belief saved by an earlier process can be deleted
 		t.Errorf("%d %v", n, err)
 	}
 }
 
-// Members are kept over a restart and written only when they change.
+// Members must survive a restart and be written only when they change.
 func TestMembers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
@@ -86,35 +86,35 @@
 	}
 }
 
-// Two gateways are started with one store by mistake: they would count as one, so the second must not start.
-func TestOneGatewayAStore(t *testing.T) {
+// Two gateways with the same store would count as one, so opening a store that is already open must fail.
+func TestOpenFailsIfLocked(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	mustOpen(t, file, "h")
 	if _, _, err := Open(file, "h"); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second gateway opened it: %v", err)
+		t.Errorf("a second gateway opened the store: %v", err)
 	}
 }
 
-// A gateway finds a store that is torn, cut off, of a later version, another gateway's or no store at all. The file is set aside, whole,
-// and the gateway starts with nothing.
-func TestSetAside(t *testing.T) {
+// A file that is corrupted, truncated, of a later version, of another gateway or not a store at all must be set aside completely, and
+// the gateway must start with an empty store.
+func TestUnreadableFileIsSetAside(t *testing.T) {
 	for name, spoil := range map[string]func(file string){
 		"foreign": func(file string) { os.WriteFile(file, []byte(strings.Repeat("not a store\n", 1000)), 0o600) },
-		"torn": func(file string) {
+		"corrupted": func(file string) {
 			s, _ := mustOpen(t, file, "h")
 			s.Save(servingBeliefs(200, 1), endpointstate.Generation{})
 			s.Close()
 			b, _ := os.ReadFile(file)
-			copy(b[4096*2:], make([]byte, len(b)-4096*2)) // the metas stand, what they point to does not
+			copy(b[4096*2:], make([]byte, len(b)-4096*2)) // bbolt's meta pages stay valid, but the pages they point to are zeroed
 			os.WriteFile(file, b, 0o600)
 		},
-		"cut": func(file string) {
+		"truncated": func(file string) {
 			s, _ := mustOpen(t, file, "h")
 			s.Save(servingBeliefs(200, 1), endpointstate.Generation{})
 			s.Close()
 			os.Truncate(file, 4096+100)
 		},
-		"later": func(file string) {
+		"later version": func(file string) {
 			db, _ := bbolt.Open(file, 0o600, nil)
 			db.Update(func(tx *bbolt.Tx) error {
 				b, _ := tx.CreateBucket(metaBucket)
@@ -123,7 +123,7 @@
 			})
 			db.Close()
 		},
-		"another host's": func(file string) {
+		"another gateway's": func(file string) {
 			s, _ := mustOpen(t, file, "g")
 			s.Save(servingBeliefs(1, 1), endpointstate.Generation{})
 			s.Close()
@@ -139,18 +139,19 @@
 		}
 		kept, _ := filepath.Glob(file + ".aside-*")
 		if len(kept) != 1 {
-			t.Fatalf("%s: not kept", name)
+			t.Fatalf("%s: %d files were set aside, wanted 1", name, len(kept))
 		}
-		if after, _ := os.ReadFile(kept[0]); name != "later" && len(after) != len(before) {
-			t.Errorf("%s: %d bytes became %d", name, len(before), len(after))
+		if after, _ := os.ReadFile(kept[0]); name != "later version" && len(after) != len(before) {
+			t.Errorf("%s: the file had %d bytes, %d after it was set aside", name, len(before), len(after))
 		}
 	}
 	if _, _, err := Open(filepath.Join(t.TempDir(), "none", "fleet.db"), "h"); err == nil {
-		t.Error("opened a file in a folder that is not there")
+		t.Error("opened a file in a directory that does not exist")
 	}
 }
 
-// The disk fills up. A save fails and nothing else: what was saved before is still there, and the next save makes up for it.
+// If a save fails because the disk is full, the data of the previous save must still be readable, and the next save must write what
+// is missing.
 func TestFullDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
@@ -161,31 +162,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was); err != nil {
+	var previous syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	full := syscall.Rlimit{Cur: uint64(info.Size()), Max: was.Max} // no file of this process may grow past that
+	full := syscall.Rlimit{Cur: uint64(info.Size()), Max: previous.Max} // no file of this process can grow beyond this size
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full); err != nil {
 		t.Fatal(err)
 	}
 	_, err = s.Save(servingBeliefs(5000, 2), endpointstate.Generation{Number: 2})
-	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was); rerr != nil {
+	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &previous); rerr != nil {
 		t.Fatal(rerr)
 	}
 	if err == nil {
-		t.Error("a save that had no room did not fail")
+		t.Error("a save to a full disk did not fail")
 	}
 	if all, last, err := s.Load(); err != nil || len(all) != 3 || last.Number != 1 {
 		t.Errorf("%v, %d entries of list %d", err, len(all), last.Number)
 	}
-	if n, err := s.Save(servingBeliefs(5000, 2), endpointstate.Generation{Number: 2}); err != nil || n != 4997 { // three have not changed
+	if n, err := s.Save(servingBeliefs(5000, 2), endpointstate.Generation{Number: 2}); err != nil || n != 4997 { // three are unchanged
 		t.Errorf("%d %v", n, err)
 	}
 }
 
-// The disk was remounted read-only. The gateway starts from what was saved, saves fail with an error of their own, and the file is left
-// as it is.
+// On a disk remounted read-only, the gateway must start from the saved data, saves must fail with ErrReadOnly, and the file must stay
+// unchanged.
 func TestReadOnlyDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
@@ -218,7 +219,7 @@
 	}
 }
 
-// What the save of one changed belief costs as the fleet grows.
+// BenchmarkSave measures a save of one changed belief for growing fleets.
 func BenchmarkSave(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -239,17 +240,17 @@
 	}
 }
 
-// A save that reports an error may have reached the disk all the same. When the beliefs are then as they were before it, the next
-// save must not take the disk for up to date.
-func TestFailedSaveIsUnknown(t *testing.T) {
+// A failed save may still have reached the disk. If the beliefs then return to their state before it, the next save must not assume
+// that the disk is up to date.
+func TestSaveAfterFailedSave(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.db")
 	s, _ := mustOpen(t, file, "h")
 	before, gen := servingBeliefs(2, time.Hour), endpointstate.Generation{Epoch: "e", Number: 1}
-	hosts := []membership.Member{{Name: "h", Address: "127.0.0.1:1"}}
+	members := []membership.Member{{Name: "h", Address: "127.0.0.1:1"}}
 	if _, err := s.Save(before, gen); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.SaveMembers(hosts); err != nil {
+	if err := s.SaveMembers(members); err != nil {
 		t.Fatal(err)
 	}
 	s.update = func(f func(*bbolt.Tx) error) error { return errors.Join(s.db.Update(f), syscall.EIO) }
@@ -265,14 +266,14 @@
 	if _, err := s.Save(before, gen); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.SaveMembers(hosts); err != nil {
+	if err := s.SaveMembers(members); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s, _ = mustOpen(t, file, "h")
 	all, _, err := s.Load()
 	if err != nil || len(all) != 2 || !all[0].Serving {
-		t.Errorf("%v: the disk kept what a failed save had written: %v", err, all)
+		t.Errorf("%v: the disk still has the entries of a failed save: %v", err, all)
 	}
 	if len(s.members) != 1 {
 		t.Errorf("%d members, wanted 1", len(s.members))
--- a/internal/fleet/store/stored_data_test.go
+++ b/internal/fleet/store/stored_data_test.go
@@ -11,7 +11,7 @@
 	"weirhaven/internal/fleet/membership"
 )
 
-// storedBeliefs are the beliefs of the sample, in the order of their names.
+// storedBeliefs returns the beliefs in the sample file, sorted by name.
 func storedBeliefs() []endpointstate.Belief {
 	const moment = 1_790_000_000 * time.Second
 	return []endpointstate.Belief{
@@ -30,7 +30,7 @@
 	return endpointstate.Generation{Epoch: "list-service-life-9", Number: 4711}
 }
 
-// storedHosts are the members of the sample, one in each state.
+// storedMembers returns the members in the sample file, one in each state.
 func storedMembers() []membership.Member {
 	return []membership.Member{
 		{Name: "edge-a", Ordinal: 0, Address: "127.0.0.1:7201", Planned: 4, Incarnation: 1_790_000_000_000_000_001, State: membership.Alive},
@@ -40,7 +40,7 @@
 	}
 }
 
-// storedFile is a copy of the sample.
+// storedFile returns the name of a copy of the sample file.
 func storedFile(t *testing.T) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "fleet.db"))
@@ -54,8 +54,8 @@
 	return file
 }
 
-// A gateway that ran version a32f63c wrote what it believed of the fleet and who its members were. Every later version must start from it
-// as if it had written it itself.
+// The sample file was written by a gateway of version a32f63c. Every later version must read from it the same beliefs, generation and
+// members.
 func TestStoredDataIsRead(t *testing.T) {
 	file := storedFile(t)
 	s, aside := mustOpen(t, file, "edge-a")
@@ -72,18 +72,18 @@
 	if last != storedGeneration() {
 		t.Errorf("generation %+v, wanted %+v", last, storedGeneration())
 	}
-	hosts, err := s.Members()
-	if err != nil || !slices.Equal(hosts, storedMembers()) {
-		t.Errorf("%v, members:\n%+v\nwanted\n%+v", err, hosts, storedMembers())
+	members, err := s.Members()
+	if err != nil || !slices.Equal(members, storedMembers()) {
+		t.Errorf("%v, members:\n%+v\nwanted\n%+v", err, members, storedMembers())
 	}
 }
 
-// The file that version a32f63c wrote is continued: what has not changed is not written again, and what is dropped is gone.
+// A save to the file of version a32f63c must not write unchanged entries again, and must delete dropped ones.
 func TestStoredDataIsContinued(t *testing.T) {
 	file := storedFile(t)
 	s, _ := mustOpen(t, file, "edge-a")
 	if written, err := s.Save(storedBeliefs(), storedGeneration()); written != 0 || err != nil {
-		t.Errorf("%d entries written though nothing changed: %v", written, err)
+		t.Errorf("%d entries written although nothing changed: %v", written, err)
 	}
 	if written, err := s.Save(storedBeliefs()[1:], storedGeneration()); written != 1 || err != nil {
 		t.Errorf("%d entries written for one dropped: %v", written, err)
@@ -91,8 +91,8 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	beliefs, hosts, last, err := Dump(file, "edge-a")
-	if err != nil || !slices.Equal(beliefs, storedBeliefs()[1:]) || !slices.Equal(hosts, storedMembers()) || last != storedGeneration() {
-		t.Errorf("%v, left after it:\n%+v\n%+v\n%+v", err, beliefs, hosts, last)
+	beliefs, members, last, err := Dump(file, "edge-a")
+	if err != nil || !slices.Equal(beliefs, storedBeliefs()[1:]) || !slices.Equal(members, storedMembers()) || last != storedGeneration() {
+		t.Errorf("%v, contents after the save:\n%+v\n%+v\n%+v", err, beliefs, members, last)
 	}
 }
