--- a/internal/object/index/extents.go
+++ b/internal/object/index/extents.go
@@ -10,19 +10,18 @@
 	"weirhaven/internal/pb"
 )
 
-// ErrExtentsRemoved is returned where a name or a part would refer to extents that were abandoned or removed meanwhile. Nothing was
-// changed then.
-var ErrExtentsRemoved = errors.New("bytes of it were removed meanwhile")
+// ErrExtentsRemoved is returned if an object or a part refers to extents that have been abandoned or removed. The index is unchanged.
+var ErrExtentsRemoved = errors.New("abandoned or removed before it was referenced")
 
-// referencedMark is the value of an entry in referencedBucket; only the key says something.
+// referencedMark is the value of all entries in referencedBucket; the key alone holds information.
 var referencedMark = []byte{1}
 
-// RecordIntent records extents as intended. It must have returned before any of their bytes leave the gateway.
+// RecordIntent records extents as intended. The caller must not send any of their bytes before RecordIntent has returned.
 //
-// It guards against bytes that nothing knows of: a gateway that dies between sending an extent and committing its object would leave
-// them on the endpoint for ever, which shows as endpoints that fill up while the objects don't grow. It holds since this record is
-// synced before the bytes leave, and the commit is synced, by itself, before the client gets its response: at every moment between,
-// the sweep finds the extent here.
+// It prevents leaked extents: if a gateway crashed after sending an extent and before committing its object, the bytes would stay on the
+// endpoint for ever, and endpoints would fill up while the objects don't grow. The intent is synced to disk before the bytes are sent,
+// and the commit is synced in a later transaction, before the client gets its response. At any moment in between, the sweep finds the
+// extent in this record.
 func (x *Index) RecordIntent(volume string, extents []*pb.ExtentRecord, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error {
 		for _, extent := range extents {
@@ -35,7 +34,7 @@
 	})
 }
 
-// Abandon marks intended extents as abandoned: nothing can refer to them any more. Extents that are referenced stay so.
+// Abandon marks intended extents as abandoned, so that nothing can refer to them from then on. Referenced extents are left as they are.
 func (x *Index) Abandon(volume string, extents []*pb.ExtentRecord, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error {
 		var unreferenced []*pb.ExtentRecord
@@ -52,12 +51,12 @@
 	return tx.Bucket(referencedBucket).Get([]byte(id)) != nil
 }
 
-// addReferences makes extents referenced.
+// addReferences marks extents as referenced. It returns ErrExtentsRemoved if one of them was abandoned or removed.
 //
-// It guards against an object whose bytes were already removed: an upload may last so long that the sweep mistakes its extents for leftovers of a
-// crash. A commit that came after that would acknowledge an object whose reads fail. It holds since the sweep abandons extents, in a
-// transaction, before it removes any bytes (ClaimForRemoval), writing transactions run one after another, and this one looks for each
-// extent before it refers to it.
+// It prevents a commit of an object whose bytes have already been removed: during a very long upload, the sweep may take the upload's
+// extents for leftovers of a crash, and a later commit would acknowledge an object that can't be read. The sweep therefore abandons
+// extents in a transaction before it removes any bytes (ClaimForRemoval), write transactions are serialized, and addReferences checks
+// the state of each extent in the transaction that refers to it.
 func addReferences(tx *bbolt.Tx, extents []*pb.ExtentRecord) error {
 	for _, extent := range extents {
 		ok, err := referenceable(tx, extent.Id)
@@ -75,7 +74,8 @@
 	return nil
 }
 
-// referenceable reports whether the bytes of an extent have surely not been removed: it is referenced, or intended and not abandoned.
+// referenceable reports whether an extent may be referenced: it is already referenced, or intended and not abandoned. Its bytes have not
+// been removed then.
 func referenceable(tx *bbolt.Tx, id string) (bool, error) {
 	if isReferenced(tx, id) {
 		return true, nil
@@ -85,7 +85,7 @@
 	return found && !record.Doomed, err
 }
 
-// abandon drops the references of extents and marks them as abandoned.
+// abandon removes extents from the referenced ones and marks them as abandoned.
 func abandon(tx *bbolt.Tx, volume string, extents []*pb.ExtentRecord, now time.Duration) error {
 	for _, extent := range extents {
 		id := []byte(extent.Id)
--- a/internal/object/index/index.go
+++ b/internal/object/index/index.go
@@ -1,18 +1,18 @@
-// Package index keeps on disk (bbolt) which objects there are and which extents hold their bytes.
+// Package index stores the metadata of objects on disk (bbolt): their names, their attributes and the extents that hold their bytes.
 //
 // An extent is one stored piece of an object's bytes. Each extent that may exist on an endpoint is in one of two states:
-//   - referenced: an object or an uploaded part names it; the sweep leaves it alone.
-//   - unreferenced: nothing names it. It is either intended (a write may still be under way) or abandoned (nothing may refer to it
-//     any more, and its bytes may be removed).
+//   - referenced: an object or an uploaded part refers to it; the sweep never removes it.
+//   - unreferenced: nothing refers to it. It is either intended (a write may still be in progress) or abandoned (nothing may refer to it
+//     from now on, and its bytes may be removed).
 //
-// Invariants, which hold also after a crash at any moment:
-//   - An extent is recorded as intended, durably, before any of its bytes leave the gateway.
-//   - A name changes in one transaction together with the references of all its extents: it stands for the object before or for the
-//     one after, whole.
+// Invariants, which also hold after a crash at any moment:
+//   - An extent is durably recorded as intended before any of its bytes leave the gateway.
+//   - A change of an object and of the references to all its extents is one transaction: a name refers to the complete old object or to
+//     the complete new one.
 //   - An abandoned extent never becomes referenced again.
 //
-// The package knows neither HTTP nor the engine, and reads no clock: the caller passes the time. Times are durations on the clock of
-// the caller; those of unreferenced extents are compared with each other only.
+// The package depends neither on HTTP nor on the engine, and reads no clock: the caller passes the time, as a duration on the caller's
+// clock. Times of unreferenced extents are compared only with times on the same clock.
 package index
 
 import (
@@ -27,31 +27,32 @@
 
 const (
 	lockTimeout   = 200 * time.Millisecond // how long Open waits for another program to close the file
-	maxBatchDelay = 500 * time.Microsecond // transactions that are ready within it share one sync of the disk
+	maxBatchDelay = 500 * time.Microsecond // how long a transaction waits for others, to share one sync to disk
 	fileMode      = 0o600
 )
 
-// The buckets; their names are part of the stored form.
+// The buckets, with their keys and values. The bucket names are part of the file format.
 var (
 	objectsBucket      = []byte("objects") // objectKey to ObjectRecord
-	uploadsBucket      = []byte("uploads") // id to UploadRecord
+	uploadsBucket      = []byte("uploads") // upload id to UploadRecord
 	partsBucket        = []byte("parts")   // partKey to PartRecord
-	referencedBucket   = []byte("held")    // id of an extent to referencedMark
-	unreferencedBucket = []byte("loose")   // id of an extent to LooseRecord; its field Doomed means abandoned
+	referencedBucket   = []byte("held")    // extent id to referencedMark
+	unreferencedBucket = []byte("loose")   // extent id to LooseRecord; its field Doomed means abandoned
 )
 
-// Index is one open file. Its methods may be called by many goroutines at once. A method that changes something returns once the
-// change is durable, or with an error and nothing changed.
+// Index is an open index file. It is safe for concurrent use. A method that changes the index returns once the change is durable; if it
+// returns an error, the index is unchanged.
 type Index struct{ db *bbolt.DB }
 
-// Open opens an index file, or creates it. It fails if another program has the file open, or if the file is no index.
+// Open opens an index file and creates it if it does not exist. It fails if another program has the file open, or if the file is not an
+// index.
 func Open(file string) (*Index, error) {
 	db, err := bbolt.Open(file, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("index %s: another program has it open; each host needs one of its own", file)
+		return nil, fmt.Errorf("index %s: another program has this file open; each gateway needs its own index", file)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("index %s: %w; objects can't be served without it", file, err)
+		return nil, fmt.Errorf("open index %s: %w", file, err)
 	}
 	db.MaxBatchDelay = maxBatchDelay
 	if err := db.Update(createBuckets); err != nil {
@@ -81,14 +82,14 @@
 	return bucket.Put(key, value)
 }
 
-// readMessage reads an entry into message, and reports whether there is one.
+// readMessage reads the entry of key into message. found reports whether the entry exists.
 func readMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) (found bool, err error) {
 	value := bucket.Get(key)
 	if value == nil {
 		return false, nil
 	}
 	if err := proto.Unmarshal(value, message); err != nil {
-		return false, fmt.Errorf("the entry %q can't be read: %w", key, err)
+		return false, fmt.Errorf("decode entry %q: %w", key, err)
 	}
 	return true, nil
 }
--- a/internal/object/index/index_test.go
+++ b/internal/object/index/index_test.go
@@ -20,8 +20,8 @@
 	"weirhaven/internal/pb"
 )
 
-// The test binary is also the process that TestAcknowledgedObjectsSurviveKill kills: as "writer FILE PREFIX" it commits objects for ever and
-// prints each one that was acknowledged.
+// TestMain also runs the process that TestAcknowledgedObjectsSurviveKill kills: called with "writer FILE PREFIX", the test binary commits
+// objects in an endless loop and prints each one after its commit has returned.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "writer" {
 		idx, err := Open(os.Args[2])
@@ -35,7 +35,7 @@
 			if err := idx.RecordIntent("v", extents, time.Duration(n)); err != nil {
 				os.Exit(1)
 			}
-			if n%5 == 4 { // a write that failed
+			if n%5 == 4 { // as after a failed write
 				idx.Abandon("v", extents, time.Duration(n))
 				continue
 			}
@@ -48,7 +48,7 @@
 	os.Exit(m.Run())
 }
 
-// testExtents returns n extents of one byte, with ids that begin with id.
+// testExtents returns n extents of one byte each, whose ids begin with id.
 func testExtents(id string, n int) (all []*pb.ExtentRecord) {
 	for i := range n {
 		all = append(all, &pb.ExtentRecord{Id: fmt.Sprint(id, "/", i), Size: 1})
@@ -66,8 +66,8 @@
 	return idx
 }
 
-// checkConsistent checks the package's invariant: the referenced extents are exactly those that an object or a part names, and the sweep
-// would remove none of them.
+// checkConsistent checks the package's invariant: the referenced extents are exactly those that an object or a part refers to, and the
+// sweep would remove none of them.
 func checkConsistent(t interface{ Fatalf(string, ...any) }, idx *Index, volume string) {
 	page, err := idx.List(volume, "", "", "", 1000000)
 	if err != nil {
@@ -98,9 +98,9 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	for _, page := range remove {
-		if inUse[page.Extent.Id] {
-			t.Fatalf("the sweep would remove %s, which is in use", page.Extent.Id)
+	for _, record := range remove {
+		if inUse[record.Extent.Id] {
+			t.Fatalf("the sweep would remove extent %s, which is in use", record.Extent.Id)
 		}
 	}
 	referenced := 0
@@ -108,25 +108,25 @@
 		return tx.Bucket(referencedBucket).ForEach(func(k, _ []byte) error {
 			referenced++
 			if !inUse[string(k)] {
-				t.Fatalf("%s is referenced, but nothing names it: it would leak", k)
+				t.Fatalf("extent %s is marked as referenced, but no object or part refers to it: it would leak", k)
 			}
 			return nil
 		})
 	})
 	if referenced != len(inUse) {
-		t.Fatalf("%d extents are referenced, %d in use", referenced, len(inUse))
+		t.Fatalf("%d extents are marked as referenced, %d are in use", referenced, len(inUse))
 	}
 }
 
-// A process that commits objects is killed at random moments, six times on one file. Each object that it had acknowledged is there after
-// the restart, whole; one that was not acknowledged yet is there whole or not at all; every extent is referenced by what names it, or
-// unreferenced.
+// Guards against lost or partial objects after a crash. A process that commits objects to one index file is killed six times, at random
+// moments. After each kill, every acknowledged object is complete, an object that was not acknowledged is complete or absent, and the
+// states of all extents are consistent.
 func TestAcknowledgedObjectsSurviveKill(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "index.db")
 	rng := rand.New(rand.NewSource(1))
 	acknowledged := map[string]string{}
-	for life := range 6 {
-		cmd := exec.Command(os.Args[0], "writer", file, fmt.Sprint("life", life))
+	for run := range 6 {
+		cmd := exec.Command(os.Args[0], "writer", file, fmt.Sprint("run", run))
 		stdout, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 		for n := 0; lines.Scan(); n++ {
 			name, id, _ := strings.Cut(lines.Text(), " ")
 			if acknowledged[name] = id; n == killAfter {
-				cmd.Process.Kill() // lines that it printed until then still come
+				cmd.Process.Kill() // lines printed before the kill are still read
 			}
 		}
 		cmd.Wait()
@@ -148,14 +148,14 @@
 			if err != nil || o == nil {
 				t.Fatalf("%s: %v %v", name, o, err)
 			}
-			if o.Etag != id { // it was committed, but killed before it could be acknowledged
-				if !strings.HasPrefix(o.Etag, fmt.Sprint("life", life)) {
-					t.Fatalf("%s is %s, acknowledged was %s", name, o.Etag, id)
+			if o.Etag != id { // the process was killed between the commit and its acknowledgement
+				if !strings.HasPrefix(o.Etag, fmt.Sprint("run", run)) {
+					t.Fatalf("%s has ETag %s, but %s was acknowledged", name, o.Etag, id)
 				}
 				acknowledged[name] = o.Etag
 			}
 			if !strings.HasPrefix(o.Extent[0].Id, o.Etag[:strings.LastIndex(o.Etag, "/")]) {
-				t.Fatalf("%s is of two puts: %v", name, o)
+				t.Fatalf("%s mixes extents of two writes: %v", name, o)
 			}
 		}
 		checkConsistent(t, idx, "v")
@@ -163,8 +163,8 @@
 	}
 }
 
-// Objects are committed and deleted, uploads created, filled, completed and aborted in a random order, some against a precondition
-// that fails. After each step no extent in use can be swept, and none leaks.
+// Guards against leaked extents and against the sweep removing extents in use. It runs random sequences of operations on objects and
+// uploads, some with a failing precondition, and checks the states of all extents after each step.
 func TestNoExtentLeaks(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -228,14 +228,14 @@
 	})
 }
 
-// An upload with the largest number of parts becomes one object. Of a thousand uploads that clients never end, those above the age are
-// found.
+// An upload with the maximum number of parts becomes one object. Of a thousand uploads without parts, IdleUploads returns those that are
+// at least as old as the given age.
 func TestManyParts(t *testing.T) {
 	idx := openIndex(t, filepath.Join(t.TempDir(), "i"))
 	idx.db.NoSync = true
 	idx.CreateUpload(&pb.UploadRecord{Volume: "v", Name: "n", Id: "u"})
 	var named []decide.CompletedPart
-	err := idx.db.Update(func(tx *bbolt.Tx) error { // as PutPart does, ten thousand times
+	err := idx.db.Update(func(tx *bbolt.Tx) error { // has the effect of PutPart for each part, but in one transaction
 		for n := uint32(1); n <= decide.MaxParts; n++ {
 			p := &pb.PartRecord{Number: n, Etag: "00", Size: 1, Extent: testExtents(fmt.Sprint("p", n), 1)}
 			named = append(named, decide.CompletedPart{Number: n, ETag: "00"})
@@ -258,12 +258,12 @@
 	}
 	idle, err := idx.IdleUploads(100, 1050)
 	if err != nil || len(idle) != 951 {
-		t.Errorf("%v: %d of 1000 are old", err, len(idle))
+		t.Errorf("%v: %d of 1000 uploads are idle, want 951", err, len(idle))
 	}
 	checkConsistent(t, idx, "v")
 }
 
-// Pages of any size, put together, are the whole list: no name is missing or returned twice, also where a page ends in a common prefix.
+// Guards against names that are missing or returned twice when a listing is read in pages, also if a page ends with a common prefix.
 func TestListPages(t *testing.T) {
 	idx := openIndex(t, filepath.Join(t.TempDir(), "i"))
 	idx.db.NoSync = true
@@ -301,7 +301,8 @@
 	}
 }
 
-// Two gateways with one index file would overwrite each other's records: the second one fails to open it. So does a file that is no index.
+// Open must fail if the index file is already open, because two gateways would overwrite each other's records, and if the file is not an
+// index. GetUpload must return NoSuchUpload for an unknown id.
 func TestOpenFailures(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "i")
 	openIndex(t, file)
@@ -312,7 +313,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(file + "2"); err == nil {
-		t.Error("opened")
+		t.Error("a file that is not an index was opened")
 	}
 	var f *decide.Fault
 	idx := openIndex(t, file+"3")
@@ -321,14 +322,14 @@
 	}
 }
 
-// An upload lasted so long that the sweep removed its extents, or began to. Its commit must fail: else a name would be acknowledged
-// whose bytes can't be read.
+// Guards against acknowledging an object that can't be read: an upload takes so long that the sweep abandons or removes its extents
+// before the commit. The commit must fail.
 func TestCommitRejectsRemovedExtents(t *testing.T) {
 	idx := openIndex(t, filepath.Join(t.TempDir(), "index.db"))
 	defer idx.Close()
 	for _, c := range []struct {
-		name string
-		up   func(all []*pb.ExtentRecord) error
+		name   string
+		remove func(all []*pb.ExtentRecord) error
 	}{
 		{"forgotten", func(all []*pb.ExtentRecord) error { return idx.Forget([]string{all[0].Id, all[1].Id}) }},
 		{"removed", func(all []*pb.ExtentRecord) error { return idx.Forget([]string{all[0].Id}) }},
@@ -338,11 +339,11 @@
 		if err := idx.RecordIntent("v", all, 1); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.up(all); err != nil {
+		if err := c.remove(all); err != nil {
 			t.Fatal(err)
 		}
 		if err := idx.Commit(&pb.ObjectRecord{Volume: "v", Name: c.name, Extent: all}, nil, 3); err == nil {
-			t.Errorf("%s: a name stands for extents that are gone", c.name)
+			t.Errorf("%s: an object was committed that refers to removed extents", c.name)
 		}
 	}
 }
--- a/internal/object/index/list.go
+++ b/internal/object/index/list.go
@@ -11,15 +11,16 @@
 	"weirhaven/internal/pb"
 )
 
-// ListPage is a page of a volume's names.
+// ListPage is one page of a listing of a volume's objects.
 type ListPage struct {
-	Objects   []*pb.ObjectRecord // by name
-	Prefixes  []string           // common prefixes up to and with the delimiter, by name
-	NextAfter string             // name or prefix after which the next page begins; empty: this was the last
+	Objects   []*pb.ObjectRecord // sorted by name
+	Prefixes  []string           // common prefixes, each including the delimiter, sorted
+	NextAfter string             // name or prefix after which the next page begins; empty if this is the last page
 }
 
-// List returns a page of at most limit names: those that begin with prefix and sort after a name (empty: from the first on). Names in
-// which a delimiter follows the prefix are returned once, as a common prefix; an empty delimiter groups none.
+// List returns a page of at most limit objects and common prefixes. It covers the names that begin with prefix and sort after the name
+// after (empty: from the first name). Names that contain the delimiter after the prefix are grouped into one common prefix, which ends
+// with the delimiter; with an empty delimiter nothing is grouped.
 func (x *Index) List(volume, prefix, delimiter, after string, limit int) (page ListPage, err error) {
 	query := listQuery{volume: volume, prefix: prefix, delimiter: delimiter, after: after, limit: limit}
 	err = x.db.View(func(tx *bbolt.Tx) error {
@@ -58,7 +59,7 @@
 		}
 		object := &pb.ObjectRecord{}
 		if err := proto.Unmarshal(value, object); err != nil {
-			return page, fmt.Errorf("the object %q can't be read: %w", name, err)
+			return page, fmt.Errorf("decode object %q: %w", name, err)
 		}
 		page.Objects, last = append(page.Objects, object), name
 		key, value = cursor.Next()
@@ -66,7 +67,7 @@
 	return page, nil
 }
 
-// onEarlierPage reports whether a name was returned before, by itself or in a common prefix.
+// onEarlierPage reports whether an earlier page returned the name, either by itself or as part of a common prefix.
 func (q *listQuery) onEarlierPage(name string) bool {
 	if q.after == "" {
 		return false
@@ -75,7 +76,7 @@
 	return name <= q.after || afterIsCommonPrefix && strings.HasPrefix(name, q.after)
 }
 
-// commonPrefix returns the prefix under which a name is grouped, if it is.
+// commonPrefix returns the common prefix that a name is grouped into; false if it is not grouped.
 func (q *listQuery) commonPrefix(name string) (string, bool) {
 	if q.delimiter == "" {
 		return "", false
@@ -87,8 +88,8 @@
 	return name[:len(q.prefix)+end+len(q.delimiter)], true
 }
 
-// keyAfterPrefix is a key behind all names that begin with a prefix: a group is skipped in one step, however many names it holds.
-// Names are UTF-8, in which the byte 0xff never occurs.
+// keyAfterPrefix returns a key that sorts after all names with the given prefix, so that a single seek skips a group of any size. Names
+// are UTF-8, in which the byte 0xff never occurs.
 func keyAfterPrefix(volume, prefix string) []byte {
 	return append(objectKey(volume, prefix), 0xff, 0xff, 0xff, 0xff)
 }
--- a/internal/object/index/objects.go
+++ b/internal/object/index/objects.go
@@ -9,14 +9,14 @@
 	"weirhaven/internal/pb"
 )
 
-// Precondition judges the object that a change would replace, in the transaction that makes the change; nil stands for no object. Its
-// error ends the change. It may be called more than once for one change.
+// Precondition checks the object that a change would replace or delete; old is nil if there is none. It is called in the transaction of
+// the change, possibly more than once. If it returns an error, the change is not made.
 type Precondition func(old *pb.ObjectRecord) error
 
 func objectKey(volume, name string) []byte { return []byte(volume + "\x00" + name) }
 
-// Commit makes a name stand for an object; the extents of the object before are abandoned. The error is ErrExtentsRemoved if extents
-// of the new object were abandoned meanwhile, or what precondition returned. A nil precondition allows every change.
+// Commit stores an object under its name and abandons the extents of the object that it replaces. It returns ErrExtentsRemoved if extents
+// of the new object have been abandoned, or the error of precondition. A nil precondition allows every change.
 func (x *Index) Commit(object *pb.ObjectRecord, precondition Precondition, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error { return commit(tx, object, precondition, now) })
 }
@@ -35,7 +35,8 @@
 	return errors.Join(addReferences(tx, object.Extent), putMessage(tx.Bucket(objectsBucket), key, object))
 }
 
-// Delete removes a name and abandons the extents of its object. existed reports whether there was one; to delete none is no error.
+// Delete deletes an object and abandons its extents. existed reports whether the object existed; deleting a missing object is not an
+// error.
 func (x *Index) Delete(volume, name string, precondition Precondition, now time.Duration) (existed bool, err error) {
 	err = x.db.Batch(func(tx *bbolt.Tx) error {
 		key := objectKey(volume, name)
@@ -49,7 +50,8 @@
 	return existed, err
 }
 
-// readReplaceable reads the object that a change would replace, nil for none, and checks the precondition of the change.
+// readReplaceable returns the object that a change would replace or delete, nil if there is none, and checks the precondition of the
+// change.
 func readReplaceable(tx *bbolt.Tx, key []byte, precondition Precondition) (*pb.ObjectRecord, error) {
 	old, err := readObject(tx, key)
 	if err != nil || precondition == nil {
@@ -66,7 +68,7 @@
 	return object, nil
 }
 
-// Get returns an object; nil without an error: there is none.
+// Get returns an object, or nil without an error if it does not exist.
 func (x *Index) Get(volume, name string) (object *pb.ObjectRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		object, err = readObject(tx, objectKey(volume, name))
--- a/internal/object/index/stored_data_test.go
+++ b/internal/object/index/stored_data_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	storedMoment = 1_790_000_000 * time.Second // when the sample's newest object was written, since 1970
+	storedMoment = 1_790_000_000 * time.Second // time at which the newest object of the sample was written, since 1970
 	storedTag    = "9e107d9d372bb6826bd81d3542a419d6"
 	storedPart1  = "e4d909c290d0fb1ca068ffaddf22cbd0"
 	storedPart2  = "d41d8cd98f00b204e9800998ecf8427e"
 	storedUpload = "upload-1"
 )
 
-// storedObjects are those of volume-1, in the order of their names.
+// storedObjects returns the objects of volume-1 in the sample, sorted by name.
 func storedObjects() []*pb.ObjectRecord {
 	return []*pb.ObjectRecord{
 		{Volume: "volume-1", Name: "drawings/bridge.dwg", Etag: storedTag, Size: 262144 + 17, Modified: int64(storedMoment), ContentType: "image/vnd.dwg",
@@ -33,7 +33,7 @@
 	}
 }
 
-// storedOther is the one object of volume-2; it has the name of one of volume-1.
+// storedOther returns the only object of volume-2 in the sample. An object of volume-1 has the same name.
 func storedOther() *pb.ObjectRecord {
 	return &pb.ObjectRecord{Volume: "volume-2", Name: "drawings/bridge.dwg", Etag: storedTag, Size: 5, Modified: int64(storedMoment - time.Minute),
 		Extent: []*pb.ExtentRecord{{Id: "extent-d", Size: 5, Sum: 55}}}
@@ -47,7 +47,7 @@
 	}
 }
 
-// storedParts are those of the first upload.
+// storedParts returns the parts of the first upload in the sample.
 func storedParts() []*pb.PartRecord {
 	return []*pb.PartRecord{
 		{Number: 1, Etag: storedPart1, Size: 5 << 20, Modified: int64(storedMoment - 100*time.Minute),
@@ -57,7 +57,8 @@
 	}
 }
 
-// storedUnreferenced are the unreferenced extents: one intended, one abandoned before it was referenced, one of an object that was replaced.
+// storedUnreferenced returns the unreferenced extents of the sample: one that is intended, one that was abandoned before it was
+// referenced, and one of an object that was replaced.
 func storedUnreferenced() []*pb.LooseRecord {
 	return []*pb.LooseRecord{
 		{Extent: &pb.ExtentRecord{Id: "loose-1", Cell: 5, Size: 9, Sum: 31}, Volume: "volume-1", Since: int64(storedMoment - 30*time.Minute)},
@@ -66,7 +67,7 @@
 	}
 }
 
-// openStored opens a copy of the sample.
+// openStored opens a copy of the sample index, testdata/index.db.
 func openStored(t *testing.T) *Index {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "index.db"))
@@ -80,7 +81,7 @@
 	return openIndex(t, file)
 }
 
-// checkEqual checks messages one by one, in their order.
+// checkEqual checks that got has the same messages as want, in the same order.
 func checkEqual[M proto.Message](t *testing.T, what string, got, want []M) {
 	t.Helper()
 	if len(got) != len(want) {
@@ -94,8 +95,8 @@
 	}
 }
 
-// Version a32f63c wrote the names of objects and where their bytes lie. Every later version must find each object under its name with
-// the very same extents, and list them in the same order.
+// Guards against an incompatible change of the stored form of objects. The sample was written by version a32f63c; each object must be
+// found with exactly the same extents, and listed in the same order.
 func TestStoredObjectsAreRead(t *testing.T) {
 	idx := openStored(t)
 	for _, want := range append(storedObjects(), storedOther()) {
@@ -104,7 +105,7 @@
 		}
 	}
 	if got, err := idx.Get("volume-1", "drawings/bridge"); got != nil || err != nil {
-		t.Errorf("an object that was never there: %v %v", got, err)
+		t.Errorf("an object that never existed: %v %v", got, err)
 	}
 	all, err := idx.List("volume-1", "", "", "", 1000)
 	if err != nil || all.NextAfter != "" || len(all.Prefixes) > 0 {
@@ -122,7 +123,7 @@
 	checkEqual(t, "object of volume-2", other.Objects, []*pb.ObjectRecord{storedOther()})
 }
 
-// Version a32f63c wrote uploads that were open and the parts that had come. Every later version must know them.
+// Guards against an incompatible change of the stored form of open uploads and their parts. The sample was written by version a32f63c.
 func TestStoredUploadsAreRead(t *testing.T) {
 	idx := openStored(t)
 	uploads, err := idx.ListUploads("")
@@ -139,14 +140,15 @@
 		t.Error(err)
 	}
 	checkEqual(t, "part", parts, storedParts())
-	aged, err := idx.IdleUploads(2*time.Hour, storedMoment) // of the first, the newest part came 90 minutes before
+	aged, err := idx.IdleUploads(2*time.Hour, storedMoment) // the first upload received its newest part 90 minutes before
 	if err != nil {
 		t.Error(err)
 	}
-	checkEqual(t, "upload of an age", aged, storedUploads()[1:])
+	checkEqual(t, "idle upload", aged, storedUploads()[1:])
 }
 
-// Version a32f63c recorded unreferenced extents. Every later version must sweep just these, each at its time.
+// Guards against an incompatible change of the stored form of unreferenced extents. The sample was written by version a32f63c; the sweep
+// must find exactly its unreferenced extents, each at the right time.
 func TestStoredUnreferencedExtentsAreRead(t *testing.T) {
 	idx := openStored(t)
 	want := storedUnreferenced()
@@ -167,9 +169,9 @@
 	}
 }
 
-// An upload was open when version a32f63c stopped. A part of it that is uploaded once more replaces the one before, whose extents are
-// abandoned.
-func TestStoredUploadReplacesAPart(t *testing.T) {
+// A part of an upload that version a32f63c created is uploaded again. It must replace the stored part, and the extents of the stored part
+// must be abandoned.
+func TestReplacePartOfStoredUpload(t *testing.T) {
 	idx := openStored(t)
 	parts, now := storedParts(), storedMoment+time.Second
 	replacement := &pb.PartRecord{Number: 10, Etag: storedTag, Size: 4, Modified: int64(now), Extent: []*pb.ExtentRecord{{Id: "extent-h", Cell: 1, Size: 4, Sum: 24}}}
@@ -192,9 +194,10 @@
 	checkEqual(t, "extent to sweep", remove, append([]*pb.LooseRecord{abandoned}, storedUnreferenced()[1:]...))
 }
 
-// A later version continues on the file that version a32f63c wrote: an upload created there is completed, an intended extent can be
-// referenced, an abandoned one can't, and every extent is referenced or unreferenced as it should be.
-func TestStoredDataIsContinued(t *testing.T) {
+// Guards against changes to an index written by version a32f63c that leave it inconsistent: a stored upload is completed, an intended
+// extent is referenced, a commit with an abandoned extent is rejected, and an object is deleted. Each extent must then be in the right
+// state.
+func TestChangeStoredIndex(t *testing.T) {
 	idx := openStored(t)
 	parts, unreferenced, now := storedParts(), storedUnreferenced(), storedMoment+time.Second
 	o, err := idx.CompleteUpload("volume-1", "records/large", storedUpload, []decide.CompletedPart{{Number: 1, ETag: storedPart1}, {Number: 10, ETag: storedPart2}},
@@ -215,7 +218,7 @@
 		t.Errorf("an abandoned extent: %v", err)
 	}
 	if existed, err := idx.Delete("volume-2", "drawings/bridge.dwg", nil, now); !existed || err != nil {
-		t.Errorf("deleting an object: %v, it was there: %v", err, existed)
+		t.Errorf("deleting an object: %v, it existed: %v", err, existed)
 	}
 	removed := &pb.LooseRecord{Extent: storedOther().Extent[0], Volume: "volume-2", Since: int64(now), Doomed: true}
 	remove, _, err := idx.RemovableExtents(time.Hour, now, now+1, 1000)
@@ -223,5 +226,5 @@
 		t.Error(err)
 	}
 	checkEqual(t, "extent to sweep", remove, []*pb.LooseRecord{removed, unreferenced[1], unreferenced[2]})
-	checkConsistent(t, idx, "volume-1") // volume-2 has nothing any more that names extents
+	checkConsistent(t, idx, "volume-1") // volume-2 has no objects or uploads with extents any more
 }
--- a/internal/object/index/sweep.go
+++ b/internal/object/index/sweep.go
@@ -10,9 +10,9 @@
 	"weirhaven/internal/pb"
 )
 
-// RemovableExtents returns up to limit unreferenced extents whose bytes may be removed by the rule of decide.RemovableExtents, and the number of
-// all unreferenced extents. An intended extent must be at least minAge old; oldestReader is when the oldest read under way began.
-// Nothing is changed: ClaimForRemoval has to follow before bytes are removed.
+// RemovableExtents returns up to limit unreferenced extents whose bytes may be removed (see decide.RemovableExtents), and the total
+// number of unreferenced extents. minAge is the minimum age of an intended extent, oldestReader the start of the oldest read in
+// progress. RemovableExtents changes nothing; before removing any bytes, the caller must call ClaimForRemoval.
 func (x *Index) RemovableExtents(minAge, now, oldestReader time.Duration, limit int) (removable []*pb.LooseRecord, total int, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		unreferenced, err := readUnreferenced(tx)
@@ -37,8 +37,8 @@
 	return all, err
 }
 
-// ClaimForRemoval abandons extents, so that nothing can refer to them from here on, and returns those whose bytes may now be removed.
-// Extents that became referenced since they were found are left out.
+// ClaimForRemoval abandons extents, so that nothing can refer to them from then on, and returns those whose bytes may now be removed. It
+// leaves out extents that have become referenced since RemovableExtents returned them.
 func (x *Index) ClaimForRemoval(found []*pb.LooseRecord) (claimed []*pb.LooseRecord, err error) {
 	err = x.db.Update(func(tx *bbolt.Tx) error {
 		claimed = nil
@@ -59,7 +59,7 @@
 	return claimed, err
 }
 
-// Forget drops the records of unreferenced extents whose bytes have been removed from their endpoints.
+// Forget deletes the records of unreferenced extents. The caller must have removed the extents' bytes from their endpoints.
 func (x *Index) Forget(ids []string) error {
 	return x.db.Update(func(tx *bbolt.Tx) error {
 		for _, id := range ids {
--- a/internal/object/index/uploads.go
+++ b/internal/object/index/uploads.go
@@ -15,12 +15,12 @@
 	"weirhaven/internal/pb"
 )
 
-// CreateUpload records a new multipart upload. Its id must be unique.
+// CreateUpload creates a multipart upload. The id of the upload must be unique.
 func (x *Index) CreateUpload(upload *pb.UploadRecord) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error { return putMessage(tx.Bucket(uploadsBucket), []byte(upload.Id), upload) })
 }
 
-// GetUpload returns an open upload, or decide.NoSuchUpload.
+// GetUpload returns an open upload. The error is decide.NoSuchUpload if it does not exist.
 func (x *Index) GetUpload(volume, name, id string) (upload *pb.UploadRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		upload, err = findUpload(tx, volume, name, id)
@@ -29,7 +29,7 @@
 	return upload, err
 }
 
-// findUpload returns an open upload, or decide.NoSuchUpload if there is none of the id for this volume and name.
+// findUpload returns an open upload. The error is decide.NoSuchUpload if no upload has the id, or if it is for another volume or name.
 func findUpload(tx *bbolt.Tx, volume, name, id string) (*pb.UploadRecord, error) {
 	upload := &pb.UploadRecord{}
 	found, err := readMessage(tx.Bucket(uploadsBucket), []byte(id), upload)
@@ -40,8 +40,8 @@
 	return upload, err
 }
 
-// PutPart records a part of an open upload. A part of the same number is replaced, and its extents are abandoned. The error is
-// decide.NoSuchUpload, or ErrExtentsRemoved if extents of the part were abandoned meanwhile.
+// PutPart records a part of an open upload. It replaces an existing part with the same number and abandons its extents. The error is
+// decide.NoSuchUpload if the upload does not exist, or ErrExtentsRemoved if extents of the new part have been abandoned.
 func (x *Index) PutPart(volume, name, id string, part *pb.PartRecord, now time.Duration) error {
 	return x.db.Batch(func(tx *bbolt.Tx) error {
 		if _, err := findUpload(tx, volume, name, id); err != nil {
@@ -61,10 +61,10 @@
 	})
 }
 
-// partKey sorts the parts of an upload by number.
+// partKey returns the key of a part in partsBucket. Keys of one upload sort by part number.
 func partKey(id string, number uint32) []byte { return fmt.Appendf(nil, "%s/%05d", id, number) }
 
-// ListParts returns the parts of an open upload by number, or decide.NoSuchUpload.
+// ListParts returns the parts of an open upload, sorted by number. The error is decide.NoSuchUpload if the upload does not exist.
 func (x *Index) ListParts(volume, name, id string) (parts []*pb.PartRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		if _, err := findUpload(tx, volume, name, id); err != nil {
@@ -81,16 +81,17 @@
 	for key, value := cursor.Seek(prefix); key != nil && bytes.HasPrefix(key, prefix); key, value = cursor.Next() {
 		part := &pb.PartRecord{}
 		if err := proto.Unmarshal(value, part); err != nil {
-			return nil, fmt.Errorf("the part %q can't be read: %w", key, err)
+			return nil, fmt.Errorf("decode part %q: %w", key, err)
 		}
 		parts = append(parts, part)
 	}
 	return parts, nil
 }
 
-// CompleteUpload makes an object of an open upload and ends the upload, in one transaction. The extents of the parts that the client
-// named become the object's; those of the other parts are abandoned. Each named part but the last must have at least minPart bytes.
-// The error is a *decide.Fault if the parts don't make an object, else as for Commit; the upload stays open then.
+// CompleteUpload stores an object made from the parts of an open upload and closes the upload, in one transaction. The object consists of
+// the parts that the client listed in named; the extents of all other parts are abandoned. Each listed part except the last must have at
+// least minPart bytes. The error is a *decide.Fault if the upload does not exist or the list of parts is not valid, otherwise an error
+// as from Commit. After an error, the upload stays open.
 func (x *Index) CompleteUpload(volume, name, id string, named []decide.CompletedPart, minPart int64, precondition Precondition, now time.Duration) (object *pb.ObjectRecord, err error) {
 	err = x.db.Update(func(tx *bbolt.Tx) error {
 		upload, err := findUpload(tx, volume, name, id)
@@ -115,7 +116,7 @@
 	return object, err
 }
 
-// AbortUpload ends an open upload and abandons the extents of its parts. It returns decide.NoSuchUpload if there is none.
+// AbortUpload deletes an open upload and abandons the extents of its parts. The error is decide.NoSuchUpload if the upload does not exist.
 func (x *Index) AbortUpload(volume, name, id string, now time.Duration) error {
 	return x.db.Update(func(tx *bbolt.Tx) error {
 		if _, err := findUpload(tx, volume, name, id); err != nil {
@@ -143,7 +144,7 @@
 	return tx.Bucket(uploadsBucket).Delete([]byte(id))
 }
 
-// ListUploads returns the open uploads of a volume, or of all volumes if volume is empty, by name and id.
+// ListUploads returns the open uploads of a volume, or of all volumes if volume is empty, sorted by name and id.
 func (x *Index) ListUploads(volume string) (uploads []*pb.UploadRecord, err error) {
 	err = x.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(uploadsBucket).ForEach(func(_, value []byte) error {
@@ -161,7 +162,7 @@
 	return uploads, err
 }
 
-// IdleUploads returns the open uploads, of all volumes, that were created at least minAge ago and got no part since then.
+// IdleUploads returns the open uploads of all volumes that were created at least minAge ago and have received no part within minAge.
 func (x *Index) IdleUploads(minAge, now time.Duration) (idle []*pb.UploadRecord, err error) {
 	uploads, err := x.ListUploads("")
 	if err != nil {
