--- a/internal/object/gate/gate.go
+++ b/internal/object/gate/gate.go
@@ -1,11 +1,11 @@
-// Package gate stores objects through the engine. The bytes of an object lie in extents of fixed size, each on one endpoint; a write is
-// one engine request for each extent, a read of a range is one for each extent that it touches.
+// Package gate stores and reads objects through the engine. It divides an object into extents of fixed size and stores each extent on one
+// endpoint. A write makes one engine request for each extent; a read makes one for each extent that overlaps the requested range.
 //
-// To which endpoint a request goes, whether it is retried, waits or is rejected, is the scheduler's decision alone; the package repeats
-// none. The memory of a transfer is bounded by Config.MaxInFlight extents. Every extent is recorded in the index before its bytes are
-// sent, and stays unreferenced until its caller commits it: see package index for the invariants.
+// The scheduler alone decides which endpoint a request goes to, and whether the request is retried, queued or rejected; the package
+// retries nothing. A transfer holds at most Config.MaxInFlight extents in memory. Every extent is recorded in the index before its bytes
+// are sent, and stays unreferenced until the caller commits it; see package index for the invariants.
 //
-// The package knows nothing of HTTP.
+// The package does not depend on HTTP.
 package gate
 
 import (
@@ -20,14 +20,14 @@
 	"weirhaven/internal/object/index"
 )
 
-// Engine runs requests. Its methods are called by many goroutines at once.
+// Engine runs requests. Implementations must be safe for concurrent use.
 type Engine interface {
-	// Submit passes a request to the engine. It returns false if the engine accepts none; else the request's Respond is called once,
-	// unless ClientDisconnected came first.
+	// Submit submits a request. It returns false if the engine does not accept the request. Otherwise the engine calls the request's
+	// Respond once, unless ClientDisconnected is called first.
 	Submit(request *engine.Request) bool
-	// ClientDisconnected ends a request whose client does not wait any more.
+	// ClientDisconnected cancels a request whose client no longer waits for the response.
 	ClientDisconnected(request *engine.Request)
-	// Shards returns the shards where new data of a volume may lie; ok is false if there is no such volume.
+	// Shards returns the shards that may store new data of a volume; ok is false if the volume does not exist.
 	Shards(volume string) (shards []uint32, ok bool)
 }
 
@@ -37,26 +37,26 @@
 	Index             *index.Index
 	ReadClass         string        // request class of reads
 	WriteClass        string        // request class of writes and removals
-	ExtentBytes       int64         // size of an extent; the last of an object may be smaller
-	UnitBytes         int64         // bytes that count as one unit of work
-	MaxInFlight       int           // extents of one transfer
-	UploadIdleTimeout time.Duration // after which an upload that got no part is aborted
-	IntentTimeout     time.Duration // after which an extent that was never referenced is removed
+	ExtentBytes       int64         // size of an extent; the last extent of an object may be smaller
+	UnitBytes         int64         // size of one unit of work
+	MaxInFlight       int           // maximum number of extents of one transfer in flight
+	UploadIdleTimeout time.Duration // time without a new part after which an upload is aborted
+	IntentTimeout     time.Duration // age at which an extent that was never referenced is removed
 	Log               *slog.Logger
-	Now               func() time.Duration // moves with real time, also when the wall clock is stepped
+	Now               func() time.Duration // clock that advances in real time even if the wall clock is stepped
 }
 
-// Gate stores and reads objects. Its methods may be called by many goroutines at once.
+// Gate stores and reads objects. It is safe for concurrent use.
 type Gate struct {
 	config Config
 
 	mu    sync.Mutex
 	reads map[*activeRead]bool
-	// writing are the extents that this process writes, or has written and not released yet. Sweep leaves them alone.
+	// writing holds the ids of the extents that this process is writing, or has written and not released yet. Sweep does not remove them.
 	writing map[string]bool
 }
 
-// activeRead is a read that may use extents which are abandoned meanwhile.
+// activeRead is a read in progress. It may use extents that are abandoned after its start.
 type activeRead struct{ since time.Duration }
 
 // New returns a Gate.
@@ -64,19 +64,19 @@
 	return &Gate{config: config, reads: map[*activeRead]bool{}, writing: map[string]bool{}}
 }
 
-// Now returns the time by which extents age, on the clock of Config.Now.
+// Now returns the time on the clock of Config.Now, which the ages of extents are measured with.
 func (g *Gate) Now() time.Duration { return g.config.Now() }
 
 // Index returns the index of Config.
 func (g *Gate) Index() *index.Index { return g.config.Index }
 
-// HasVolume reports whether there is a volume of the name.
+// HasVolume reports whether the volume exists.
 func (g *Gate) HasVolume(name string) bool {
 	_, ok := g.config.Engine.Shards(name)
 	return ok
 }
 
-// submit runs one request and returns the body of its response. If ctx ends first, the request ends with it.
+// submit runs one request and returns the body of its response. It cancels the request if ctx ends first.
 func (g *Gate) submit(ctx context.Context, request *engine.Request) ([]byte, *decide.Fault) {
 	responses := make(chan engine.Response, 1)
 	request.Respond = func(response engine.Response) { responses <- response }
@@ -107,10 +107,10 @@
 	return decide.NotRun
 }
 
-// extentObject is the name of an extent at its endpoint.
+// extentObject returns the name under which an endpoint stores an extent.
 func extentObject(id string) string { return "x/" + id }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum is the checksum of an extent that the index keeps: CRC-32C.
+// checksum returns the checksum of an extent's content, CRC-32C, as stored in the index.
 func checksum(content []byte) uint32 { return crc32.Checksum(content, castagnoli) }
--- a/internal/object/gate/gate_test.go
+++ b/internal/object/gate/gate_test.go
@@ -18,7 +18,7 @@
 
 const testExtentBytes = 32 << 10
 
-// fakeEngine serves every request from memory, by the name of the object.
+// fakeEngine serves every request from memory. Its objects are keyed by name.
 type fakeEngine struct {
 	mu      sync.Mutex
 	objects map[string][]byte
@@ -43,7 +43,7 @@
 func (e *fakeEngine) ClientDisconnected(*engine.Request) {}
 func (e *fakeEngine) Shards(string) ([]uint32, bool)     { return []uint32{0}, true }
 
-// manualClock is moved by the test.
+// manualClock is a clock that advances only when the test calls step.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -61,8 +61,8 @@
 	c.now += d
 }
 
-// An upload lasts longer than the age at which intended extents are swept (a slow client, or a clock that is stepped), and the sweep runs
-// meanwhile. It must leave the upload's extents alone: the upload is acknowledged, so its object can be read.
+// Guards against the sweep removing extents of an upload in progress: with a slow client or after a clock step, the upload takes longer
+// than IntentTimeout. The sweep must not remove its extents, and the acknowledged object must be readable.
 func TestSweepSparesUploadInProgress(t *testing.T) {
 	idx, err := index.Open(filepath.Join(t.TempDir(), "index.db"))
 	if err != nil {
@@ -93,11 +93,11 @@
 	client.Close()
 	outcome := <-done
 	if outcome.fault != nil {
-		t.Fatal("the upload failed: ", outcome.fault)
+		t.Fatal("writing the extents failed: ", outcome.fault)
 	}
 	object := &pb.ObjectRecord{Volume: "v", Name: "o", Size: outcome.w.Size, Extent: outcome.w.Extents}
 	if err := idx.Commit(object, nil, testClock.read()); err != nil {
-		t.Fatal("the upload failed: ", err)
+		t.Fatal("the commit failed: ", err)
 	}
 	testClock.step(2 * time.Hour)
 	if _, _, err := g.Sweep(context.Background()); err != nil {
--- a/internal/object/gate/read.go
+++ b/internal/object/gate/read.go
@@ -12,11 +12,12 @@
 	"weirhaven/internal/pb"
 )
 
-// BeginRead keeps the extents of all objects as they stand from being removed until done is called. Call it before the object is looked up.
+// BeginRead protects all extents that are referenced when it is called from being removed until done is called. Call it before looking up
+// the object.
 //
-// It guards against reads of bytes that are gone: an object that is replaced while a slow client reads it loses its extents to the sweep,
-// which shows as a response that breaks off, or as a checksum mismatch. It holds since the sweep removes only extents that were
-// abandoned before the oldest read began, and a read that began later finds no name that refers to them.
+// It prevents reads of removed extents: if an object were replaced while a slow client reads it, and the sweep removed the old extents,
+// the response would be cut short or fail with a checksum mismatch. The sweep removes only extents that were abandoned before the oldest
+// read began; reads that began later can't find those extents, because no object refers to them.
 func (g *Gate) BeginRead() (done func()) {
 	read := &activeRead{g.config.Now()}
 	g.mu.Lock()
@@ -29,7 +30,7 @@
 	}
 }
 
-// oldestRead returns when the oldest active read began; limit if there is none, or none that old.
+// oldestRead returns the start of the oldest active read, or limit if that is earlier or there is no active read.
 func (g *Gate) oldestRead(limit time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -39,15 +40,16 @@
 	return limit
 }
 
-// Read writes a range of an object to out, in order, with up to MaxInFlight extents read ahead. started is called once, when the first
-// extent has arrived intact and before anything is written; may be nil. An error before that leaves the response free for the fault;
-// one after it means that the stream is cut short. The error is a *decide.Fault, or that of out.
+// Read writes a range of an object to out, in order, reading up to MaxInFlight extents ahead. It calls started, which may be nil, once:
+// after the first extent has been read and its checksum verified, and before anything is written. After an error without a call of
+// started, the caller can still send an error response; after an error that follows it, the output is incomplete. The error is a
+// *decide.Fault or wraps the error of out.
 func (g *Gate) Read(ctx context.Context, object *pb.ObjectRecord, r decide.Range, out io.Writer, started func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ahead := &readAhead{gate: g, object: object, ranges: decide.ExtentRanges(object.Extent, r)}
 	defer ahead.workers.Wait()
-	defer cancel() // before the wait: what is still in flight is of no use then
+	defer cancel() // runs before the wait and cancels the requests still in flight
 	ahead.results = make([]chan readResult, len(ahead.ranges))
 	for range g.config.MaxInFlight {
 		ahead.startNext(ctx)
@@ -64,20 +66,20 @@
 			started()
 		}
 		if _, err := out.Write(result.content); err != nil {
-			return fmt.Errorf("the client went away: %w", err)
+			return fmt.Errorf("write to the client: %w", err)
 		}
-		ahead.startNext(ctx) // only now: memory stays bounded for a client that reads slowly
+		ahead.startNext(ctx) // after the write, so that memory stays bounded if the client reads slowly
 	}
 	return nil
 }
 
-// readAhead reads the extents of a range, each by a goroutine of its own. Only the goroutine of Read calls its methods.
+// readAhead reads the extents of a range, each in its own goroutine. Only the goroutine that runs Read calls its methods.
 type readAhead struct {
 	gate    *Gate
 	object  *pb.ObjectRecord
 	ranges  []decide.ExtentRange
-	results []chan readResult // by the index of ranges; nil: not started
-	next    int               // of ranges, to be started
+	results []chan readResult // result of each element of ranges; nil: not started
+	next    int               // index in ranges of the next extent to read
 	workers sync.WaitGroup
 }
 
@@ -95,14 +97,14 @@
 	a.results[a.next] = result
 	a.next++
 	a.workers.Add(1)
-	go func() { // ends with its request, or with ctx
+	go func() { // returns when the request ends or ctx is done
 		defer a.workers.Done()
 		content, err := a.gate.readExtent(ctx, a.object, extentRange)
 		result <- readResult{content, err}
 	}()
 }
 
-// readExtent reads an extent whole, checks its checksum and returns the stretch that is asked for.
+// readExtent reads a complete extent, verifies its checksum and returns the requested bytes of it.
 func (g *Gate) readExtent(ctx context.Context, object *pb.ObjectRecord, r decide.ExtentRange) ([]byte, error) {
 	extent := r.Extent
 	content, fault := g.submit(ctx, &engine.Request{Volume: object.Volume, Class: g.config.ReadClass, Object: extentObject(extent.Id),
--- a/internal/object/gate/streamwriter.go
+++ b/internal/object/gate/streamwriter.go
@@ -14,30 +14,31 @@
 	"weirhaven/internal/pb"
 )
 
-// headBytes is how much of an extent is read before a whole buffer is allocated for it: a client that sends slowly holds no more memory.
+// headBytes is the number of bytes of an extent that are read before a buffer for the complete extent is allocated. It bounds the memory
+// used for a client that sends slowly.
 const headBytes = 16 << 10
 
-// streamWriter cuts a stream into extents and writes up to MaxInFlight of them at once. One goroutine reads the stream; each extent has a
-// goroutine of its own, all of which copyFrom's caller waits for.
+// streamWriter divides a stream into extents and writes up to MaxInFlight of them at once. One goroutine reads the stream; each extent is
+// written by its own goroutine. The caller of copyFrom waits for these goroutines.
 type streamWriter struct {
 	gate   *Gate
 	volume string
-	shards []uint32 // where the extents may lie; not empty
+	shards []uint32 // shards that may store the extents; not empty
 	ctx    context.Context
-	cancel context.CancelFunc // ends the requests in flight
+	cancel context.CancelFunc // cancels the requests in flight
 
-	// Used by the reading goroutine alone.
+	// Used only by the goroutine that reads the stream.
 	head   []byte
 	digest hash.Hash // MD5 of the stream
 	size   int64     // bytes read
 
-	slots   chan struct{} // holds one for each extent in flight
-	buffers sync.Pool     // of *[]byte with ExtentBytes
+	slots   chan struct{} // one element for each extent in flight
+	buffers sync.Pool     // *[]byte of ExtentBytes each
 	workers sync.WaitGroup
 
 	mu        sync.Mutex
-	extents   []*pb.ExtentRecord // in the order of the stream; nil: not written
-	attempted []*pb.ExtentRecord // all, in the order in which they ended
+	extents   []*pb.ExtentRecord // extents in the order of the stream; nil: not written
+	attempted []*pb.ExtentRecord // extents whose write has ended, successfully or not, in that order
 	firstErr  error
 }
 
@@ -51,7 +52,7 @@
 	}
 }
 
-// fail ends the write; the first error counts.
+// fail records an error and cancels the write. Only the first error is kept.
 func (w *streamWriter) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// copyFrom reads the stream and starts the write of each extent, until the stream ends or the write fails.
+// copyFrom reads the stream and starts writing each extent, until the stream ends or the write fails.
 func (w *streamWriter) copyFrom(in io.Reader, maxSize int64) {
 	for w.acquireSlot() {
 		next, err := w.readNext(in)
@@ -82,7 +83,7 @@
 	}
 }
 
-// acquireSlot waits until another extent may be in flight; false: the write has ended.
+// acquireSlot waits until another extent may be in flight. It returns false if the write was cancelled.
 func (w *streamWriter) acquireSlot() bool {
 	if w.ctx.Err() != nil {
 		return false
@@ -100,10 +101,11 @@
 // chunk is the content of one extent.
 type chunk struct {
 	content []byte
-	buffer  *[]byte // into which content points, to be returned to the pool; nil: none
+	buffer  *[]byte // pooled buffer that content is a slice of; nil: not pooled
 }
 
-// readNext reads the next extent's content. Its error is that of io.ReadFull: io.EOF or io.ErrUnexpectedEOF where the stream ended.
+// readNext reads the content of the next extent. It returns errors like io.ReadFull: io.EOF or io.ErrUnexpectedEOF at the end of the
+// stream.
 func (w *streamWriter) readNext(in io.Reader) (chunk, error) {
 	n, err := io.ReadFull(in, w.head)
 	if err != nil || len(w.head) == int(w.gate.config.ExtentBytes) {
@@ -113,16 +115,17 @@
 	copy(*buffer, w.head)
 	more, err := io.ReadFull(in, (*buffer)[n:])
 	if errors.Is(err, io.EOF) {
-		err = io.ErrUnexpectedEOF // the stream ended right behind the head, which is the last extent then
+		err = io.ErrUnexpectedEOF // the stream ended exactly after the head, which is the complete last extent
 	}
 	return chunk{content: (*buffer)[:n+more], buffer: buffer}, err
 }
 
-// streamError returns nil if err means the end of the stream, else the error that the client gets. n is how much was read before err.
+// streamError returns nil if err stands for the end of the stream, otherwise the error to send to the client. n is the number of bytes
+// read before err.
 //
-// It guards against a stream that broke off: a reader may report that as io.ErrUnexpectedEOF, by which io.ReadFull also reports the end of
-// the stream within an extent. The object would be acknowledged with its end missing. The next read tells them apart: after the end it
-// returns io.EOF, after a failure its error again.
+// It prevents acknowledging a truncated object: a reader may report a broken connection as io.ErrUnexpectedEOF, which io.ReadFull also
+// returns if the stream ends within an extent. Another read distinguishes the two: after the end of the stream it returns io.EOF, after a
+// failure it returns the reader's error again.
 func streamError(in io.Reader, err error, n int) error {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -136,7 +139,8 @@
 	return nil
 }
 
-// start writes an extent in a goroutine of its own, which ends with its request or with ctx. A slot must have been acquired for it.
+// start starts a goroutine that writes an extent; it returns when the request ends or ctx is done. The caller must have acquired a slot,
+// which the goroutine releases.
 func (w *streamWriter) start(next chunk) {
 	w.digest.Write(next.content)
 	w.size += int64(len(next.content))
@@ -152,7 +156,7 @@
 	}()
 }
 
-// write writes one extent and notes the result.
+// write writes one extent and records the result. position is the index of the extent in the stream.
 func (w *streamWriter) write(position int, next chunk) {
 	extent := newExtent(w.shards, next.content)
 	err := w.gate.writeExtent(w.ctx, w.volume, extent, next.content)
@@ -170,7 +174,7 @@
 	}
 }
 
-// finish returns the result once all goroutines have ended. After a failure it abandons and releases all extents.
+// finish returns the result of the write. All goroutines must have ended. After a failure it abandons and releases all extents.
 func (w *streamWriter) finish() (WriteResult, error) {
 	result := WriteResult{Extents: w.extents, Size: w.size, gate: w.gate, attempted: w.attempted}
 	if w.firstErr == nil && w.ctx.Err() != nil {
--- a/internal/object/gate/sweep.go
+++ b/internal/object/gate/sweep.go
@@ -9,11 +9,11 @@
 	"weirhaven/internal/pb"
 )
 
-// sweepBatch is how many extents one Sweep removes at most.
+// sweepBatch is the maximum number of extents that one call of Sweep removes.
 const sweepBatch = 256
 
-// Sweep aborts uploads that are idle for too long and removes unreferenced extents: it overwrites their bytes by none, then drops their
-// records. It returns how many extents it removed, and how many unreferenced ones remain.
+// Sweep aborts uploads that have been idle for UploadIdleTimeout and removes unreferenced extents: it overwrites them with empty content
+// and then deletes their records. It returns the number of removed extents and the number of unreferenced extents that remain.
 func (g *Gate) Sweep(ctx context.Context) (removed, remaining int, err error) {
 	now := g.config.Now()
 	if err := g.abortIdleUploads(now); err != nil {
@@ -48,18 +48,19 @@
 	return nil
 }
 
-// withoutOwnWrites leaves out the extents that this process still writes.
+// withoutOwnWrites returns found without the extents that this process is still writing.
 //
-// It guards against a sweep of an upload in progress: a write may last longer than IntentTimeout, and Sweep then mistakes its extents for
-// leftovers of a process that died. The upload would fail at its commit, or be acknowledged without its bytes. It holds since an extent
-// is in writing before its intent is recorded and until its caller has committed or abandoned it.
+// It prevents the sweep from removing extents of an upload in progress: a write may take longer than IntentTimeout, and Sweep would then
+// take its extents for leftovers of a crashed process. The commit of the upload would fail, or an object without its bytes would be
+// acknowledged. An extent is in g.writing from before its intent is recorded until the caller has committed or abandoned it.
 func (g *Gate) withoutOwnWrites(found []*pb.LooseRecord) []*pb.LooseRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.DeleteFunc(found, func(record *pb.LooseRecord) bool { return !record.Doomed && g.writing[record.Extent.Id] })
 }
 
-// removeContent overwrites extents by empty ones, one after another, and returns the ids of those where that succeeded. It ends with ctx.
+// removeContent overwrites extents with empty content, one at a time, and returns the ids of those that were overwritten. It stops when
+// ctx is done.
 func (g *Gate) removeContent(ctx context.Context, claimed []*pb.LooseRecord) (removed []string) {
 	for _, record := range claimed {
 		extent := record.Extent
