--- a/internal/object/api/accesskeys.go
+++ b/internal/object/api/accesskeys.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// minSecretBytes is the shortest secret that an access key may have.
+// minSecretBytes is the minimum length of a secret key.
 const minSecretBytes = 8
 
-// Access is what an access key allows.
+// Access holds the secret and the permissions of an access key.
 type Access struct {
 	secret  string
-	volumes []string // "*": all
+	volumes []string // names of the volumes that the key may access; "*": all
 }
 
-// Allows reports whether the key reaches a volume. A nil Access, of a request that needs no signature, reaches all.
+// Allows reports whether the key may access a volume. A nil Access, which stands for a request that needs no signature, allows all.
 func (a *Access) Allows(volume string) bool {
 	return a == nil || slices.Contains(a.volumes, "*") || slices.Contains(a.volumes, volume)
 }
 
-// Keys are the access keys by their id.
+// Keys maps the ids of access keys to what they allow.
 type Keys map[string]*Access
 
-// ReadKeys reads a file of access keys. Each line is "access-key secret-key volume,volume,..."; # begins a comment. A file without any key is
-// an error.
+// ReadKeys reads a file of access keys. Each line has the form "access-key secret-key volume,volume,..."; # begins a comment. A file
+// without any key is an error.
 func ReadKeys(file string) (Keys, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -39,12 +39,12 @@
 			continue
 		}
 		if len(fields) != 3 || keys[fields[0]] != nil || len(fields[1]) < minSecretBytes {
-			return nil, fmt.Errorf("access keys: %s:%d: wanted: access-key secret-key (8 bytes or more) volume,volume,... and each key once", file, i+1)
+			return nil, fmt.Errorf("access keys: %s:%d: want access-key secret-key (at least 8 bytes) volume,volume,..., with each access key only once", file, i+1)
 		}
 		keys[fields[0]] = &Access{fields[1], strings.Split(fields[2], ",")}
 	}
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("access keys: %s names none", file)
+		return nil, fmt.Errorf("access keys: %s contains no keys", file)
 	}
 	return keys, nil
 }
--- a/internal/object/api/accesskeys_test.go
+++ b/internal/object/api/accesskeys_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A file of access keys is read whole or not at all: never no key, never a short secret.
+// Guards against accepting a file without keys, or a key with a secret that is too short.
 func FuzzReadKeys(f *testing.F) {
 	f.Add([]byte("key a-long-secret yard,other # one\n"))
 	dir := f.TempDir()
@@ -17,11 +17,11 @@
 		}
 		keys, err := ReadKeys(file)
 		if err == nil && len(keys) == 0 {
-			t.Fatal("no keys and no error")
+			t.Fatal("a file without keys was read without an error")
 		}
 		for _, k := range keys {
 			if len(k.secret) < 8 {
-				t.Fatal("a short secret")
+				t.Fatal("a secret that is too short was accepted")
 			}
 		}
 	})
--- a/internal/object/api/body.go
+++ b/internal/object/api/body.go
@@ -17,10 +17,11 @@
 	"weirhaven/internal/object/gate"
 )
 
-// chunkLineBytes bounds the lines between the chunks of a body.
+// chunkLineBytes is the maximum length of a chunk header or trailer line in a chunked body.
 const chunkLineBytes = 4096
 
-// store writes the request's body as extents, lets record refer to them and confirms. If record fails, the extents are abandoned.
+// store writes the request's body as extents, calls record to add references to them to the index, and responds with the entity tag. If
+// record fails, store abandons the extents.
 func (c *call) store(record func(stored gate.WriteResult) error) error {
 	stored, err := c.writeBody()
 	if err != nil {
@@ -35,7 +36,8 @@
 	return nil
 }
 
-// writeBody writes the request's body as extents. It abandons them if the body is not what the client announced.
+// writeBody writes the request's body as extents. It abandons them if the body does not have the size or the digests that the client
+// announced.
 func (c *call) writeBody() (gate.WriteResult, error) {
 	body, fault := c.openBody()
 	if fault != nil {
@@ -55,7 +57,7 @@
 	return stored, nil
 }
 
-// requestBody is a request's body with what the client announced of it.
+// requestBody is the body of a request, with the size and the digests that the client announced.
 type requestBody struct {
 	content       io.Reader
 	announcedSize int64 // bytes; -1: not announced
@@ -63,13 +65,13 @@
 }
 
 type announcedDigest struct {
-	header string // that announced it
+	header string // name of the header that announced the digest
 	hash   hash.Hash
 	want   []byte
-	err    error // the header can't be parsed
+	err    error // error of decoding the header's value
 }
 
-// openBody returns the body of the request. Once it is read to its end, check judges it.
+// openBody returns the body of the request. After reading it to its end, the caller must call check.
 func (c *call) openBody() (body *requestBody, fault *decide.Fault) {
 	body = &requestBody{content: c.request.Body, announcedSize: c.request.ContentLength, digests: c.announcedDigests()}
 	if c.payload == streamingPayload {
@@ -90,7 +92,7 @@
 	return body, fault
 }
 
-// announcedDigests returns the digests that the client gave for the body.
+// announcedDigests returns the digests of the body that the client sent in headers.
 func (c *call) announcedDigests() (digests []announcedDigest) {
 	if c.payload != unsignedPayload && c.payload != streamingPayload {
 		want, err := hex.DecodeString(c.payload)
@@ -107,7 +109,8 @@
 	return digests
 }
 
-// check judges a body of size bytes that was read to its end.
+// check compares the size and the digests of the body with the announced ones. size is the number of bytes read; the body must have been
+// read to its end.
 func (b *requestBody) check(size int64) *decide.Fault {
 	if b.announcedSize >= 0 && size != b.announcedSize {
 		return decide.IncompleteBody.With("%d of %d.", size, b.announcedSize)
--- a/internal/object/api/chunkedreader.go
+++ b/internal/object/api/chunkedreader.go
@@ -13,14 +13,15 @@
 	"weirhaven/internal/object/decide"
 )
 
-// chunkedReader reads the aws-chunked form of a body with a trailer: for each chunk its length in hex, a line end, its bytes, a line end;
-// after a chunk of length 0 the trailing fields. Of these it checks the CRC-32 of the content. After an error it returns that again.
+// chunkedReader decodes a body in aws-chunked encoding with a trailer. Each chunk is its length in hex, a line end, its bytes and a line
+// end; the trailer follows a chunk of length 0. If the trailer has a CRC-32, chunkedReader verifies it. After an error, Read returns the
+// same error again.
 type chunkedReader struct {
-	in        *bufio.Reader // its buffer bounds a line
-	remaining int64         // bytes of the current chunk
-	size      int64         // bytes of content so far
-	sum       uint32        // CRC-32 of these
-	err       error
+	in        *bufio.Reader // input; the size of its buffer limits the length of a line
+	remaining int64         // unread bytes of the current chunk
+	size      int64         // bytes of content read so far
+	sum       uint32        // CRC-32 of the content read so far
+	err       error         // error returned by further calls of Read
 }
 
 // Read implements io.Reader.
@@ -42,10 +43,10 @@
 	return n, err
 }
 
-// nextChunk reads the line before a chunk, and at the end the trailer, where it returns io.EOF.
+// nextChunk reads the header line of the next chunk. After the last chunk it reads the trailer and returns io.EOF.
 func (c *chunkedReader) nextChunk() error {
 	line, err := c.readLine()
-	if err == nil && line == "" && c.size > 0 { // the line end behind the chunk before
+	if err == nil && line == "" && c.size > 0 { // line end of the previous chunk
 		line, err = c.readLine()
 	}
 	if err != nil {
@@ -74,8 +75,8 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// readTrailer reads the trailer and checks its CRC-32, if there is one. It returns io.EOF at the trailer's end, also where the stream is
-// cut off before it, and decide.BadDigest for a wrong checksum.
+// readTrailer reads the trailer and verifies the CRC-32, if the trailer has one. It returns io.EOF at the end of the trailer, also if the
+// stream ends within the trailer, and decide.BadDigest if the checksum is wrong.
 func (c *chunkedReader) readTrailer() error {
 	for {
 		line, err := c.readLine()
--- a/internal/object/api/conformance_test.go
+++ b/internal/object/api/conformance_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The published behaviour of the API (docs/api.md), a row each: method, path, body, header fields; status, and what the response holds.
+// Checks the documented behaviour of the API (docs/api.md). Each row has the method, path, body and headers of a request, and the status
+// and a part of the expected response.
 func TestConformance(t *testing.T) {
 	server := startServer(t)
 	body := randomBytes(3000, 1)
--- a/internal/object/api/faults_test.go
+++ b/internal/object/api/faults_test.go
@@ -17,19 +17,19 @@
 	"weirhaven/internal/engine"
 )
 
-// Requests to the engine fail in every way, in the middle of a write and of a read; then endpoints return flipped bits. The client sees
-// whether to retry, when, and whether its request may have run. The object before stays whole, no extent leaks, a read that fails
-// late breaks off, and flipped bits are never sent.
+// Checks the responses to failures of engine requests, in the middle of a write and of a read, and to corrupt data from endpoints. The
+// response to a failed write must say whether and when to retry, and whether the request may have run. The existing object must stay
+// intact, no extent may leak, a read that fails after the response has started must cut it short, and corrupt data must never be sent.
 func TestFaults(t *testing.T) {
 	server := startServer(t)
 	body := randomBytes(5000, 2)
 	server.put(t, "a", body)
 	for _, row := range []struct {
-		answer  engine.Response
-		status  int
-		code    string
-		retry   string
-		mayHave string
+		response engine.Response
+		status   int
+		code     string
+		retry    string
+		mayHave  string
 	}{
 		{engine.Response{Result: engine.Rejected, RetryAfter: 2500 * time.Millisecond}, 503, "SlowDown", "3", "no"},
 		{engine.Response{Result: engine.Rejected}, 503, "SlowDown", "1", "no"},
@@ -39,17 +39,17 @@
 		requests := 0
 		server.engine.setFailure(func(*engine.Request) *engine.Response {
 			if requests++; requests%3 == 0 {
-				return &row.answer
+				return &row.response
 			}
 			return nil
 		})
 		response, content := rawRequest(t, server, "PUT", "/yard/a", randomBytes(9000, 3))
 		if response.StatusCode != row.status || !strings.Contains(string(content), row.code) || response.Header.Get("Retry-After") != row.retry || response.Header.Get("X-Weirhaven-May-Have-Run") != row.mayHave {
-			t.Errorf("%+v: %d %s %v", row.answer, response.StatusCode, content, response.Header)
+			t.Errorf("%+v: %d %s %v", row.response, response.StatusCode, content, response.Header)
 		}
 		server.engine.setFailure(nil)
 		if got, _, err := server.get("a", ""); err != nil || !bytes.Equal(got, body) {
-			t.Error("the object before is not whole any more", err)
+			t.Error("the existing object is no longer intact", err)
 		}
 	}
 	for {
@@ -64,23 +64,23 @@
 	if server.engine.storedExtents() != 5 {
 		t.Errorf("%d extents have bytes, the object has 5", server.engine.storedExtents())
 	}
-	// The extents behind the first one can't be read.
+	// All extents after the first can't be read.
 	object, err := server.gate.Index().Get("yard", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.engine.setFailure(func(task *engine.Request) *engine.Response {
-		if task.Object != "x/"+object.Extent[0].Id {
+	server.engine.setFailure(func(request *engine.Request) *engine.Response {
+		if request.Object != "x/"+object.Extent[0].Id {
 			return &engine.Response{Result: engine.Failed}
 		}
 		return nil
 	})
 	if _, content := rawRequest(t, server, "GET", "/yard/a", nil); !bytes.HasSuffix(content, []byte("BROKEN OFF")) {
-		t.Errorf("%d bytes came as if they were all", len(content))
+		t.Errorf("a truncated response of %d bytes looks complete", len(content))
 	}
 	server.engine.setFailure(nil)
 	server.engine.mu.Lock()
-	for k, row := range server.engine.data { // as an endpoint with a broken disk
+	for k, row := range server.engine.data { // flip a bit in each extent, as a failing disk would
 		if len(row) > 0 {
 			server.engine.data[k] = append([]byte{row[0] ^ 1}, row[1:]...)
 		}
@@ -91,7 +91,8 @@
 	}
 }
 
-// A client disconnects in the middle of a write. There is no object, and the sweep removes all extents of the write.
+// Guards against leaked extents after a client disconnects in the middle of a write. No object must exist, and the sweep must remove all
+// extents of the write.
 func TestClientDisconnects(t *testing.T) {
 	server := startServer(t)
 	server.put(t, "a", randomBytes(64<<10, 4))
@@ -105,12 +106,12 @@
 		out.Write(randomBytes(10<<10, 5))
 		<-started
 		cancel()
-		out.CloseWithError(errors.New("gone"))
+		out.CloseWithError(errors.New("client disconnected"))
 	}()
 	close(started)
 	r, _ := http.NewRequestWithContext(c, "PUT", httpServer.URL+"/yard/half", in)
 	if _, err := http.DefaultClient.Do(r); err == nil {
-		t.Error("a response although the client disconnected")
+		t.Error("got a response although the client disconnected")
 	}
 	httpServer.Close() // waits for the handler
 	if _, _, err := server.get("half", ""); errorCode(err) != "NoSuchKey" {
@@ -134,7 +135,7 @@
 	}
 }
 
-// A body is shorter than its Content-Length, or has an impossible one. There is no object then.
+// Guards against storing a body that is shorter than its Content-Length, or whose Content-Length or chunked encoding is invalid.
 func TestWrongContentLength(t *testing.T) {
 	server := startServer(t)
 	httpServer := httptest.NewServer(Handler(Config{Gate: server.gate, MaxRequests: 4, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}))
@@ -157,12 +158,13 @@
 	}
 }
 
-// One client stops in the middle of its request, one takes no byte of its response. Each is cut off after the stall timeout, so that its
-// request's slot is available again. A client that is slow, but sends, is served.
+// Guards against stalled clients that occupy request slots for ever: one client stops sending in the middle of its request, another one
+// reads nothing of its response. Both must be disconnected after the stall timeout, so that the slot becomes available again. A slow
+// client that keeps sending must be served.
 func TestStalledClients(t *testing.T) {
 	server := startServer(t)
 	server.put(t, "a", randomBytes(8<<20, 1))
-	admitted := make(chan struct{}, 1) // Now is read by each request that has got the only slot
+	admitted := make(chan struct{}, 1) // receives a value when a request has acquired the only slot, which is when it calls Now
 	now := func() time.Time {
 		select {
 		case admitted <- struct{}{}:
@@ -180,13 +182,13 @@
 		}
 		defer conn.Close()
 		conn.(*net.TCPConn).SetReadBuffer(4096)
-		select { // of a request before
+		select { // discard the value of an earlier request
 		case <-admitted:
 		default:
 		}
 		fmt.Fprint(conn, request)
 		select {
-		case <-admitted: // else its slot would be available because it was never taken
+		case <-admitted: // before this, the slot would be available because the request has not acquired it yet
 		case <-time.After(10 * time.Second):
 			t.Fatalf("%.10s: not served", request)
 		}
@@ -196,7 +198,7 @@
 			available = err == nil && a.StatusCode == 200
 		}
 		if !available {
-			t.Errorf("%.10s: its slot is not available again", request)
+			t.Errorf("%.10s: the slot did not become available again", request)
 		}
 	}
 	slow, out := io.Pipe()
@@ -213,8 +215,8 @@
 	}
 }
 
-// Storing a body takes longer than a client may stand still. The client, which waits, gets its answer: the time for which it may
-// stand still is over once its body is whole.
+// Guards against disconnecting a client that waits for its response: storing the body takes longer than the stall timeout, which must not
+// apply once the body has been received completely.
 func TestSlowStorage(t *testing.T) {
 	const stallTimeout = 200 * time.Millisecond
 	server := startServer(t)
--- a/internal/object/api/handler.go
+++ b/internal/object/api/handler.go
@@ -1,8 +1,9 @@
-// Package api is the object API over HTTP: buckets are volumes, in path style; objects with conditions and ranges, lists and multipart
-// uploads, in the form that object store clients know (Amazon S3 REST API, version 2006-03-01; semantics after RFC 9110).
+// Package api implements the object API over HTTP, a subset of the Amazon S3 REST API (version 2006-03-01; HTTP semantics follow RFC
+// 9110). Buckets are volumes, addressed in path style. The API supports objects with conditional and range requests, listings and
+// multipart uploads.
 //
-// The package parses requests, checks their signatures and writes responses. What is allowed and what a failure means, package decide says;
-// where bytes lie, package gate. Element and header names are part of the API and keep its spelling.
+// The package parses requests, checks their signatures and writes responses. Package decide holds the rules and the faults, package gate
+// stores and reads the objects. XML element names and header names are part of the API and keep its spelling.
 package api
 
 import (
@@ -22,15 +23,15 @@
 type Config struct {
 	Gate         *gate.Gate
 	Keys         Keys          // nil: requests need no signature
-	MaxClockSkew time.Duration // between the time of a signed request and Now
-	MaxRequests  int           // at once; more are rejected. Less than 1: 1
-	MinPartBytes int64         // of each part of an upload but the last; 0: decide.MinPartBytes
-	StallTimeout time.Duration // longest time that one read or write of a body may block before its connection ends; 0: no limit
+	MaxClockSkew time.Duration // maximum difference between the time of a signed request and Now
+	MaxRequests  int           // maximum number of concurrent requests; more are rejected. Less than 1: 1
+	MinPartBytes int64         // minimum size of each part of an upload except the last; 0: decide.MinPartBytes
+	StallTimeout time.Duration // maximum time that one read or write of a body may block before the connection is closed; 0: no limit
 	Log          *slog.Logger
 	Now          func() time.Time // the wall clock; nil: time.Now
 }
 
-// Handler returns the handler of the object API. Requests are served on the goroutines that call it.
+// Handler returns the HTTP handler of the object API.
 func Handler(config Config) http.Handler {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -43,7 +44,7 @@
 
 type handler struct {
 	config Config
-	slots  chan struct{} // holds one for each request in flight
+	slots  chan struct{} // one element for each request in flight
 }
 
 // ServeHTTP serves one request. It implements http.Handler.
@@ -66,16 +67,16 @@
 	}
 }
 
-// call is one request while it is served, by one goroutine.
+// call is a request that is being served. It is used by one goroutine.
 type call struct {
 	*handler
 	response http.ResponseWriter
 	request  *http.Request
 
-	volume, name    string // name is empty for a request about the volume itself
+	volume, name    string // names of the volume and the object; name is empty for a request about the volume itself
 	query           url.Values
-	payload         string // what the body must hash to, see Keys.authenticate
-	responseStarted bool   // the status is sent: a failure can only cut the response short
+	payload         string // expected digest or kind of the body, see Keys.authenticate
+	responseStarted bool   // whether the status has been sent; after that, a failure can only cut the response short
 }
 
 func (c *call) serve() error {
@@ -164,15 +165,15 @@
 	return &decide.MethodNotAllowed
 }
 
-// gateNow is the time by which extents age.
+// gateNow returns the time on the gate's clock, which the ages of extents are measured with.
 func (c *call) gateNow() time.Duration { return c.config.Gate.Now() }
 
-// date is the wall clock, in ns since 1970, for the dates that clients see.
+// date returns the wall clock time in ns since 1970, which is used for dates that are sent to clients.
 func (c *call) date() int64 { return c.config.Now().UnixNano() }
 
-// stallGuard gives each read and write of a body a deadline of its own. It guards against clients that stand still: each would keep one of
-// MaxRequests until none is left, which shows as requests rejected with SlowDown while nothing moves. A slow client is left alone:
-// each byte that moves starts the timeout anew.
+// stallGuard sets a deadline for each read and write of a body. It protects against stalled clients: each would occupy one of the
+// MaxRequests slots until none is left, and all further requests would be rejected with SlowDown although no data is transferred. A slow
+// client is not affected, because each read or write starts the timeout anew.
 type stallGuard struct {
 	http.ResponseWriter
 	body    io.ReadCloser
@@ -184,10 +185,10 @@
 	return &stallGuard{ResponseWriter: response, body: body, control: http.NewResponseController(response), timeout: timeout}
 }
 
-// Read reads from the request's body. It implements io.Reader. The deadline ends with the body: the HTTP server reads on from there
-// to notice a client that leaves, and would take a deadline that passes while the bytes are stored for that.
+// Read reads from the request's body. It implements io.Reader. At the end of the body it clears the deadline: the HTTP server then keeps
+// reading from the connection to detect a disconnect, and would mistake a deadline that passes while the body is stored for one.
 func (g *stallGuard) Read(buffer []byte) (int, error) {
-	_ = g.control.SetReadDeadline(time.Now().Add(g.timeout)) // without support for deadlines there is no guard
+	_ = g.control.SetReadDeadline(time.Now().Add(g.timeout)) // without support for deadlines, stalls are not detected
 	n, err := g.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		_ = g.control.SetReadDeadline(time.Time{})
@@ -204,5 +205,5 @@
 // Close closes the request's body. It implements io.Closer.
 func (g *stallGuard) Close() error { return g.body.Close() }
 
-// Unwrap returns the writer below, for http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (g *stallGuard) Unwrap() http.ResponseWriter { return g.ResponseWriter }
--- a/internal/object/api/list.go
+++ b/internal/object/api/list.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	maxListedKeys    = 1000 // objects and prefixes of a page
-	maxListedParts   = 1000 // of a page
-	maxListedUploads = 1000 // of the one page that there is
+	maxListedKeys    = 1000 // maximum number of objects and common prefixes in a page
+	maxListedParts   = 1000 // maximum number of parts in a page
+	maxListedUploads = 1000 // maximum number of uploads in a list, which has only one page
 )
 
-// listRequest is a request for a page of objects, in version 1 or 2 of the API.
+// listRequest holds the parameters of a request for a page of objects, in version 1 or 2 of the list API.
 type listRequest struct {
 	version2          bool
 	prefix, delimiter string
 	after             string // name or prefix after which the page begins
-	startAfter, token string // as the client gave them
-	encoding          string // "url": names are escaped in the response
-	limit             int
+	startAfter, token string // parameters start-after and continuation-token as sent by the client
+	encoding          string // encoding of names in the response; "url": percent-encoded
+	limit             int    // maximum number of objects and common prefixes in the page
 }
 
 type listResponse struct {
@@ -86,7 +86,7 @@
 	return list, nil
 }
 
-// limitParameter returns the page size that a request asks for, at most maximum, which is also the default.
+// limitParameter returns the page size given by a query parameter. maximum is the upper limit and the default.
 func (c *call) limitParameter(name string, maximum int) (int, *decide.Fault) {
 	value := c.query.Get(name)
 	if value == "" {
@@ -121,7 +121,7 @@
 	return response
 }
 
-// encode escapes a name if the client asks for that: XML can't hold every name.
+// encode percent-encodes a name if the client requested it, since XML can't represent all characters of names.
 func (l *listRequest) encode(name string) string {
 	if l.encoding != "url" {
 		return name
--- a/internal/object/api/objects.go
+++ b/internal/object/api/objects.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	metaHeader         = "X-Amz-Meta-" // begins the names of headers with a client's metadata
+	metaHeader         = "X-Amz-Meta-" // prefix of the names of metadata headers
 	defaultContentType = "binary/octet-stream"
 )
 
-// representation is an object as conditions and ranges see it; nil for none.
+// representation returns the attributes of an object that conditional and range requests depend on; nil if object is nil.
 func representation(object *pb.ObjectRecord) *decide.Representation {
 	if object == nil {
 		return nil
@@ -28,7 +28,7 @@
 	return &decide.Representation{ETag: object.Etag, Modified: time.Unix(0, object.Modified), Size: object.Size}
 }
 
-// checkPreconditions is the index.Precondition of the request.
+// checkPreconditions evaluates the preconditions of a write request. It is an index.Precondition.
 func (c *call) checkPreconditions(old *pb.ObjectRecord) error {
 	if decide.EvaluatePreconditions(c.request.Header, representation(old), false) == decide.Proceed {
 		return nil
@@ -40,7 +40,7 @@
 }
 
 func (c *call) putObject() error {
-	// Also before the body is read: an object that may not be replaced is not even written.
+	// Check the preconditions also before reading the body, so that no extents are written if they fail.
 	if old, err := c.config.Gate.Index().Get(c.volume, c.name); err != nil {
 		return err
 	} else if err := c.checkPreconditions(old); err != nil {
@@ -53,7 +53,7 @@
 	})
 }
 
-// metadata returns the client's own metadata of an object.
+// metadata returns the object metadata from the request's metadata headers.
 func (c *call) metadata() map[string]string {
 	metadata := map[string]string{}
 	for key, values := range c.request.Header {
@@ -74,7 +74,7 @@
 
 // getObject serves GET and HEAD.
 func (c *call) getObject() error {
-	defer c.config.Gate.BeginRead()() // before the look-up: what is found stays readable
+	defer c.config.Gate.BeginRead()() // before the lookup, so that the object's extents are not removed during the read
 	object, err := c.config.Gate.Index().Get(c.volume, c.name)
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 	return object.ContentType
 }
 
-// sendRange sends one stretch of an object, or all of it.
+// sendRange sends one range of an object, which may be the complete object.
 func (c *call) sendRange(object *pb.ObjectRecord, r decide.Range, status int) error {
 	header := c.response.Header()
 	header.Set("Content-Type", contentType(object))
@@ -138,7 +138,7 @@
 	})
 }
 
-// sendRanges sends several stretches of an object (RFC 9110, section 14.6).
+// sendRanges sends several ranges of an object as multipart/byteranges (RFC 9110, section 14.6).
 func (c *call) sendRanges(object *pb.ObjectRecord, ranges []decide.Range) error {
 	if c.request.Method == http.MethodHead {
 		c.response.WriteHeader(http.StatusPartialContent)
@@ -147,14 +147,14 @@
 	parts := multipart.NewWriter(c.response)
 	c.response.Header().Set("Content-Type", "multipart/byteranges; boundary="+parts.Boundary())
 	for _, r := range ranges {
-		var part io.Writer // created once the first bytes are there
-		toPart := writerFunc(func(content []byte) (int, error) { return part.Write(content) })
-		err := c.config.Gate.Read(c.request.Context(), object, r, toPart, func() {
+		var part io.Writer // created when the first extent of the range has been read
+		partWriter := writerFunc(func(content []byte) (int, error) { return part.Write(content) })
+		err := c.config.Gate.Read(c.request.Context(), object, r, partWriter, func() {
 			if !c.responseStarted {
 				c.responseStarted = true
 				c.response.WriteHeader(http.StatusPartialContent)
 			}
-			// Its error is that of the connection, which the next write returns again.
+			// The error can be ignored: it is an error of the connection, and the next write returns it again.
 			part, _ = parts.CreatePart(textproto.MIMEHeader{"Content-Type": {contentType(object)}, "Content-Range": {r.ContentRange(object.Size)}})
 		})
 		if err != nil {
@@ -166,5 +166,5 @@
 
 type writerFunc func(content []byte) (int, error)
 
-// Write calls the function. It implements io.Writer.
+// Write calls f. It implements io.Writer.
 func (f writerFunc) Write(content []byte) (int, error) { return f(content) }
--- a/internal/object/api/objects_test.go
+++ b/internal/object/api/objects_test.go
@@ -14,7 +14,7 @@
 	"weirhaven/internal/engine"
 )
 
-// The SDK of the S3 API puts, reads, lists and deletes objects, of sizes next to an extent's among others.
+// Checks storing, reading, listing and deleting objects with the AWS SDK, including sizes just below and above the extent size.
 func TestObjects(t *testing.T) {
 	server := startServer(t)
 	for _, n := range []int{0, 1, 1023, 1024, 1025, 10000} {
@@ -88,16 +88,16 @@
 	}
 }
 
-// An object is replaced, and the sweep runs, while a slow client reads it. The read goes on with the extents that it began with: clients get
-// the old object or the new one, never a mix. Once the read has ended, the old extents are removed.
+// Guards against a read that returns a mix of two objects or fails: the object is replaced and the sweep runs while a slow client reads
+// it. The client must get the complete old object, and the old extents must be removed only after the read has ended.
 func TestReadWhileObjectIsReplaced(t *testing.T) {
 	server := startServer(t)
 	before, after := randomBytes(20<<10, 1), randomBytes(20<<10, 2)
 	server.put(t, "a", before)
 	readStarted, continueRead := make(chan bool), make(chan bool)
 	reads := 0
-	server.engine.setFailure(func(task *engine.Request) *engine.Response {
-		if task.Class == "read" {
+	server.engine.setFailure(func(request *engine.Request) *engine.Response {
+		if request.Class == "read" {
 			if reads++; reads == 6 { // in the middle of the object
 				close(readStarted)
 				server.engine.mu.Unlock()
@@ -117,22 +117,23 @@
 	}()
 	<-readStarted
 	server.put(t, "a", after)
-	if reads, _, err := server.gate.Sweep(ctx); err != nil || reads != 0 {
-		t.Error("what is being read was swept", reads, err)
+	if removed, _, err := server.gate.Sweep(ctx); err != nil || removed != 0 {
+		t.Error("the sweep removed extents that are being read", removed, err)
 	}
 	close(continueRead)
 	if b := <-got; !bytes.Equal(b, before) {
-		t.Errorf("%d bytes, the old object's: %v", len(b), bytes.Equal(b, before))
+		t.Errorf("got %d bytes; they are the old object: %v", len(b), bytes.Equal(b, before))
 	}
 	if b, _, err := server.get("a", ""); err != nil || !bytes.Equal(b, after) {
 		t.Error(err)
 	}
-	if reads, remaining, err := server.gate.Sweep(ctx); err != nil || reads != 20 || remaining != 0 {
-		t.Error(reads, remaining, err)
+	if removed, remaining, err := server.gate.Sweep(ctx); err != nil || removed != 20 || remaining != 0 {
+		t.Error(removed, remaining, err)
 	}
 }
 
-// Names with control characters, dots, escapes and other scripts are kept as they are.
+// Guards against changing object names that contain control characters, dot segments, characters with a meaning in URLs, or non-ASCII
+// characters.
 func TestUnusualNames(t *testing.T) {
 	server := startServer(t)
 	var all []string
--- a/internal/object/api/response.go
+++ b/internal/object/api/response.go
@@ -11,7 +11,7 @@
 	"weirhaven/internal/object/decide"
 )
 
-// xmlSpace is the name space of the API's documents.
+// xmlSpace is the XML namespace of the API's documents.
 const xmlSpace = "http://s3.amazonaws.com/doc/2006-03-01/"
 
 type locationResponse struct {
@@ -24,8 +24,8 @@
 	Code, Message, Resource string
 }
 
-// fail sends an error to the client. An error that is no *decide.Fault is logged, and sent as decide.InternalError. Once the response has
-// started, it panics with http.ErrAbortHandler: the connection ends, and the client sees that bytes are missing.
+// fail sends an error response. It logs an error that is not a *decide.Fault and sends it as decide.InternalError. If the response has
+// already started, fail panics with http.ErrAbortHandler, which closes the connection, so that the client detects the truncated response.
 func (c *call) fail(err error) {
 	var fault *decide.Fault
 	if !errors.As(err, &fault) {
@@ -40,7 +40,7 @@
 	c.setFaultHeader(fault)
 	c.response.WriteHeader(fault.Status)
 	if c.request.Method != http.MethodHead {
-		_ = c.writeXML(errorResponse{Code: fault.Code, Message: fault.Message, Resource: c.request.URL.Path}) // a client that went away needs no response
+		_ = c.writeXML(errorResponse{Code: fault.Code, Message: fault.Message, Resource: c.request.URL.Path}) // an error means that the client has disconnected
 	}
 }
 
@@ -82,7 +82,7 @@
 	return err
 }
 
-// sendStored confirms an object or a part that was stored.
+// sendStored responds to a request that stored an object or a part.
 func (c *call) sendStored(etag string) {
 	c.response.Header().Set("ETag", quoteETag(etag))
 	c.response.WriteHeader(http.StatusOK)
@@ -90,5 +90,5 @@
 
 func quoteETag(etag string) string { return `"` + etag + `"` }
 
-// xmlTime formats a time in ns since 1970.
+// xmlTime formats a time, given in ns since 1970, for XML documents.
 func xmlTime(ns int64) string { return time.Unix(0, ns).UTC().Format("2006-01-02T15:04:05.000Z") }
--- a/internal/object/api/server_test.go
+++ b/internal/object/api/server_test.go
@@ -27,11 +27,11 @@
 	"weirhaven/internal/object/index"
 )
 
-// fakeEngine serves requests from memory; a test may let them fail.
+// fakeEngine serves requests from memory. Tests can make requests fail with setFailure.
 type fakeEngine struct {
 	mu           sync.Mutex
 	data         map[string][]byte
-	failure      func(request *engine.Request) *engine.Response // nil, or its result is nil: served
+	failure      func(request *engine.Request) *engine.Response // returns the response to a request; nil function or result: served from data
 	inFlight     int
 	maxInFlight  int
 	disconnected int
@@ -71,14 +71,15 @@
 	return true
 }
 
-// setFailure lets the requests for which failure returns a response end with that; nil: all are served. failure runs with b.mu locked.
+// setFailure sets a function that returns the response to a request; if it returns nil, the request is served. A nil function serves all
+// requests. failure is called with b.mu locked.
 func (b *fakeEngine) setFailure(failure func(request *engine.Request) *engine.Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failure = failure
 }
 
-// storedExtents returns how many extents have bytes.
+// storedExtents returns the number of extents that are not empty.
 func (b *fakeEngine) storedExtents() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,7 +91,7 @@
 	return n
 }
 
-// testServer is the object API over a fakeEngine, with a signing client.
+// testServer is an HTTP server of the object API with a fakeEngine, and a client that signs its requests.
 type testServer struct {
 	engine      *fakeEngine
 	gate        *gate.Gate
@@ -164,7 +165,8 @@
 	return b
 }
 
-// rawRequest sends an unsigned request to a server that needs no signature. A response that breaks off ends with "BROKEN OFF".
+// rawRequest sends an unsigned request to a server that requires no signatures. If the response is cut short, the returned content ends
+// with "BROKEN OFF".
 func rawRequest(t testing.TB, server *testServer, method, path string, body []byte, fields ...string) (*http.Response, []byte) {
 	t.Helper()
 	httpServer := httptest.NewServer(Handler(Config{Gate: server.gate, MaxRequests: 64, MinPartBytes: 2 << 10, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}))
@@ -178,7 +180,7 @@
 		request.Header.Set(k, v)
 	}
 	response, err := http.DefaultClient.Do(request)
-	if errors.Is(err, io.EOF) { // before its header was sent
+	if errors.Is(err, io.EOF) { // the connection was closed before the response's header was sent
 		return &http.Response{}, []byte("BROKEN OFF")
 	}
 	if err != nil {
--- a/internal/object/api/signature.go
+++ b/internal/object/api/signature.go
@@ -14,27 +14,28 @@
 	"weirhaven/internal/object/decide"
 )
 
-// Of AWS Signature Version 4.
+// Constants of AWS Signature Version 4.
 const (
 	signatureAlgorithm = "AWS4-HMAC-SHA256"
 	timeFormat         = "20060102T150405Z"
 	dayFormat          = "20060102"
-	signatureDigits    = 64 // hex digits
-	scopeFields        = 4  // behind the access key: day, region, service, "aws4_request"
+	signatureDigits    = 64 // length of a signature in hex digits
+	scopeFields        = 4  // fields of Credential after the access key: day, region, service, "aws4_request"
 
 	unsignedPayload  = "UNSIGNED-PAYLOAD"
 	streamingPayload = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
 )
 
-// requiredSignedHeaders must be among those that a signature covers.
+// requiredSignedHeaders lists the headers that every signature must cover.
 var requiredSignedHeaders = []string{"host", "x-amz-date", "x-amz-content-sha256"}
 
-// unknownKeySecret is signed with where there is no key, so that the time of the response doesn't tell which keys exist.
+// unknownKeySecret is the secret used to compute the signature for an unknown access key, so that response times don't reveal which keys
+// exist.
 const unknownKeySecret = "no such key, and as long to find out"
 
-// authenticate checks a request's signature (AWS Signature Version 4, in the Authorization header): it signs the request again with the
-// secret of the key that the signature names, over the headers that it names, and compares in constant time. payload is what the body
-// must hash to: a SHA-256 digest in hex, unsignedPayload or streamingPayload. With nil Keys every request passes.
+// authenticate verifies a request's signature (AWS Signature Version 4, in the Authorization header): it computes the signature with the
+// secret of the request's access key, over the signed headers, and compares it in constant time. payload is the SHA-256 digest in hex
+// that the body must have, or unsignedPayload or streamingPayload. If k is nil, every request is accepted.
 func (k Keys) authenticate(request *http.Request, now time.Time, maxSkew time.Duration) (access *Access, payload string, fault *decide.Fault) {
 	if k == nil {
 		return nil, unsignedPayload, nil
@@ -72,12 +73,12 @@
 	return access, payload, nil
 }
 
-// signature is a request's Authorization header, with the time that is signed.
+// signature holds the fields of a request's Authorization header and the signed time.
 type signature struct {
 	accessKey, day, region, service string
-	headers                         []string // that it covers, in lower case
-	digest                          string   // the signature itself, in hex
-	signedAt                        time.Time
+	headers                         []string  // names of the signed headers, in lower case
+	digest                          string    // the signature itself, in hex
+	signedAt                        time.Time // time in X-Amz-Date
 }
 
 func parseSignature(request *http.Request) (*signature, *decide.Fault) {
@@ -94,7 +95,7 @@
 	if len(credential) <= scopeFields || fields["SignedHeaders"] == "" || len(fields["Signature"]) != signatureDigits {
 		return nil, decide.AccessDenied.With("The Authorization header can't be read.")
 	}
-	scope := len(credential) - scopeFields // an access key may hold slashes
+	scope := len(credential) - scopeFields // an access key may contain slashes
 	s := &signature{accessKey: strings.Join(credential[:scope], "/"), day: credential[scope], region: credential[scope+1], service: credential[scope+2],
 		headers: strings.Split(fields["SignedHeaders"], ";"), digest: fields["Signature"]}
 	var err error
@@ -105,7 +106,8 @@
 	return s, nil
 }
 
-// checkDate guards against requests that are recorded and replayed: one is accepted within maxSkew of its time only.
+// checkDate rejects a request whose signed time differs from now by more than maxSkew. It limits how long a recorded request can be
+// replayed.
 func (s *signature) checkDate(now time.Time, maxSkew time.Duration) *decide.Fault {
 	if skew := now.Sub(s.signedAt); skew > maxSkew || skew < -maxSkew {
 		return decide.RequestTimeTooSkewed.With("It is %s here, the request says %s.", now.UTC().Format(timeFormat), s.signedAt.Format(timeFormat))
@@ -113,12 +115,12 @@
 	return nil
 }
 
-// verify reports whether the request, signed with secret, has this signature.
+// verify reports whether s is the signature of the request with the given secret and payload.
 func (s *signature) verify(request *http.Request, secret, payload string) bool {
 	signed := (&http.Request{Method: request.Method, URL: request.URL, Host: request.Host, Header: http.Header{}}).WithContext(context.Background())
 	for _, name := range s.headers {
 		switch header := http.CanonicalHeaderKey(name); header {
-		case "Host": // a field of its own, set above
+		case "Host": // set above: http.Request has a separate field for it
 		case "Content-Length":
 			signed.ContentLength = request.ContentLength
 		default:
--- a/internal/object/api/signature_test.go
+++ b/internal/object/api/signature_test.go
@@ -11,8 +11,8 @@
 	"github.com/aws/aws-sdk-go-v2/service/s3"
 )
 
-// A request is rejected that is signed with the wrong secret or an unknown key, is for another's bucket, is unsigned, or was changed after
-// it was signed: its path, body, digest, time or query.
+// Guards against accepting a request that is unsigned, is signed with a wrong secret or an unknown key, is for a bucket that the key may
+// not access, or was changed after it was signed: its path, body, digest, time or query.
 func TestSignatures(t *testing.T) {
 	server := startServer(t)
 	server.put(t, "a", []byte("x"))
@@ -32,7 +32,7 @@
 	if r, err := http.Get(server.url + "/yard/a"); err != nil || r.StatusCode != 403 {
 		t.Error(err, r)
 	}
-	// put sends a request that is changed after it was signed.
+	// put sends a PUT request that f changes after it was signed, and returns the error code.
 	put := func(f func(r *http.Request)) string {
 		c := s3.New(server.s3.Options(), func(o *s3.Options) { o.HTTPClient = tamperingClient{f} })
 		_, err := c.PutObject(ctx, &s3.PutObjectInput{Bucket: aws.String("yard"), Key: aws.String("b"), Body: strings.NewReader("hello")})
@@ -55,7 +55,7 @@
 			t.Errorf("%s changed: %s, want %s", tampered, got, c.want)
 		}
 	}
-	if server.engine.storedExtents() != 2 { // a and b; that of the changed body is abandoned
+	if server.engine.storedExtents() != 2 { // the extents of a and b; the extent of the request with the changed body is abandoned
 		if n, _, err := server.gate.Sweep(ctx); err != nil || n != 1 || server.engine.storedExtents() != 2 {
 			t.Error(n, err, server.engine.storedExtents())
 		}
@@ -69,7 +69,7 @@
 	return http.DefaultClient.Do(r)
 }
 
-// No Authorization header without a valid signature lets a request in.
+// Guards against accepting a request whose Authorization header has no valid signature.
 func FuzzSignature(f *testing.F) {
 	f.Add("AWS4-HMAC-SHA256 Credential=k/20260301/here/s3/aws4_request, SignedHeaders=host;x-amz-date;x-amz-content-sha256, Signature="+strings.Repeat("0", 64), "20260301T120000Z", "/a")
 	keys := Keys{"k": {"secret", []string{"*"}}}
@@ -83,7 +83,7 @@
 		r.Header.Set("X-Amz-Date", date)
 		r.Header.Set("X-Amz-Content-Sha256", unsignedPayload)
 		if a, _, fault := keys.authenticate(r, time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), time.Minute); a != nil || fault == nil {
-			t.Fatalf("%q let in", auth)
+			t.Fatalf("request accepted with Authorization %q", auth)
 		}
 	})
 }
--- a/internal/object/api/uploads.go
+++ b/internal/object/api/uploads.go
@@ -12,7 +12,7 @@
 	"weirhaven/internal/pb"
 )
 
-// maxCompleteBytes bounds the document that completes an upload; it holds decide.MaxParts parts.
+// maxCompleteBytes is the maximum size of the document that completes an upload. It is enough for decide.MaxParts parts.
 const maxCompleteBytes = 4 << 20
 
 type createUploadResponse struct {
@@ -105,7 +105,7 @@
 	if fault != nil {
 		return fault
 	}
-	after, _ := strconv.Atoi(c.query.Get("part-number-marker")) // absent or no number: from the first part on
+	after, _ := strconv.Atoi(c.query.Get("part-number-marker")) // if absent or not a number, the list begins with the first part
 	parts, err := c.config.Gate.Index().ListParts(c.volume, c.name, uploadID)
 	if err != nil {
 		return err
--- a/internal/object/api/uploads_test.go
+++ b/internal/object/api/uploads_test.go
@@ -17,8 +17,9 @@
 	"weirhaven/internal/engine"
 )
 
-// Parts are uploaded in any order, at once, and each of them twice; one is not named at the end; another upload is never completed. The
-// object has the named parts, and the sweep removes all the other extents, the idle upload's after its timeout.
+// Guards against wrong content and leaked extents of a multipart upload. Parts are uploaded concurrently, each of them twice; one part is
+// not listed when the upload is completed, and another upload is never completed. The object must consist of the listed parts, and the
+// sweep must remove all other extents, those of the idle upload after its timeout.
 func TestMultipart(t *testing.T) {
 	server := startServer(t)
 	name := aws.String("big")
@@ -59,24 +60,24 @@
 	for n := int32(1); n <= 5; n++ { // the sixth is left out
 		named, whole = append(named, done[n]), append(whole, bodies[n]...)
 	}
-	finish := func(parts []types.CompletedPart) error {
+	complete := func(parts []types.CompletedPart) error {
 		_, err := server.s3.CompleteMultipartUpload(ctx, &s3.CompleteMultipartUploadInput{Bucket: aws.String("yard"), Key: name, UploadId: upload.UploadId,
 			MultipartUpload: &types.CompletedMultipartUpload{Parts: parts}})
 		return err
 	}
-	if err := finish([]types.CompletedPart{named[1], named[0]}); errorCode(err) != "InvalidPartOrder" {
+	if err := complete([]types.CompletedPart{named[1], named[0]}); errorCode(err) != "InvalidPartOrder" {
 		t.Error(err)
 	}
-	if err := finish([]types.CompletedPart{{PartNumber: aws.Int32(1), ETag: aws.String("nonsense")}}); errorCode(err) != "InvalidPart" {
+	if err := complete([]types.CompletedPart{{PartNumber: aws.Int32(1), ETag: aws.String("nonsense")}}); errorCode(err) != "InvalidPart" {
 		t.Error(err)
 	}
 	if _, _, err := server.get("big", ""); errorCode(err) != "NoSuchKey" {
-		t.Error("there before it is complete", err)
+		t.Error("the object is visible before the upload is completed", err)
 	}
-	if err := finish(named); err != nil {
+	if err := complete(named); err != nil {
 		t.Fatal(err)
 	}
-	if err := finish(named); errorCode(err) != "NoSuchUpload" {
+	if err := complete(named); errorCode(err) != "NoSuchUpload" {
 		t.Error(err)
 	}
 	if got, o, err := server.get("big", ""); err != nil || !bytes.Equal(got, whole) || !strings.HasSuffix(*o.ETag, `-5"`) {
@@ -104,11 +105,11 @@
 			}
 		}
 	}
-	if removed, remaining := sweep(); removed != 6*3+3 || remaining != 0 { // the six parts that were replaced, and the sixth one
+	if removed, remaining := sweep(); removed != 6*3+3 || remaining != 0 { // the extents of the six parts that were replaced, and of part 6, which is not listed
 		t.Error(removed, remaining)
 	}
 	server.clockOffset = 2 * time.Hour
-	if removed, remaining := sweep(); removed != 5 || remaining != 0 { // the idle upload
+	if removed, remaining := sweep(); removed != 5 || remaining != 0 { // the extents of the idle upload
 		t.Error(removed, remaining)
 	}
 	if got, _, err := server.get("big", ""); err != nil || !bytes.Equal(got, whole) || server.engine.storedExtents() != 15 {
@@ -116,8 +117,8 @@
 	}
 }
 
-// One part is uploaded eight times at once with different bytes. Each upload is confirmed with its own entity tag; one of them becomes the
-// object, whole, and the extents of the others are removed.
+// Guards against mixing the bytes of concurrent uploads of the same part. One part is uploaded eight times at once with different bytes.
+// Each upload gets its own entity tag; the object must have the bytes of exactly one of them, and the other extents must be removed.
 func TestConcurrentUploadsOfOnePart(t *testing.T) {
 	server := startServer(t)
 	upload, err := server.s3.CreateMultipartUpload(ctx, &s3.CreateMultipartUploadInput{Bucket: aws.String("yard"), Key: aws.String("a")})
@@ -147,12 +148,12 @@
 		switch {
 		case err == nil:
 			completed = i
-		case errorCode(err) != "InvalidPart" && errorCode(err) != "NoSuchUpload": // it was replaced, or the upload is completed
+		case errorCode(err) != "InvalidPart" && errorCode(err) != "NoSuchUpload": // the part was replaced, or the upload has been completed
 			t.Error(err)
 		}
 	}
 	if completed < 0 {
-		t.Fatal("no upload of the part could be completed")
+		t.Fatal("the upload could not be completed with any of the entity tags")
 	}
 	if b, _, err := server.get("a", ""); err != nil || !bytes.Equal(b, randomBytes(5000, int64(completed))) {
 		t.Error(err)
@@ -171,9 +172,9 @@
 	}
 }
 
-// A client retries the upload of a part while its first attempt is held up at an endpoint; the first is confirmed last. It counts, with
-// its own bytes. Then an upload is completed while a second attempt of its part is in flight: the object has the first one's bytes,
-// and the second attempt fails.
+// Guards against a delayed upload of a part that changes the wrong bytes. First, a client retries the upload of a part while its first
+// upload is delayed at an endpoint and finishes last: the part must have the bytes of the first upload. Then an upload is completed
+// while a part is being uploaded again: the object must have the bytes of the earlier upload, and the later one must fail.
 func TestLateUploadOfPart(t *testing.T) {
 	server := startServer(t)
 	createUpload := func(name string) *string {
@@ -195,7 +196,7 @@
 			MultipartUpload: &types.CompletedMultipartUpload{Parts: []types.CompletedPart{{PartNumber: aws.Int32(1), ETag: aws.String(tag)}}}})
 		return err
 	}
-	// holdNextRequest lets the next request to the engine wait until release is closed; reached is closed when it waits.
+	// holdNextRequest blocks the next request to the engine until release is closed. reached is closed when the request blocks.
 	holdNextRequest := func() (reached, release chan bool) {
 		reached, release = make(chan bool), make(chan bool)
 		fired := false // guarded by the engine's lock
@@ -232,7 +233,7 @@
 		t.Error(err)
 	}
 	if b, _, err := server.get("late", ""); err != nil || !bytes.Equal(b, firstBody) {
-		t.Error("not the bytes of the attempt that was confirmed last", err)
+		t.Error("the part does not have the bytes of the upload that finished last", err)
 	}
 	id = createUpload("flight")
 	server.engine.setFailure(nil)
@@ -255,7 +256,7 @@
 		t.Error(err)
 	}
 	if b, _, err := server.get("flight", ""); err != nil || !bytes.Equal(b, firstBody) {
-		t.Error("a part in flight changed a completed object", err)
+		t.Error("a part that was still being uploaded changed a completed object", err)
 	}
 	for {
 		n, _, err := server.gate.Sweep(ctx)
@@ -271,7 +272,7 @@
 	}
 }
 
-// Whatever document completes an upload without parts, the response is an error of the client.
+// Guards against panics and wrong statuses: any document that completes an upload without parts must get a response with status 4xx.
 func FuzzComplete(f *testing.F) {
 	f.Add([]byte("<CompleteMultipartUpload><Part><PartNumber>1</PartNumber><ETag>x</ETag></Part></CompleteMultipartUpload>"))
 	server := startServer(f)
--- a/internal/object/decide/decide_test.go
+++ b/internal/object/decide/decide_test.go
@@ -133,7 +133,7 @@
 		first := RankShards(shards, id)[0]
 		count[first]++
 		if firstOfFewer := RankShards([]uint32{1, 2, 4, 5}, id)[0]; first != 3 && firstOfFewer != first {
-			t.Fatalf("extent %s moved from shard %d to %d although its shard was not removed", id, first, firstOfFewer)
+			t.Fatal("an extent moved although its shard was not removed")
 		}
 	}
 	for shard, n := range count {
