--- a/internal/httpgateway/upstream/send_test.go
+++ b/internal/httpgateway/upstream/send_test.go
@@ -31,8 +31,8 @@
 }
 
 // While an attempt waits for its connection, its request ends (client disconnected or final response sent) or a time limit passes,
-// and the engine's loop has not canceled the attempt yet when the connection is established. No byte of the attempt may be sent, as the endpoint would do useless work,
-// and the attempt must still be reported.
+// and the engine's loop has not canceled the attempt yet when the connection is established. No byte of the
+// attempt may be sent, as the endpoint would do useless work, and the attempt must still be reported.
 func TestSendGuard(t *testing.T) {
 	for name, row := range map[string]struct {
 		sent    bool
