--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,17 +12,17 @@
 	"weirhaven/internal/pb"
 )
 
-// checker collects the faults of one file.
+// checker validates one file and collects its faults.
 type checker struct {
 	file   string
-	lineOf map[string]int // by path of the field
+	lineOf map[string]int // line numbers by field path
 	faults []error
 }
 
-// across reports a fault that shows only beside other fields.
-func (c *checker) across(field, value, format string, args ...any) {
+// crossFieldFault adds a fault in the relation of a field to other fields.
+func (c *checker) crossFieldFault(field, value, format string, args ...any) {
 	path := field
-	for c.lineOf[path] == 0 && strings.Contains(path, ".") { // a missing field stands where its message does
+	for c.lineOf[path] == 0 && strings.Contains(path, ".") { // a missing field is reported at its message
 		path = path[:strings.LastIndex(path, ".")]
 	}
 	c.fault(c.lineOf[path], field, value, format, args...)
@@ -32,7 +32,7 @@
 	c.faults = append(c.faults, Fault{File: c.file, Line: lineNumber, Field: field, Value: value, Allowed: fmt.Sprintf(format, args...)})
 }
 
-// message checks the fields of m, which nodes spell; lineNumber is that of m itself.
+// message checks the fields of m. nodes are the syntax nodes of those fields, and lineNumber is the line of m itself.
 func (c *checker) message(m protoreflect.Message, path string, nodes []*ast.Node, lineNumber int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -41,68 +41,68 @@
 		if rule == nil {
 			rule = &pb.Allowed{}
 		}
-		name, own := path+string(fd.Name()), nodesOf(fd, nodes)
+		name, fieldNodes := path+string(fd.Name()), nodesOf(fd, nodes)
 		switch {
 		case !m.Has(fd):
-			c.absent(m, fd, rule, name, own, lineNumber)
+			c.missing(m, fd, rule, name, fieldNodes, lineNumber)
 		case fd.IsList():
-			c.list(m.Get(fd).List(), fd, rule, name, own, lineNumber)
+			c.list(m.Get(fd).List(), fd, rule, name, fieldNodes, lineNumber)
 		default:
-			place, children := locate(own, 0, lineNumber)
-			c.value(m.Get(fd), fd, rule, name, children, place)
+			line, children := locate(fieldNodes, 0, lineNumber)
+			c.value(m.Get(fd), fd, rule, name, children, line)
 		}
 	}
 }
 
-// nodesOf are the nodes that spell a field.
-func nodesOf(fd protoreflect.FieldDescriptor, nodes []*ast.Node) (own []*ast.Node) {
+// nodesOf returns the syntax nodes of a field, one per occurrence in the file.
+func nodesOf(fd protoreflect.FieldDescriptor, nodes []*ast.Node) (fieldNodes []*ast.Node) {
 	for _, n := range nodes {
 		if n.Name == string(fd.Name()) {
-			own = append(own, n)
+			fieldNodes = append(fieldNodes, n)
 		}
 	}
-	return own
+	return fieldNodes
 }
 
-// absent checks a field that has no value, or the zero value.
-func (c *checker) absent(m protoreflect.Message, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, own []*ast.Node, lineNumber int) {
+// missing checks a field that is not set or has the zero value.
+func (c *checker) missing(m protoreflect.Message, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, fieldNodes []*ast.Node, lineNumber int) {
 	switch {
-	case rule.Required && len(own) > 0:
-		c.fault(int(own[0].Start.Line), name, fmt.Sprint(m.Get(fd).Interface()), "must be given%s", bounds(rule))
+	case rule.Required && len(fieldNodes) > 0:
+		c.fault(int(fieldNodes[0].Start.Line), name, fmt.Sprint(m.Get(fd).Interface()), "must be given%s", bounds(rule))
 	case rule.Required:
 		c.fault(lineNumber, name, "", "missing; must be given%s", bounds(rule))
 	}
 }
 
-func (c *checker) list(list protoreflect.List, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, own []*ast.Node, lineNumber int) {
+func (c *checker) list(list protoreflect.List, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, fieldNodes []*ast.Node, lineNumber int) {
 	if rule.Most > 0 && list.Len() > int(rule.Most) {
-		place, _ := locate(own, 0, lineNumber)
-		c.fault(place, name, strconv.Itoa(list.Len())+" of them", "at most %d", rule.Most)
+		line, _ := locate(fieldNodes, 0, lineNumber)
+		c.fault(line, name, strconv.Itoa(list.Len())+" values", "at most %d", rule.Most)
 	}
 	seen := map[string]bool{}
 	for i := range list.Len() {
-		place, children := locate(own, i, lineNumber)
+		line, children := locate(fieldNodes, i, lineNumber)
 		item := fmt.Sprintf("%s[%d]", name, i)
-		c.value(list.Get(i), fd, rule, item, children, place)
+		c.value(list.Get(i), fd, rule, item, children, line)
 		if !rule.Unique {
 			continue
 		}
 		element := list.Get(i).Message()
 		id := element.Get(element.Descriptor().Fields().ByName("name")).String()
 		if seen[id] {
-			c.fault(place, item+".name", strconv.Quote(id), "stands twice; names must differ")
+			c.fault(line, item+".name", strconv.Quote(id), "duplicate name")
 		}
 		seen[id] = true
 	}
 }
 
-// locate returns the line of the i-th value of a field and the nodes below it.
-func locate(own []*ast.Node, i, lineNumber int) (int, []*ast.Node) {
+// locate returns the line of the i-th value of a field and its child nodes.
+func locate(fieldNodes []*ast.Node, i, lineNumber int) (int, []*ast.Node) {
 	switch {
-	case i < len(own):
-		return int(own[i].Start.Line), own[i].Children
-	case len(own) > 0: // a list written in brackets
-		return int(own[0].Start.Line), nil
+	case i < len(fieldNodes):
+		return int(fieldNodes[i].Start.Line), fieldNodes[i].Children
+	case len(fieldNodes) > 0: // a list written in brackets
+		return int(fieldNodes[0].Start.Line), nil
 	}
 	return lineNumber, nil
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,7 +1,7 @@
-// Package settings reads settings as protobuf text format, checks them, and turns those of a gateway into what its parts take:
-// policy.Settings, endpointstate.Rules and Limits.
+// Package settings reads settings in protobuf text format, validates them, and converts those of a gateway into the types that its
+// components take: policy.Settings, endpointstate.Rules and Limits.
 //
-// The range of each field stands in the schema (proto/, option allowed) and is checked for any message. What only several
-// fields together show is checked in gateway.go. The names of fields are the format's and stay; policy.go, rules.go and limits.go
-// map them to the code's terms.
+// The range of each field is part of the schema (proto/, option allowed) and is checked for any message. Constraints between fields
+// are checked in gateway.go. The field names are part of the format and must not change; policy.go, rules.go and limits.go map them
+// to the names used in the code.
 package settings
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -5,26 +5,26 @@
 	"strconv"
 )
 
-// Fault is one thing wrong with a settings file. All faults of a file are reported together.
+// Fault is one error in a settings file. All faults of a file are reported together.
 type Fault struct {
 	File    string
-	Line    int    // from 1; 0: not known
-	Field   string // path, such as plan[1].weight; empty: the file is no settings file
-	Value   string // as given; empty where the field is missing
-	Allowed string // what is allowed
+	Line    int    // line number from 1; 0: unknown
+	Field   string // path such as plan[1].weight; empty: the file is malformed
+	Value   string // value as given; empty if the field is missing
+	Allowed string // description of the allowed values
 }
 
-// Error spells the fault as file:line: field: value: what is allowed.
+// Error returns the fault as file:line: field: value: allowed values.
 func (f Fault) Error() string {
-	place := f.File
+	location := f.File
 	if f.Line > 0 {
-		place += ":" + strconv.Itoa(f.Line)
+		location += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Field == "" {
-		return fmt.Sprintf("%s: %s", place, f.Allowed)
+		return fmt.Sprintf("%s: %s", location, f.Allowed)
 	}
 	if f.Value == "" {
-		return fmt.Sprintf("%s: %s: %s", place, f.Field, f.Allowed)
+		return fmt.Sprintf("%s: %s: %s", location, f.Field, f.Allowed)
 	}
-	return fmt.Sprintf("%s: %s: %s: %s", place, f.Field, f.Value, f.Allowed)
+	return fmt.Sprintf("%s: %s: %s: %s", location, f.Field, f.Value, f.Allowed)
 }
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -6,20 +6,20 @@
 	"weirhaven/internal/pb"
 )
 
-// Limits are a gateway's bounds with the defaults filled in.
+// Limits are a gateway's resource limits and timeouts with the defaults applied.
 type Limits struct {
-	RequestsPerConnection int           // requests in flight on one client connection
-	Connections           int           // client connections
-	LoopQueue             int           // events queued for the engine's loop
-	EndpointQueue         int           // attempts and health checks in flight on one endpoint connection
-	MaxBody               int           // bytes of a message's body
-	IdleTimeout           time.Duration // silence that ends a connection
-	StallTimeout          time.Duration // time that a message begun, or a write, may take
-	ConnectTimeout        time.Duration // time that connecting, and a greeting, may take
+	RequestsPerConnection int           // maximum requests in flight on one client connection
+	Connections           int           // maximum client connections
+	LoopQueue             int           // maximum events queued for the engine's loop
+	EndpointQueue         int           // maximum attempts and health checks in flight on one endpoint connection
+	MaxBody               int           // maximum size of a message's body in bytes
+	IdleTimeout           time.Duration // idle time after which a connection is closed
+	StallTimeout          time.Duration // maximum time to receive a message that has begun, or to complete a write
+	ConnectTimeout        time.Duration // maximum time to connect, and to receive a greeting
 	HealthCheckTimeout    time.Duration // timeout of a health check
 }
 
-// LimitsOf fills in the defaults; b may be nil.
+// LimitsOf returns the limits with the defaults applied; b may be nil.
 func LimitsOf(b *pb.Bounds) Limits {
 	if b == nil {
 		b = &pb.Bounds{}
@@ -37,7 +37,7 @@
 	}
 }
 
-// count returns n, or the default if it is 0.
+// count returns n, or the default if n is 0.
 func count(n uint32, defaultValue int) int {
 	if n > 0 {
 		return int(n)
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -17,7 +17,7 @@
 	pb.Group_CELL: policy.ScopeShard,
 }
 
-// Policy turns checked settings into the scheduler's. seed is used where they name none.
+// Policy converts validated settings into those of the scheduler. seed is used if the settings have none.
 func Policy(conf *pb.Edge, seed int64) policy.Settings {
 	if conf.Seed != 0 {
 		seed = conf.Seed
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -11,20 +11,20 @@
 	"weirhaven/internal/pb"
 )
 
-// What the settings of endpoint reports mean where they are absent.
+// Defaults for the settings of endpoint reports.
 const (
 	DefaultReportFresh = 5 * time.Minute     // list_fresh
 	defaultListExpire  = 90 * 24 * time.Hour // list_dead
 )
 
-// Bounds of endpoint reports that no setting changes.
+// Fixed parameters of endpoint reports.
 const (
 	startTolerance = 500 * time.Millisecond
 	greetingValid  = 5 * time.Second
 )
 
-// EndpointRules turns a gateway's settings into the rules by which it weighs reports of endpoints. An error names a network that can't
-// be read; checked settings give none.
+// EndpointRules converts a gateway's settings into the rules for endpoint reports. It fails if a network is malformed, which validated
+// settings rule out.
 func EndpointRules(conf *pb.Edge) (endpointstate.Rules, error) {
 	rules := endpointstate.Rules{Fresh: Duration(conf.ListFresh, DefaultReportFresh), Expire: Duration(conf.ListDead, defaultListExpire),
 		StartTolerance: startTolerance, GreetingValid: greetingValid}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,8 +24,8 @@
 volume { name: "v1" plan: "basic" hosts: 2 }
 `
 
-// An operator mistypes a setting: the error names the file, the line, the field, its value and what is allowed, for all faults at once.
-func TestFaultsNameFileLineFieldValueAndWhatIsAllowed(t *testing.T) {
+// Each mistake in a settings file must be reported with its file, line, field, value and the allowed values, and all mistakes at once.
+func TestFaultText(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
 		{"", "", ""},
 		{"hosts: 2\nfleet", "hosts: 0\nfleet", "e.txtpb:3: hosts: 0: must be given; allowed: 1 to 65535"},
@@ -44,7 +44,7 @@
 		{"max_dispatches: 3", "max_dispatches: 3 cold_for: \"9s\"", "e.txtpb:5: fleet.cold_for: 9s: needs cold_from"},
 		{"max_dispatches: 3", "max_dispatchs: 3", "e.txtpb:5: unknown field: max_dispatchs"},
 		{"semantics", "", ""},
-		{`volume { name: "v1"`, `volume { name: "v1" plan: "basic" hosts: 1 } volume { name: "v1"`, `volume[1].name: "v1": stands twice`},
+		{`volume { name: "v1"`, `volume { name: "v1" plan: "basic" hosts: 1 } volume { name: "v1"`, `volume[1].name: "v1": duplicate name`},
 		{"hosts: 2\nfleet", "hosts: 2 ordinal: 2\nfleet", "e.txtpb:3: ordinal: 2: out of range; allowed: 0 to 1"},
 		{"hosts: 2\nfleet", "hosts: 2 log { level: \"loud\" }\nfleet", `log.level: "loud": allowed: debug, info, warn, error`},
 		{"hosts: 2\nfleet", "hosts: 2 }\nfleet", "e.txtpb:3:"},
@@ -55,11 +55,11 @@
 		}
 	}
 	if _, err := ParseGateway("e.txtpb", nil); err == nil || strings.Count(err.Error(), "\n") < 4 {
-		t.Errorf("an empty file lacks more than one field: %v", err)
+		t.Errorf("an empty file must be reported with all its missing fields: %v", err)
 	}
 }
 
-// Every setting of the scheduler arrives in the field of policy.Settings that it is mapped to.
+// Each scheduler setting must arrive in the field of policy.Settings that it is mapped to.
 func TestPolicy(t *testing.T) {
 	text := strings.Replace(good, "max_dispatches: 3", `max_dispatches: 3 list_asked: true ask_within: "5s" second_copies: true
 		cancel: true probe: true peers: true max_pause: "1s" clients_mark_repeats: true answer_slack: "30ms" drain_grace: "250ms"
@@ -90,16 +90,16 @@
 			if again, err := Text(e); err != nil {
 				t.Fatal(err)
 			} else if _, err := ParseGateway("again", again); err != nil {
-				t.Fatalf("%s\ncan't be read again: %v", again, err)
+				t.Fatalf("%s\nthe written settings can't be read: %v", again, err)
 			}
 		}
 	})
 }
 
-// A file that is not there is an error, and one that is there is read.
+// Load must fail if the file does not exist, and LoadGateway must read a file that does.
 func TestLoad(t *testing.T) {
 	if err := Load(filepath.Join(t.TempDir(), "none"), &pb.Edge{}); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("Load of a file that does not exist did not fail")
 	}
 	file := filepath.Join(t.TempDir(), "e.txtpb")
 	os.WriteFile(file, []byte(good), 0o600)
--- a/internal/settings/stored_data_test.go
+++ b/internal/settings/stored_data_test.go
@@ -61,8 +61,8 @@
 		TypicalUnits: 2}
 }
 
-// An edge's settings as users of version a32f63c have them, by hand (edge.txtpb) and as its programs wrote them (edge-written.txtpb). Every
-// later version must read the same from both: each field, and what the module, the beliefs and the bounds are made of.
+// The settings of a gateway of version a32f63c, written by hand (edge.txtpb) and by its programs (edge-written.txtpb). Every later
+// version must read the same from both: each field, and the scheduler settings, endpoint rules and limits derived from them.
 func TestStoredEdgeSettingsAreRead(t *testing.T) {
 	for _, name := range []string{"edge.txtpb", "edge-written.txtpb"} {
 		e, err := LoadGateway(filepath.Join("testdata", "stored", name))
@@ -88,7 +88,7 @@
 	}
 }
 
-// A planner's settings as users of version a32f63c have them. Every later version must read each field.
+// A controller's settings of version a32f63c. Every later version must read each field.
 func TestStoredPlannerSettingsAreRead(t *testing.T) {
 	want := &pb.PlannerConf{Name: "planner-b", Listen: "127.0.0.1:7401", ListService: "127.0.0.1:7002", Store: "/var/lib/weirhaven/plan.db",
 		Keys: &pb.Keys{Certificate: "/etc/weirhaven/weirplan.pem", Key: "/etc/weirhaven/weirplan.key", Trusted: "/etc/weirhaven/trusted.pem",
@@ -128,7 +128,7 @@
 		Client: &pb.CapacityModel_ClientModel{Repeats: 0.5, Wait: 0.08, Firsts: 100, Folded: 7, Leaves: 0.03, Most: 2, Stays: true}}
 }
 
-// A fleet described and a model learnt of it, as weirctl of version a32f63c wrote such files. Every later version must read each field.
+// A fleet description and a model learned from it, as written by weirctl of version a32f63c. Every later version must read each field.
 func TestStoredCapacityFilesAreRead(t *testing.T) {
 	fleet, model := &pb.CapacityFleet{}, &pb.CapacityModel{}
 	if err := Load(filepath.Join("testdata", "stored", "fleet.txtpb"), fleet); err != nil {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -15,7 +15,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// value checks one value against its rule; children are the nodes below it.
+// value checks one value against its rule. children are the value's child nodes.
 func (c *checker) value(v protoreflect.Value, fd protoreflect.FieldDescriptor, rule *pb.Allowed, name string, children []*ast.Node, lineNumber int) {
 	c.lineOf[name] = lineNumber
 	switch fd.Kind() {
@@ -25,7 +25,7 @@
 		c.text(v.String(), rule, name, lineNumber)
 	case protoreflect.EnumKind:
 		if fd.Enum().Values().ByNumber(v.Enum()) == nil {
-			c.fault(lineNumber, name, strconv.Itoa(int(v.Enum())), "no value of %s", fd.Enum().Name())
+			c.fault(lineNumber, name, strconv.Itoa(int(v.Enum())), "not a value of %s", fd.Enum().Name())
 		}
 	case protoreflect.DoubleKind, protoreflect.Uint32Kind, protoreflect.Int64Kind, protoreflect.Int32Kind:
 		c.number(v, rule, name, lineNumber)
@@ -40,12 +40,12 @@
 	}
 }
 
-// numberBound reads a bound of the schema; empty: none.
+// numberBound parses a bound from the schema. Without a bound it returns none.
 func numberBound(text string, none float64) float64 {
 	if text == "" {
 		return none
 	}
-	bound, _ := strconv.ParseFloat(text, 64) // the schema's own
+	bound, _ := strconv.ParseFloat(text, 64) // valid, since it is part of the schema
 	return bound
 }
 
@@ -77,12 +77,12 @@
 	}
 }
 
-// durationBound reads a bound of the schema; empty: none.
+// durationBound parses a bound from the schema. Without a bound it returns none.
 func durationBound(text string, none time.Duration) time.Duration {
 	if text == "" {
 		return none
 	}
-	bound, _ := time.ParseDuration(text) // the schema's own
+	bound, _ := time.ParseDuration(text) // valid, since it is part of the schema
 	return bound
 }
 
@@ -96,7 +96,7 @@
 	return err == nil
 }
 
-// bounds spells a rule's bounds for a fault.
+// bounds returns the text of a rule's bounds for a fault.
 func bounds(rule *pb.Allowed) string {
 	switch {
 	case rule.Min != "" && rule.Max != "":
