--- a/internal/simulatorwire/fields.go
+++ b/internal/simulatorwire/fields.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// fieldReader reads the fields of a JSON object that have to be there. The first that is missing or of the wrong type
-// stays in err; later reads return zero values then.
+// fieldReader reads required fields of a JSON object. err is the error for the first field that is missing or of the wrong type;
+// after an error, all reads return zero values.
 type fieldReader struct {
 	object *fastjson.Value
 	err    error
@@ -28,7 +28,7 @@
 	return n
 }
 
-// micros reads a duration, or a time on the simulator's clock, given in microseconds.
+// micros reads a duration, or a time on the simulator's clock, in microseconds.
 func (r *fieldReader) micros(name string) time.Duration {
 	return time.Duration(r.integer(name)) * time.Microsecond
 }
@@ -67,7 +67,7 @@
 	return field
 }
 
-// field returns nil, and sets err, if there is no such field; also after an error.
+// field returns a field's value. It returns nil and sets err if the field is missing, and returns nil after an error.
 func (r *fieldReader) field(name string) *fastjson.Value {
 	if r.err != nil {
 		return nil
--- a/internal/simulatorwire/gateway.go
+++ b/internal/simulatorwire/gateway.go
@@ -12,13 +12,13 @@
 	"weirhaven/policy"
 )
 
-// gateway is one simulated gateway: its scheduler, and by the wire's names what the scheduler knows as objects. It is the
-// scheduler's policy.Runtime.
+// gateway is one simulated gateway: its scheduler, and the scheduler's objects by their names on the wire. It implements
+// policy.Runtime.
 type gateway struct {
 	adapter   *adapter
 	scheduler *policy.Scheduler // nil: not started, or killed
-	panicked  bool              // it ignores everything until it is started again
-	actions   []byte            // of this batch, as JSON
+	panicked  bool              // whether the scheduler panicked; events are then ignored until the next start
+	actions   []byte            // actions of the current batch, as JSON
 	requests  map[int64]*openRequest
 	endpoints map[string]*policy.Endpoint
 	volumes   map[string]*policy.Volume
@@ -26,7 +26,7 @@
 	lastTimer int64
 }
 
-// openRequest is a request until it is done and each of its attempts has its outcome.
+// openRequest is a request that is not done yet, or that still has attempts in flight.
 type openRequest struct {
 	request  *policy.Request
 	inFlight map[int]*policy.Attempt // by number
@@ -50,7 +50,7 @@
 	eventStoreList = "sheet"
 )
 
-// handlers are the events that a gateway takes once it was started; eventStart is one of them, since it may come again.
+// handlers are the functions for the events of a started gateway. eventStart is among them because a gateway may be restarted.
 var handlers = map[string]func(g *gateway, event *fastjson.Value) error{
 	eventStart:      (*gateway).start,
 	"view":          (*gateway).endpointList,
@@ -63,7 +63,7 @@
 	"from_peer":     (*gateway).gossipReceived,
 }
 
-// runEvent runs one event. A scheduler that panics is reported to the simulator, which goes on without that gateway.
+// runEvent runs one event. A panic of the scheduler is reported to the simulator, which continues without that gateway.
 func (g *gateway) runEvent(event *fastjson.Value) (err error) {
 	fields := fieldReader{object: event}
 	kind := fields.text("kind")
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// start makes a scheduler that knows nothing yet.
+// start creates a new scheduler without any state.
 func (g *gateway) start(event *fastjson.Value) error {
 	fields := fieldReader{object: event}
 	seed := fields.integer("seed")
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// endpointList hands a stored list, or that none could be had, to the scheduler.
+// endpointList passes a stored list, or the failure to get one, to the scheduler.
 func (g *gateway) endpointList(event *fastjson.Value) error {
 	fields := fieldReader{object: event}
 	form := fields.text("form")
@@ -201,7 +201,7 @@
 	return g.scheduler.RequestReceived(request, arrival)
 }
 
-// volume returns the volume of an owner under a plan; the wire has no name for it.
+// volume returns the volume for an owner and a plan, since the wire has no names for volumes.
 func (g *gateway) volume(owner, plan string) *policy.Volume {
 	key := owner + " " + plan
 	volume := g.volumes[key]
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// attempt returns the attempt in flight that an event names, with its request.
+// attempt returns the attempt in flight that an event refers to, and its request.
 func (g *gateway) attempt(event *fastjson.Value) (id int64, open *openRequest, attempt *policy.Attempt, err error) {
 	fields := fieldReader{object: event}
 	id, number := fields.integer("rid"), fields.integer("n")
@@ -324,14 +324,14 @@
 	return nil, fmt.Errorf("unknown endpoint %q", name)
 }
 
-// endRequest notes that a request is done.
+// endRequest marks a request as done.
 func (g *gateway) endRequest(id int64) {
 	open := g.requests[id]
 	open.done = true
 	g.release(id, open)
 }
 
-// release forgets a request that is done and has no attempt in flight.
+// release deletes a request that is done and has no attempt in flight.
 func (g *gateway) release(id int64, open *openRequest) {
 	if open.done && len(open.inFlight) == 0 {
 		delete(g.requests, id)
--- a/internal/simulatorwire/runtime.go
+++ b/internal/simulatorwire/runtime.go
@@ -10,13 +10,13 @@
 	"weirhaven/policy"
 )
 
-// allGateways is the wire's number for a message to every other gateway.
+// allGateways is the wire's recipient number for a message to all other gateways.
 const allGateways = -1
 
-// noAttemptTimeout: an attempt has no timeout beside its request's deadline.
+// noAttemptTimeout is the wire's value for an attempt without a timeout of its own: only the request's deadline applies.
 const noAttemptTimeout = 0
 
-// Now implements policy.Runtime: it is the batch's clock.
+// Now implements policy.Runtime. It returns the time of the batch.
 func (g *gateway) Now() time.Duration { return g.adapter.now }
 
 // Send implements policy.Runtime.
@@ -52,18 +52,18 @@
 	})
 }
 
-// After implements policy.Runtime: fire runs in the first batch at or past that time.
+// After implements policy.Runtime. fire runs in the first batch at or after that time.
 func (g *gateway) After(wait time.Duration, fire func()) {
 	g.lastTimer++
 	g.timers[g.lastTimer] = fire
-	roundedUp := max((wait + time.Microsecond - 1).Microseconds(), 0) // never earlier than asked for
+	roundedUp := max((wait + time.Microsecond - 1).Microseconds(), 0) // never earlier than requested
 	g.act("remind", func() {
 		g.writeInteger("after_us", roundedUp)
 		g.writeText("cookie", strconv.FormatInt(g.lastTimer, 10))
 	})
 }
 
-// RequestEndpointList implements policy.Runtime: the list's changes come from then on.
+// RequestEndpointList implements policy.Runtime. The simulator sends the list's changes from then on.
 func (g *gateway) RequestEndpointList() {
 	g.act("tail", func() { g.actions = append(g.actions, `,"enable":true`...) })
 }
@@ -81,10 +81,10 @@
 	})
 }
 
-// Log implements policy.Runtime: the line goes into the simulator's report.
+// Log implements policy.Runtime. The line goes into the simulator's report.
 func (g *gateway) Log(line string) { g.act("debug", func() { g.writeText("line", line) }) }
 
-// act writes one action; writeFields adds its fields.
+// act writes one action; writeFields writes its fields.
 func (g *gateway) act(kind string, writeFields func()) {
 	if len(g.actions) > 0 {
 		g.actions = append(g.actions, ',')
--- a/internal/simulatorwire/simulatorwire.go
+++ b/internal/simulatorwire/simulatorwire.go
@@ -1,15 +1,16 @@
-// Package simulatorwire runs schedulers (package policy) on the simulator's wire: JSON lines, one batch of events of any
-// number of gateways in, one line with the actions that they cause out. Time is the batch's, so one input has one output.
+// Package simulatorwire runs schedulers (package policy) behind the simulator's wire protocol. The protocol is JSON lines: each input
+// line is a batch of events of any number of gateways, and each output line has the resulting actions. The only clock is the time in
+// the batches, so the same input always gives the same output.
 //
-// It is the edge where the wire's names, which the simulator's authors chose, are mapped to those of this repository:
+// The package maps the wire's names, which the simulator defines, to the names used in this repository:
 //
 //	knock, rid, cls, grade, owner     a request arrives: its ID, class, plan, volume
 //	weight, group_no, give_up_at_us   its units, shard, deadline
-//	relay, reply, first               an attempt is sent, ends, begins to stream
+//	relay, reply, first               an attempt is sent, ends, starts to receive its response
 //	push_back, drop_request           a request is rejected, failed
 //	drop_attempt, client_gone         an attempt is canceled, a client disconnected
 //	brick, region_part, group         an endpoint, its zone and shard
-//	sheet, view, tail                 an endpoint list is stored, read by a gateway, asked for
+//	sheet, view, tail                 an endpoint list is stored, read by a gateway, requested
 //	inspect, probe_result             a health check and its outcome
 //	memo_to, from_peer                gossip of the scheduler
 //	remind, timeout_fired             a timer is set, is due
@@ -29,15 +30,15 @@
 )
 
 const (
-	readBuffer  = 1 << 20 // bytes
-	writeBuffer = 1 << 18 // bytes
+	readBufferSize  = 1 << 20 // bytes
+	writeBufferSize = 1 << 18 // bytes
 )
 
-// Serve answers each batch of in with a line to out until in ends. It returns an error at the first batch that is not
-// understood, and where reading or writing fails.
+// Serve reads batches from in until its end and writes one line to out for each. It returns an error at the first invalid batch, and
+// if reading or writing fails.
 func Serve(in io.Reader, out io.Writer) error {
-	reader := bufio.NewReaderSize(in, readBuffer)
-	writer := bufio.NewWriterSize(out, writeBuffer)
+	reader := bufio.NewReaderSize(in, readBufferSize)
+	writer := bufio.NewWriterSize(out, writeBufferSize)
 	a := &adapter{gateways: map[int]*gateway{}, lists: map[int]endpointList{}}
 	var parser fastjson.Parser
 	for number := 1; ; number++ {
@@ -63,17 +64,17 @@
 	}
 }
 
-// adapter is all gateways of one simulation.
+// adapter holds all gateways of one simulation.
 type adapter struct {
-	now      time.Duration // the batch's clock
+	now      time.Duration // time of the current batch
 	gateways map[int]*gateway
-	lists    map[int]endpointList // by the number that the simulator gave them
+	lists    map[int]endpointList // stored lists by the simulator's number
 }
 
 // endpointList is a stored endpoint list.
 type endpointList struct {
 	entries []*fastjson.Value
-	parser  *fastjson.Parser // owns the entries
+	parser  *fastjson.Parser // owns the memory of entries
 }
 
 func (a *adapter) runBatch(batch *fastjson.Value, writer *bufio.Writer) error {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// runPart runs the events of one gateway; what they cause is in its actions then.
+// runPart runs the events of one gateway and leaves the resulting actions in g.actions.
 func (a *adapter) runPart(part *fastjson.Value) (id int64, g *gateway, err error) {
 	fields := fieldReader{object: part}
 	id = fields.integer("host_id")
@@ -133,14 +134,14 @@
 	return id, g, nil
 }
 
-// storeList stores an endpoint list under its number for the gateways that read it later, also in other batches.
+// storeList stores an endpoint list under its number, so that gateways can read it later, also in other batches.
 func (a *adapter) storeList(event *fastjson.Value) error {
 	fields := fieldReader{object: event}
 	number, lines := fields.integer("buffer"), fields.array("lines")
 	if fields.err != nil {
 		return fmt.Errorf("%s: %w", eventStoreList, fields.err)
 	}
-	parser := &fastjson.Parser{} // of its own: the batch's values end with the batch
+	parser := &fastjson.Parser{} // not the batch's parser, whose values are valid only during the batch
 	stored, err := parser.ParseBytes(lines.MarshalTo(nil))
 	if err != nil {
 		return err
--- a/internal/simulatorwire/simulatorwire_test.go
+++ b/internal/simulatorwire/simulatorwire_test.go
@@ -37,7 +37,7 @@
 		{"kind":"view","form":"INCREMENTAL","buffer":0,"index":3},{"kind":"client_gone","rid":11}`) +
 	batch(70000, `{"kind":"crash_now"},{"kind":"enlist","seed":8,"profile_data":`+profile+`}`)
 
-// A short exchange with its recorded answers: the wire must stay as it is.
+// A short exchange with its recorded output: the wire protocol must not change.
 func Example() {
 	if err := Serve(strings.NewReader(exchange), os.Stdout); err != nil {
 		fmt.Println(err)
@@ -55,8 +55,7 @@
 	// {"parts":[{"host_id":1,"do":[{"kind":"remind","after_us":1000000,"cookie":"1"},{"kind":"remind","after_us":12500,"cookie":"2"}]}]}
 }
 
-// A simulator of another version sends what this one doesn't know. The adapter must end with an error that names the place,
-// instead of running on with a guess.
+// Input from an incompatible simulator must be rejected with an error that names the position, not processed on a guess.
 func TestBadInput(t *testing.T) {
 	start := batch(2000, `{"kind":"enlist","seed":7,"profile_data":`+profile+`}`)
 	for in, want := range map[string]string{
@@ -80,7 +79,7 @@
 	}
 }
 
-// Any input, also noise, must give the same answers each time, and no panic.
+// Any input, valid or not, must give the same output each time and must not cause a panic.
 func FuzzServe(f *testing.F) {
 	f.Add([]byte(exchange))
 	for _, l := range strings.SplitAfter(exchange, "\n") {
@@ -90,7 +89,7 @@
 		var first, second bytes.Buffer
 		err1, err2 := Serve(bytes.NewReader(in), &first), Serve(bytes.NewReader(in), &second)
 		if fmt.Sprint(err1) != fmt.Sprint(err2) || first.String() != second.String() {
-			t.Fatalf("the same input gave two replies:\n%s %v\n%s %v", first.String(), err1, second.String(), err2)
+			t.Fatalf("the same input gave two different outputs:\n%s %v\n%s %v", first.String(), err1, second.String(), err2)
 		}
 	})
 }
