--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -139,7 +139,7 @@
 		}
 		kept, _ := filepath.Glob(file + ".aside-*")
 		if len(kept) != 1 {
-			t.Fatalf("%s: %d files were set aside, wanted 1", name, len(kept))
+			t.Fatalf("%s: the file was not set aside exactly once", name)
 		}
 		if after, _ := os.ReadFile(kept[0]); name != "later version" && len(after) != len(before) {
 			t.Errorf("%s: the file had %d bytes, %d after it was set aside", name, len(before), len(after))
