--- a/client/client_test.go
+++ b/client/client_test.go
@@ -25,7 +25,7 @@
 	"weirhaven/internal/object/index"
 )
 
-// fakeEngine serves the gate's requests from memory.
+// fakeEngine serves engine requests from memory.
 type fakeEngine struct{ data sync.Map }
 
 func (e *fakeEngine) Shards(volume string) ([]uint32, bool) { return []uint32{0}, volume == "yard" }
@@ -40,7 +40,8 @@
 	return true
 }
 
-// startGateway serves the object API, and returns a client of it. Where intercept returns true, it has sent the response itself; nil: never.
+// startGateway starts a server of the object API and returns a client for it. intercept is called before each request; if it returns true,
+// it has sent the response itself. A nil intercept intercepts nothing.
 func startGateway(dir string, intercept func(w http.ResponseWriter, r *http.Request) bool) (c *client.Client, stop func(), err error) {
 	idx, err := index.Open(filepath.Join(dir, "index.db"))
 	if err != nil {
@@ -69,7 +70,7 @@
 func Example() {
 	dir, _ := os.MkdirTemp("", "weirhaven")
 	defer os.RemoveAll(dir)
-	c, stop, err := startGateway(dir, nil) // for a gateway that runs: client.New(client.Config{Endpoint: ...})
+	c, stop, err := startGateway(dir, nil) // for a running gateway, use client.New(client.Config{Endpoint: ...})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -100,8 +101,8 @@
 	// true
 }
 
-// Parts are uploaded in parallel. Of the requests, one in four is rejected with a Retry-After and one in four loses its connection. The client
-// retries, never before the advised time, and the object is whole.
+// Guards against retries before Retry-After and against incomplete objects after retries. Parts are uploaded in parallel; one in four
+// requests is rejected with a Retry-After, and one in four loses its connection.
 func TestPartsAreRetried(t *testing.T) {
 	var requests, early atomic.Int64
 	var mu sync.Mutex
@@ -169,9 +170,9 @@
 	}
 }
 
-// The gateway responds that a request may have run. The client does not repeat it where a second run could change something: the end of an
-// upload, and a put that must be the first. Else it does.
-func TestNonIdempotentRequestsAreNotRepeated(t *testing.T) {
+// Guards against retrying a request that is not idempotent. The gateway responds that the request may have run: completing an upload and a
+// put with OnlyNew must not be retried, a put without a condition must be.
+func TestNonIdempotentRequestsAreNotRetried(t *testing.T) {
 	var completions, firstPuts, puts atomic.Int64
 	c, stop, err := startGateway(t.TempDir(), func(w http.ResponseWriter, r *http.Request) bool {
 		switch {
@@ -207,6 +208,6 @@
 		t.Error(err, puts.Load())
 	}
 	if _, err := client.New(client.Config{Endpoint: "nonsense"}); err == nil {
-		t.Error("an endpoint that is none")
+		t.Error("an invalid endpoint was accepted")
 	}
 }
--- a/client/errors.go
+++ b/client/errors.go
@@ -10,33 +10,34 @@
 	"time"
 )
 
-// maxErrorBytes is how much of an error's document is read.
+// maxErrorBytes is the maximum number of bytes that are read of an error document.
 const maxErrorBytes = 64 << 10
 
-// Error is an error that the gateway responded with. Errors of the methods of Client wrap it; other errors are of the connection or of ctx.
+// Error is an error response of the gateway. The methods of Client return errors that wrap it; their other errors come from the
+// connection or from ctx.
 type Error struct {
-	Status        int           // of HTTP
-	Code, Message string        // of the object API; Code is for programs, such as NoSuchKey
-	MayHaveRun    bool          // the request may have taken effect
-	After         time.Duration // when to retry; 0: the gateway gave no advice
+	Status        int           // HTTP status
+	Code, Message string        // error code of the object API, such as NoSuchKey, and its human-readable description
+	MayHaveRun    bool          // whether the request may have taken effect
+	After         time.Duration // delay before a retry, from Retry-After; 0: the response has none
 }
 
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%d %s: %s", e.Status, e.Code, e.Message) }
 
-// NotFound reports whether an error says that there is no such object, volume or upload.
+// NotFound reports whether err means that an object, volume or upload does not exist.
 func NotFound(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Status == http.StatusNotFound
 }
 
-// readError makes an Error of a response that is none of success, and closes its body.
+// readError returns the Error for an unsuccessful response, and closes the response's body.
 func readError(response *http.Response) *Error {
-	defer func() { _ = response.Body.Close() }() // only read
+	defer func() { _ = response.Body.Close() }() // the response was only read; an error has no effect
 	e := &Error{Status: response.StatusCode, Code: http.StatusText(response.StatusCode),
 		MayHaveRun: response.StatusCode >= http.StatusInternalServerError && response.Header.Get("X-Weirhaven-May-Have-Run") != "no"}
 	var document struct{ Code, Message string }
-	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // without it, the status says enough
+	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // if the document can't be read, the status is still reported
 	if xml.Unmarshal(content, &document) == nil && document.Code != "" {
 		e.Code, e.Message = document.Code, document.Message
 	}
--- a/client/list.go
+++ b/client/list.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// listPage is a page of names as the gateway sends it.
+// listPage is the gateway's response to a list request: one page of objects and common prefixes.
 type listPage struct {
 	Contents []struct {
 		Key, ETag    string
@@ -22,9 +22,9 @@
 	NextContinuationToken string
 }
 
-// List returns a volume's objects whose names begin with prefix, page by page as they are ranged over. With a delimiter, names in which it
-// follows the prefix are returned once for all, as an Info with the common prefix for a name and Size -1; each page has these first.
-// An error ends the list.
+// List returns the objects of a volume whose names begin with prefix. It requests the pages one by one during the iteration. Names that
+// contain delimiter after the prefix are grouped into one Info, which has the common prefix as its Name and Size -1; the groups of a page
+// come before its objects. With an empty delimiter, nothing is grouped. The iteration ends after the first error.
 func (c *Client) List(ctx context.Context, volume, prefix, delimiter string) iter.Seq2[Info, error] {
 	return func(yield func(Info, error) bool) {
 		for token := ""; ; {
@@ -43,7 +43,7 @@
 	}
 }
 
-// listPage gets the page behind a continuation token; empty: the first.
+// listPage requests the page that a continuation token refers to; an empty token stands for the first page.
 func (c *Client) listPage(ctx context.Context, volume, prefix, delimiter, token string) (*listPage, error) {
 	query := url.Values{"list-type": {"2"}, "prefix": {prefix}, "delimiter": {delimiter}}
 	if token != "" {
@@ -53,15 +53,15 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // only read
+	defer func() { _ = response.Body.Close() }() // the response was only read; an error has no effect
 	page := &listPage{}
 	if err := xml.NewDecoder(response.Body).Decode(page); err != nil {
-		return nil, fmt.Errorf("the list can't be read: %w", err)
+		return nil, fmt.Errorf("decode list response: %w", err)
 	}
 	return page, nil
 }
 
-// yield passes on what the page holds; false: no more is wanted.
+// yield calls yield for each common prefix and object of the page. It returns false if the iteration was stopped.
 func (p *listPage) yield(yield func(Info, error) bool) bool {
 	for _, common := range p.CommonPrefixes {
 		if !yield(Info{Name: common.Prefix, Size: -1}, nil) {
--- a/client/multipart.go
+++ b/client/multipart.go
@@ -14,26 +14,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// multipartUpload is one object that is uploaded in parts.
+// multipartUpload is the upload of one object in parts.
 type multipartUpload struct {
 	client       *Client
 	volume, name string
 	in           io.ReaderAt
 	size         int64
-	options      PutOptions // with defaults
+	options      PutOptions // options with defaults applied
 
 	id   string
-	mu   sync.Mutex
-	sent int64 // bytes that have arrived; guarded by mu, as are calls of Progress
+	mu   sync.Mutex // guards sent and calls of Progress
+	sent int64      // bytes of the parts that have been uploaded
 }
 
-// uploadedPart is a part as the document that completes the upload names it.
+// uploadedPart is an entry of the part list in the document that completes the upload.
 type uploadedPart struct {
 	PartNumber int
 	ETag       string
 }
 
-// run uploads the parts, completes the upload and returns the object's entity tag. After a failure it aborts the upload.
+// run creates the upload, uploads the parts, completes the upload and returns the object's entity tag. If a later step fails, it aborts
+// the upload.
 func (u *multipartUpload) run(ctx context.Context) (etag string, err error) {
 	if err := u.create(ctx); err != nil {
 		return "", err
@@ -56,27 +57,27 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // only read
+	defer func() { _ = response.Body.Close() }() // the response was only read; an error has no effect
 	var document struct {
 		UploadID string `xml:"UploadId"`
 	}
 	err = xml.NewDecoder(response.Body).Decode(&document)
 	if err != nil || document.UploadID == "" {
-		return fmt.Errorf("begin of an upload: the answer can't be read: %w", err)
+		return fmt.Errorf("create multipart upload: invalid response: %w", err)
 	}
 	u.id = document.UploadID
 	return nil
 }
 
-// abort removes the parts. Where that fails, the gateway does it once the upload is idle for long.
+// abort deletes the upload with its parts. If that fails, the gateway deletes them after its idle timeout for uploads.
 func (u *multipartUpload) abort(ctx context.Context) {
 	response, err := u.client.do(ctx, &request{method: http.MethodDelete, volume: u.volume, name: u.name, query: url.Values{"uploadId": {u.id}}})
 	if err == nil {
-		_ = response.Body.Close() // it has no bytes
+		_ = response.Body.Close() // the body is empty
 	}
 }
 
-// uploadParts uploads all parts, up to Parallel at once. The first error cancels the others.
+// uploadParts uploads all parts, up to Parallel at once. The first error cancels the remaining uploads.
 func (u *multipartUpload) uploadParts(ctx context.Context) ([]uploadedPart, error) {
 	parts := make([]uploadedPart, (u.size+u.options.Part-1)/u.options.Part)
 	group, ctx := errgroup.WithContext(ctx)
@@ -90,7 +91,7 @@
 	return parts, group.Wait()
 }
 
-// uploadPart uploads part i, counted from 0.
+// uploadPart uploads the part with index i, counted from 0. Its part number is i+1.
 func (u *multipartUpload) uploadPart(ctx context.Context, i int) (uploadedPart, error) {
 	from := int64(i) * u.options.Part
 	r, err := newBodyRequest(u.in, from, min(u.options.Part, u.size-from))
@@ -104,7 +105,7 @@
 	if err != nil {
 		return uploadedPart{}, fmt.Errorf("part %d: %w", number, err)
 	}
-	_ = response.Body.Close() // it has no bytes
+	_ = response.Body.Close() // the body is empty
 	u.reportProgress(r.size)
 	return uploadedPart{number, response.Header.Get("ETag")}, nil
 }
@@ -116,7 +117,8 @@
 	u.options.Progress(u.sent)
 }
 
-// complete makes the object of the parts. It is not idempotent: one that may have run is not retried.
+// complete completes the upload and returns the object's entity tag. The request is not idempotent, so it is not retried if it may have
+// run.
 func (u *multipartUpload) complete(ctx context.Context, parts []uploadedPart) (etag string, err error) {
 	document, err := xml.Marshal(struct {
 		XMLName xml.Name `xml:"CompleteMultipartUpload"`
@@ -135,10 +137,10 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // only read
+	defer func() { _ = response.Body.Close() }() // the response was only read; an error has no effect
 	var object struct{ ETag string }
 	if err := xml.NewDecoder(response.Body).Decode(&object); err != nil {
-		return "", fmt.Errorf("end of an upload: the answer can't be read: %w", err)
+		return "", fmt.Errorf("complete multipart upload: invalid response: %w", err)
 	}
 	return unquoteETag(object.ETag), nil
 }
--- a/client/put.go
+++ b/client/put.go
@@ -17,12 +17,12 @@
 
 // PutOptions are the options of Put. The zero value is usable.
 type PutOptions struct {
-	ContentType string            // empty: that of the gateway
-	Meta        map[string]string // stored with the object
-	OnlyNew     bool              // fail if there is an object of the name
-	Part        int64             // bytes; larger objects are uploaded in parts of this size; 0: 16 MiB
-	Parallel    int               // parts uploaded at once; 0: 4
-	// Progress, if not nil, is called with the number of bytes that have arrived so far. Its calls never overlap, but come from several
+	ContentType string            // media type of the object; empty: the gateway's default
+	Meta        map[string]string // metadata stored with the object
+	OnlyNew     bool              // whether Put fails if the object already exists
+	Part        int64             // part size in bytes; larger objects are uploaded in parts of this size; 0: 16 MiB
+	Parallel    int               // maximum number of parts uploaded at once; 0: 4
+	// Progress, if not nil, is called with the number of bytes stored so far. Calls never overlap, but may come from different
 	// goroutines.
 	Progress func(done int64)
 }
@@ -52,15 +52,15 @@
 	return header
 }
 
-// setCondition sets the header by which an object is not replaced.
+// setCondition sets the header that prevents replacing an existing object, if OnlyNew is set.
 func (o PutOptions) setCondition(header http.Header) {
 	if o.OnlyNew {
 		header.Set("If-None-Match", "*")
 	}
 }
 
-// Put stores size bytes as an object and returns its entity tag. The bytes are read twice or more: for their digest, and for each attempt.
-// With OnlyNew, the error of an existing object is an *Error with the Code PreconditionFailed.
+// Put stores size bytes of in as an object and returns its entity tag. It reads the bytes at least twice: once for their digest, and once
+// for each attempt. With OnlyNew, if the object already exists, the error is an *Error with Code PreconditionFailed.
 func (c *Client) Put(ctx context.Context, volume, name string, in io.ReaderAt, size int64, o PutOptions) (etag string, err error) {
 	o = o.withDefaults()
 	if size > o.Part {
@@ -77,17 +77,17 @@
 	if err != nil {
 		return "", err
 	}
-	_ = response.Body.Close() // it has no bytes
+	_ = response.Body.Close() // the body is empty
 	o.Progress(size)
 	return unquoteETag(response.Header.Get("ETag")), nil
 }
 
-// newBodyRequest returns a request with a stretch of in for a body, and its digest.
+// newBodyRequest returns a request whose body is size bytes of in from an offset on. It reads these bytes to compute their digest.
 func newBodyRequest(in io.ReaderAt, from, size int64) (*request, error) {
 	r := &request{size: size, body: func() io.Reader { return io.NewSectionReader(in, from, size) }}
 	digest := sha256.New()
 	if n, err := io.Copy(digest, r.body()); err != nil || n != size {
-		return nil, fmt.Errorf("read what is to be put: %d of %d bytes: %w", n, size, errors.Join(err, io.ErrUnexpectedEOF))
+		return nil, fmt.Errorf("read object content: got %d of %d bytes: %w", n, size, errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	r.digest = hex.EncodeToString(digest.Sum(nil))
 	return r, nil
--- a/client/request.go
+++ b/client/request.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	firstWait        = 100 * time.Millisecond // before the first retry; doubled for each further one
-	maxWaitDoublings = 8
-	jitterShare      = 4 // up to 1/jitterShare of a wait is added to it, so that clients don't retry in step
+	initialBackoff      = 100 * time.Millisecond // backoff before the first retry; doubled for each further retry
+	maxBackoffDoublings = 8
+	jitterDivisor       = 4 // up to 1/jitterDivisor of the backoff is added as jitter, so that clients don't retry at the same time
 
 	unsignedPayload = "UNSIGNED-PAYLOAD"
 )
 
-// request is one that may be sent several times.
+// request is a request that can be sent several times.
 type request struct {
 	method, volume, name string
 	query                url.Values
 	header               http.Header
-	body                 func() io.Reader // a new reader for each attempt; nil: no body
-	size                 int64            // of the body, in bytes
-	digest               string           // of the body, SHA-256 in hex; empty: not signed
-	nonIdempotent        bool             // one that may have run must not be sent again
+	body                 func() io.Reader // returns a new reader of the body for each attempt; nil: no body
+	size                 int64            // size of the body in bytes
+	digest               string           // SHA-256 of the body in hex; empty: the signature does not cover the body
+	nonIdempotent        bool             // whether the request must not be retried if it may have run
 }
 
-// do sends a request until it succeeds or must not be retried. The caller closes the response's body.
+// do sends a request and retries it until it succeeds, must not be retried, or has been retried Repeats times. The caller must close the
+// body of the response.
 func (c *Client) do(ctx context.Context, r *request) (*http.Response, error) {
 	for attempt := 0; ; attempt++ {
 		response, err := c.send(ctx, r)
@@ -48,8 +49,8 @@
 		switch {
 		case fromGateway && (e.Status < http.StatusInternalServerError || e.MayHaveRun && r.nonIdempotent):
 			return nil, err
-		case !fromGateway && r.nonIdempotent: // the connection ended: the request may have run
-			return nil, fmt.Errorf("%w (it may have happened)", err)
+		case !fromGateway && r.nonIdempotent: // the connection failed: the request may have run
+			return nil, fmt.Errorf("%w (the request may have taken effect)", err)
 		}
 		select {
 		case <-time.After(c.backoff(attempt, e)):
@@ -59,17 +60,17 @@
 	}
 }
 
-// backoff returns how long to wait after a failed attempt, numbered from 0: as the gateway advises, else exponentially longer. e is nil
-// if the gateway did not respond.
+// backoff returns the delay before the retry that follows a failed attempt; attempts are numbered from 0. It is the gateway's
+// Retry-After, if there is one, otherwise an exponential backoff. e is nil if the gateway did not respond.
 func (c *Client) backoff(attempt int, e *Error) time.Duration {
-	wait := min(firstWait<<min(attempt, maxWaitDoublings), c.config.Wait)
+	delay := min(initialBackoff<<min(attempt, maxBackoffDoublings), c.config.Wait)
 	if e != nil && e.After > 0 {
-		wait = min(e.After, c.config.Wait)
+		delay = min(e.After, c.config.Wait)
 	}
-	return wait + time.Duration(rand.Int64N(int64(wait)/jitterShare+1))
+	return delay + time.Duration(rand.Int64N(int64(delay)/jitterDivisor+1))
 }
 
-// send sends a request once. A response that is none of success becomes an *Error.
+// send sends a request once. An unsuccessful response is returned as an *Error.
 func (c *Client) send(ctx context.Context, r *request) (*http.Response, error) {
 	httpRequest, err := c.newHTTPRequest(ctx, r)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return response, nil
 }
 
-// newHTTPRequest makes one attempt of a request, signed if there is a key.
+// newHTTPRequest returns the HTTP request for one attempt, signed if an access key is configured.
 func (c *Client) newHTTPRequest(ctx context.Context, r *request) (*http.Request, error) {
 	var body io.Reader
 	if r.body != nil && r.size > 0 {
@@ -121,6 +122,6 @@
 		u.Path += "/" + r.name
 	}
 	u.RawPath = strings.ReplaceAll(url.PathEscape(u.Path), "%2F", "/")
-	u.RawQuery = strings.ReplaceAll(r.query.Encode(), "+", "%20") // as signatures need it
+	u.RawQuery = strings.ReplaceAll(r.query.Encode(), "+", "%20") // signatures require %20 for a space
 	return u.String()
 }
