--- a/internal/fake/agent/agent.go
+++ b/internal/fake/agent/agent.go
@@ -31,7 +31,7 @@
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`
 	UpSince  int64   `json:"up_since_ms"`
-	revision int64   // of the list when the entry last changed
+	revision int64   // revision of the list in which the entry last changed
 }
 
 // List is the complete list, or the entries that changed, in the wire format.
@@ -87,13 +87,13 @@
 
 // changesSince returns the entries that changed after a revision; for revision 0, the complete list. The caller holds mu.
 func (d *Discovery) changesSince(revision int64) List {
-	l := List{Revision: d.revision, Complete: revision == 0, Members: []Server{}}
+	list := List{Revision: d.revision, Complete: revision == 0, Members: []Server{}}
 	for _, s := range d.servers {
-		if s.revision > revision && (!l.Complete || s.Phase != Terminated) {
-			l.Members = append(l.Members, s)
+		if s.revision > revision && (!list.Complete || s.Phase != Terminated) {
+			list.Members = append(list.Members, s)
 		}
 	}
-	return l
+	return list
 }
 
 // Agent serves one gateway process. Its methods may be called from any goroutine.
@@ -106,14 +106,14 @@
 	mu      sync.Mutex
 	closed  bool
 	watches map[*watch]bool
-	delay   time.Duration // before the response to a new watch begins
+	delay   time.Duration // delay before the response to a new watch begins
 	refuse  bool          // new watches get an error
 }
 
 // watch is one open watch request.
 type watch struct {
 	conn   net.Conn
-	silent bool          // nothing more is sent
+	silent bool          // no more data is sent on it
 	wake   chan struct{} // has a buffer of one
 }
 
--- a/internal/fake/client/connection.go
+++ b/internal/fake/client/connection.go
@@ -14,7 +14,7 @@
 	sender         *lineproto.Sender // nil while not connected
 	conn           net.Conn
 	closedByClient bool
-	stalledUntil   time.Time           // before which the clients read nothing
+	stalledUntil   time.Time           // end of the stall during which the clients read nothing
 	unanswered     map[uint64]*attempt // attempts without a response, by number
 }
 
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -18,9 +18,9 @@
 // Config configures a service.
 type Config struct {
 	Address      string        // address to listen on; port 0: the kernel chooses
-	PollOnly     bool          // answer polls only; push nothing
+	PollOnly     bool          // the service answers polls only and pushes nothing
 	NotifyDelay  time.Duration // mean delay of a notification; each is delayed by 0.5 to 1.5 times as much
-	ClockOffset  time.Duration // added to the service's clock
+	ClockOffset  time.Duration // offset of the service's clock from the machine's
 	FailureShare float64       // share of the requests that fail, 0 to 1
 	Seed         int64
 	Recorder     *record.Recorder
@@ -48,7 +48,7 @@
 	rng      *rand.Rand
 	entries  []Entry
 	epoch    string // identifies this start of the service
-	revision int64  // of the list
+	revision int64  // current revision of the list
 	clients  map[*client]bool
 }
 
@@ -56,8 +56,8 @@
 type client struct {
 	conn     net.Conn
 	sender   *lineproto.Sender
-	name     string // of the gateway, from its greeting
-	watching bool   // it is notified of changes
+	name     string // name of the gateway, from its greeting
+	watching bool   // whether the gateway is notified of changes
 }
 
 // Start starts a service. It returns an error if it can't listen on the address.
--- a/internal/fake/storagenode/storagenode.go
+++ b/internal/fake/storagenode/storagenode.go
@@ -28,11 +28,11 @@
 
 	mu              sync.Mutex
 	conditions      Conditions
-	conditionsSince time.Time // when conditions last changed
+	conditionsSince time.Time // time of the last change of conditions
 	queue           []*job
-	current         *job      // that the worker works on
+	current         *job      // job that the worker executes
 	deferredWork    float64   // seconds of a worker of speed 1
-	flushAt         time.Time // when the deferred work is due
+	flushAt         time.Time // time at which the deferred work is due
 	recentObjects   []string  // the cache, oldest first
 	recentArrivals  []arrival // arrivals within CollapseAfter, during the slow start
 	connections     map[*connection]bool
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -74,8 +74,8 @@
 type activeFaults struct {
 	mu          sync.Mutex
 	running     map[string]bool
-	injected    int // faults so far
-	overlapping int // faults that began while another one was active
+	injected    int // number of faults so far
+	overlapping int // number of faults that began while another one was active
 }
 
 // begin marks a fault as active. It returns false if the fault or maxConcurrentFaults others are already active.
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -20,11 +20,11 @@
 
 // judge checks the whole record and the processes' logs after the run, and returns the report.
 func (r *run) judge() *Report {
-	observations, rules := r.recorder.All(), auditHeader(r.options.Seed, len(r.processes))
-	if err := record.Write(r.directory, rules, observations); err != nil { // for weirhavenctl audit, which can judge the record again
+	observations, header := r.recorder.All(), auditHeader(r.options.Seed, len(r.processes))
+	if err := record.Write(r.directory, header, observations); err != nil { // for weirhavenctl audit, which can judge the record again
 		r.report(Violation{Rule: "soak", Detail: err.Error()})
 	}
-	verdict := audit.Judge(rules, observations)
+	verdict := audit.Judge(header, observations)
 	for rule, breach := range verdict.First {
 		if breach != nil {
 			detail := fmt.Sprintf("%s, %d times; first: %s", audit.Rules[rule], verdict.Violations[rule], breach.Description)
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -9,10 +9,10 @@
 type Report struct {
 	Seed        int64
 	Processes   int
-	Requests    int // requests that clients sent
-	Completed   int // requests that succeeded
-	Faults      int // faults that were injected
-	Overlapping int // faults that began while another one was active
+	Requests    int // number of requests that clients sent
+	Completed   int // number of requests that succeeded
+	Faults      int // number of faults that were injected
+	Overlapping int // number of faults that began while another one was active
 	Violations  []Violation
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -58,7 +58,7 @@
 	endpoints     []*endpoint // endpoints in service, by shard
 	allEndpoints  []*endpoint
 	serial        int               // number of the last endpoint
-	attempts      map[uint64]uint32 // attempts so far, by request
+	attempts      map[uint64]uint32 // number of attempts so far, by request
 	violations    []Violation
 	discoveryDown bool       // processes miss changes meanwhile
 	pipes         []*os.File // read ends of LogsStalled
