--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -50,7 +50,7 @@
 				if err := s.Prepare(); err != nil {
 					b.Fatal(err)
 				}
-				g, err := s.Grow(context.Background())
+				g, err := s.FindLoadLimit(context.Background())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/capacity/study/growth.go
+++ b/internal/capacity/study/growth.go
@@ -57,8 +57,8 @@
 	*played
 }
 
-// Grow looks for the first limit that the load meets as it grows.
-func (s *Study) Grow(ctx context.Context) (*Growth, error) {
+// FindLoadLimit looks for the first limit that the load meets as it grows.
+func (s *Study) FindLoadLimit(ctx context.Context) (*Growth, error) {
 	usual := bounds.Usual(s.Limits(s.Fleet, s.Requests))
 	g := &Growth{Bound: math.Inf(1), Naive: s.naiveGrowth(), First: usual[:min(nearestLimits, len(usual))]}
 	if len(usual) > 0 {
--- a/internal/capacity/study/loss.go
+++ b/internal/capacity/study/loss.go
@@ -38,9 +38,9 @@
 	lost, restored, warm, end time.Duration
 }
 
-// Lose plays the heaviest stretch with something lost in it: "zone=NAME", "brick=NAME", "host=NAME", several with commas. What is lost
+// SimulateLoss plays the heaviest stretch with something lost in it: "zone=NAME", "brick=NAME", "host=NAME", several with commas. What is lost
 // is replaced after the outage, which is cut to whole seconds.
-func (s *Study) Lose(ctx context.Context, target string, outage time.Duration) (*Loss, error) {
+func (s *Study) SimulateLoss(ctx context.Context, target string, outage time.Duration) (*Loss, error) {
 	l, err := s.resolve(target)
 	if err != nil {
 		return nil, err
--- a/internal/capacity/study/servers.go
+++ b/internal/capacity/study/servers.go
@@ -33,9 +33,9 @@
 	Cost    float64         // of the least
 }
 
-// Least looks for the least servers of each kind that meet the goals, the other kinds as they are; and of gateways, by what each
+// FindLeastServers looks for the least servers of each kind that meet the goals, the other kinds as they are; and of gateways, by what each
 // carries.
-func (s *Study) Least(ctx context.Context) ([]Servers, error) {
+func (s *Study) FindLeastServers(ctx context.Context) ([]Servers, error) {
 	var all []Servers
 	for _, kind := range s.Fleet.Kind {
 		now := s.count(kind.Name)
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -90,11 +90,11 @@
 	f, m := fleet()
 	calm := load(150, 0, 60*time.Second, "basic", 0, 1)
 	surge := load(450, 40*time.Second, 46*time.Second, "basic", 0, 2)
-	g, err := study(t, f, m, merge(calm, surge)).Grow(context.Background())
+	g, err := study(t, f, m, merge(calm, surge)).FindLoadLimit(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := study(t, f, m, calm).Grow(context.Background())
+	c, err := study(t, f, m, calm).FindLoadLimit(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	f, m := fleet()
 	w := load(300, 0, 16*time.Second, "priority", 0, 3)
 	s := study(t, f, m, w, "plan=priority target>=0.97")
-	all, err := s.Least(context.Background())
+	all, err := s.FindLeastServers(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 	for i := range lone {
 		lone[i].Volume, lone[i].Shard = "whole", 2
 	}
-	all, err = study(t, f, m, merge(lone, load(50, 0, 16*time.Second, "priority", 0, 5)), "plan=basic target>=0.95", "plan=priority target>=0.9").Least(context.Background())
+	all, err = study(t, f, m, merge(lone, load(50, 0, 16*time.Second, "priority", 0, 5)), "plan=basic target>=0.95", "plan=priority target>=0.9").FindLeastServers(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 	f, m := fleet()
 	w := merge(load(150, 0, 30*time.Second, "basic", 1, 6), load(280, 0, 30*time.Second, "priority", 1, 7))
 	s := study(t, f, m, w)
-	l, err := s.Lose(context.Background(), "zone=north", 6*time.Second)
+	l, err := s.SimulateLoss(context.Background(), "zone=north", 6*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,10 +170,10 @@
 		t.Error("what earns least goes first")
 	}
 	f.Plan[1].Reservation = 300 // more than is left
-	if l, err = s.Lose(context.Background(), "zone=north", 6*time.Second); err != nil || l.Phases[1].Asked > 2 && l.Phases[1].Reserved > 2 && l.Phases[1].Met {
+	if l, err = s.SimulateLoss(context.Background(), "zone=north", 6*time.Second); err != nil || l.Phases[1].Asked > 2 && l.Phases[1].Reserved > 2 && l.Phases[1].Met {
 		t.Error(err, "reserves over what is left are said to be met")
 	}
-	if _, err := s.Lose(context.Background(), "zone=nowhere", time.Second); err == nil || !strings.Contains(err.Error(), "nowhere") {
+	if _, err := s.SimulateLoss(context.Background(), "zone=nowhere", time.Second); err == nil || !strings.Contains(err.Error(), "nowhere") {
 		t.Error(err)
 	}
 }
@@ -241,7 +241,7 @@
 	one := func(jobs int) string {
 		s := study(t, f, m, w)
 		s.Jobs = jobs
-		g, err := s.Grow(context.Background())
+		g, err := s.FindLoadLimit(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -44,8 +44,8 @@
 	Deviation, NaiveDeviation [3]float64
 }
 
-// Good says whether all figures of the forecast, and of the naive one, are within a part of what was measured.
-func (c Comparison) Good(part float64) (forecast, naive bool) {
+// Within says whether all figures of the forecast, and of the naive one, are within a part of what was measured.
+func (c Comparison) Within(part float64) (forecast, naive bool) {
 	return within(c.Deviation, part), within(c.NaiveDeviation, part)
 }
 
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -184,17 +184,17 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if !c.Only {
-		if a.Growth, err = s.Grow(ctx); err != nil {
+		if a.Growth, err = s.FindLoadLimit(ctx); err != nil {
 			return err
 		}
 	}
 	if c.Servers || len(c.Goal) > 0 && !c.Only {
-		if a.Servers, err = s.Least(ctx); err != nil {
+		if a.Servers, err = s.FindLeastServers(ctx); err != nil {
 			return err
 		}
 	}
 	for _, what := range c.Lose {
-		loss, err := s.Lose(ctx, what, c.Gone)
+		loss, err := s.SimulateLoss(ctx, what, c.Gone)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/verify.go
+++ b/internal/cli/verify.go
@@ -55,7 +55,7 @@
 			return err
 		}
 		m, f, n := r.Measured, r.Forecast, r.Naive
-		g, ng := r.Good(c.Aim)
+		g, ng := r.Within(c.Aim)
 		if all++; g {
 			good++
 		}
