--- a/internal/capacity/decide/bootstrap.go
+++ b/internal/capacity/decide/bootstrap.go
@@ -86,14 +86,14 @@
 }
 
 func addTimes(sum, tally *forecast.Tally, times int) {
-	sum.Wanted += tally.Wanted * times
+	sum.Requests += tally.Requests * times
 	sum.InTarget += tally.InTarget * times
 	sum.Late += tally.Late * times
-	sum.Busy += tally.Busy * times
+	sum.Rejected += tally.Rejected * times
 	sum.Aborted += tally.Aborted * times
-	sum.Left += tally.Left * times
-	sum.Asked += tally.Asked * times
+	sum.Cancelled += tally.Cancelled * times
+	sum.Submitted += tally.Submitted * times
 	for range min(times, maxCopies) {
-		sum.Took = append(sum.Took, tally.Took...)
+		sum.Latencies = append(sum.Latencies, tally.Latencies...)
 	}
 }
--- a/internal/capacity/decide/decide_test.go
+++ b/internal/capacity/decide/decide_test.go
@@ -16,7 +16,7 @@
 // A goal is read, a wrong one is refused with the reason, and its value comes from the tallies that it covers.
 func TestParseGoal(t *testing.T) {
 	g, err := ParseGoal("plan=priority queue=read target>=0.99")
-	if err != nil || g.Plan != "priority" || g.QueueType != "read" || g.Bound != 0.99 || !g.AtLeast {
+	if err != nil || g.Plan != "priority" || g.Class != "read" || g.Bound != 0.99 || !g.AtLeast {
 		t.Error(g, err)
 	}
 	if g, err := ParseGoal("p99<=250ms"); err != nil || g.Bound != 0.25 || g.AtLeast {
@@ -27,8 +27,8 @@
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
-	all := map[forecast.Key]*forecast.Tally{{Plan: "a", Type: "read"}: {Wanted: 10, Left: 2, InTarget: 6, Busy: 2, Took: []time.Duration{1e9, 2e9}},
-		{Plan: "b", Type: "read"}: {Wanted: 8, InTarget: 8}}
+	all := map[forecast.Key]*forecast.Tally{{Plan: "a", Class: "read"}: {Requests: 10, Cancelled: 2, InTarget: 6, Rejected: 2, Latencies: []time.Duration{1e9, 2e9}},
+		{Plan: "b", Class: "read"}: {Requests: 8, InTarget: 8}}
 	a, _ := ParseGoal("plan=a target>=0.9")
 	b, _ := ParseGoal("plan=b target>=0.9")
 	c, _ := ParseGoal("plan=c target>=0.9")
@@ -119,7 +119,7 @@
 // The range holds the crossing of most draws and shrinks with more blocks.
 func TestConfidenceRange(t *testing.T) {
 	g, _ := ParseGoal("target>=0.9")
-	k := forecast.Key{Plan: "p", Type: "q"}
+	k := forecast.Key{Plan: "p", Class: "q"}
 	loads := []float64{0.5, 1, 2, 4}
 	width := func(blocks int) (low, high float64) {
 		rng := rand.New(rand.NewSource(1))
@@ -128,7 +128,7 @@
 			p := Block{Weight: 1}
 			bad := rng.Float64()
 			for _, x := range loads {
-				p.Tallies = append(p.Tallies, map[forecast.Key]*forecast.Tally{k: {Wanted: 100, InTarget: 100 - int(20*bad*x/2)}})
+				p.Tallies = append(p.Tallies, map[forecast.Key]*forecast.Tally{k: {Requests: 100, InTarget: 100 - int(20*bad*x/2)}})
 			}
 			all = append(all, p)
 		}
@@ -143,13 +143,13 @@
 
 // A fleet loses capacity and must shed work. What earns least goes first; nothing reserved goes while anything else remains.
 func TestShedToFit(t *testing.T) {
-	shares := []Share{{Plan: "priority", QueueType: "read", Work: 3, Reserved: 2, Weight: 4, RequestRate: 100}, {Plan: "basic", QueueType: "read", Work: 2, Weight: 1, RequestRate: 100},
-		{Plan: "basic", QueueType: "log", Work: 1, Weight: 0.2, RequestRate: 100}}
+	shares := []Share{{Plan: "priority", Class: "read", Work: 3, Reserved: 2, Weight: 4, RequestRate: 100}, {Plan: "basic", Class: "read", Work: 2, Weight: 1, RequestRate: 100},
+		{Plan: "basic", Class: "log", Work: 1, Weight: 0.2, RequestRate: 100}}
 	if g, met := ShedToFit(shares, 7); len(g) != 0 || !met {
 		t.Error(g, met)
 	}
 	g, met := ShedToFit(shares, 4)
-	if len(g) != 2 || g[0].QueueType != "log" || g[0].Part != 1 || g[1].Plan != "basic" || g[1].Part != 0.5 || !met {
+	if len(g) != 2 || g[0].Class != "log" || g[0].Part != 1 || g[1].Plan != "basic" || g[1].Part != 0.5 || !met {
 		t.Error(g, met)
 	}
 	g, met = ShedToFit(shares, 1)
--- a/internal/capacity/decide/goal.go
+++ b/internal/capacity/decide/goal.go
@@ -40,12 +40,12 @@
 
 // Goal is a service goal: of the requests of a plan and a queue type, a measure and its bound.
 type Goal struct {
-	Text      string // as the operator wrote it
-	Plan      string // empty: all
-	QueueType string // empty: all
-	Measure   Measure
-	Bound     float64 // a part from 0 to 1, or seconds
-	AtLeast   bool    // the measure must be at least the bound; else at most
+	Text    string // as the operator wrote it
+	Plan    string // empty: all
+	Class   string // empty: all
+	Measure Measure
+	Bound   float64 // a part from 0 to 1, or seconds
+	AtLeast bool    // the measure must be at least the bound; else at most
 }
 
 // Value returns the goal's measure in what a forecast found. ok is false where the forecast has no request that counts.
@@ -56,7 +56,7 @@
 			sum.Add(tally)
 		}
 	}
-	requests := float64(sum.Wanted - sum.Left) // what its client cancelled says nothing of the service
+	requests := float64(sum.Requests - sum.Cancelled) // what its client cancelled says nothing of the service
 	if requests == 0 {
 		return 0, false
 	}
@@ -65,7 +65,7 @@
 	}
 	switch g.Measure {
 	case MeasureRejected:
-		return float64(sum.Busy) / requests, true
+		return float64(sum.Rejected) / requests, true
 	case MeasureAborted:
 		return float64(sum.Aborted) / requests, true
 	default:
@@ -74,7 +74,7 @@
 }
 
 func (g Goal) covers(key forecast.Key) bool {
-	return (g.Plan == "" || g.Plan == key.Plan) && (g.QueueType == "" || g.QueueType == key.Type)
+	return (g.Plan == "" || g.Plan == key.Plan) && (g.Class == "" || g.Class == key.Class)
 }
 
 // Met says whether a value meets the goal.
@@ -114,8 +114,8 @@
 		if g.Plan != "" && !slices.Contains(plans, g.Plan) {
 			return fmt.Errorf("goal %q: no plan %q; there are %s", g.Text, g.Plan, strings.Join(plans, ", "))
 		}
-		if g.QueueType != "" && !slices.Contains(queueTypes, g.QueueType) {
-			return fmt.Errorf("goal %q: no queue type %q; there are %s", g.Text, g.QueueType, strings.Join(queueTypes, ", "))
+		if g.Class != "" && !slices.Contains(queueTypes, g.Class) {
+			return fmt.Errorf("goal %q: no queue type %q; there are %s", g.Text, g.Class, strings.Join(queueTypes, ", "))
 		}
 	}
 	return nil
--- a/internal/capacity/decide/parse.go
+++ b/internal/capacity/decide/parse.go
@@ -51,7 +51,7 @@
 	case key == "plan" && name != "":
 		g.Plan = name
 	case (key == "queue" || key == "queue_type") && name != "":
-		g.QueueType = name
+		g.Class = name
 	default:
 		return g.invalid(strconv.Quote(field)+" is no part of a goal", `allowed: plan=NAME, queue=NAME, and one measure such as target>=0.99, p99<=250ms, busy<=0.01`)
 	}
--- a/internal/capacity/decide/shed.go
+++ b/internal/capacity/decide/shed.go
@@ -9,7 +9,7 @@
 // Share is the work of a plan and a queue type that a fleet carries.
 type Share struct {
 	Plan        string
-	QueueType   string  `json:"Type"`
+	Class       string  `json:"Type"`
 	Work        float64 // cores, in the worst window
 	Reserved    float64 // of it, what reservations promise, at most Work
 	Weight      float64 `json:"Worth"`    // priority weight of plan times queue type, a request
@@ -41,7 +41,7 @@
 	}
 	order := slices.Clone(shares)
 	slices.SortStableFunc(order, func(a, b Share) int {
-		return cmp.Or(cmp.Compare(a.value(), b.value()), cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType))
+		return cmp.Or(cmp.Compare(a.value(), b.value()), cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Class, b.Class))
 	})
 	shed, excess = shedFrom(order, excess, func(s Share) float64 { return s.Work - s.Reserved })
 	if excess <= negligible {
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -1,5 +1,5 @@
-// Package forecast plays wanted commands against a fleet in virtual time: host loops with the module in them, as they serve,
-// over bricks as learnt from a capture. One seed gives one run. It has no I/O, clock or goroutine.
+// Package forecast simulates client requests against a fleet in virtual time. The gateways run the production engine and scheduler;
+// the endpoints follow a model learnt from a capture. A run is deterministic for a given seed. The package has no I/O, clock or goroutine.
 package forecast
 
 import (
@@ -21,116 +21,118 @@
 	"weirhaven/policy"
 )
 
-// Event is a brick or a host that goes or comes.
+// Event takes an endpoint or a gateway down, or starts it again.
 type Event struct {
-	At          time.Duration
-	Brick, Host string
-	Down        bool // else what replaces it comes up: a brick cold, in the same cell
-	Silent      bool // no list tells of it: hosts find out by themselves
+	At                time.Duration
+	Endpoint, Gateway string
+	Down              bool // false: the endpoint (cold, in the same shard) or the gateway starts again
+	Unannounced       bool // no endpoint list reports a failure, and the same endpoint returns instead of a new one
 }
 
-// Scenario is what is played.
+// Scenario is the input of a simulation.
 type Scenario struct {
-	Fleet  *pb.CapacityFleet
-	Model  *pb.CapacityModel
-	Wants  []demand.Request // by time
-	Events []Event
-	Seed   int64
-	// Notice is how late hosts hear of what came or went. 0: 300 ms.
-	Notice time.Duration
-	// Block is the length by which results are kept apart. 0: 1 s.
-	Block time.Duration
-	// Start makes the module; nil: the module itself.
-	Start func(policy.Runtime, policy.Settings) engine.Scheduler
-	// Tap hears what a host would have captured; nil: nothing.
-	Tap func(host string) engine.Observer
-}
-
-// Key is a plan and a queue type.
-type Key struct{ Plan, Type string }
-
-// Tally is what came of wants.
+	Fleet    *pb.CapacityFleet
+	Model    *pb.CapacityModel
+	Requests []demand.Request // sorted by arrival
+	Events   []Event
+	Seed     int64
+	// NoticeDelay is the mean delay until gateways receive a changed endpoint list; each gateway's delay is drawn from half to one and a half
+	// times this. 0: 300 ms.
+	NoticeDelay time.Duration
+	// BlockLength is the length of the intervals that results are reported for. 0: 1 s.
+	BlockLength time.Duration
+	// NewScheduler creates each gateway's scheduler. nil: the production scheduler.
+	NewScheduler func(policy.Runtime, policy.Settings) engine.Scheduler
+	// Observe returns the observer of a gateway, which receives what the gateway would have captured. nil: none.
+	Observe func(gateway string) engine.Observer
+}
+
+// Key is a service plan and a request class.
+type Key struct{ Plan, Class string }
+
+// Tally counts client requests by how they ended.
 type Tally struct {
-	Wanted, InTarget, Late, Busy, Aborted, Left int
-	Asked                                       int
-	Took                                        []time.Duration // of the completed, since the first asking
+	Requests, InTarget, Late, Rejected, Aborted, Cancelled int
+	Submitted                                              int             // submissions to gateways, retries included
+	Latencies                                              []time.Duration // of completed requests, from the first submission
 }
 
-// Add puts one to the other.
+// Add adds the counts and latencies of o to t.
 func (t *Tally) Add(o *Tally) {
-	t.Wanted += o.Wanted
+	t.Requests += o.Requests
 	t.InTarget += o.InTarget
 	t.Late += o.Late
-	t.Busy += o.Busy
+	t.Rejected += o.Rejected
 	t.Aborted += o.Aborted
-	t.Left += o.Left
-	t.Asked += o.Asked
-	t.Took = append(t.Took, o.Took...)
+	t.Cancelled += o.Cancelled
+	t.Submitted += o.Submitted
+	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
-// Part is the part of the wants that was completed within the service target.
-func (t *Tally) Part() float64 {
-	if n := t.Wanted - t.Left; n > 0 {
+// InTargetRatio returns the fraction of the requests, cancelled ones left out, that completed within the latency objective; 1 without
+// requests.
+func (t *Tally) InTargetRatio() float64 {
+	if n := t.Requests - t.Cancelled; n > 0 {
 		return float64(t.InTarget) / float64(n)
 	}
 	return 1
 }
 
-// Quantile is of the time until the completed had their answer.
+// Quantile returns the q-quantile of the latencies of completed requests; 0 without any.
 func (t *Tally) Quantile(q float64) time.Duration {
-	if len(t.Took) == 0 {
+	if len(t.Latencies) == 0 {
 		return 0
 	}
-	all := slices.Clone(t.Took)
+	all := slices.Clone(t.Latencies)
 	slices.Sort(all)
 	return all[min(int(q*float64(len(all))), len(all)-1)]
 }
 
-// Use is how much of a resource was used in each block, as a part.
-type Use struct {
-	Name, Zone string
-	By         []float64
-	Done       []float64 // of bricks: what was done, as a part of what a warm one does
+// Usage is the utilization of an endpoint or a gateway by block.
+type Usage struct {
+	Name, Zone  string
+	Utilization []float64 // fraction of its capacity, by block
+	WorkDone    []float64 // endpoints only: completed work by block, as a fraction of a warm endpoint's capacity
 }
 
-// Mean is the mean over the blocks; 0 without any.
-func (u *Use) Mean() (m float64) {
-	for _, x := range u.By {
-		m += x / float64(len(u.By))
+// Mean returns the mean utilization over the blocks; 0 without blocks.
+func (u *Usage) Mean() (m float64) {
+	for _, x := range u.Utilization {
+		m += x / float64(len(u.Utilization))
 	}
 	return m
 }
 
-// Peak is the greatest of the blocks; 0 without any.
-func (u *Use) Peak() float64 {
-	if len(u.By) == 0 {
+// Peak returns the highest utilization of a block; 0 without blocks.
+func (u *Usage) Peak() float64 {
+	if len(u.Utilization) == 0 {
 		return 0
 	}
-	return slices.Max(u.By)
+	return slices.Max(u.Utilization)
 }
 
-// Result is what came of it.
+// Result holds the figures of a simulation.
 type Result struct {
-	Blocks     []map[Key]*Tally
-	Bricks     []Use // of the cores
-	Hosts      []Use // commands a second as a part of what the host carries; 0 where it states none
-	Volumes    map[string][]float64
-	Dispatches int64
-	Further    int64
-	Commands   int64
-	Turned     int
-	Fell       int
-	Pressure   float64 // most on a cold brick, as a part of what pushes it over
-	Budget     float64 // most used by a host, as a part of its budget of further dispatches
-	InFlight   int     // most held by one host
-	Span       time.Duration
-}
-
-// Whole adds up all blocks, by plan and queue type.
-func (r *Result) Whole() map[Key]*Tally {
+	Blocks      []map[Key]*Tally
+	Endpoints   []Usage // core utilization
+	Gateways    []Usage // request rate as a fraction of the gateway's stated maximum; 0 without a stated maximum
+	Volumes     map[string][]float64
+	Attempts    int64
+	Retries     int64         // attempts after the first of a request
+	Received    int64         // requests that gateways received, clients' retries included
+	Rejected    int           // attempts that found an endpoint's queue full
+	Overloaded  int           // endpoints that broke down under load while warming up
+	Pressure    float64       // highest load on an endpoint while warming up, as a fraction of the load that breaks it down
+	BudgetUsed  float64       // highest use of a gateway's retry budget, as a fraction of the budget
+	MaxInFlight int           // most requests open at one gateway
+	Span        time.Duration // until the last request completed or timed out
+}
+
+// ByKey sums all blocks by service plan and request class.
+func (r *Result) ByKey() map[Key]*Tally {
 	all := map[Key]*Tally{}
-	for _, b := range r.Blocks {
-		for k, t := range b {
+	for _, block := range r.Blocks {
+		for k, t := range block {
 			if all[k] == nil {
 				all[k] = &Tally{}
 			}
@@ -140,171 +142,176 @@
 	return all
 }
 
-// Total adds up everything.
+// Total sums all blocks, service plans and request classes.
 func (r *Result) Total() *Tally {
 	all := &Tally{}
-	for _, b := range r.Blocks {
-		keys := make([]Key, 0, len(b))
-		for k := range b {
+	for _, block := range r.Blocks {
+		keys := make([]Key, 0, len(block))
+		for k := range block {
 			keys = append(keys, k)
 		}
-		slices.SortFunc(keys, func(a, b Key) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Type, b.Type)) })
+		slices.SortFunc(keys, func(a, b Key) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Class, b.Class)) })
 		for _, k := range keys {
-			all.Add(b[k])
+			all.Add(block[k])
 		}
 	}
 	return all
 }
 
-const epoch = 1000 * time.Hour // of the virtual clock, so that a start long ago has a place on it
+// epoch is the virtual time at which a simulation starts. It lies far above 0 so that endpoints can have started long before.
+const epoch = 1000 * time.Hour
 
-type event struct {
+// timer is a function to be run at a virtual time; seq orders timers of equal time.
+type timer struct {
 	at  time.Duration
 	seq uint64
-	f   func()
+	run func()
 }
-type events []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+// timers is a heap ordered by time.
+type timers []timer
+
+func (t timers) Len() int { return len(t) }
+func (t timers) Less(i, j int) bool {
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	o := *e
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
+func (t *timers) Pop() any {
+	o := *t
 	x := o[len(o)-1]
-	o[len(o)-1] = event{}
-	*e = o[:len(o)-1]
+	o[len(o)-1] = timer{}
+	*t = o[:len(o)-1]
 	return x
 }
 
-type world struct {
-	s       Scenario
-	rng     *rand.Rand
-	now     time.Duration
-	seq     uint64
-	events  events
-	hosts   []*host
-	byHost  map[string]*host
-	bricks  []*brick // in the order of the description; the one there now
-	kinds   map[string]*pb.CapacityModel_KindModel
-	servers map[string]*pb.ServerKind
-	writes  map[string]bool
-	targets map[string]time.Duration
-	volumes map[string]*volume
-	meter   time.Duration
-	mean    float64
-	serial  int
-	list    int64
-	r       *Result
+// simulation is the state of a run.
+type simulation struct {
+	scenario         Scenario
+	rng              *rand.Rand
+	now              time.Duration
+	seq              uint64
+	timers           timers
+	gateways         []*gateway
+	gatewayByName    map[string]*gateway
+	endpoints        []*endpoint // in the order of the fleet description; a replacement takes the place of its predecessor
+	kinds            map[string]*pb.CapacityModel_KindModel
+	servers          map[string]*pb.ServerKind
+	writes           map[string]bool
+	objectives       map[string]time.Duration
+	volumes          map[string]*volume
+	meterPeriod      time.Duration // 0: endpoints report no utilization
+	meanWork         float64       // core seconds per unit, over all request classes
+	endpointsStarted int
+	listNumber       int64 // of the last endpoint list sent
+	result           *Result
 }
 
 type volume struct {
-	plan    string
-	hosts   int
-	at      []*host
-	nominal float64
-	units   map[int64]float64 // by period of the meter
-}
-
-type brick struct {
-	w       *world
-	no      int // its place in the description
-	name    string
-	address string
-	m       *model.Brick
-	up      bool
-	started time.Duration
-	way     time.Duration
-	errors  float64
-	told    map[*host]map[string]float64 // what was done through others, when it last told this host
-	own     map[*host]map[string]float64
-	done    map[string]float64
-	wake    time.Duration
-	used    time.Duration
-	made    time.Duration
-	silent  bool
-}
-
-type host struct {
-	w     *world
-	no    int
-	line  *pb.HostLine
-	core  *engine.Core
-	up    bool
-	wake  time.Duration
-	taken int
-	again []time.Duration // further dispatches, for the budget
-}
-
-// Run plays a scenario to its end.
+	plan         string
+	gatewayCount int
+	gateways     []*gateway // that its clients connect to
+	nominal      float64
+	units        map[int64]float64 // units served, by meter period
+}
+
+type endpoint struct {
+	sim         *simulation
+	index       int // in the fleet description
+	name        string
+	address     string
+	model       *model.Brick
+	up          bool
+	started     time.Duration
+	roundTrip   time.Duration // network and processing time beside the work
+	errorRate   float64
+	reported    map[*gateway]map[string]float64 // units served for other gateways as last reported to this one, by volume
+	doneFor     map[*gateway]map[string]float64 // units served for a gateway, by volume
+	done        map[string]float64              // units served, by volume
+	wakeAt      time.Duration
+	sampledBusy time.Duration // model.Busy at the last sample
+	sampledDone time.Duration // model.Done at the last sample
+	unannounced bool          // its failure is missing from endpoint lists
+}
+
+type gateway struct {
+	sim      *simulation
+	index    int
+	config   *pb.HostLine
+	core     *engine.Core
+	up       bool
+	wakeAt   time.Duration
+	received int             // requests since the last sample
+	retries  []time.Duration // times of the retries within the retry budget's span
+}
+
+// Run simulates a scenario to its end.
 func Run(s Scenario) (*Result, error) {
-	w, err := build(s)
+	sim, err := build(s)
 	if err != nil {
 		return nil, err
 	}
 	end := time.Duration(0)
-	for i := range s.Wants {
-		end = max(end, s.Wants[i].Arrival+s.Wants[i].Timeout)
-		w.after(s.Wants[i].Arrival, func() { w.want(&s.Wants[i]) })
+	for i := range s.Requests {
+		end = max(end, s.Requests[i].Arrival+s.Requests[i].Timeout)
+		sim.after(s.Requests[i].Arrival, func() { sim.start(&s.Requests[i]) })
 	}
 	for _, e := range s.Events {
-		w.after(e.At, func() { w.strike(e) })
+		sim.after(e.At, func() { sim.apply(e) })
 	}
-	blocks := int((end + s.Wants[len(s.Wants)-1].Timeout) / w.s.Block)
+	blocks := int((end + s.Requests[len(s.Requests)-1].Timeout) / sim.scenario.BlockLength)
 	for i := range blocks {
-		w.after(time.Duration(i+1)*w.s.Block, func() { w.sample() })
+		sim.after(time.Duration(i+1)*sim.scenario.BlockLength, func() { sim.sample() })
 	}
-	w.r.Span = end
-	for len(w.events) > 0 && w.events[0].at <= epoch+end+2*time.Second {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.f()
+	sim.result.Span = end
+	for len(sim.timers) > 0 && sim.timers[0].at <= epoch+end+2*time.Second {
+		next := heap.Pop(&sim.timers).(timer)
+		sim.now = next.at
+		next.run()
 	}
-	for _, h := range w.hosts {
-		w.count(h)
+	for _, gw := range sim.gateways {
+		sim.addCounts(gw)
 	}
-	for _, b := range w.bricks {
-		w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, b.m.Pressure), w.r.Turned+b.m.Turned
+	for _, ep := range sim.endpoints {
+		sim.result.Pressure, sim.result.Rejected = math.Max(sim.result.Pressure, ep.model.Pressure), sim.result.Rejected+ep.model.Turned
 	}
-	keep := int(s.Wants[len(s.Wants)-1].Arrival/w.s.Block) + 1 // uses are told for as long as there is load
-	for i := range w.r.Bricks {
-		b := &w.r.Bricks[i]
-		b.By, b.Done = b.By[:min(keep, len(b.By))], b.Done[:min(keep, len(b.Done))]
+	keep := int(s.Requests[len(s.Requests)-1].Arrival/sim.scenario.BlockLength) + 1 // utilization is reported until the last arrival
+	for i := range sim.result.Endpoints {
+		usage := &sim.result.Endpoints[i]
+		usage.Utilization, usage.WorkDone = usage.Utilization[:min(keep, len(usage.Utilization))], usage.WorkDone[:min(keep, len(usage.WorkDone))]
 	}
-	return w.r, nil
+	return sim.result, nil
 }
 
-func build(s Scenario) (*world, error) {
+func build(s Scenario) (*simulation, error) {
 	f := s.Fleet
-	if len(s.Wants) == 0 {
-		return nil, fmt.Errorf("no load to play: the capture holds no command")
+	if len(s.Requests) == 0 {
+		return nil, fmt.Errorf("no load to simulate: the capture holds no requests")
 	}
 	if len(f.Brick) == 0 || len(f.Host) == 0 {
-		return nil, fmt.Errorf("the fleet has %d bricks and %d hosts; it needs one of each", len(f.Brick), len(f.Host))
+		return nil, fmt.Errorf("the fleet has %d endpoints and %d gateways; it needs at least one of each", len(f.Brick), len(f.Host))
 	}
-	if s.Notice == 0 {
-		s.Notice = 300 * time.Millisecond
+	if s.NoticeDelay == 0 {
+		s.NoticeDelay = 300 * time.Millisecond
 	}
-	if s.Block == 0 {
-		s.Block = time.Second
+	if s.BlockLength == 0 {
+		s.BlockLength = time.Second
 	}
-	if s.Start == nil {
-		s.Start = func(h policy.Runtime, p policy.Settings) engine.Scheduler { return policy.New(h, p) }
+	if s.NewScheduler == nil {
+		s.NewScheduler = func(r policy.Runtime, p policy.Settings) engine.Scheduler { return policy.New(r, p) }
 	}
-	w := &world{s: s, rng: rand.New(rand.NewSource(s.Seed)), now: epoch, byHost: map[string]*host{},
+	sim := &simulation{scenario: s, rng: rand.New(rand.NewSource(s.Seed)), now: epoch, gatewayByName: map[string]*gateway{},
 		kinds: map[string]*pb.CapacityModel_KindModel{}, servers: map[string]*pb.ServerKind{}, writes: map[string]bool{},
-		targets: map[string]time.Duration{}, volumes: map[string]*volume{}, meter: settings.Duration(f.Rules.Meter, 0),
-		r: &Result{Volumes: map[string][]float64{}}}
+		objectives: map[string]time.Duration{}, volumes: map[string]*volume{}, meterPeriod: settings.Duration(f.Rules.Meter, 0),
+		result: &Result{Volumes: map[string][]float64{}}}
 	for _, q := range f.QueueType {
-		w.writes[q.Name], w.targets[q.Name] = q.Writes, settings.Duration(q.ServiceTarget, 0)
+		sim.writes[q.Name], sim.objectives[q.Name] = q.Writes, settings.Duration(q.ServiceTarget, 0)
 	}
 	for _, k := range f.Kind {
-		w.servers[k.Name] = k
+		sim.servers[k.Name] = k
 	}
 	for _, k := range s.Model.Kind {
-		w.kinds[k.Name] = k
+		sim.kinds[k.Name] = k
 	}
 	units, samples := 0.0, 0.0
 	for _, k := range s.Model.Kind {
@@ -313,57 +320,58 @@
 			samples += float64(x.Samples)
 		}
 	}
-	w.mean = units / math.Max(samples, 1)
+	sim.meanWork = units / math.Max(samples, 1)
 	nominal := map[string]float64{}
 	for _, p := range f.Plan {
 		nominal[p.Name] = p.Nominal
 	}
 	for _, v := range f.Volume {
-		w.volumes[v.Name] = &volume{plan: v.Plan, hosts: int(v.Hosts)}
+		sim.volumes[v.Name] = &volume{plan: v.Plan, gatewayCount: int(v.Hosts)}
 	}
 	for i, l := range f.Host {
-		h := &host{w: w, no: i, line: l, up: true}
-		w.hosts, w.byHost[l.Name] = append(w.hosts, h), h
-		w.r.Hosts = append(w.r.Hosts, Use{Name: l.Name, Zone: l.Zone})
+		gw := &gateway{sim: sim, index: i, config: l, up: true}
+		sim.gateways, sim.gatewayByName[l.Name] = append(sim.gateways, gw), gw
+		sim.result.Gateways = append(sim.result.Gateways, Usage{Name: l.Name, Zone: l.Zone})
 	}
-	for i := range s.Wants {
-		x := &s.Wants[i]
-		v := w.volumes[x.Volume]
+	for i := range s.Requests {
+		x := &s.Requests[i]
+		v := sim.volumes[x.Volume]
 		if v == nil {
 			v = &volume{plan: x.Plan}
-			w.volumes[x.Volume] = v
+			sim.volumes[x.Volume] = v
 		}
-		h := w.byHost[x.Gateway]
-		if h == nil { // a fleet described without that host: its clients come through another one
-			h = w.hosts[int(hash(x.Gateway+x.Volume)%uint64(len(w.hosts)))]
+		gw := sim.gatewayByName[x.Gateway]
+		if gw == nil { // the fleet lacks the captured gateway: its clients use another one
+			gw = sim.gateways[int(hash(x.Gateway+x.Volume)%uint64(len(sim.gateways)))]
 		}
-		if !slices.Contains(v.at, h) {
-			v.at = append(v.at, h)
+		if !slices.Contains(v.gateways, gw) {
+			v.gateways = append(v.gateways, gw)
 		}
 	}
-	for _, v := range w.volumes {
+	for _, v := range sim.volumes {
 		v.nominal = nominal[v.plan]
-		if v.hosts = max(v.hosts, len(v.at)); v.hosts == 0 {
-			v.hosts = 1
+		if v.gatewayCount = max(v.gatewayCount, len(v.gateways)); v.gatewayCount == 0 {
+			v.gatewayCount = 1
 		}
 		v.units = map[int64]float64{}
 	}
 	for i, l := range f.Brick {
-		b, err := w.raise(i, l.Name, false)
+		ep, err := sim.startEndpoint(i, l.Name, false)
 		if err != nil {
 			return nil, err
 		}
-		w.bricks = append(w.bricks, b)
-		w.r.Bricks = append(w.r.Bricks, Use{Name: l.Name, Zone: l.Zone})
+		sim.endpoints = append(sim.endpoints, ep)
+		sim.result.Endpoints = append(sim.result.Endpoints, Usage{Name: l.Name, Zone: l.Zone})
 	}
-	for _, h := range w.hosts {
-		if err := w.boot(h); err != nil {
+	for _, gw := range sim.gateways {
+		if err := sim.startGateway(gw); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return sim, nil
 }
 
+// hash returns the 64-bit FNV-1a hash of s.
 func hash(s string) (h uint64) {
 	h = 14695981039346656037
 	for i := range len(s) {
@@ -372,520 +380,533 @@
 	return h
 }
 
-// raise brings a brick up in a place of the description.
-func (w *world) raise(no int, name string, cold bool) (*brick, error) {
-	l := w.s.Fleet.Brick[no]
-	server := w.servers[l.Kind]
+// startEndpoint starts an endpoint at an index of the fleet description.
+func (sim *simulation) startEndpoint(index int, name string, cold bool) (*endpoint, error) {
+	l := sim.scenario.Fleet.Brick[index]
+	server := sim.servers[l.Kind]
 	if server == nil {
-		return nil, fmt.Errorf("brick %s is of kind %q, which the fleet does not describe", l.Name, l.Kind)
+		return nil, fmt.Errorf("endpoint %s has kind %q, which the fleet does not describe", l.Name, l.Kind)
 	}
-	k, speed := w.kinds[l.Kind], 1.0
-	if k == nil { // the capture shows none of this kind: as the others work, at the speed stated
-		if len(w.s.Model.Kind) == 0 {
-			return nil, fmt.Errorf("the model knows no kind of brick; learn it from a capture with completed dispatches")
+	k, speed := sim.kinds[l.Kind], 1.0
+	if k == nil { // the capture has no endpoint of this kind: use the first kind learnt, at the stated speed
+		if len(sim.scenario.Model.Kind) == 0 {
+			return nil, fmt.Errorf("the model has no endpoint kind; learn it from a capture with completed attempts")
 		}
-		k = w.s.Model.Kind[0]
+		k = sim.scenario.Model.Kind[0]
 		if server.Speed > 0 {
 			speed = server.Speed
 		}
 	}
-	for _, x := range w.s.Model.Brick {
+	for _, x := range sim.scenario.Model.Brick {
 		if x.Name == l.Name && x.Kind == l.Kind && x.Speed > 0 {
 			speed = x.Speed
 		}
 	}
-	f := w.s.Fleet.Rules
+	f := sim.scenario.Fleet.Rules
 	c := model.Config{Name: name, Zone: l.Zone, Cell: int(l.Cell), Kind: k, Cores: int(server.Cores), Queue: int(server.Queue), Speed: speed,
-		Cancel: server.Cancel, DropsExpired: server.DropsExpired, Writes: w.writes, FallMultiple: f.FallMultiple, Seed: w.rng.Int63(), Start: w.now,
-		MeanWork: w.mean}
+		Cancel: server.Cancel, DropsExpired: server.DropsExpired, Writes: sim.writes, FallMultiple: f.FallMultiple, Seed: sim.rng.Int63(), Start: sim.now,
+		MeanWork: sim.meanWork}
 	started := time.Duration(0)
 	if cold {
 		c.ColdFrom, c.ColdFor, c.FallAfter = f.ColdFrom, settings.Duration(f.ColdFor, 0), settings.Duration(f.FallAfter, 0)
-		started = w.now
+		started = sim.now
 	}
-	w.serial++
-	b := &brick{w: w, no: no, name: name, address: fmt.Sprintf("brick:%d", w.serial), m: model.New(c), up: true, started: started,
-		way: max(time.Duration(k.Way*float64(time.Second)), 20*time.Microsecond), errors: k.Errors, told: map[*host]map[string]float64{},
-		own: map[*host]map[string]float64{}, done: map[string]float64{}}
-	return b, nil
+	sim.endpointsStarted++
+	ep := &endpoint{sim: sim, index: index, name: name, address: fmt.Sprintf("brick:%d", sim.endpointsStarted), model: model.New(c), up: true, started: started,
+		roundTrip: max(time.Duration(k.Way*float64(time.Second)), 20*time.Microsecond), errorRate: k.Errors, reported: map[*gateway]map[string]float64{},
+		doneFor: map[*gateway]map[string]float64{}, done: map[string]float64{}}
+	return ep, nil
 }
 
-// boot starts a host's loop.
-func (w *world) boot(h *host) error {
-	f := w.s.Fleet
-	e := &pb.Edge{Name: h.line.Name, Ordinal: uint32(h.no), Hosts: uint32(len(w.hosts)), Zone: h.line.Zone, Fleet: f.Rules, QueueType: f.QueueType,
-		Plan: f.Plan, Seed: w.rng.Int63()%(1<<40) + 1}
+// startGateway starts a gateway's engine, also after a failure.
+func (sim *simulation) startGateway(gw *gateway) error {
+	f := sim.scenario.Fleet
+	e := &pb.Edge{Name: gw.config.Name, Ordinal: uint32(gw.index), Hosts: uint32(len(sim.gateways)), Zone: gw.config.Zone, Fleet: f.Rules, QueueType: f.QueueType,
+		Plan: f.Plan, Seed: sim.rng.Int63()%(1<<40) + 1}
 	rules, err := settings.EndpointRules(e)
 	if err != nil {
 		return err
 	}
-	h.core = engine.New(settings.Policy(e, 1), rules, w.s.Start, h, w.volumeOf, 250*time.Millisecond, w.now)
-	h.up, h.wake = true, 0
-	if w.s.Tap != nil {
-		h.core.Observe(w.s.Tap(h.line.Name))
+	gw.core = engine.New(settings.Policy(e, 1), rules, sim.scenario.NewScheduler, gw, sim.volumeOf, 250*time.Millisecond, sim.now)
+	gw.up, gw.wakeAt = true, 0
+	if sim.scenario.Observe != nil {
+		gw.core.Observe(sim.scenario.Observe(gw.config.Name))
 	}
-	h.list(true)
-	h.next()
+	gw.sendList(true)
+	gw.scheduleWake()
 	return nil
 }
 
-func (w *world) volumeOf(name string) (string, int, bool) {
-	v := w.volumes[name]
+func (sim *simulation) volumeOf(name string) (string, int, bool) {
+	v := sim.volumes[name]
 	if v == nil {
 		return "", 0, false
 	}
-	return v.plan, v.hosts, true
+	return v.plan, v.gatewayCount, true
 }
 
-func (w *world) after(d time.Duration, f func()) { // from the epoch of the scenario
-	w.at(epoch+d, f)
+// after schedules f at d after the start of the simulation.
+func (sim *simulation) after(d time.Duration, f func()) {
+	sim.at(epoch+d, f)
 }
 
-func (w *world) at(at time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.events, event{max(at, w.now), w.seq, f})
+// at schedules f at a virtual time, at the earliest now.
+func (sim *simulation) at(at time.Duration, f func()) {
+	sim.seq++
+	heap.Push(&sim.timers, timer{max(at, sim.now), sim.seq, f})
 }
 
-// in runs f in a host's loop, at the present time.
-func (h *host) in(f func(c *engine.Core)) {
-	if !h.up {
+// do runs f on the gateway's engine at the current virtual time, unless the gateway is down.
+func (gw *gateway) do(f func(c *engine.Core)) {
+	if !gw.up {
 		return
 	}
-	h.core.Advance(h.w.now)
-	f(h.core)
-	h.next()
+	gw.core.Advance(gw.sim.now)
+	f(gw.core)
+	gw.scheduleWake()
 }
 
-// next wakes the loop for its next timer.
-func (h *host) next() {
-	at, ok := h.core.NextTimer()
-	if !ok || h.wake > h.w.now && h.wake <= at {
+// scheduleWake schedules the engine's next timer, unless an earlier wake-up is pending.
+func (gw *gateway) scheduleWake() {
+	at, ok := gw.core.NextTimer()
+	if !ok || gw.wakeAt > gw.sim.now && gw.wakeAt <= at {
 		return
 	}
-	h.wake = max(at, h.w.now)
-	wake := h.wake
-	h.w.at(wake, func() {
-		if h.wake == wake && h.up {
-			h.wake = 0
-			h.in(func(*engine.Core) {})
+	gw.wakeAt = max(at, gw.sim.now)
+	wake := gw.wakeAt
+	gw.sim.at(wake, func() {
+		if gw.wakeAt == wake && gw.up {
+			gw.wakeAt = 0
+			gw.do(func(*engine.Core) {})
 		}
 	})
 }
 
-// list tells a host what there is.
-func (h *host) list(whole bool) {
-	var lines []engine.EndpointEntry
-	for _, b := range h.w.bricks {
-		l := h.w.s.Fleet.Brick[b.no]
-		x := engine.EndpointEntry{Name: b.name, Address: b.address, Zone: l.Zone, Shard: int(l.Cell), Serving: b.up || b.silent, Removed: !b.up && !b.silent, HasAge: true,
-			Age: h.w.now - b.started}
-		lines = append(lines, x)
+// sendList passes the current endpoint list to the gateway.
+func (gw *gateway) sendList(complete bool) {
+	var entries []engine.EndpointEntry
+	for _, ep := range gw.sim.endpoints {
+		l := gw.sim.scenario.Fleet.Brick[ep.index]
+		x := engine.EndpointEntry{Name: ep.name, Address: ep.address, Zone: l.Zone, Shard: int(l.Cell), Serving: ep.up || ep.unannounced, Removed: !ep.up && !ep.unannounced, HasAge: true,
+			Age: gw.sim.now - ep.started}
+		entries = append(entries, x)
 	}
-	h.w.list++
-	h.core.EndpointList(endpointstate.Generation{Epoch: "list", Number: h.w.list}, whole, lines)
+	gw.sim.listNumber++
+	gw.core.EndpointList(endpointstate.Generation{Epoch: "list", Number: gw.sim.listNumber}, complete, entries)
 }
 
-// strike takes something away, or brings it back.
-func (w *world) strike(e Event) {
-	if e.Host != "" {
-		h := w.byHost[e.Host]
-		if h == nil {
+// apply takes an endpoint or a gateway down, or starts it again.
+func (sim *simulation) apply(e Event) {
+	if e.Gateway != "" {
+		gw := sim.gatewayByName[e.Gateway]
+		if gw == nil {
 			return
 		}
-		if e.Down && h.up {
-			w.count(h)
-			h.up = false
-			h.core.Stop()
-		} else if !e.Down && !h.up {
-			_ = w.boot(h) // the settings started this gateway once already
+		if e.Down && gw.up {
+			sim.addCounts(gw)
+			gw.up = false
+			gw.core.Stop()
+		} else if !e.Down && !gw.up {
+			_ = sim.startGateway(gw) // can't fail: the same settings started this gateway before
 		}
 		return
 	}
-	for i, b := range w.bricks {
-		if w.s.Fleet.Brick[b.no].Name != e.Brick {
+	for i, ep := range sim.endpoints {
+		if sim.scenario.Fleet.Brick[ep.index].Name != e.Endpoint {
 			continue
 		}
-		if e.Down && b.up {
-			w.fall(b)
-			if b.silent = e.Silent; e.Silent {
+		if e.Down && ep.up {
+			sim.crash(ep)
+			if ep.unannounced = e.Unannounced; e.Unannounced {
 				return
 			}
-		} else if !e.Down && !b.up {
-			old := b
-			name := b.name
-			if !e.Silent { // a new one; else the same one again
-				name = fmt.Sprintf("%s.%d", w.s.Fleet.Brick[b.no].Name, w.serial)
+		} else if !e.Down && !ep.up {
+			old := ep
+			name := ep.name
+			if !e.Unannounced { // a new endpoint replaces it; otherwise the same endpoint returns
+				name = fmt.Sprintf("%s.%d", sim.scenario.Fleet.Brick[ep.index].Name, sim.endpointsStarted)
 			}
-			n, err := w.raise(b.no, name, true)
+			replacement, err := sim.startEndpoint(ep.index, name, true)
 			if err != nil {
 				return
 			}
-			n.used, n.made = old.used, old.made
-			n.m.Busy, n.m.Done = old.used, old.made
-			w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, old.m.Pressure), w.r.Turned+old.m.Turned
-			w.bricks[i] = n
+			replacement.sampledBusy, replacement.sampledDone = old.sampledBusy, old.sampledDone
+			replacement.model.Busy, replacement.model.Done = old.sampledBusy, old.sampledDone
+			sim.result.Pressure, sim.result.Rejected = math.Max(sim.result.Pressure, old.model.Pressure), sim.result.Rejected+old.model.Turned
+			sim.endpoints[i] = replacement
 		}
-		w.tell()
+		sim.announceList()
 		return
 	}
 }
 
-// fall ends a brick with what it holds.
-func (w *world) fall(b *brick) {
-	b.up = false
-	for _, j := range b.m.Held() {
-		w.end(b, w.hosts[j.Host], j.ID, policy.ConnectionReset)
+// crash takes an endpoint down and ends its attempts with a connection reset.
+func (sim *simulation) crash(ep *endpoint) {
+	ep.up = false
+	for _, j := range ep.model.Held() {
+		sim.endAttempt(ep, sim.gateways[j.Host], j.ID, policy.ConnectionReset)
 	}
 }
 
-// tell lets all hosts hear of the present list, each a little later than the other.
-func (w *world) tell() {
-	for _, h := range w.hosts {
-		w.at(w.now+w.s.Notice/2+time.Duration(w.rng.Int63n(int64(w.s.Notice))), func() {
-			h.in(func(*engine.Core) { h.list(true) })
+// announceList sends the endpoint list to every gateway after a random delay.
+func (sim *simulation) announceList() {
+	for _, gw := range sim.gateways {
+		sim.at(sim.now+sim.scenario.NoticeDelay/2+time.Duration(sim.rng.Int63n(int64(sim.scenario.NoticeDelay))), func() {
+			gw.do(func(*engine.Core) { gw.sendList(true) })
 		})
 	}
 }
 
-// sample keeps apart what was used until now.
-func (w *world) sample() {
-	for i, b := range w.bricks {
-		cores := float64(b.m.Config().Cores) * w.s.Block.Seconds()
-		w.r.Bricks[i].By = append(w.r.Bricks[i].By, (b.m.Busy-b.used).Seconds()/cores)
-		w.r.Bricks[i].Done = append(w.r.Bricks[i].Done, (b.m.Done-b.made).Seconds()/cores)
-		b.used, b.made = b.m.Busy, b.m.Done
+// sample records the utilization since the last sample.
+func (sim *simulation) sample() {
+	for i, ep := range sim.endpoints {
+		cores := float64(ep.model.Config().Cores) * sim.scenario.BlockLength.Seconds()
+		sim.result.Endpoints[i].Utilization = append(sim.result.Endpoints[i].Utilization, (ep.model.Busy-ep.sampledBusy).Seconds()/cores)
+		sim.result.Endpoints[i].WorkDone = append(sim.result.Endpoints[i].WorkDone, (ep.model.Done-ep.sampledDone).Seconds()/cores)
+		ep.sampledBusy, ep.sampledDone = ep.model.Busy, ep.model.Done
 	}
-	for i, h := range w.hosts {
+	for i, gw := range sim.gateways {
 		x := 0.0
-		if h.line.Commands > 0 {
-			x = float64(h.taken) / w.s.Block.Seconds() / h.line.Commands
+		if gw.config.Commands > 0 {
+			x = float64(gw.received) / sim.scenario.BlockLength.Seconds() / gw.config.Commands
 		}
-		w.r.Hosts[i].By = append(w.r.Hosts[i].By, x)
-		h.taken = 0
+		sim.result.Gateways[i].Utilization = append(sim.result.Gateways[i].Utilization, x)
+		gw.received = 0
 	}
 }
 
-func (w *world) count(h *host) {
-	if h.up {
-		n := h.core.Counts()
-		w.r.Dispatches += n.Attempts
-		w.r.Further += n.Retries
-		w.r.Commands += n.Received
+// addCounts adds the engine counters of a running gateway to the result.
+func (sim *simulation) addCounts(gw *gateway) {
+	if gw.up {
+		n := gw.core.Counts()
+		sim.result.Attempts += n.Attempts
+		sim.result.Retries += n.Retries
+		sim.result.Received += n.Received
 	}
 }
 
-// A client's want while it is open.
-type open struct {
-	w     *demand.Request
-	first time.Duration
-	until time.Duration
-	asked int
-	task  *engine.Request
-	over  bool
-	host  *host
-	tally *Tally
+// clientRequest is a client's request across its submissions to gateways.
+type clientRequest struct {
+	demand     *demand.Request
+	start      time.Duration
+	deadline   time.Duration
+	submitted  int
+	submission *engine.Request
+	finished   bool
+	gateway    *gateway
+	tally      *Tally
 }
 
-func (w *world) tally(at time.Duration, k Key) *Tally {
-	for n := int((at - epoch) / w.s.Block); len(w.r.Blocks) <= n; {
-		w.r.Blocks = append(w.r.Blocks, map[Key]*Tally{})
+// tally returns the tally of a key in the block of a time.
+func (sim *simulation) tally(at time.Duration, k Key) *Tally {
+	for n := int((at - epoch) / sim.scenario.BlockLength); len(sim.result.Blocks) <= n; {
+		sim.result.Blocks = append(sim.result.Blocks, map[Key]*Tally{})
 	}
-	b := w.r.Blocks[int((at-epoch)/w.s.Block)]
-	if b[k] == nil {
-		b[k] = &Tally{}
+	block := sim.result.Blocks[int((at-epoch)/sim.scenario.BlockLength)]
+	if block[k] == nil {
+		block[k] = &Tally{}
 	}
-	return b[k]
+	return block[k]
 }
 
-func (w *world) want(x *demand.Request) {
-	v := w.volumes[x.Volume]
-	h := w.byHost[x.Gateway]
-	if h == nil {
-		h = v.at[int(hash(x.Gateway+x.Volume)%uint64(len(v.at)))]
+// start submits a request for the first time.
+func (sim *simulation) start(x *demand.Request) {
+	v := sim.volumes[x.Volume]
+	gw := sim.gatewayByName[x.Gateway]
+	if gw == nil {
+		gw = v.gateways[int(hash(x.Gateway+x.Volume)%uint64(len(v.gateways)))]
 	}
-	o := &open{w: x, first: w.now, until: w.now + x.Timeout, host: h, tally: w.tally(w.now, Key{x.Plan, x.QueueType})}
-	o.tally.Wanted++
+	r := &clientRequest{demand: x, start: sim.now, deadline: sim.now + x.Timeout, gateway: gw, tally: sim.tally(sim.now, Key{x.Plan, x.QueueType})}
+	r.tally.Requests++
 	if x.CancelAfter > 0 {
-		w.at(w.now+x.CancelAfter, func() {
-			if !o.over {
-				o.over = true
-				o.tally.Left++
-				o.host.in(func(c *engine.Core) { c.ClientDisconnected(o.task) })
+		sim.at(sim.now+x.CancelAfter, func() {
+			if !r.finished {
+				r.finished = true
+				r.tally.Cancelled++
+				r.gateway.do(func(c *engine.Core) { c.ClientDisconnected(r.submission) })
 			}
 		})
 	}
-	w.ask(o)
+	sim.submit(r)
 }
 
-// ask asks once; a client whose host is away goes to another that serves.
-func (w *world) ask(o *open) {
-	if o.over {
+// submit submits a request once. If its gateway is down, the client waits for that gateway or uses the next one that is up, as the client
+// model says.
+func (sim *simulation) submit(r *clientRequest) {
+	if r.finished {
 		return
 	}
-	if !o.host.up && w.clients().GetStays() {
-		o.asked++
-		w.again(o, 0)
+	if !r.gateway.up && sim.clientModel().GetStays() {
+		r.submitted++
+		sim.retry(r, 0)
 		return
 	}
-	if !o.host.up {
-		for i := range w.hosts {
-			if h := w.hosts[(o.host.no+i)%len(w.hosts)]; h.up {
-				o.host = h
+	if !r.gateway.up {
+		for i := range sim.gateways {
+			if gw := sim.gateways[(r.gateway.index+i)%len(sim.gateways)]; gw.up {
+				r.gateway = gw
 				break
 			}
 		}
-		if !o.host.up {
-			w.over(o, engine.Failed)
+		if !r.gateway.up {
+			sim.finish(r, engine.Failed)
 			return
 		}
 	}
-	o.asked++
-	o.tally.Asked++
-	x, h := o.w, o.host
-	h.taken++
-	cell := x.Shard
-	o.task = &engine.Request{Volume: x.Volume, Class: x.QueueType, Object: fmt.Sprintf("%x", x.Object), Shard: cell, Units: x.Units,
-		Timeout: o.until - w.now, Retry: o.asked > 1 && w.s.Fleet.Rules.ClientsMarkRepeats}
-	o.task.Respond = func(a engine.Response) { w.answered(o, a) }
-	h.in(func(c *engine.Core) {
-		c.Submit(o.task)
-		w.r.InFlight = max(w.r.InFlight, c.Counts().Open)
+	r.submitted++
+	r.tally.Submitted++
+	x, gw := r.demand, r.gateway
+	gw.received++
+	shard := x.Shard
+	r.submission = &engine.Request{Volume: x.Volume, Class: x.QueueType, Object: fmt.Sprintf("%x", x.Object), Shard: shard, Units: x.Units,
+		Timeout: r.deadline - sim.now, Retry: r.submitted > 1 && sim.scenario.Fleet.Rules.ClientsMarkRepeats}
+	r.submission.Respond = func(a engine.Response) { sim.respond(r, a) }
+	gw.do(func(c *engine.Core) {
+		c.Submit(r.submission)
+		sim.result.MaxInFlight = max(sim.result.MaxInFlight, c.Counts().Open)
 	})
-	asked := o.asked
-	w.at(o.until, func() { // it gives up, with or without an answer on its way
-		if !o.over && o.asked == asked {
-			w.over(o, engine.Failed)
+	submitted := r.submitted
+	sim.at(r.deadline, func() { // the client times out, even if a response is in transit
+		if !r.finished && r.submitted == submitted {
+			sim.finish(r, engine.Failed)
 		}
 	})
 }
 
-func (w *world) answered(o *open, a engine.Response) {
-	if o.over {
+// respond handles a gateway's response: the client retries or the request is finished.
+func (sim *simulation) respond(r *clientRequest, a engine.Response) {
+	if r.finished {
 		return
 	}
 	if a.Result == engine.Served {
-		w.over(o, a.Result)
+		sim.finish(r, a.Result)
 		return
 	}
-	if !a.MayHaveRun && w.again(o, a.RetryAfter) {
+	if !a.MayHaveRun && sim.retry(r, a.RetryAfter) {
 		return
 	}
-	w.over(o, a.Result)
+	sim.finish(r, a.Result)
 }
 
-// clients is how they behave: as the capture shows, or as the description says where it shows nothing.
-func (w *world) clients() *pb.CapacityModel_ClientModel {
-	if c := w.s.Model.Client; c.GetRepeats() > 0 || w.s.Fleet.Client == nil {
+// clientModel returns the client behaviour learnt from the capture or, if the capture shows no retries, the one that the fleet describes.
+func (sim *simulation) clientModel() *pb.CapacityModel_ClientModel {
+	if c := sim.scenario.Model.Client; c.GetRepeats() > 0 || sim.scenario.Fleet.Client == nil {
 		return c
 	}
-	return w.s.Fleet.Client
+	return sim.scenario.Fleet.Client
 }
 
-// again lets a client ask once more; false: it does not.
-func (w *world) again(o *open, pause time.Duration) bool {
-	c := w.clients()
+// retry schedules another submission after the wait. It reports whether the client retries.
+func (sim *simulation) retry(r *clientRequest, pause time.Duration) bool {
+	c := sim.clientModel()
 	wait := max(time.Duration(c.GetWait()*float64(time.Second)), pause, time.Millisecond)
-	most := 8
+	maxRetries := 8
 	if c.GetMost() > 0 {
-		most = int(c.GetMost())
+		maxRetries = int(c.GetMost())
 	}
-	if c.GetRepeats() <= 0 || w.now+wait >= o.until || w.rng.Float64() >= c.GetRepeats() || o.asked > most {
-		if !o.over && !o.host.up {
-			w.over(o, engine.Failed)
+	if c.GetRepeats() <= 0 || sim.now+wait >= r.deadline || sim.rng.Float64() >= c.GetRepeats() || r.submitted > maxRetries {
+		if !r.finished && !r.gateway.up {
+			sim.finish(r, engine.Failed)
 		}
 		return false
 	}
-	w.at(w.now+wait, func() { w.ask(o) })
+	sim.at(sim.now+wait, func() { sim.submit(r) })
 	return true
 }
 
-func (w *world) over(o *open, how engine.Result) {
-	o.over = true
-	took := w.now - o.first
+// finish counts how a request ended.
+func (sim *simulation) finish(r *clientRequest, result engine.Result) {
+	r.finished = true
+	latency := sim.now - r.start
 	switch {
-	case how == engine.Served && took <= w.targets[o.w.QueueType]:
-		o.tally.InTarget++
-	case how == engine.Served:
-		o.tally.Late++
-	case how == engine.Rejected:
-		o.tally.Busy++
+	case result == engine.Served && latency <= sim.objectives[r.demand.QueueType]:
+		r.tally.InTarget++
+	case result == engine.Served:
+		r.tally.Late++
+	case result == engine.Rejected:
+		r.tally.Rejected++
 	default:
-		o.tally.Aborted++
+		r.tally.Aborted++
 	}
-	if how == engine.Served {
-		o.tally.Took = append(o.tally.Took, took)
+	if result == engine.Served {
+		r.tally.Latencies = append(r.tally.Latencies, latency)
 	}
 }
 
-// line is a host's way to one brick.
-type line struct {
-	h    *host
-	b    *brick
-	name string
+// connection is a gateway's connection to an endpoint; endpoint is nil for an address without one.
+type connection struct {
+	gateway      *gateway
+	endpoint     *endpoint
+	endpointName string
 }
 
-func (h *host) Connect(name, address string) engine.EndpointConn {
-	for _, b := range h.w.bricks {
-		if b.address == address {
-			return &line{h, b, name}
+func (gw *gateway) Connect(name, address string) engine.EndpointConn {
+	for _, ep := range gw.sim.endpoints {
+		if ep.address == address {
+			return &connection{gw, ep, name}
 		}
 	}
-	return &line{h, nil, name}
+	return &connection{gw, nil, name}
 }
 
-func (l *line) Send(id uint64, t *engine.Request, n int, left, _ time.Duration) {
-	w, b, h := l.h.w, l.b, l.h
+func (conn *connection) Send(id uint64, t *engine.Request, n int, left, _ time.Duration) {
+	sim, ep, gw := conn.gateway.sim, conn.endpoint, conn.gateway
 	if n > 0 {
-		h.budget()
+		gw.recordRetry()
 	}
-	if b == nil || !b.up {
-		w.at(w.now+20*time.Microsecond, func() {
-			h.in(func(c *engine.Core) {
-				c.AttemptEnded(engine.AttemptReport{Endpoint: l.name, ID: id, Outcome: policy.ConnectFailed})
+	if ep == nil || !ep.up {
+		sim.at(sim.now+20*time.Microsecond, func() {
+			gw.do(func(c *engine.Core) {
+				c.AttemptEnded(engine.AttemptReport{Endpoint: conn.endpointName, ID: id, Outcome: policy.ConnectFailed})
 			})
 		})
 		return
 	}
-	j := &model.Job{ID: id, Host: h.no, Queue: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Until: w.now + left}
-	w.at(w.now+b.way/2, func() {
-		if !b.up {
-			w.end(b, h, id, policy.ConnectionReset)
+	j := &model.Job{ID: id, Host: gw.index, Queue: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Until: sim.now + left}
+	sim.at(sim.now+ep.roundTrip/2, func() {
+		if !ep.up {
+			sim.endAttempt(ep, gw, id, policy.ConnectionReset)
 			return
 		}
-		w.work(b)
+		sim.advance(ep)
 		switch {
-		case b.errors > 0 && w.rng.Float64() < b.errors:
-			w.end(b, h, id, policy.ErrorResponse)
-		case !b.m.Arrive(j, w.now):
-			if b.m.Fell {
-				w.r.Fell++
-				w.fall(b)
-				w.tell()
-				w.end(b, h, id, policy.ConnectionReset)
+		case ep.errorRate > 0 && sim.rng.Float64() < ep.errorRate:
+			sim.endAttempt(ep, gw, id, policy.ErrorResponse)
+		case !ep.model.Arrive(j, sim.now):
+			if ep.model.Fell {
+				sim.result.Overloaded++
+				sim.crash(ep)
+				sim.announceList()
+				sim.endAttempt(ep, gw, id, policy.ConnectionReset)
 			} else {
-				w.end(b, h, id, policy.Rejected)
+				sim.endAttempt(ep, gw, id, policy.Rejected)
 			}
 		}
-		w.rouse(b)
+		sim.scheduleWake(ep)
 	})
 }
 
+// object parses an object name.
 func object(s string) (n uint64) {
-	_, _ = fmt.Sscanf(s, "%x", &n) // 0 for a name that is no number
+	_, _ = fmt.Sscanf(s, "%x", &n) // 0 if the name is not a hexadecimal number
 	return n
 }
 
-// budget keeps the most that a host used of its budget of further dispatches.
-func (h *host) budget() {
-	b := h.w.s.Fleet.Rules.Budget
-	if b == nil {
+// recordRetry updates the highest use of the retry budget.
+func (gw *gateway) recordRetry() {
+	budget := gw.sim.scenario.Fleet.Rules.Budget
+	if budget == nil {
 		return
 	}
-	span := settings.Duration(b.Span, time.Second)
-	h.again = append(h.again, h.w.now)
-	for len(h.again) > 0 && h.w.now-h.again[0] > span {
-		h.again = h.again[1:]
+	span := settings.Duration(budget.Span, time.Second)
+	gw.retries = append(gw.retries, gw.sim.now)
+	for len(gw.retries) > 0 && gw.sim.now-gw.retries[0] > span {
+		gw.retries = gw.retries[1:]
 	}
-	rate := float64(h.core.Counts().Received) / math.Max((h.w.now-epoch).Seconds(), span.Seconds()) * span.Seconds()
-	h.w.r.Budget = math.Max(h.w.r.Budget, float64(len(h.again))/math.Max(b.Free+b.Share*rate, 1e-9))
+	rate := float64(gw.core.Counts().Received) / math.Max((gw.sim.now-epoch).Seconds(), span.Seconds()) * span.Seconds()
+	gw.sim.result.BudgetUsed = math.Max(gw.sim.result.BudgetUsed, float64(len(gw.retries))/math.Max(budget.Free+budget.Share*rate, 1e-9))
 }
 
-// work lets a brick do what it has done by now.
-func (w *world) work(b *brick) {
-	b.m.Advance(w.now, func(j *model.Job, at time.Duration) {
-		b.done[j.Volume] += j.Units
-		h := w.hosts[j.Host]
-		if b.own[h] == nil {
-			b.own[h], b.told[h] = map[string]float64{}, map[string]float64{}
+// advance runs the endpoint's model up to now and schedules the responses of completed attempts.
+func (sim *simulation) advance(ep *endpoint) {
+	ep.model.Advance(sim.now, func(j *model.Job, at time.Duration) {
+		ep.done[j.Volume] += j.Units
+		gw := sim.gateways[j.Host]
+		if ep.doneFor[gw] == nil {
+			ep.doneFor[gw], ep.reported[gw] = map[string]float64{}, map[string]float64{}
 		}
-		b.own[h][j.Volume] += j.Units
-		v := w.volumes[j.Volume]
-		if w.meter > 0 {
-			v.units[int64((at-epoch)/w.meter)] += j.Units
+		ep.doneFor[gw][j.Volume] += j.Units
+		v := sim.volumes[j.Volume]
+		if sim.meterPeriod > 0 {
+			v.units[int64((at-epoch)/sim.meterPeriod)] += j.Units
 		}
-		w.at(at+b.way/2, func() {
+		sim.at(at+ep.roundTrip/2, func() {
 			elsewhere, metered := 0.0, 0.0
-			if w.s.Fleet.Rules.TellsElsewhere {
-				other := b.done[j.Volume] - b.own[h][j.Volume]
-				elsewhere, b.told[h][j.Volume] = math.Max(other-b.told[h][j.Volume], 0), other
+			if sim.scenario.Fleet.Rules.TellsElsewhere {
+				byOthers := ep.done[j.Volume] - ep.doneFor[gw][j.Volume]
+				elsewhere, ep.reported[gw][j.Volume] = math.Max(byOthers-ep.reported[gw][j.Volume], 0), byOthers
 			}
-			if w.meter > 0 {
-				if no := int64((w.now-epoch-w.meter/2)/w.meter) - 1; no >= 0 {
-					metered = 1 + 100*v.units[no]/w.meter.Seconds()/math.Max(v.nominal, 1e-9)
+			if sim.meterPeriod > 0 {
+				if period := int64((sim.now-epoch-sim.meterPeriod/2)/sim.meterPeriod) - 1; period >= 0 {
+					metered = 1 + 100*v.units[period]/sim.meterPeriod.Seconds()/math.Max(v.nominal, 1e-9)
 				}
 			}
-			h.in(func(c *engine.Core) {
-				c.AttemptEnded(engine.AttemptReport{Endpoint: b.name, ID: j.ID, Outcome: policy.Served,
+			gw.do(func(c *engine.Core) {
+				c.AttemptEnded(engine.AttemptReport{Endpoint: ep.name, ID: j.ID, Outcome: policy.Served,
 					Load: policy.LoadReport{ServedElsewhere: elsewhere, Utilization: metered}})
 			})
 		})
 	})
 }
 
-// rouse wakes a brick for what is done next.
-func (w *world) rouse(b *brick) {
-	at, ok := b.m.Next()
-	if !ok || b.wake >= w.now && b.wake <= at && b.wake > 0 {
+// scheduleWake schedules the endpoint's next completion, unless an earlier wake-up is pending.
+func (sim *simulation) scheduleWake(ep *endpoint) {
+	at, ok := ep.model.Next()
+	if !ok || ep.wakeAt >= sim.now && ep.wakeAt <= at && ep.wakeAt > 0 {
 		return
 	}
-	b.wake = at
-	w.at(at, func() {
-		if b.wake == at && b.up {
-			b.wake = 0
-			w.work(b)
-			w.rouse(b)
+	ep.wakeAt = at
+	sim.at(at, func() {
+		if ep.wakeAt == at && ep.up {
+			ep.wakeAt = 0
+			sim.advance(ep)
+			sim.scheduleWake(ep)
 		}
 	})
 }
 
-func (w *world) end(b *brick, h *host, id uint64, how policy.Outcome) {
-	w.at(w.now+b.way/2, func() {
-		h.in(func(c *engine.Core) { c.AttemptEnded(engine.AttemptReport{Endpoint: b.name, ID: id, Outcome: how}) })
+// endAttempt reports the end of an attempt to its gateway after half a round trip.
+func (sim *simulation) endAttempt(ep *endpoint, gw *gateway, id uint64, outcome policy.Outcome) {
+	sim.at(sim.now+ep.roundTrip/2, func() {
+		gw.do(func(c *engine.Core) {
+			c.AttemptEnded(engine.AttemptReport{Endpoint: ep.name, ID: id, Outcome: outcome})
+		})
 	})
 }
 
-func (l *line) Cancel(id uint64) {
-	if b := l.b; b != nil {
-		l.h.w.at(l.h.w.now+b.way/2, func() {
-			l.h.w.work(b)
-			b.m.Cancel(l.h.no, id, l.h.w.now)
-			l.h.w.rouse(b)
+func (conn *connection) Cancel(id uint64) {
+	if ep := conn.endpoint; ep != nil {
+		conn.gateway.sim.at(conn.gateway.sim.now+ep.roundTrip/2, func() {
+			conn.gateway.sim.advance(ep)
+			ep.model.Cancel(conn.gateway.index, id, conn.gateway.sim.now)
+			conn.gateway.sim.scheduleWake(ep)
 		})
 	}
 }
 
-func (l *line) CheckHealth(id uint64) {
-	w, h, b := l.h.w, l.h, l.b
-	how := policy.Served
-	if b == nil || !b.up {
-		how = policy.ConnectFailed
+func (conn *connection) CheckHealth(id uint64) {
+	sim, gw, ep := conn.gateway.sim, conn.gateway, conn.endpoint
+	outcome := policy.Served
+	if ep == nil || !ep.up {
+		outcome = policy.ConnectFailed
 	}
-	if b != nil {
-		w.at(w.now+b.way, func() { h.in(func(c *engine.Core) { c.HealthChecked(b.name, id, how) }) })
+	if ep != nil {
+		sim.at(sim.now+ep.roundTrip, func() { gw.do(func(c *engine.Core) { c.HealthChecked(ep.name, id, outcome) }) })
 	}
 }
 
-func (l *line) RequestGreeting() {
-	w, h, b := l.h.w, l.h, l.b
-	if b != nil && b.up {
-		w.at(w.now+b.way, func() {
-			h.in(func(c *engine.Core) {
-				c.Greeted(engine.Greeting{Endpoint: b.name, Address: b.address, HasAge: true, Age: w.now - b.started})
+func (conn *connection) RequestGreeting() {
+	sim, gw, ep := conn.gateway.sim, conn.gateway, conn.endpoint
+	if ep != nil && ep.up {
+		sim.at(sim.now+ep.roundTrip, func() {
+			gw.do(func(c *engine.Core) {
+				c.Greeted(engine.Greeting{Endpoint: ep.name, Address: ep.address, HasAge: true, Age: sim.now - ep.started})
 			})
 		})
 	}
 }
 
-func (l *line) Withdraw(uint64) bool { return false }
-func (l *line) Abandon(uint64)       {}
-func (l *line) Close()               {}
+func (conn *connection) Withdraw(uint64) bool { return false }
+func (conn *connection) Abandon(uint64)       {}
+func (conn *connection) Close()               {}
 
-func (h *host) RequestEndpointList() {}
+// RequestEndpointList does nothing: gateways receive a list when an endpoint changes.
+func (gw *gateway) RequestEndpointList() {}
 
 // SendGossip does nothing: gossip between gateways is not simulated.
-func (h *host) SendGossip([]byte) {}
+func (gw *gateway) SendGossip([]byte) {}
 
-func (h *host) SendMembership(string, membership.Message)                   {}
-func (h *host) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
-func (h *host) MembersChanged([]membership.Member)                          {}
-func (h *host) Log(string)                                                  {}
+func (gw *gateway) SendMembership(string, membership.Message)                   {}
+func (gw *gateway) SendEndpoints(string, time.Duration, []endpointstate.Report) {}
+func (gw *gateway) MembersChanged([]membership.Member)                          {}
+func (gw *gateway) Log(string)                                                  {}
--- a/internal/capacity/report/text.go
+++ b/internal/capacity/report/text.go
@@ -110,7 +110,7 @@
 	}
 	_ = table.Flush()
 	for i, shed := range p.Shed {
-		fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*shed.Part, shed.Plan, shed.QueueType, shed.Work)
+		fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*shed.Part, shed.Plan, shed.Class, shed.Work)
 	}
 }
 
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -65,7 +65,7 @@
 func BenchmarkLearn(b *testing.B) {
 	f, m, w := big(45, 180, 800, 30*time.Second)
 	var lines []*pb.Captured
-	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) engine.Observer { return tap{h, &lines} }}); err != nil {
+	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Requests: w, Seed: 1, Observe: func(h string) engine.Observer { return tap{h, &lines} }}); err != nil {
 		b.Fatal(err)
 	}
 	byTime(lines)
--- a/internal/capacity/study/growth.go
+++ b/internal/capacity/study/growth.go
@@ -52,9 +52,9 @@
 }
 
 // probed is what came of a load.
-type probed struct {
+type probeResult struct {
 	times float64
-	*played
+	*loadResult
 }
 
 // FindLoadLimit looks for the first limit that the load meets as it grows.
@@ -74,7 +74,7 @@
 	for i, p := range probes {
 		s.addCurves(g, p)
 		if g.Goal == "" && (p.times >= g.Times || i == len(probes)-1) {
-			s.describeBeyond(g, p.played)
+			s.describeBeyond(g, p.loadResult)
 		}
 	}
 	return g, nil
@@ -90,29 +90,29 @@
 }
 
 // searchLoad plays loads until the search ends, and returns them by load.
-func (s *Study) searchLoad(ctx context.Context, g *Growth) ([]probed, error) {
+func (s *Study) searchLoad(ctx context.Context, g *Growth) ([]probeResult, error) {
 	guess := 1.0
 	if g.Bound > 0 && !math.IsInf(g.Bound, 1) {
 		guess = g.Bound
 	}
 	search := decide.NewLoadSearch(guess, lowestLoad, highestLoad, loadResolution, maxLoadProbes)
-	var probes []probed
+	var probes []probeResult
 	for {
 		times, ok := search.Next()
 		if !ok {
 			break
 		}
-		p, err := s.play(ctx, s.Fleet, s.Requests, times)
+		p, err := s.runStretches(ctx, s.Fleet, s.Requests, times)
 		if err != nil {
 			return nil, err
 		}
 		margin := decide.Margin(p.blocks, 0, s.Goals, true)
 		search.Record(times, margin)
-		probes = append(probes, probed{times, p})
+		probes = append(probes, probeResult{times, p})
 		low, high := search.Bracket()
 		s.Progress(fmt.Sprintf("load x %.2f: margin %+.2f; the edge is between %.2f and %s", times, margin, low, upTo(high)))
 	}
-	slices.SortFunc(probes, func(a, b probed) int { return cmp.Compare(a.times, b.times) })
+	slices.SortFunc(probes, func(a, b probeResult) int { return cmp.Compare(a.times, b.times) })
 	g.Probes = search.Probes()
 	return probes, nil
 }
@@ -125,11 +125,11 @@
 }
 
 // blocksByProbe puts what each probe found in a block side by side, so that the bootstrap can draw blocks anew.
-func (s *Study) blocksByProbe(probes []probed) (blocks [][]decide.Block, loads []float64) {
-	blocks, loads = make([][]decide.Block, len(s.stretch)), make([]float64, len(probes))
+func (s *Study) blocksByProbe(probes []probeResult) (blocks [][]decide.Block, loads []float64) {
+	blocks, loads = make([][]decide.Block, len(s.stretches)), make([]float64, len(probes))
 	for k, p := range probes {
 		loads[k] = p.times
-		for i := range s.stretch {
+		for i := range s.stretches {
 			for b, block := range p.blocks[i] {
 				if b >= len(blocks[i]) {
 					blocks[i] = append(blocks[i], decide.Block{Weight: block.Weight, Tallies: make([]map[forecast.Key]*forecast.Tally, len(probes))})
@@ -142,7 +142,7 @@
 }
 
 // addCurves adds a point to each plan's curve.
-func (s *Study) addCurves(g *Growth, p probed) {
+func (s *Study) addCurves(g *Growth, p probeResult) {
 	byPlan := map[string]*forecast.Tally{}
 	for key, tally := range decide.Combine(p.blocks, 0) {
 		if byPlan[key.Plan] == nil {
@@ -160,12 +160,12 @@
 			g.Plans, i = append(g.Plans, Curve{Plan: plan.Name}), len(g.Plans)
 		}
 		curve := &g.Plans[i]
-		curve.Times, curve.Part = append(curve.Times, p.times), append(curve.Part, tally.Part())
+		curve.Times, curve.Part = append(curve.Times, p.times), append(curve.Part, tally.InTargetRatio())
 	}
 }
 
 // describeBeyond says what was short in the worst stretch of a load just beyond the limit.
-func (s *Study) describeBeyond(g *Growth, p *played) {
+func (s *Study) describeBeyond(g *Growth, p *loadResult) {
 	worst := math.Inf(1)
 	for i, blocks := range p.blocks {
 		found := decide.Combine([][]decide.Block{blocks}, 0)
@@ -177,8 +177,8 @@
 		g.Goal = s.Goals[goal].Text
 		g.Value, _ = s.Goals[goal].Value(found)
 		r := p.results[i]
-		g.Busiest, g.Rejected, g.Budget, g.InFlight = 0, r.Turned, r.Budget, r.InFlight
-		for _, endpoint := range r.Bricks {
+		g.Busiest, g.Rejected, g.Budget, g.InFlight = 0, r.Rejected, r.BudgetUsed, r.MaxInFlight
+		for _, endpoint := range r.Endpoints {
 			if endpoint.Peak() > g.Busiest {
 				g.Busiest, g.BusiestName = endpoint.Peak(), endpoint.Name
 			}
--- a/internal/capacity/study/loss.go
+++ b/internal/capacity/study/loss.go
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, r := range results {
-		l.Overloaded += r.Fell
+		l.Overloaded += r.Overloaded
 		l.Pressure = math.Max(l.Pressure, r.Pressure)
 	}
 	for _, plan := range s.Fleet.Plan {
@@ -119,21 +119,21 @@
 }
 
 func (s *Study) heaviest() sample.Stretch {
-	for _, stretch := range s.stretch {
+	for _, stretch := range s.stretches {
 		if stretch.Heaviest {
 			return stretch
 		}
 	}
-	return s.stretch[0]
+	return s.stretches[0]
 }
 
 func (s *Study) playLoss(ctx context.Context, l *Loss, t timeline, load []demand.Request) ([]*forecast.Result, error) {
 	var events []forecast.Event
 	for _, name := range l.Bricks {
-		events = append(events, forecast.Event{At: t.lost, Brick: name, Down: true}, forecast.Event{At: t.restored, Brick: name})
+		events = append(events, forecast.Event{At: t.lost, Endpoint: name, Down: true}, forecast.Event{At: t.restored, Endpoint: name})
 	}
 	for _, name := range l.Hosts {
-		events = append(events, forecast.Event{At: t.lost, Host: name, Down: true}, forecast.Event{At: t.restored, Host: name})
+		events = append(events, forecast.Event{At: t.lost, Gateway: name, Down: true}, forecast.Event{At: t.restored, Gateway: name})
 	}
 	s.Progress(fmt.Sprintf("losing %d bricks and %d hosts for %v, %d runs", len(l.Bricks), len(l.Hosts), t.restored-t.lost, lossRuns))
 	results := make([]*forecast.Result, lossRuns)
@@ -142,7 +142,7 @@
 	for i := range lossRuns {
 		g.Go(func() (err error) {
 			if err = ctx.Err(); err == nil {
-				results[i], err = forecast.Run(forecast.Scenario{Fleet: s.Fleet, Model: s.Model, Wants: load, Events: events, Seed: s.Seed + int64(i)})
+				results[i], err = forecast.Run(forecast.Scenario{Fleet: s.Fleet, Model: s.Model, Requests: load, Events: events, Seed: s.Seed + int64(i)})
 			}
 			return err
 		})
@@ -165,7 +165,7 @@
 				}
 			}
 		}
-		parts = append(parts, sum.Part())
+		parts = append(parts, sum.InTargetRatio())
 	}
 	return parts
 }
--- a/internal/capacity/study/phase.go
+++ b/internal/capacity/study/phase.go
@@ -83,12 +83,12 @@
 				sums[key] = &forecast.Tally{}
 			}
 			sums[key].Add(tally)
-			parts[key] = append(parts[key], tally.Part())
+			parts[key] = append(parts[key], tally.InTargetRatio())
 		}
 	}
 	for key, sum := range sums {
-		all = append(all, Service{Plan: key.Plan, Type: key.Type, Part: sum.Part(), Low: slices.Min(parts[key]), High: slices.Max(parts[key]),
-			P99: sum.Quantile(0.99), Wanted: sum.Wanted / len(results)})
+		all = append(all, Service{Plan: key.Plan, Type: key.Class, Part: sum.InTargetRatio(), Low: slices.Min(parts[key]), High: slices.Max(parts[key]),
+			P99: sum.Quantile(0.99), Wanted: sum.Requests / len(results)})
 	}
 	slices.SortFunc(all, func(a, b Service) int { return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Type, b.Type)) })
 	return all
--- a/internal/capacity/study/servers.go
+++ b/internal/capacity/study/servers.go
@@ -66,7 +66,7 @@
 func (s *Study) leastOf(ctx context.Context, kind *pb.ServerKind, now int) (Servers, error) {
 	search := decide.NewServerSearch(s.guessServers(now), max(64*now, 256))
 	found := Servers{Kind: kind.Name, Now: now}
-	var last *played
+	var last *loadResult
 	for {
 		n, ok := search.Next()
 		if !ok {
@@ -76,7 +76,7 @@
 		if err != nil {
 			return found, err
 		}
-		last, err = s.play(ctx, f, place.Relocate(s.Requests, s.Fleet, f, s.cost, s.speed), 1)
+		last, err = s.runStretches(ctx, f, place.Relocate(s.Requests, s.Fleet, f, s.cost, s.speed), 1)
 		if err != nil {
 			return found, err
 		}
@@ -126,7 +126,7 @@
 }
 
 // explain says for each goal that is missed with many servers why they don't help.
-func (s *Study) explain(p *played, kind string) string {
+func (s *Study) explain(p *loadResult, kind string) string {
 	f, err := place.ResizeFleet(s.Fleet, kind, ampleFactor*len(s.Fleet.Brick))
 	if err != nil {
 		return err.Error()
--- a/internal/capacity/study/shares.go
+++ b/internal/capacity/study/shares.go
@@ -34,9 +34,9 @@
 			unreachable += work
 			continue
 		}
-		key := forecast.Key{Plan: r.Plan, Type: r.QueueType}
+		key := forecast.Key{Plan: r.Plan, Class: r.QueueType}
 		if sums[key] == nil {
-			sums[key] = &decide.Share{Plan: r.Plan, QueueType: r.QueueType, Weight: math.Max(plan.Importance, minImportance) * math.Max(queueType.Importance, minImportance)}
+			sums[key] = &decide.Share{Plan: r.Plan, Class: r.QueueType, Weight: math.Max(plan.Importance, minImportance) * math.Max(queueType.Importance, minImportance)}
 		}
 		sum := sums[key]
 		sum.Work += work
@@ -50,7 +50,7 @@
 		all = append(all, *share)
 	}
 	slices.SortFunc(all, func(a, b decide.Share) int {
-		return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.QueueType, b.QueueType))
+		return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Class, b.Class))
 	})
 	return all, unreachable, total
 }
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -37,10 +37,10 @@
 	// Progress takes a line on what is being done; nil: none.
 	Progress func(line string)
 
-	Captured bounds.Input // ExtraAttempts, Requests, HoldTime and Span as captured
-	stretch  []sample.Stretch
-	cost     place.Cost
-	speed    func(*pb.Server) float64
+	Captured  bounds.Input // ExtraAttempts, Requests, HoldTime and Span as captured
+	stretches []sample.Stretch
+	cost      place.Cost
+	speed     func(*pb.Server) float64
 }
 
 // warmUp is played before a stretch, so that gateways know their load; it isn't counted.
@@ -64,7 +64,7 @@
 		s.Progress = func(string) {}
 	}
 	s.cost, s.speed = place.CostOf(s.Model, s.Fleet), bounds.Speeds(s.Fleet, s.Model)
-	s.stretch = sample.Choose(s.Work(), s.Length, s.Stretches)
+	s.stretches = sample.Choose(s.Work(), s.Length, s.Stretches)
 	var plans, types []string
 	for _, p := range s.Fleet.Plan {
 		plans = append(plans, p.Name)
@@ -110,17 +110,17 @@
 }
 
 // played is what came of one load on one fleet, stretch by stretch.
-type played struct {
+type loadResult struct {
 	blocks  [][]decide.Block // of each stretch; one probe in Tallies
 	results []*forecast.Result
 }
 
 // play plays the stretches of a load, so many times as large.
-func (s *Study) play(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, times float64) (*played, error) {
-	p := &played{blocks: make([][]decide.Block, len(s.stretch)), results: make([]*forecast.Result, len(s.stretch))}
+func (s *Study) runStretches(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, times float64) (*loadResult, error) {
+	p := &loadResult{blocks: make([][]decide.Block, len(s.stretches)), results: make([]*forecast.Result, len(s.stretches))}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
-	for i, st := range s.stretch {
+	for i, st := range s.stretches {
 		g.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return err
@@ -131,7 +131,7 @@
 			if len(load) == 0 {
 				return nil
 			}
-			r, err := forecast.Run(forecast.Scenario{Fleet: f, Model: s.Model, Wants: load, Seed: s.Seed + int64(i)})
+			r, err := forecast.Run(forecast.Scenario{Fleet: f, Model: s.Model, Requests: load, Seed: s.Seed + int64(i)})
 			if err != nil {
 				return err
 			}
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -203,7 +203,7 @@
 	m.Client.Repeats, m.Client.Wait = 0.9, 0.1
 	w := load(1300, 0, 8*time.Second, "basic", 0, 8)
 	var lines []*pb.Captured
-	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Wants: w, Seed: 1, Tap: func(h string) engine.Observer { return tap{h, &lines} }}); err != nil {
+	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Requests: w, Seed: 1, Observe: func(h string) engine.Observer { return tap{h, &lines} }}); err != nil {
 		t.Fatal(err)
 	}
 	byTime(lines)
--- a/internal/capacity/verify/cases.go
+++ b/internal/capacity/verify/cases.go
@@ -68,15 +68,15 @@
 	var shards []uint32
 	for _, endpoint := range f.Brick {
 		if endpoint.Zone == zone {
-			events = append(events, forecast.Event{At: failAt, Brick: endpoint.Name, Down: true, Silent: true},
-				forecast.Event{At: recoverAt, Brick: endpoint.Name, Silent: true})
+			events = append(events, forecast.Event{At: failAt, Endpoint: endpoint.Name, Down: true, Unannounced: true},
+				forecast.Event{At: recoverAt, Endpoint: endpoint.Name, Unannounced: true})
 			shards = append(shards, endpoint.Cell)
 		}
 	}
 	return []Case{
 		{Name: "zone " + zone + " lost for 4 s", Transform: scaleLoad(1), Events: events, Apply: crash(pb.Trouble_BRICK_CRASH, shards)},
 		{Name: "one host lost for 4 s", Transform: scaleLoad(1), Apply: crash(pb.Trouble_HOST_CRASH, []uint32{1}),
-			Events: []forecast.Event{{At: failAt, Host: "host-1", Down: true}, {At: recoverAt, Host: "host-1"}}},
+			Events: []forecast.Event{{At: failAt, Gateway: "host-1", Down: true}, {At: recoverAt, Gateway: "host-1"}}},
 	}
 }
 
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -108,7 +108,7 @@
 	load = demand.Slice(load, 0, length)
 	for i := range int64(forecastRuns) {
 		offered := c.Transform(load, rand.New(rand.NewSource(o.Seed+i)))
-		r, err := forecast.Run(forecast.Scenario{Fleet: fleet, Model: l.Model, Wants: offered, Events: c.Events, Seed: o.Seed + i})
+		r, err := forecast.Run(forecast.Scenario{Fleet: fleet, Model: l.Model, Requests: offered, Events: c.Events, Seed: o.Seed + i})
 		if err != nil {
 			return result, err
 		}
@@ -130,10 +130,10 @@
 // ForecastFigures are those of a forecast.
 func ForecastFigures(r *forecast.Result) Figures {
 	total := r.Total()
-	figures := Figures{InTarget: total.Part(), P99: total.Quantile(0.99)}
-	for _, endpoint := range r.Bricks {
-		for _, done := range endpoint.Done {
-			figures.Utilization += done / float64(len(endpoint.Done)*len(r.Bricks))
+	figures := Figures{InTarget: total.InTargetRatio(), P99: total.Quantile(0.99)}
+	for _, endpoint := range r.Endpoints {
+		for _, done := range endpoint.WorkDone {
+			figures.Utilization += done / float64(len(endpoint.WorkDone)*len(r.Endpoints))
 		}
 	}
 	return figures
