--- a/internal/capacity/decide/bootstrap.go
+++ b/internal/capacity/decide/bootstrap.go
@@ -78,14 +78,14 @@
 				if sums[key] == nil {
 					sums[key] = &forecast.Tally{}
 				}
-				addTimes(sums[key], tally, times)
+				addWeighted(sums[key], tally, times)
 			}
 		}
 	}
 	return sums
 }
 
-func addTimes(sum, tally *forecast.Tally, times int) {
+func addWeighted(sum, tally *forecast.Tally, times int) {
 	sum.Requests += tally.Requests * times
 	sum.InTarget += tally.InTarget * times
 	sum.Late += tally.Late * times
--- a/internal/capacity/decide/decide_test.go
+++ b/internal/capacity/decide/decide_test.go
@@ -149,7 +149,7 @@
 		t.Error(g, met)
 	}
 	g, met := ShedToFit(shares, 4)
-	if len(g) != 2 || g[0].Class != "log" || g[0].Part != 1 || g[1].Plan != "basic" || g[1].Part != 0.5 || !met {
+	if len(g) != 2 || g[0].Class != "log" || g[0].Fraction != 1 || g[1].Plan != "basic" || g[1].Fraction != 0.5 || !met {
 		t.Error(g, met)
 	}
 	g, met = ShedToFit(shares, 1)
--- a/internal/capacity/decide/loadsearch.go
+++ b/internal/capacity/decide/loadsearch.go
@@ -19,8 +19,8 @@
 
 // Probe is a load that was forecast, and how it met the goals.
 type Probe struct {
-	Times  float64 // the captured load
-	Margin float64 // the worst over all goals; below 0: one is missed
+	LoadFactor float64 // the captured load
+	Margin     float64 // the worst over all goals; below 0: one is missed
 }
 
 // NewLoadSearch returns a search that starts at a guess, or at the end of the range nearest to it.
@@ -52,7 +52,7 @@
 // Record takes what came of a probe.
 func (s *LoadSearch) Record(times, margin float64) {
 	s.probes = append(s.probes, Probe{times, margin})
-	slices.SortFunc(s.probes, func(a, b Probe) int { return cmp.Compare(a.Times, b.Times) })
+	slices.SortFunc(s.probes, func(a, b Probe) int { return cmp.Compare(a.LoadFactor, b.LoadFactor) })
 }
 
 // Probes returns all probes, by load. They belong to the search.
@@ -62,9 +62,9 @@
 func (s *LoadSearch) Bracket() (low, high float64) {
 	for _, p := range s.probes {
 		if p.Margin < 0 {
-			return low, p.Times
+			return low, p.LoadFactor
 		}
-		low = p.Times
+		low = p.LoadFactor
 	}
 	return low, 0
 }
@@ -77,14 +77,14 @@
 			continue
 		}
 		if i == 0 {
-			return above.Times, false
+			return above.LoadFactor, false
 		}
 		below := probes[i-1]
 		part := below.Margin / math.Max(below.Margin-above.Margin, 1e-12)
-		return below.Times * math.Pow(above.Times/below.Times, part), true
+		return below.LoadFactor * math.Pow(above.LoadFactor/below.LoadFactor, part), true
 	}
 	if len(probes) == 0 {
 		return 0, false
 	}
-	return probes[len(probes)-1].Times, false
+	return probes[len(probes)-1].LoadFactor, false
 }
--- a/internal/capacity/decide/shed.go
+++ b/internal/capacity/decide/shed.go
@@ -22,8 +22,8 @@
 // Shed is a share that is shed, and how much of it.
 type Shed struct {
 	Share
-	Part float64 // of its work, 0 to 1
-	Work float64 // cores it frees
+	Fraction float64 // of its work, 0 to 1
+	Work     float64 // cores it frees
 }
 
 // negligible is work too small to be shed, in cores.
@@ -58,7 +58,7 @@
 		if work <= negligible {
 			continue
 		}
-		shed = append(shed, Shed{Share: s, Part: work / s.Work, Work: work})
+		shed = append(shed, Shed{Share: s, Fraction: work / s.Work, Work: work})
 		excess -= work
 	}
 	return shed, excess
--- a/internal/capacity/report/charts.go
+++ b/internal/capacity/report/charts.go
@@ -77,7 +77,7 @@
 	p := newChart("service as the load grows", "times the captured load", "in target")
 	var all []series
 	for _, c := range g.Plans {
-		all = append(all, series{name: c.Plan, x: c.Times, y: c.Part})
+		all = append(all, series{name: c.Plan, x: c.LoadFactors, y: c.InTarget})
 	}
 	if err := addSeries(p, all); err != nil {
 		return err
--- a/internal/capacity/report/json.go
+++ b/internal/capacity/report/json.go
@@ -37,7 +37,7 @@
 
 func finiteGrowth(growth *study.Growth) *study.Growth {
 	g := *growth
-	g.First = finiteLimits(g.First)
+	g.NearestLimits = finiteLimits(g.NearestLimits)
 	if math.IsInf(g.Bound, 0) {
 		g.Bound = neverReached
 	}
--- a/internal/capacity/report/text.go
+++ b/internal/capacity/report/text.go
@@ -43,15 +43,15 @@
 	fmt.Fprintln(out, "\nThe first limit")
 	switch {
 	case g.Reached:
-		fmt.Fprintf(out, "  at %.2f times the load (%.2f to %.2f) the goal %q is missed: %.4g\n", g.Times, g.Low, g.High, g.Goal, g.Value)
-	case g.Times < 1:
-		fmt.Fprintf(out, "  the goal %q is missed at every load looked at, down to %.2f times: %.4g\n", g.Goal, g.Times, g.Value)
+		fmt.Fprintf(out, "  at %.2f times the load (%.2f to %.2f) the goal %q is missed: %.4g\n", g.LoadFactor, g.Low, g.High, g.MissedGoal, g.Value)
+	case g.LoadFactor < 1:
+		fmt.Fprintf(out, "  the goal %q is missed at every load looked at, down to %.2f times: %.4g\n", g.MissedGoal, g.LoadFactor, g.Value)
 	default:
-		fmt.Fprintf(out, "  none up to %.2f times the load\n", g.Times)
+		fmt.Fprintf(out, "  none up to %.2f times the load\n", g.LoadFactor)
 	}
 	fmt.Fprintf(out, "  by sums alone %.2f times; mean load over capacity would say %.2f\n", g.Bound, g.Naive)
 	order := []string{"first", "then", "then"}
-	for i, l := range g.First {
+	for i, l := range g.NearestLimits {
 		fmt.Fprintf(out, "  %s: %s\n", order[i], l)
 	}
 	if g.BusiestName != "" {
@@ -78,18 +78,18 @@
 		if !s.Found {
 			least = "none is enough"
 		}
-		fmt.Fprintf(table, "  %s\t%d\t%s\t\n", s.Kind, s.Now, least)
+		fmt.Fprintf(table, "  %s\t%d\t%s\t\n", s.Kind, s.Current, least)
 	}
 	_ = table.Flush()
 	for _, s := range servers {
-		if s.Why != "" {
-			fmt.Fprintf(out, "  %s: %s\n", s.Kind, s.Why)
+		if s.Reason != "" {
+			fmt.Fprintf(out, "  %s: %s\n", s.Kind, s.Reason)
 		}
 	}
 }
 
 func writeLoss(out io.Writer, l *study.Loss) {
-	fmt.Fprintf(out, "\nLosing %s: bricks %v, hosts %v\n", l.Target, l.Bricks, l.Hosts)
+	fmt.Fprintf(out, "\nLosing %s: bricks %v, hosts %v\n", l.Target, l.Endpoints, l.Gateways)
 	for _, p := range l.Phases {
 		writePhase(out, p)
 	}
@@ -98,19 +98,19 @@
 
 func writePhase(out io.Writer, p study.Phase) {
 	met := "reserves can be met"
-	if !p.Met {
+	if !p.ReservationsMet {
 		met = "RESERVES CAN'T BE MET"
 	}
 	fmt.Fprintf(out, "  %s (%v): %.2f cores there, %.2f asked for of what can be reached, %.2f of them reserved: %s; %.0f%% of the work lies on what is gone\n", p.Name,
-		(p.To - p.From).Round(100*time.Millisecond), p.Capacity, p.Asked, p.Reserved, met, 100*p.Unreachable)
+		(p.To - p.From).Round(100*time.Millisecond), p.Capacity, p.Demand, p.Reserved, met, 100*p.Unreachable)
 	table := newTable(out)
 	fmt.Fprintln(table, "    PLAN\tQUEUE TYPE\tIN TARGET\tRANGE\tP99\tWANTS")
 	for _, s := range p.Service {
-		fmt.Fprintf(table, "    %s\t%s\t%.3f\t%.3f-%.3f\t%v\t%d\n", s.Plan, s.Type, s.Part, s.Low, s.High, s.P99.Round(time.Millisecond), s.Wanted)
+		fmt.Fprintf(table, "    %s\t%s\t%.3f\t%.3f-%.3f\t%v\t%d\n", s.Plan, s.Class, s.InTarget, s.Low, s.High, s.P99.Round(time.Millisecond), s.Requests)
 	}
 	_ = table.Flush()
 	for i, shed := range p.Shed {
-		fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*shed.Part, shed.Plan, shed.Class, shed.Work)
+		fmt.Fprintf(out, "    give up %d: %.0f%% of %s %s (%.2f cores)\n", i+1, 100*shed.Fraction, shed.Plan, shed.Class, shed.Work)
 	}
 }
 
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -15,36 +15,36 @@
 	"weirhaven/internal/pb"
 )
 
-// big is a fleet so many times that of the tests, and a load on it.
-func big(bricks, hosts int, rate float64, length time.Duration) (*pb.CapacityFleet, *pb.CapacityModel, []demand.Request) {
+// largeFleet returns a fleet of a given size, its model, and a load on it.
+func largeFleet(endpoints, gateways int, rate float64, length time.Duration) (*pb.CapacityFleet, *pb.CapacityModel, []demand.Request) {
 	f, m := fleet()
 	f.Brick, f.Host = nil, nil
-	for i := range bricks {
+	for i := range endpoints {
 		f.Brick = append(f.Brick, &pb.Server{Name: fmt.Sprint("b", i), Kind: "single", Zone: []string{"north", "south"}[i%2], Cell: uint32(i)})
 	}
-	for i := range hosts {
+	for i := range gateways {
 		f.Host = append(f.Host, &pb.HostLine{Name: fmt.Sprint("h", i), Zone: "north", Commands: 100000})
 	}
 	w := load(rate, 0, length, "basic", 0.3, 1)
 	for i := range w {
-		v := i * 7919 % (4 * bricks)
-		w[i].Volume, w[i].Gateway = fmt.Sprint("v", v), fmt.Sprint("h", (v+i%2)%hosts)
+		v := i * 7919 % (4 * endpoints)
+		w[i].Volume, w[i].Gateway = fmt.Sprint("v", v), fmt.Sprint("h", (v+i%2)%gateways)
 		if w[i].Shard >= 0 {
-			w[i].Shard = (v + i%3) % bricks
+			w[i].Shard = (v + i%3) % endpoints
 		}
 	}
 	return f, m, w
 }
 
-// What an answer costs (first limit, with its range), as the fleet and the capture grow. LONG=1: an hour of capture too.
+// BenchmarkAnswer measures how long it takes to find the load limit with its confidence interval, as the fleet and the capture grow.
 func BenchmarkAnswer(b *testing.B) {
 	for _, c := range []struct {
-		bricks, hosts int
-		rate          float64
-		length        time.Duration
+		endpoints, gateways int
+		rate                float64
+		length              time.Duration
 	}{{9, 36, 160, 10 * time.Minute}, {45, 180, 800, 10 * time.Minute}, {45, 180, 800, time.Hour}, {90, 360, 1600, 10 * time.Minute}} {
-		b.Run(fmt.Sprintf("%dx%d/%v", c.bricks, c.hosts, c.length), func(b *testing.B) {
-			f, m, w := big(c.bricks, c.hosts, c.rate, c.length)
+		b.Run(fmt.Sprintf("%dx%d/%v", c.endpoints, c.gateways, c.length), func(b *testing.B) {
+			f, m, w := largeFleet(c.endpoints, c.gateways, c.rate, c.length)
 			for b.Loop() {
 				s := &Study{Fleet: f, Model: m, Requests: w, Seed: 1}
 				if err := s.Prepare(); err != nil {
@@ -61,14 +61,14 @@
 	}
 }
 
-// What reading a capture and learning from it cost a million commands.
+// BenchmarkLearn measures how long it takes to read a capture and to learn a model from it, per million requests.
 func BenchmarkLearn(b *testing.B) {
-	f, m, w := big(45, 180, 800, 30*time.Second)
+	f, m, w := largeFleet(45, 180, 800, 30*time.Second)
 	var lines []*pb.Captured
-	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Requests: w, Seed: 1, Observe: func(h string) engine.Observer { return tap{h, &lines} }}); err != nil {
+	if _, err := forecast.Run(forecast.Scenario{Fleet: f, Model: m, Requests: w, Seed: 1, Observe: func(h string) engine.Observer { return captureObserver{h, &lines} }}); err != nil {
 		b.Fatal(err)
 	}
-	byTime(lines)
+	sortByTime(lines)
 	l := &capture.Load{Heads: []*pb.CaptureHead{{Version: capture.Version, Host: "h"}}, Lines: lines}
 	var file bytes.Buffer
 	if err := l.Write(&file); err != nil {
--- a/internal/capacity/study/growth.go
+++ b/internal/capacity/study/growth.go
@@ -13,54 +13,54 @@
 	"weirhaven/internal/capacity/forecast"
 )
 
-// The search for the greatest load: its range in times the captured load, its resolution, its probes, and the bootstrap's draws.
+// Parameters of the search for the greatest load; loads are multiples of the captured load.
 const (
 	lowestLoad     = 1.0 / 16
 	highestLoad    = 32
-	loadResolution = 1.05
+	loadResolution = 1.05 // ratio of the two loads around the limit at which the search ends
 	maxLoadProbes  = 16
 	bootstrapDraws = 200
 )
 
-// nearestLimits is how many analytic limits an answer shows.
+// nearestLimits is the number of analytic limits that an answer lists.
 const nearestLimits = 3
 
-// Growth is how far the load may grow.
+// Growth is the answer to how far the load can grow.
 type Growth struct {
-	Times       float64 // the load at which a goal is first missed, in the worst stretch
-	Low, High   float64 // 90% confidence interval by bootstrap, as multiples of the load
-	Reached     bool    // false: no limit within what was looked at; Times is then the most that was looked at
-	Goal        string
-	Value       float64 // of the goal's measure, just beyond
-	First       []bounds.Limit
-	Bound       float64        // by sums alone
-	Naive       float64        // mean load over capacity, for comparison
-	Probes      []decide.Probe `json:"Tries"`
-	Plans       []Curve
-	BusiestName string
-	Busiest     float64 // use of the busiest endpoint in a second, just beyond
-	Rejected    int     `json:"Turned"` // attempts that found a queue full, just beyond
-	Budget      float64 // most used by a gateway, as a part of its budget, just beyond
-	InFlight    int
+	LoadFactor    float64        `json:"Times"` // multiple of the captured load at which the worst interval first misses a goal
+	Low, High     float64        // 90% confidence interval of LoadFactor, by bootstrap
+	Reached       bool           // false: all loads simulated met the goals, or all missed one; LoadFactor is then the outermost of them
+	MissedGoal    string         `json:"Goal"`
+	Value         float64        // measure of the missed goal just beyond the limit
+	NearestLimits []bounds.Limit `json:"First"`
+	Bound         float64        // load factor of the nearest analytic limit
+	Naive         float64        // capacity divided by the mean load, for comparison
+	Probes        []decide.Probe `json:"Tries"`
+	Plans         []Curve
+	BusiestName   string
+	Busiest       float64 // utilization of the busiest endpoint in its busiest second, just beyond the limit
+	Rejected      int     `json:"Turned"` // attempts that found a queue full, just beyond the limit
+	Budget        float64 // highest use of a gateway's retry budget, as a fraction of it, just beyond the limit
+	InFlight      int     // most requests open at one gateway, just beyond the limit
 }
 
-// Curve is a plan's part in target over loads.
+// Curve is the fraction of a plan's requests in target as the load grows.
 type Curve struct {
-	Plan  string
-	Times []float64
-	Part  []float64
+	Plan        string
+	LoadFactors []float64 `json:"Times"`
+	InTarget    []float64 `json:"Part"`
 }
 
-// probed is what came of a load.
+// probeResult is the result of the simulations of one load.
 type probeResult struct {
-	times float64
+	loadFactor float64 // multiple of the captured load
 	*loadResult
 }
 
-// FindLoadLimit looks for the first limit that the load meets as it grows.
+// FindLoadLimit searches for the smallest load, as a multiple of the captured load, at which a goal is missed.
 func (s *Study) FindLoadLimit(ctx context.Context) (*Growth, error) {
 	usual := bounds.Usual(s.Limits(s.Fleet, s.Requests))
-	g := &Growth{Bound: math.Inf(1), Naive: s.naiveGrowth(), First: usual[:min(nearestLimits, len(usual))]}
+	g := &Growth{Bound: math.Inf(1), Naive: s.naiveGrowth(), NearestLimits: usual[:min(nearestLimits, len(usual))]}
 	if len(usual) > 0 {
 		g.Bound = usual[0].Factor
 	}
@@ -68,19 +68,19 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Times, g.Reached = decide.Crossing(g.Probes)
+	g.LoadFactor, g.Reached = decide.Crossing(g.Probes)
 	blocks, loads := s.blocksByProbe(probes)
 	g.Low, g.High = decide.ConfidenceRange(blocks, loads, s.Goals, true, bootstrapDraws, rand.New(rand.NewSource(s.Seed)))
 	for i, p := range probes {
 		s.addCurves(g, p)
-		if g.Goal == "" && (p.times >= g.Times || i == len(probes)-1) {
-			s.describeBeyond(g, p.loadResult)
+		if g.MissedGoal == "" && (p.loadFactor >= g.LoadFactor || i == len(probes)-1) {
+			s.describeMiss(g, p.loadResult)
 		}
 	}
 	return g, nil
 }
 
-// naiveGrowth is capacity over the mean load.
+// naiveGrowth returns the capacity divided by the mean load.
 func (s *Study) naiveGrowth() float64 {
 	work := 0.0
 	for _, second := range s.Work() {
@@ -89,7 +89,7 @@
 	return s.Capacity() / math.Max(work/(s.Requests[len(s.Requests)-1].Arrival.Seconds()+1e-9), 1e-12)
 }
 
-// searchLoad plays loads until the search ends, and returns them by load.
+// searchLoad simulates loads until the search ends, and returns the results sorted by load.
 func (s *Study) searchLoad(ctx context.Context, g *Growth) ([]probeResult, error) {
 	guess := 1.0
 	if g.Bound > 0 && !math.IsInf(g.Bound, 1) {
@@ -98,37 +98,38 @@
 	search := decide.NewLoadSearch(guess, lowestLoad, highestLoad, loadResolution, maxLoadProbes)
 	var probes []probeResult
 	for {
-		times, ok := search.Next()
+		factor, ok := search.Next()
 		if !ok {
 			break
 		}
-		p, err := s.runStretches(ctx, s.Fleet, s.Requests, times)
+		p, err := s.runStretches(ctx, s.Fleet, s.Requests, factor)
 		if err != nil {
 			return nil, err
 		}
 		margin := decide.Margin(p.blocks, 0, s.Goals, true)
-		search.Record(times, margin)
-		probes = append(probes, probeResult{times, p})
+		search.Record(factor, margin)
+		probes = append(probes, probeResult{factor, p})
 		low, high := search.Bracket()
-		s.Progress(fmt.Sprintf("load x %.2f: margin %+.2f; the edge is between %.2f and %s", times, margin, low, upTo(high)))
+		s.Progress(fmt.Sprintf("load x %.2f: margin %+.2f; the limit is between %.2f and %s", factor, margin, low, formatBound(high)))
 	}
-	slices.SortFunc(probes, func(a, b probeResult) int { return cmp.Compare(a.times, b.times) })
+	slices.SortFunc(probes, func(a, b probeResult) int { return cmp.Compare(a.loadFactor, b.loadFactor) })
 	g.Probes = search.Probes()
 	return probes, nil
 }
 
-func upTo(high float64) string {
+// formatBound formats the upper end of the search range; "?" while it is unknown.
+func formatBound(high float64) string {
 	if high == 0 {
 		return "?"
 	}
 	return fmt.Sprintf("%.2f", high)
 }
 
-// blocksByProbe puts what each probe found in a block side by side, so that the bootstrap can draw blocks anew.
+// blocksByProbe groups the probes' tallies by block, so that the bootstrap can resample blocks.
 func (s *Study) blocksByProbe(probes []probeResult) (blocks [][]decide.Block, loads []float64) {
 	blocks, loads = make([][]decide.Block, len(s.stretches)), make([]float64, len(probes))
 	for k, p := range probes {
-		loads[k] = p.times
+		loads[k] = p.loadFactor
 		for i := range s.stretches {
 			for b, block := range p.blocks[i] {
 				if b >= len(blocks[i]) {
@@ -141,7 +142,7 @@
 	return blocks, loads
 }
 
-// addCurves adds a point to each plan's curve.
+// addCurves adds a probe's result to the curve of each plan.
 func (s *Study) addCurves(g *Growth, p probeResult) {
 	byPlan := map[string]*forecast.Tally{}
 	for key, tally := range decide.Combine(p.blocks, 0) {
@@ -160,12 +161,12 @@
 			g.Plans, i = append(g.Plans, Curve{Plan: plan.Name}), len(g.Plans)
 		}
 		curve := &g.Plans[i]
-		curve.Times, curve.Part = append(curve.Times, p.times), append(curve.Part, tally.InTargetRatio())
+		curve.LoadFactors, curve.InTarget = append(curve.LoadFactors, p.loadFactor), append(curve.InTarget, tally.InTargetRatio())
 	}
 }
 
-// describeBeyond says what was short in the worst stretch of a load just beyond the limit.
-func (s *Study) describeBeyond(g *Growth, p *loadResult) {
+// describeMiss records which goal the worst interval of a load just beyond the limit missed, and the utilization there.
+func (s *Study) describeMiss(g *Growth, p *loadResult) {
 	worst := math.Inf(1)
 	for i, blocks := range p.blocks {
 		found := decide.Combine([][]decide.Block{blocks}, 0)
@@ -174,7 +175,7 @@
 			continue
 		}
 		worst = margin
-		g.Goal = s.Goals[goal].Text
+		g.MissedGoal = s.Goals[goal].Text
 		g.Value, _ = s.Goals[goal].Value(found)
 		r := p.results[i]
 		g.Busiest, g.Rejected, g.Budget, g.InFlight = 0, r.Rejected, r.BudgetUsed, r.MaxInFlight
--- a/internal/capacity/study/loss.go
+++ b/internal/capacity/study/loss.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	lossRuns  = 4 // forecasts of a loss, each with its own chance
-	beforeFor = 6 * time.Second
-	afterFor  = 8 * time.Second
+	lossRuns     = 4 // simulations of a loss, each with its own seed
+	beforeLength = 6 * time.Second
+	afterLength  = 8 * time.Second
 )
 
-// Loss is what losing something does.
+// Loss describes the service while endpoints and gateways are lost.
 type Loss struct {
-	Target     string `json:"What"` // as the operator named it
-	Bricks     []string
-	Hosts      []string
+	Target     string   `json:"What"` // as the operator named it
+	Endpoints  []string `json:"Bricks"`
+	Gateways   []string `json:"Hosts"`
 	Phases     []Phase
 	Overloaded int     `json:"Fell"` // endpoints that broke down while warming up, over all runs
-	Pressure   float64 // the most work sent to an endpoint while warming up, as a part of what breaks it down
+	Pressure   float64 // highest load on an endpoint while warming up, as a fraction of the load that breaks it down
 	Plans      []string
-	InTarget   [][]float64 `json:"By"` // by plan, by second: the part in target
+	InTarget   [][]float64 `json:"By"` // fraction of requests in target, by plan and second
 }
 
-// timeline is when the phases of a loss begin, since the begin of what is played.
+// timeline holds when the phases of a loss begin, measured from the start of the simulated load.
 type timeline struct {
 	lost, restored, warm, end time.Duration
 }
 
-// SimulateLoss plays the heaviest stretch with something lost in it: "zone=NAME", "brick=NAME", "host=NAME", several with commas. What is lost
-// is replaced after the outage, which is cut to whole seconds.
+// SimulateLoss simulates the heaviest interval of the load while a target is lost: "zone=NAME", "brick=NAME" or "host=NAME", several
+// separated by commas. Replacements start after the outage, which is truncated to whole seconds.
 func (s *Study) SimulateLoss(ctx context.Context, target string, outage time.Duration) (*Loss, error) {
 	l, err := s.resolve(target)
 	if err != nil {
 		return nil, err
 	}
 	length := s.Requests[len(s.Requests)-1].Arrival + time.Second
-	t := s.plan(outage, length)
+	t := s.schedulePhases(outage, length)
 	from := max(min((s.heaviest().From+s.Length/2-t.lost-(t.restored-t.lost)/2).Truncate(time.Second), length-t.end), 0)
 	load := demand.Slice(s.Requests, from, from+t.end)
 	if len(load) == 0 {
-		return nil, fmt.Errorf("%w in the stretch around its heaviest", ErrEmptyLoad)
+		return nil, fmt.Errorf("%w around the heaviest interval", ErrEmptyLoad)
 	}
 	results, err := s.playLoss(ctx, l, t, load)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	for _, p := range t.phases() {
 		if p.To-p.From >= time.Second/2 {
-			l.Phases = append(l.Phases, s.phase(p, load, results, l))
+			l.Phases = append(l.Phases, s.summarizePhase(p, load, results, l))
 		}
 	}
 	for _, r := range results {
@@ -71,40 +71,42 @@
 	return l, nil
 }
 
-// resolve finds the endpoints and gateways that a target names. One gateway always remains: without any nothing would be asked for.
+// resolve returns the endpoints and gateways that a target names. One gateway always remains, as without any no request would be
+// received.
 func (s *Study) resolve(target string) (*Loss, error) {
 	l := &Loss{Target: target}
 	for _, part := range strings.Split(target, ",") {
 		kind, name, ok := strings.Cut(strings.TrimSpace(part), "=")
-		found := len(l.Bricks) + len(l.Hosts)
+		found := len(l.Endpoints) + len(l.Gateways)
 		for _, endpoint := range s.Fleet.Brick {
 			if kind == "zone" && endpoint.Zone == name || kind == "brick" && endpoint.Name == name {
-				l.Bricks = append(l.Bricks, endpoint.Name)
+				l.Endpoints = append(l.Endpoints, endpoint.Name)
 			}
 		}
 		for _, gateway := range s.Fleet.Host {
 			if kind == "zone" && gateway.Zone == name || kind == "host" && gateway.Name == name {
-				l.Hosts = append(l.Hosts, gateway.Name)
+				l.Gateways = append(l.Gateways, gateway.Name)
 			}
 		}
-		if !ok || found == len(l.Bricks)+len(l.Hosts) {
-			return nil, fmt.Errorf("--lose %q: nothing of that name in the fleet; allowed: zone=NAME, brick=NAME, host=NAME", part)
+		if !ok || found == len(l.Endpoints)+len(l.Gateways) {
+			return nil, fmt.Errorf("--lose %q: the fleet has nothing of that name; allowed: zone=NAME, brick=NAME, host=NAME", part)
 		}
 	}
-	if len(l.Hosts) == len(s.Fleet.Host) {
-		l.Hosts = l.Hosts[:len(l.Hosts)-1]
+	if len(l.Gateways) == len(s.Fleet.Host) {
+		l.Gateways = l.Gateways[:len(l.Gateways)-1]
 	}
 	return l, nil
 }
 
-// plan lays the phases out. In a short capture each is shorter, but for the slow start, whose length the fleet states.
-func (s *Study) plan(outage, length time.Duration) timeline {
+// schedulePhases sets the length of the phases. All but the slow start, whose length the fleet states, are shortened to fit a short
+// capture.
+func (s *Study) schedulePhases(outage, length time.Duration) timeline {
 	slowStart := settings.Duration(s.Fleet.Rules.ColdFor, 0)
-	before, after := beforeFor, afterFor
+	before, after := beforeLength, afterLength
 	outage = max(outage.Truncate(time.Second), time.Second)
 	if need := before + outage + slowStart + after; need > length {
 		scale := float64(length) / float64(need)
-		shorten := func(d time.Duration) time.Duration { // to whole seconds: results stand by second
+		shorten := func(d time.Duration) time.Duration { // to whole seconds, as results are reported by second
 			return max(time.Duration(float64(d)*scale).Truncate(time.Second), time.Second)
 		}
 		before, outage, after = shorten(before), shorten(outage), shorten(after)
@@ -129,13 +131,13 @@
 
 func (s *Study) playLoss(ctx context.Context, l *Loss, t timeline, load []demand.Request) ([]*forecast.Result, error) {
 	var events []forecast.Event
-	for _, name := range l.Bricks {
+	for _, name := range l.Endpoints {
 		events = append(events, forecast.Event{At: t.lost, Endpoint: name, Down: true}, forecast.Event{At: t.restored, Endpoint: name})
 	}
-	for _, name := range l.Hosts {
+	for _, name := range l.Gateways {
 		events = append(events, forecast.Event{At: t.lost, Gateway: name, Down: true}, forecast.Event{At: t.restored, Gateway: name})
 	}
-	s.Progress(fmt.Sprintf("losing %d bricks and %d hosts for %v, %d runs", len(l.Bricks), len(l.Hosts), t.restored-t.lost, lossRuns))
+	s.Progress(fmt.Sprintf("losing %d endpoints and %d gateways for %v, %d runs", len(l.Endpoints), len(l.Gateways), t.restored-t.lost, lossRuns))
 	results := make([]*forecast.Result, lossRuns)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
@@ -150,7 +152,7 @@
 	return results, g.Wait()
 }
 
-// inTargetBySecond is a plan's part in target over all runs.
+// inTargetBySecond returns the fraction of a plan's requests in target for each second, over all runs.
 func inTargetBySecond(results []*forecast.Result, plan string, length time.Duration) []float64 {
 	var parts []float64
 	for second := range int(length / time.Second) {
--- a/internal/capacity/study/servers.go
+++ b/internal/capacity/study/servers.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// guessReserve is by how much the first number looked at exceeds the analytic bound.
+	// guessReserve is the factor by which the first number of servers simulated exceeds the analytic bound.
 	guessReserve = 1.2
-	// gatewayUtilization is the part of a gateway's request rate that keeps its queue short.
+	// gatewayUtilization is the fraction of a gateway's maximum request rate up to which its queue stays short.
 	gatewayUtilization = 0.7
-	// ampleFactor is how many times the fleet's endpoints are ample when a goal's failure is explained.
+	// ampleFactor is the multiple of the fleet's endpoints for which a goal that no number of servers meets is explained.
 	ampleFactor = 4
 )
 
-// Servers is how many servers of a kind it takes.
+// Servers is the number of servers of one kind that the goals need.
 type Servers struct {
 	Kind    string
-	Now     int
+	Current int `json:"Now"`
 	Least   int
-	Found   bool
-	Why     string          // where no number does
-	Margins map[int]float64 `json:"Tried"` // by number
-	Cost    float64         // of the least
+	Found   bool            // false: no number of servers meets the goals
+	Reason  string          `json:"Why"`   // why no number of servers meets the goals; empty if one does
+	Margins map[int]float64 `json:"Tried"` // margin by number of servers simulated
+	Cost    float64         // of the least number of servers
 }
 
-// FindLeastServers looks for the least servers of each kind that meet the goals, the other kinds as they are; and of gateways, by what each
-// carries.
+// FindLeastServers searches for the least number of endpoints of each kind that meets the goals while the other kinds stay unchanged. For
+// gateways it computes the number from their stated request rate.
 func (s *Study) FindLeastServers(ctx context.Context) ([]Servers, error) {
 	var all []Servers
 	for _, kind := range s.Fleet.Kind {
-		now := s.count(kind.Name)
+		now := s.countServers(kind.Name)
 		if now == 0 {
 			continue
 		}
@@ -54,7 +54,7 @@
 	return all, nil
 }
 
-func (s *Study) count(kind string) (n int) {
+func (s *Study) countServers(kind string) (n int) {
 	for _, endpoint := range s.Fleet.Brick {
 		if endpoint.Kind == kind {
 			n++
@@ -65,7 +65,7 @@
 
 func (s *Study) leastOf(ctx context.Context, kind *pb.ServerKind, now int) (Servers, error) {
 	search := decide.NewServerSearch(s.guessServers(now), max(64*now, 256))
-	found := Servers{Kind: kind.Name, Now: now}
+	found := Servers{Kind: kind.Name, Current: now}
 	var last *loadResult
 	for {
 		n, ok := search.Next()
@@ -88,12 +88,12 @@
 	found.Margins = search.Margins()
 	found.Cost = float64(found.Least) * math.Max(kind.Cost, 1)
 	if !found.Found && last != nil {
-		found.Why = s.explain(last, kind.Name)
+		found.Reason = s.explainUnmet(last, kind.Name)
 	}
 	return found, nil
 }
 
-// guessServers scales the number by the fleet's analytic bound.
+// guessServers scales the current number of servers by the fleet's analytic limit.
 func (s *Study) guessServers(now int) int {
 	guess := now
 	for _, l := range bounds.Usual(s.Limits(s.Fleet, s.Requests)) {
@@ -104,13 +104,14 @@
 	return guess
 }
 
-// leastGateways compares the requests of the worst window with what a gateway carries; false: no gateway states it.
+// leastGateways divides the request rate of the worst window by what the largest gateway handles. It returns false if no gateway states its
+// maximum rate.
 func (s *Study) leastGateways() (Servers, bool) {
-	most := 0.0
+	maxRate := 0.0
 	for _, gateway := range s.Fleet.Host {
-		most = math.Max(most, gateway.Commands)
+		maxRate = math.Max(maxRate, gateway.Commands)
 	}
-	if most <= 0 {
+	if maxRate <= 0 {
 		return Servers{}, false
 	}
 	peak, window := 0.0, bounds.Window(s.Fleet)
@@ -121,12 +122,12 @@
 		}
 		peak = math.Max(peak, within/window.Seconds())
 	}
-	n := int(math.Ceil(peak / (gatewayUtilization * most)))
-	return Servers{Kind: "host", Now: len(s.Fleet.Host), Least: max(n, 1), Found: true}, true
+	n := int(math.Ceil(peak / (gatewayUtilization * maxRate)))
+	return Servers{Kind: "host", Current: len(s.Fleet.Host), Least: max(n, 1), Found: true}, true
 }
 
-// explain says for each goal that is missed with many servers why they don't help.
-func (s *Study) explain(p *loadResult, kind string) string {
+// explainUnmet explains, for each goal missed with the last number of servers simulated, why more servers don't help.
+func (s *Study) explainUnmet(p *loadResult, kind string) string {
 	f, err := place.ResizeFleet(s.Fleet, kind, ampleFactor*len(s.Fleet.Brick))
 	if err != nil {
 		return err.Error()
--- a/internal/capacity/study/shares.go
+++ b/internal/capacity/study/shares.go
@@ -12,20 +12,20 @@
 	"weirhaven/internal/pb"
 )
 
-// minImportance keeps a plan or queue type without a stated importance from weighing nothing.
+// minImportance is the least importance that counts, so that a plan or request class that states none does not weigh 0.
 const minImportance = 0.01
 
-// shares are the work by plan and queue type in a phase's worst second, of what can be reached; unreachable and total are core
-// seconds of all that is asked for in it.
+// shares returns the reachable work by plan and request class in the worst second of a phase. unreachable and total are the core seconds
+// of the requests for unreachable shards and of all requests in that second.
 func (s *Study) shares(load []demand.Request, p Phase, reachable map[int]bool) (all []decide.Share, unreachable, total float64) {
 	worst := s.worstSecond(load, p)
-	plans, types := s.rules()
+	plans, classes := s.plansAndClasses()
 	sums := map[forecast.Key]*decide.Share{}
-	units := map[string]float64{} // by volume, so far: the first of it are reserved
+	units := map[string]float64{} // by volume, so far: the first units of a volume are reserved
 	for i := range load {
 		r := &load[i]
-		plan, queueType := plans[r.Plan], types[r.QueueType]
-		if int(r.Arrival/time.Second) != worst || plan == nil || queueType == nil {
+		plan, class := plans[r.Plan], classes[r.QueueType]
+		if int(r.Arrival/time.Second) != worst || plan == nil || class == nil {
 			continue
 		}
 		work := s.cost(r)
@@ -36,7 +36,7 @@
 		}
 		key := forecast.Key{Plan: r.Plan, Class: r.QueueType}
 		if sums[key] == nil {
-			sums[key] = &decide.Share{Plan: r.Plan, Class: r.QueueType, Weight: math.Max(plan.Importance, minImportance) * math.Max(queueType.Importance, minImportance)}
+			sums[key] = &decide.Share{Plan: r.Plan, Class: r.QueueType, Weight: math.Max(plan.Importance, minImportance) * math.Max(class.Importance, minImportance)}
 		}
 		sum := sums[key]
 		sum.Work += work
@@ -55,7 +55,7 @@
 	return all, unreachable, total
 }
 
-// worstSecond is the one of a phase in which most work is asked for, the first of several.
+// worstSecond returns the second of a phase with the most work; the earliest if several have as much.
 func (s *Study) worstSecond(load []demand.Request, p Phase) (worst int) {
 	work := map[int]float64{}
 	for i := range load {
@@ -63,23 +63,23 @@
 			work[int(r.Arrival/time.Second)] += s.cost(r)
 		}
 	}
-	most := -1.0
+	highest := -1.0
 	for second, w := range work {
-		if w > most || w == most && second < worst {
-			worst, most = second, w
+		if w > highest || w == highest && second < worst {
+			worst, highest = second, w
 		}
 	}
 	return worst
 }
 
-// rules are the fleet's plans and queue types by name.
-func (s *Study) rules() (plans map[string]*pb.Plan, types map[string]*pb.QueueType) {
-	plans, types = map[string]*pb.Plan{}, map[string]*pb.QueueType{}
+// plansAndClasses returns the fleet's plans and request classes by name.
+func (s *Study) plansAndClasses() (plans map[string]*pb.Plan, classes map[string]*pb.QueueType) {
+	plans, classes = map[string]*pb.Plan{}, map[string]*pb.QueueType{}
 	for _, plan := range s.Fleet.Plan {
 		plans[plan.Name] = plan
 	}
-	for _, queueType := range s.Fleet.QueueType {
-		types[queueType.Name] = queueType
+	for _, class := range s.Fleet.QueueType {
+		classes[class.Name] = class
 	}
-	return plans, types
+	return plans, classes
 }
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -1,5 +1,5 @@
-// Package study answers capacity questions: it plays stretches of a captured load on all cores, by the decisions of
-// internal/capacity/decide, and puts together what came of them.
+// Package study answers capacity questions. It simulates intervals of a captured load in parallel, as internal/capacity/decide selects
+// them, and combines the results.
 package study
 
 import (
@@ -20,21 +20,21 @@
 	"weirhaven/internal/pb"
 )
 
-// ErrEmptyLoad is returned where the capture holds no request.
-var ErrEmptyLoad = errors.New("the capture holds no command")
+// ErrEmptyLoad is returned if the capture holds no requests.
+var ErrEmptyLoad = errors.New("the capture holds no requests")
 
-// Study is one load, one fleet, one model. Prepare comes before all other methods; they run one at a time.
+// Study answers questions about one load, fleet and model. Prepare must be called before all other methods. Its methods must not be
+// called concurrently.
 type Study struct {
-	Fleet    *pb.CapacityFleet
-	Model    *pb.CapacityModel
-	Requests []demand.Request
-	Goals    []decide.Goal
-	Seed     int64
-	// Length and Stretches of what is played: 20 s, 5.
-	Length    time.Duration
-	Stretches int
-	Jobs      int // 0: as many as cores
-	// Progress takes a line on what is being done; nil: none.
+	Fleet     *pb.CapacityFleet
+	Model     *pb.CapacityModel
+	Requests  []demand.Request
+	Goals     []decide.Goal
+	Seed      int64
+	Length    time.Duration // of each simulated interval of the load; 0: 20 s
+	Stretches int           // number of simulated intervals; 0: 5
+	Jobs      int           // simulations run in parallel; 0: as many as cores
+	// Progress receives progress messages. nil: none.
 	Progress func(line string)
 
 	Captured  bounds.Input // ExtraAttempts, Requests, HoldTime and Span as captured
@@ -43,10 +43,10 @@
 	speed     func(*pb.Server) float64
 }
 
-// warmUp is played before a stretch, so that gateways know their load; it isn't counted.
+// warmUp is simulated before each interval, so that gateways have measured their load. Its results aren't counted.
 const warmUp = 3 * time.Second
 
-// Prepare works out what is played.
+// Prepare validates the study, sets defaults and selects the intervals to simulate.
 func (s *Study) Prepare() error {
 	if len(s.Requests) == 0 {
 		return ErrEmptyLoad
@@ -65,14 +65,14 @@
 	}
 	s.cost, s.speed = place.CostOf(s.Model, s.Fleet), bounds.Speeds(s.Fleet, s.Model)
 	s.stretches = sample.Choose(s.Work(), s.Length, s.Stretches)
-	var plans, types []string
+	var plans, classes []string
 	for _, p := range s.Fleet.Plan {
 		plans = append(plans, p.Name)
 	}
 	for _, q := range s.Fleet.QueueType {
-		types = append(types, q.Name)
+		classes = append(classes, q.Name)
 	}
-	if err := decide.CheckNames(s.Goals, plans, types); err != nil {
+	if err := decide.CheckNames(s.Goals, plans, classes); err != nil {
 		return err
 	}
 	if len(s.Goals) == 0 {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Work is what the load asks for in each second, in core seconds.
+// Work returns the work of the load in each second, in core seconds.
 func (s *Study) Work() []float64 {
 	work := make([]float64, int(s.Requests[len(s.Requests)-1].Arrival/time.Second)+1)
 	for i := range s.Requests {
@@ -94,7 +94,7 @@
 	return work
 }
 
-// Capacity is the capacity of all endpoints together, in cores.
+// Capacity returns the capacity of all endpoints together, in cores.
 func (s *Study) Capacity() (sum float64) {
 	for _, b := range s.Fleet.Brick {
 		sum += s.speed(b)
@@ -102,32 +102,32 @@
 	return sum
 }
 
-// Limits are the analytic bounds.
+// Limits returns the analytic limits of a fleet under a load.
 func (s *Study) Limits(f *pb.CapacityFleet, all []demand.Request) []bounds.Limit {
 	in := s.Captured
 	in.Fleet, in.Model, in.Demand = f, s.Model, all
 	return bounds.Limits(in)
 }
 
-// played is what came of one load on one fleet, stretch by stretch.
+// loadResult holds the results of one load on one fleet, by interval.
 type loadResult struct {
-	blocks  [][]decide.Block // of each stretch; one probe in Tallies
+	blocks  [][]decide.Block // by interval; Tallies holds one probe
 	results []*forecast.Result
 }
 
-// play plays the stretches of a load, so many times as large.
-func (s *Study) runStretches(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, times float64) (*loadResult, error) {
+// runStretches simulates the selected intervals of a load scaled by a factor.
+func (s *Study) runStretches(ctx context.Context, f *pb.CapacityFleet, all []demand.Request, factor float64) (*loadResult, error) {
 	p := &loadResult{blocks: make([][]decide.Block, len(s.stretches)), results: make([]*forecast.Result, len(s.stretches))}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(s.Jobs)
-	for i, st := range s.stretches {
+	for i, stretch := range s.stretches {
 		g.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
 			rng := rand.New(rand.NewSource(s.Seed + int64(i)))
-			from := max(st.From-warmUp, 0)
-			load := demand.Scale(demand.Slice(all, from, st.To), times, rng)
+			from := max(stretch.From-warmUp, 0)
+			load := demand.Scale(demand.Slice(all, from, stretch.To), factor, rng)
 			if len(load) == 0 {
 				return nil
 			}
@@ -136,9 +136,9 @@
 				return err
 			}
 			p.results[i] = r
-			skip := int((st.From - from) / time.Second)
-			weight := st.Weight
-			for b := skip; b < len(r.Blocks) && b < int((st.To-from)/time.Second)+1; b++ {
+			skip := int((stretch.From - from) / time.Second)
+			weight := stretch.Weight
+			for b := skip; b < len(r.Blocks) && b < int((stretch.To-from)/time.Second)+1; b++ {
 				p.blocks[i] = append(p.blocks[i], decide.Block{Weight: weight, Tallies: []map[forecast.Key]*forecast.Tally{r.Blocks[b]}})
 			}
 			return nil
--- a/internal/capacity/verify/measure.go
+++ b/internal/capacity/verify/measure.go
@@ -32,19 +32,19 @@
 
 // observer follows a record of what crossed the sockets.
 type observer struct {
-	scenario          *pb.Drill
-	requests          map[uint64]*observedRequest // by the number of the first try
-	first             map[uint64]uint64           // the first try of each
-	work              map[attemptID]float64       // seconds at speed 1
-	done              float64                     // work completed
-	capacity          float64                     // work a second, of the endpoints that the scenario starts with
-	endpoints         uint32
-	firstAsk, lastAsk int64 // ns
+	scenario                      *pb.Drill
+	requests                      map[uint64]*observedRequest // by the number of the first try
+	first                         map[uint64]uint64           // the first try of each
+	work                          map[attemptID]float64       // seconds at speed 1
+	done                          float64                     // work completed
+	capacity                      float64                     // work a second, of the endpoints that the scenario starts with
+	endpoints                     uint32
+	firstRequestAt, lastRequestAt int64 // ns
 }
 
 // measure reads the figures off a record.
 func measure(d *pb.Drill, seen []*pb.Seen) Figures {
-	o := &observer{scenario: d, requests: map[uint64]*observedRequest{}, first: map[uint64]uint64{}, work: map[attemptID]float64{}, firstAsk: -1}
+	o := &observer{scenario: d, requests: map[uint64]*observedRequest{}, first: map[uint64]uint64{}, work: map[attemptID]float64{}, firstRequestAt: -1}
 	for _, s := range seen {
 		o.add(s)
 	}
@@ -59,7 +59,7 @@
 			o.endpoints++
 		}
 	case pb.Seen_ASKED:
-		o.addAsked(s)
+		o.addRequest(s)
 	case pb.Seen_ANSWERED:
 		if r := o.requests[o.first[s.Command]]; r != nil && s.How == outcomeDone && r.completed == 0 {
 			r.completed = s.At
@@ -77,11 +77,11 @@
 	}
 }
 
-func (o *observer) addAsked(s *pb.Seen) {
-	if o.firstAsk < 0 {
-		o.firstAsk = s.At
+func (o *observer) addRequest(s *pb.Seen) {
+	if o.firstRequestAt < 0 {
+		o.firstRequestAt = s.At
 	}
-	o.lastAsk = s.At
+	o.lastRequestAt = s.At
 	o.first[s.Command] = s.First
 	if o.requests[s.First] == nil {
 		o.requests[s.First] = &observedRequest{start: s.At, queueType: s.QueueType}
@@ -114,7 +114,7 @@
 		f.P99 = latencies[min(n*99/100, n-1)]
 	}
 	f.InTarget = float64(inTarget) / math.Max(float64(counted), 1)
-	f.Utilization = o.done / (o.capacity * math.Max(time.Duration(o.lastAsk-o.firstAsk).Seconds(), 1e-9))
+	f.Utilization = o.done / (o.capacity * math.Max(time.Duration(o.lastRequestAt-o.firstRequestAt).Seconds(), 1e-9))
 	return f
 }
 
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -59,7 +59,7 @@
 }
 
 // Learnt is what was recorded and read off it.
-type Learnt struct {
+type Recording struct {
 	Fleet    *pb.CapacityFleet
 	Model    *pb.CapacityModel
 	Requests []demand.Request
@@ -67,7 +67,7 @@
 }
 
 // Record plays a scenario with its gateways capturing, and learns from it. The capture is removed.
-func Record(ctx context.Context, d *pb.Drill, o scenario.Options) (*Learnt, error) {
+func Record(ctx context.Context, d *pb.Drill, o scenario.Options) (*Recording, error) {
 	dir, err := os.MkdirTemp("", "weirhaven-verify-")
 	if err != nil {
 		return nil, err
@@ -90,11 +90,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Learnt{Fleet: fleet, Model: model, Requests: requests, Load: load}, nil
+	return &Recording{Fleet: fleet, Model: model, Requests: requests, Load: load}, nil
 }
 
 // Run forecasts one case and plays it.
-func Run(ctx context.Context, d *pb.Drill, l *Learnt, c Case, o scenario.Options) (Comparison, error) {
+func Run(ctx context.Context, d *pb.Drill, l *Recording, c Case, o scenario.Options) (Comparison, error) {
 	result := Comparison{Case: c.Name}
 	fleet, load := l.Fleet, l.Requests
 	played := proto.Clone(d).(*pb.Drill)
