--- a/internal/capacity/decide/bootstrap.go
+++ b/internal/capacity/decide/bootstrap.go
@@ -8,19 +8,19 @@
 	"weirhaven/internal/capacity/forecast"
 )
 
-// Block is a part of a stretch that was played: what the bootstrap draws as one. Seconds are drawn, not requests: requests of one
-// second share their faults.
+// Block is a short part of a simulated interval of the load, and the unit of resampling. The bootstrap draws blocks rather than
+// requests, as requests of the same second are correlated.
 type Block struct {
-	Weight  float64                            // how many like its stretch the load has
-	Tallies []map[forecast.Key]*forecast.Tally // what each probe found in it, in the order of the probes
+	Weight  float64                            // number of intervals of the load that this block's interval stands for
+	Tallies []map[forecast.Key]*forecast.Tally // by probe
 }
 
-// maxCopies bounds how often a block's latencies are repeated for its weight: quantiles hardly move with more.
+// maxCopies limits how often a block's latencies are repeated for its weight; more copies hardly change the quantiles.
 const maxCopies = 8
 
-// ConfidenceRange draws blocks anew (bootstrap), each stretch's among themselves, and returns the quantiles 0.05 and 0.95 of where
-// the goals are crossed. The heaviest stretch decides the answer where a surge rules, so its blocks may not be displaced by others.
-// Without loads both are 0. The time it takes grows with draws.
+// ConfidenceRange returns the 0.05 and 0.95 quantiles of the load at which a goal is first missed, by bootstrap; both are 0 without
+// loads. Blocks are resampled within their interval: where a surge determines the limit, the blocks of the heaviest interval must not be
+// replaced by others. The running time grows with draws.
 func ConfidenceRange(stretches [][]Block, loads []float64, goals []Goal, perStretch bool, draws int, rng *rand.Rand) (low, high float64) {
 	if len(loads) == 0 {
 		return 0, 0
@@ -29,18 +29,18 @@
 	for range draws {
 		drawn := resample(stretches, rng)
 		probes := make([]Probe, len(loads))
-		for i, times := range loads {
-			probes[i] = Probe{times, Margin(drawn, i, goals, perStretch)}
+		for i, factor := range loads {
+			probes[i] = Probe{factor, Margin(drawn, i, goals, perStretch)}
 		}
-		times, _ := Crossing(probes)
-		crossings = append(crossings, times)
+		factor, _ := Crossing(probes)
+		crossings = append(crossings, factor)
 	}
 	slices.Sort(crossings)
 	tail := len(crossings) / 20
 	return crossings[tail], crossings[len(crossings)-1-tail]
 }
 
-// resample draws as many blocks as there are, with replacement.
+// resample draws as many blocks from each interval as it has, with replacement.
 func resample(stretches [][]Block, rng *rand.Rand) [][]Block {
 	drawn := make([][]Block, len(stretches))
 	for i, blocks := range stretches {
@@ -51,7 +51,8 @@
 	return drawn
 }
 
-// Margin returns the worst margin of the goals at a probe: over each stretch by itself, or over all by weight.
+// Margin returns the worst margin of the goals at a probe: the worst of all intervals if perStretch is set, otherwise that of all
+// intervals combined by weight.
 func Margin(stretches [][]Block, probe int, goals []Goal, perStretch bool) float64 {
 	if !perStretch {
 		margin, _ := WorstMargin(goals, Combine(stretches, probe))
@@ -65,7 +66,7 @@
 	return worst
 }
 
-// Combine adds up what a probe found in blocks, each as often as its weight, rounded, at least once.
+// Combine sums a probe's tallies over blocks, each multiplied by its weight, which is rounded and at least 1.
 func Combine(stretches [][]Block, probe int) map[forecast.Key]*forecast.Tally {
 	sums := map[forecast.Key]*forecast.Tally{}
 	for _, blocks := range stretches {
@@ -73,27 +74,28 @@
 			if probe >= len(block.Tallies) {
 				continue
 			}
-			times := max(int(math.Round(block.Weight)), 1)
+			copies := max(int(math.Round(block.Weight)), 1)
 			for key, tally := range block.Tallies[probe] {
 				if sums[key] == nil {
 					sums[key] = &forecast.Tally{}
 				}
-				addWeighted(sums[key], tally, times)
+				addWeighted(sums[key], tally, copies)
 			}
 		}
 	}
 	return sums
 }
 
-func addWeighted(sum, tally *forecast.Tally, times int) {
-	sum.Requests += tally.Requests * times
-	sum.InTarget += tally.InTarget * times
-	sum.Late += tally.Late * times
-	sum.Rejected += tally.Rejected * times
-	sum.Aborted += tally.Aborted * times
-	sum.Cancelled += tally.Cancelled * times
-	sum.Submitted += tally.Submitted * times
-	for range min(times, maxCopies) {
+// addWeighted adds a tally to sum, multiplied by copies.
+func addWeighted(sum, tally *forecast.Tally, copies int) {
+	sum.Requests += tally.Requests * copies
+	sum.InTarget += tally.InTarget * copies
+	sum.Late += tally.Late * copies
+	sum.Rejected += tally.Rejected * copies
+	sum.Aborted += tally.Aborted * copies
+	sum.Cancelled += tally.Cancelled * copies
+	sum.Submitted += tally.Submitted * copies
+	for range min(copies, maxCopies) {
 		sum.Latencies = append(sum.Latencies, tally.Latencies...)
 	}
 }
--- a/internal/capacity/decide/decide_test.go
+++ b/internal/capacity/decide/decide_test.go
@@ -13,7 +13,7 @@
 	"weirhaven/internal/capacity/forecast"
 )
 
-// A goal is read, a wrong one is refused with the reason, and its value comes from the tallies that it covers.
+// A valid goal must be parsed in full, an invalid one rejected with the reason, and a value computed from the covered tallies only.
 func TestParseGoal(t *testing.T) {
 	g, err := ParseGoal("plan=priority queue=read target>=0.99")
 	if err != nil || g.Plan != "priority" || g.Class != "read" || g.Bound != 0.99 || !g.AtLeast {
@@ -36,21 +36,21 @@
 		t.Error(x, ok)
 	}
 	if _, ok := c.Value(all); ok {
-		t.Error("a value of nothing")
+		t.Error("value returned for a plan without requests")
 	}
 	if m, i := WorstMargin([]Goal{b, c, a}, all); i != 2 || m >= 0 {
 		t.Error(m, i)
 	}
 	if CheckNames([]Goal{a, c}, []string{"a", "b"}, nil) == nil || CheckNames([]Goal{a}, []string{"a"}, nil) != nil {
-		t.Error("unknown plans")
+		t.Error("unknown plan accepted or known plan rejected")
 	}
 }
 
-// Wherever the crossing lies and however noisy margins are near it, the search ends within its probes and its answer is near the
-// crossing.
+// For any limit in the range, and with noisy margins near it, the search must end within its number of probes and find the limit to
+// within 10%.
 func TestLoadSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		edge := math.Exp(rapid.Float64Range(math.Log(0.1), math.Log(30)).Draw(t, "edge"))
+		limit := math.Exp(rapid.Float64Range(math.Log(0.1), math.Log(30)).Draw(t, "limit"))
 		guess := math.Exp(rapid.Float64Range(math.Log(0.05), math.Log(40)).Draw(t, "guess"))
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		s := NewLoadSearch(guess, 1.0/16, 32, 1.04, 24)
@@ -63,13 +63,13 @@
 			if n++; n > 24 || x < 1.0/16 || x > 32 {
 				t.Fatal(n, x)
 			}
-			s.Record(x, math.Log(edge/x)+0.01*rng.NormFloat64())
+			s.Record(x, math.Log(limit/x)+0.01*rng.NormFloat64())
 		}
-		if x, ok := Crossing(s.Probes()); !ok || x < edge/1.1 || x > edge*1.1 {
-			t.Fatalf("edge %.3f, found %.3f after %d: %v", edge, x, n, s.Probes())
+		if x, ok := Crossing(s.Probes()); !ok || x < limit/1.1 || x > limit*1.1 {
+			t.Fatalf("limit %.3f, found %.3f after %d: %v", limit, x, n, s.Probes())
 		}
 	})
-	s := NewLoadSearch(1, 0.5, 2, 1.05, 20) // a crossing beyond what is looked at
+	s := NewLoadSearch(1, 0.5, 2, 1.05, 20) // the limit lies beyond the range
 	for {
 		x, ok := s.Next()
 		if !ok {
@@ -82,11 +82,11 @@
 	}
 }
 
-// Wherever the least sufficient number of servers lies, the search finds it exactly; where no number is enough it says so soon.
+// The search must find the least sufficient number of servers exactly, and give up after a few probes if no number suffices.
 func TestServerSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		edge := rapid.IntRange(1, 300).Draw(t, "edge")
-		guess := rapid.IntRange(edge/8+1, 300).Draw(t, "guess")
+		limit := rapid.IntRange(1, 300).Draw(t, "limit")
+		guess := rapid.IntRange(limit/8+1, 300).Draw(t, "guess")
 		c := NewServerSearch(guess, 1024)
 		for n := 0; ; n++ {
 			x, ok := c.Next()
@@ -94,15 +94,15 @@
 				break
 			}
 			if n > 24 {
-				t.Fatal("no end")
+				t.Fatal("search does not end")
 			}
-			c.Record(x, float64(x-edge)/float64(edge))
+			c.Record(x, float64(x-limit)/float64(limit))
 		}
-		if x, ok := c.Found(); !ok || x != edge {
-			t.Fatalf("edge %d, found %d %v", edge, x, ok)
+		if x, ok := c.Found(); !ok || x != limit {
+			t.Fatalf("limit %d, found %d %v", limit, x, ok)
 		}
 	})
-	c := NewServerSearch(4, 1<<20) // more servers don't help: it says so soon
+	c := NewServerSearch(4, 1<<20) // more servers don't help
 	n := 0
 	for ; ; n++ {
 		x, ok := c.Next()
@@ -112,36 +112,36 @@
 		c.Record(x, -0.5-1/float64(100*x))
 	}
 	if _, ok := c.Found(); ok || n > 4 {
-		t.Error("found a number of servers that does not exist", n)
+		t.Error("search found a number of servers or gave up too late", n)
 	}
 }
 
-// The range holds the crossing of most draws and shrinks with more blocks.
+// The confidence interval must contain the limit and shrink with more blocks.
 func TestConfidenceRange(t *testing.T) {
 	g, _ := ParseGoal("target>=0.9")
 	k := forecast.Key{Plan: "p", Class: "q"}
 	loads := []float64{0.5, 1, 2, 4}
-	width := func(blocks int) (low, high float64) {
+	interval := func(blocks int) (low, high float64) {
 		rng := rand.New(rand.NewSource(1))
 		var all []Block
 		for range blocks {
 			p := Block{Weight: 1}
-			bad := rng.Float64()
+			missRate := rng.Float64()
 			for _, x := range loads {
-				p.Tallies = append(p.Tallies, map[forecast.Key]*forecast.Tally{k: {Requests: 100, InTarget: 100 - int(20*bad*x/2)}})
+				p.Tallies = append(p.Tallies, map[forecast.Key]*forecast.Tally{k: {Requests: 100, InTarget: 100 - int(20*missRate*x/2)}})
 			}
 			all = append(all, p)
 		}
 		return ConfidenceRange([][]Block{all}, loads, []Goal{g}, false, 200, rng)
 	}
-	a, b := width(10)
-	c, d := width(200)
-	if !(a <= 2 && b >= 2 && c <= 2.2 && d >= 1.8 && d/c < b/a) {
-		t.Errorf("%.2f-%.2f, %.2f-%.2f", a, b, c, d)
+	low10, high10 := interval(10)
+	low200, high200 := interval(200)
+	if !(low10 <= 2 && high10 >= 2 && low200 <= 2.2 && high200 >= 1.8 && high200/low200 < high10/low10) {
+		t.Errorf("%.2f-%.2f, %.2f-%.2f", low10, high10, low200, high200)
 	}
 }
 
-// A fleet loses capacity and must shed work. What earns least goes first; nothing reserved goes while anything else remains.
+// Work of the least value must be shed first, and reserved work only once no other work remains.
 func TestShedToFit(t *testing.T) {
 	shares := []Share{{Plan: "priority", Class: "read", Work: 3, Reserved: 2, Weight: 4, RequestRate: 100}, {Plan: "basic", Class: "read", Work: 2, Weight: 1, RequestRate: 100},
 		{Plan: "basic", Class: "log", Work: 1, Weight: 0.2, RequestRate: 100}}
@@ -158,7 +158,7 @@
 	}
 }
 
-// The explanation names the quota, the overloaded endpoint and the volume that lies on it alone.
+// The explanation must name the exceeded plan limit, the overloaded endpoint and the volume that lies on it alone.
 func TestExplainUnmet(t *testing.T) {
 	g, _ := ParseGoal("plan=basic target>=0.99")
 	limits := []bounds.Limit{{Kind: "plan limit", Subject: "v7", Factor: 0.5, Used: 40, Capacity: 20, Unit: "units/s of plan basic"},
--- a/internal/capacity/decide/goal.go
+++ b/internal/capacity/decide/goal.go
@@ -1,6 +1,6 @@
-// Package decide holds the capacity planner's decisions: what a goal is and whether it is met, which load or number of servers to
-// look at next, how sure an answer is, and what to shed first. It has no I/O, clock or goroutine; chance comes from the caller's
-// generator. It knows the tallies of a forecast, and not how a forecast is made.
+// Package decide holds the decisions of capacity planning: whether a goal is met, which load or number of servers to simulate next, the
+// confidence interval of an answer, and which work to shed first. It has no I/O, clock or goroutine; the caller passes the random
+// generator. It reads the tallies of a forecast but doesn't depend on how a forecast is computed.
 package decide
 
 import (
@@ -12,20 +12,20 @@
 	"weirhaven/internal/capacity/forecast"
 )
 
-// Measure is what of the service a goal bounds. Its text is as an operator writes it.
+// Measure is the figure that a goal bounds, as an operator writes it.
 type Measure string
 
-// The measures: parts of the requests from 0 to 1, and quantiles of latency in seconds.
+// The measures: fractions of the requests from 0 to 1, and quantiles of the latency in seconds.
 const (
-	MeasureInTarget Measure = "target"  // part completed within the latency objective
-	MeasureRejected Measure = "busy"    // part rejected as overloaded
-	MeasureAborted  Measure = "aborted" // part aborted
+	MeasureInTarget Measure = "target"  // fraction completed within the latency objective
+	MeasureRejected Measure = "busy"    // fraction rejected as overloaded
+	MeasureAborted  Measure = "aborted" // fraction aborted
 	MeasureP50      Measure = "p50"
 	MeasureP99      Measure = "p99"
 	MeasureP999     Measure = "p999"
 )
 
-// quantile is the one of latency that a measure stands for; ok is false where it stands for a part of the requests.
+// quantile returns the latency quantile that m denotes; ok is false if m is a fraction of the requests.
 func (m Measure) quantile() (q float64, ok bool) {
 	switch m {
 	case MeasureP50:
@@ -38,17 +38,17 @@
 	return 0, false
 }
 
-// Goal is a service goal: of the requests of a plan and a queue type, a measure and its bound.
+// Goal bounds a measure over the requests of a plan and a request class.
 type Goal struct {
 	Text    string // as the operator wrote it
 	Plan    string // empty: all
 	Class   string // empty: all
 	Measure Measure
-	Bound   float64 // a part from 0 to 1, or seconds
-	AtLeast bool    // the measure must be at least the bound; else at most
+	Bound   float64 // a fraction from 0 to 1, or seconds
+	AtLeast bool    // the measure must be at least Bound; otherwise at most
 }
 
-// Value returns the goal's measure in what a forecast found. ok is false where the forecast has no request that counts.
+// Value returns the goal's measure over the tallies of a forecast. ok is false if they hold no request that the goal covers.
 func (g Goal) Value(tallies map[forecast.Key]*forecast.Tally) (value float64, ok bool) {
 	sum := &forecast.Tally{}
 	for key, tally := range tallies {
@@ -56,7 +56,7 @@
 			sum.Add(tally)
 		}
 	}
-	requests := float64(sum.Requests - sum.Cancelled) // what its client cancelled says nothing of the service
+	requests := float64(sum.Requests - sum.Cancelled) // a request cancelled by its client is no evidence about the service
 	if requests == 0 {
 		return 0, false
 	}
@@ -73,21 +73,22 @@
 	}
 }
 
+// covers reports whether the goal applies to the requests of a key.
 func (g Goal) covers(key forecast.Key) bool {
 	return (g.Plan == "" || g.Plan == key.Plan) && (g.Class == "" || g.Class == key.Class)
 }
 
-// Met says whether a value meets the goal.
+// Met reports whether a value meets the goal.
 func (g Goal) Met(value float64) bool { return g.Margin(value) >= 0 }
 
-// The least room that a margin is a part of: a goal with hardly any room would turn chance into large margins.
+// Lower bounds of the divisor of a margin, without which the noise of a goal near the end of its range would give large margins.
 const (
-	minRoomAtLeast = 0.01  // a part of the requests
-	minRoomAtMost  = 0.001 // a part of the requests, or seconds
+	minRoomAtLeast = 0.01  // fraction of the requests
+	minRoomAtMost  = 0.001 // fraction of the requests, or seconds
 )
 
-// Margin is by how much a value meets the goal, as a part of the bound's room, so that it compares between goals: 0 just so, below
-// 0 not.
+// Margin returns by how much a value meets the goal; a negative margin means that it is missed. The margin is relative to the distance
+// between the bound and the best possible value, so that the margins of different goals compare.
 func (g Goal) Margin(value float64) float64 {
 	if g.AtLeast {
 		return (value - g.Bound) / math.Max(1-g.Bound, minRoomAtLeast)
@@ -95,8 +96,8 @@
 	return (g.Bound - value) / math.Max(g.Bound, minRoomAtMost)
 }
 
-// WorstMargin returns the least margin over goals, and the index of its goal. Goals for which the forecast has no request don't
-// count; where none counts it returns +Inf and -1.
+// WorstMargin returns the least margin over goals, and the index of its goal. Goals without requests in the tallies are left out; if
+// all are, it returns +Inf and -1.
 func WorstMargin(goals []Goal, tallies map[forecast.Key]*forecast.Tally) (margin float64, index int) {
 	margin, index = math.Inf(1), -1
 	for i, g := range goals {
@@ -107,15 +108,14 @@
 	return margin, index
 }
 
-// CheckNames returns an error for the first goal that names a plan or queue type which neither the fleet nor the load has; nil if
-// there is none.
-func CheckNames(goals []Goal, plans, queueTypes []string) error {
+// CheckNames returns an error for the first goal that names an unknown plan or request class.
+func CheckNames(goals []Goal, plans, classes []string) error {
 	for _, g := range goals {
 		if g.Plan != "" && !slices.Contains(plans, g.Plan) {
 			return fmt.Errorf("goal %q: no plan %q; there are %s", g.Text, g.Plan, strings.Join(plans, ", "))
 		}
-		if g.Class != "" && !slices.Contains(queueTypes, g.Class) {
-			return fmt.Errorf("goal %q: no queue type %q; there are %s", g.Text, g.Class, strings.Join(queueTypes, ", "))
+		if g.Class != "" && !slices.Contains(classes, g.Class) {
+			return fmt.Errorf("goal %q: no queue type %q; there are %s", g.Text, g.Class, strings.Join(classes, ", "))
 		}
 	}
 	return nil
--- a/internal/capacity/decide/loadsearch.go
+++ b/internal/capacity/decide/loadsearch.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// LoadSearch looks for the greatest load that still meets all goals. It starts from a guess (the analytic bound's), steps away from
-// it until the answer lies between two loads probed, and then halves what is between, on a logarithmic scale. Margins are noisy:
-// loads near the crossing are probed on both sides of it, and the curve of all probes gives the answer (Crossing).
+// LoadSearch searches for the greatest load that still meets all goals. It starts from a guess (the analytic limit), moves away from it
+// until two probes enclose the limit, and then bisects on a logarithmic scale. Margins are noisy, so loads on both sides of the limit are
+// probed and Crossing interpolates between them.
 type LoadSearch struct {
-	Lowest, Highest float64 // times the load
-	Resolution      float64 // ends once the ratio of the two loads around the crossing is no larger
+	Lowest, Highest float64 // multiples of the captured load
+	Resolution      float64 // the search ends once the ratio of the two loads around the limit is no larger
 	MaxProbes       int
-	probes          []Probe // by load
+	probes          []Probe // sorted by load
 	guess           float64
 }
 
-// Probe is a load that was forecast, and how it met the goals.
+// Probe is a simulated load and its margin.
 type Probe struct {
-	LoadFactor float64 // the captured load
-	Margin     float64 // the worst over all goals; below 0: one is missed
+	LoadFactor float64 `json:"Times"` // multiple of the captured load
+	Margin     float64 // the worst over all goals; negative: a goal is missed
 }
 
-// NewLoadSearch returns a search that starts at a guess, or at the end of the range nearest to it.
+// NewLoadSearch returns a search that starts at guess, limited to the range.
 func NewLoadSearch(guess, lowest, highest, resolution float64, maxProbes int) *LoadSearch {
 	return &LoadSearch{Lowest: lowest, Highest: highest, Resolution: resolution, MaxProbes: maxProbes, guess: math.Min(math.Max(guess, lowest), highest)}
 }
 
-// Next returns the load to probe; false: the search is over. Record takes what came of it before Next is called again.
-func (s *LoadSearch) Next() (times float64, ok bool) {
+// Next returns the load to probe next; ok is false when the search is over. Its margin must be passed to Record before the next call.
+func (s *LoadSearch) Next() (factor float64, ok bool) {
 	if len(s.probes) >= s.MaxProbes {
 		return 0, false
 	}
@@ -40,25 +40,26 @@
 	switch {
 	case low > 0 && high > 0:
 		return math.Sqrt(low * high), high/low > s.Resolution
-	case low > 0: // all met the goals
+	case low > 0: // all probes met the goals
 		return math.Min(low*stepFactor(len(s.probes)), s.Highest), low < s.Highest
 	}
 	return math.Max(high/stepFactor(len(s.probes)), s.Lowest), high > s.Lowest
 }
 
-// stepFactor is how far a probe lies from the one before while all are on one side: further each time, at most twice as far.
+// stepFactor returns the ratio of a probe to the one before while all probes lie on one side of the limit. It grows with each probe, up
+// to 2.
 func stepFactor(probes int) float64 { return math.Min(1.15*math.Pow(1.2, float64(probes-1)), 2) }
 
-// Record takes what came of a probe.
-func (s *LoadSearch) Record(times, margin float64) {
-	s.probes = append(s.probes, Probe{times, margin})
+// Record adds the margin of a load.
+func (s *LoadSearch) Record(factor, margin float64) {
+	s.probes = append(s.probes, Probe{factor, margin})
 	slices.SortFunc(s.probes, func(a, b Probe) int { return cmp.Compare(a.LoadFactor, b.LoadFactor) })
 }
 
-// Probes returns all probes, by load. They belong to the search.
+// Probes returns all probes, sorted by load. The caller must not modify them.
 func (s *LoadSearch) Probes() []Probe { return s.probes }
 
-// Bracket returns the least load that missed a goal, and the greatest below it that met all; 0: there is none.
+// Bracket returns as high the least load that missed a goal, and as low the greatest below it that met all; 0 if there is none.
 func (s *LoadSearch) Bracket() (low, high float64) {
 	for _, p := range s.probes {
 		if p.Margin < 0 {
@@ -69,9 +70,10 @@
 	return low, 0
 }
 
-// Crossing returns the load at which the margin is 0, between the first probe that missed a goal and the one below it. ok is false
-// where all probes are on one side: then it is the outermost probe there, 0 without probes. Probes come by load.
-func Crossing(probes []Probe) (times float64, ok bool) {
+// Crossing returns the load at which the margin reaches 0, interpolated between the first probe that missed a goal and the one below it.
+// probes must be sorted by load. If all probes lie on one side, ok is false and factor is the outermost probe towards the limit; 0
+// without probes.
+func Crossing(probes []Probe) (factor float64, ok bool) {
 	for i, above := range probes {
 		if above.Margin >= 0 {
 			continue
@@ -80,8 +82,8 @@
 			return above.LoadFactor, false
 		}
 		below := probes[i-1]
-		part := below.Margin / math.Max(below.Margin-above.Margin, 1e-12)
-		return below.LoadFactor * math.Pow(above.LoadFactor/below.LoadFactor, part), true
+		fraction := below.Margin / math.Max(below.Margin-above.Margin, 1e-12)
+		return below.LoadFactor * math.Pow(above.LoadFactor/below.LoadFactor, fraction), true
 	}
 	if len(probes) == 0 {
 		return 0, false
--- a/internal/capacity/decide/parse.go
+++ b/internal/capacity/decide/parse.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// GoalError says why a text is not a goal.
+// GoalError reports why a text is not a valid goal.
 type GoalError struct {
 	Goal    string // the whole text
 	Problem string
-	Allowed string // what would have been right
+	Allowed string // what is allowed instead
 }
 
-// Error gives the goal, the problem and what is allowed, on one line.
+// Error returns the goal, the problem and what is allowed, on one line.
 func (e *GoalError) Error() string {
 	return fmt.Sprintf("goal %q: %s; %s", e.Goal, e.Problem, e.Allowed)
 }
 
-var errNotAPart = errors.New("allowed: 0 to 1")
+var errNotAFraction = errors.New("allowed: 0 to 1")
 
-// ParseGoal reads a goal such as "plan=priority target>=0.99", "queue=read p99<=250ms" or "busy<=0.01". Its error is a *GoalError.
+// ParseGoal parses a goal such as "plan=priority target>=0.99", "queue=read p99<=250ms" or "busy<=0.01". Its error is a *GoalError.
 func ParseGoal(text string) (Goal, error) {
 	g := Goal{Text: text}
 	for _, field := range strings.Fields(text) {
@@ -44,7 +44,7 @@
 	return &GoalError{Goal: g.Text, Problem: problem, Allowed: allowed}
 }
 
-// parseScope reads plan=NAME or queue=NAME.
+// parseScope parses plan=NAME or queue=NAME.
 func (g *Goal) parseScope(field string) error {
 	key, name, _ := strings.Cut(field, "=")
 	switch {
@@ -53,15 +53,15 @@
 	case (key == "queue" || key == "queue_type") && name != "":
 		g.Class = name
 	default:
-		return g.invalid(strconv.Quote(field)+" is no part of a goal", `allowed: plan=NAME, queue=NAME, and one measure such as target>=0.99, p99<=250ms, busy<=0.01`)
+		return g.invalid(strconv.Quote(field)+" is not part of a goal", `allowed: plan=NAME, queue=NAME, and one measure such as target>=0.99, p99<=250ms, busy<=0.01`)
 	}
 	return nil
 }
 
-// parseBound reads a measure with its bound, such as p99<=250ms.
+// parseBound parses a measure with its bound, such as p99<=250ms.
 func (g *Goal) parseBound(field string) error {
 	if g.Measure != "" {
-		return g.invalid("two measures", "give each a --goal of its own")
+		return g.invalid("two measures", "give each measure its own --goal")
 	}
 	measure, value, atLeast := strings.Cut(field, ">=")
 	if !atLeast {
@@ -70,33 +70,33 @@
 	g.Measure, g.AtLeast = Measure(measure), atLeast
 	parse, ok := boundParsers[g.Measure]
 	if !ok {
-		return g.invalid(strconv.Quote(measure)+" is no measure", "allowed: target, busy, aborted, p50, p99, p999")
+		return g.invalid(strconv.Quote(measure)+" is not a measure", "allowed: target, busy, aborted, p50, p99, p999")
 	}
 	bound, err := parse(value)
 	if err != nil {
-		return g.invalid(fmt.Sprintf("%q: %v", value, err), "a part such as 0.99, or a time such as 250ms")
+		return g.invalid(fmt.Sprintf("%q: %v", value, err), "allowed: a fraction such as 0.99, or a duration such as 250ms")
 	}
 	g.Bound = bound
 	if g.AtLeast != (g.Measure == MeasureInTarget) {
-		return g.invalid("a bound on the wrong side", "target>=, all others <=")
+		return g.invalid("wrong comparison", "allowed: >= for target, <= for all other measures")
 	}
 	return nil
 }
 
 var boundParsers = map[Measure]func(value string) (float64, error){
-	MeasureInTarget: parsePart, MeasureRejected: parsePart, MeasureAborted: parsePart,
+	MeasureInTarget: parseFraction, MeasureRejected: parseFraction, MeasureAborted: parseFraction,
 	MeasureP50: parseSeconds, MeasureP99: parseSeconds, MeasureP999: parseSeconds,
 }
 
-func parsePart(value string) (float64, error) {
-	part, err := strconv.ParseFloat(value, 64)
+func parseFraction(value string) (float64, error) {
+	fraction, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return 0, err
 	}
-	if !(part >= 0 && part <= 1) { // also refuses NaN
-		return 0, errNotAPart
+	if !(fraction >= 0 && fraction <= 1) { // also rejects NaN
+		return 0, errNotAFraction
 	}
-	return part, nil
+	return fraction, nil
 }
 
 func parseSeconds(value string) (float64, error) {
--- a/internal/capacity/decide/serversearch.go
+++ b/internal/capacity/decide/serversearch.go
@@ -1,22 +1,23 @@
 package decide
 
-// ServerSearch looks for the least number of servers that meets all goals. More servers may not help at all: where doubling them
-// twice closes less than the part MinGain of what is missing each time, no number does, and that is the answer. The guess must not
-// be far too small: among many times too few servers twice as many hardly show either.
+// ServerSearch searches for the least number of servers that meets all goals. More servers may not help at all: if two doublings in a row
+// each reduce the missing margin by less than the fraction MinGain, the search reports that no number meets the goals. The guess must not
+// be far too small: if there are many times too few servers, doubling them hardly changes the margin either.
 type ServerSearch struct {
 	Lowest, Highest int
-	MinGain         float64         // part of the missing margin
+	MinGain         float64         // fraction of the missing margin
 	margins         map[int]float64 // by number of servers
 	guess           int
 	unreachable     bool
 }
 
-// NewServerSearch returns a search that starts at a guess, or at the end of the range nearest to it.
+// NewServerSearch returns a search from 1 to highest that starts at guess, limited to that range.
 func NewServerSearch(guess, highest int) *ServerSearch {
 	return &ServerSearch{Lowest: 1, Highest: highest, MinGain: 0.05, margins: map[int]float64{}, guess: min(max(guess, 1), highest)}
 }
 
-// Next returns the number to look at; false: the search is over. Record takes what came of it before Next is called again.
+// Next returns the number of servers to simulate next; ok is false when the search is over. Its margin must be passed to Record before
+// the next call.
 func (s *ServerSearch) Next() (n int, ok bool) {
 	if len(s.margins) == 0 {
 		return s.guess, true
@@ -27,7 +28,7 @@
 		return 0, false
 	case high > 0 && low > 0:
 		return (low + high) / 2, true
-	case high > 0: // all were enough
+	case high > 0: // all numbers met the goals
 		return max(high/2, s.Lowest), high > s.Lowest
 	case low >= s.Highest || s.stalled():
 		s.unreachable = true
@@ -36,7 +37,7 @@
 	return min(low*2, s.Highest), true
 }
 
-// bracket returns the greatest number that was not enough, and the least above it that was; 0: there is none.
+// bracket returns as low the greatest number that missed a goal, and as high the least number above it that met all; 0 if there is none.
 func (s *ServerSearch) bracket() (low, high int) {
 	for n, margin := range s.margins {
 		if margin < 0 {
@@ -51,7 +52,7 @@
 	return low, high
 }
 
-// stalled says whether neither of the last two doublings gained what it must.
+// stalled reports whether the last two doublings both gained less than MinGain requires.
 func (s *ServerSearch) stalled() bool {
 	n, _ := s.bracket()
 	last, ok := s.margins[n]
@@ -64,14 +65,14 @@
 	return last-half < needed && last-quarter < needed
 }
 
-// Record takes the margin that a number of servers has.
+// Record adds the margin of a number of servers.
 func (s *ServerSearch) Record(n int, margin float64) { s.margins[n] = margin }
 
-// Found returns the least number that meets the goals; false: none does.
+// Found returns the least number that meets the goals; ok is false if none does.
 func (s *ServerSearch) Found() (n int, ok bool) {
 	_, high := s.bracket()
 	return high, high > 0 && !s.unreachable
 }
 
-// Margins returns the margin of each number looked at. The map belongs to the search.
+// Margins returns the margin of each number simulated. The caller must not modify the map.
 func (s *ServerSearch) Margins() map[int]float64 { return s.margins }
--- a/internal/capacity/decide/shed.go
+++ b/internal/capacity/decide/shed.go
@@ -6,32 +6,32 @@
 	"slices"
 )
 
-// Share is the work of a plan and a queue type that a fleet carries.
+// Share is the work of a plan and a request class.
 type Share struct {
 	Plan        string
 	Class       string  `json:"Type"`
 	Work        float64 // cores, in the worst window
-	Reserved    float64 // of it, what reservations promise, at most Work
-	Weight      float64 `json:"Worth"`    // priority weight of plan times queue type, a request
-	RequestRate float64 `json:"Commands"` // a second
+	Reserved    float64 // the part of Work that reservations cover, cores
+	Weight      float64 `json:"Worth"`    // importance of the plan times that of the request class, per request
+	RequestRate float64 `json:"Commands"` // per second
 }
 
-// value is the weight that the share earns with a core.
+// value returns the weight of the share's requests per core.
 func (s Share) value() float64 { return s.Weight * s.RequestRate / math.Max(s.Work, 1e-12) }
 
-// Shed is a share that is shed, and how much of it.
+// Shed is the part of a share that is shed.
 type Shed struct {
 	Share
-	Fraction float64 // of its work, 0 to 1
-	Work     float64 // cores it frees
+	Fraction float64 `json:"Part"` // of the work of the share, 0 to 1
+	Work     float64 // cores freed
 }
 
-// negligible is work too small to be shed, in cores.
+// negligible is the work, in cores, that is too small to be shed.
 const negligible = 1e-9
 
-// ShedToFit returns what to shed, in order, so that the remaining work fits the capacity, in cores. What earns least for its work
-// goes first, and nothing reserved goes while anything unreserved remains. reservesMet is false where reserved work must go too.
-func ShedToFit(shares []Share, capacity float64) (shed []Shed, reservesMet bool) {
+// ShedToFit returns what to shed, in order, so that the remaining work fits the capacity, in cores. Shares of the least value are shed
+// first, and reserved work only after all unreserved work. reservationsMet is false if reserved work must be shed.
+func ShedToFit(shares []Share, capacity float64) (shed []Shed, reservationsMet bool) {
 	excess := -capacity
 	for _, s := range shares {
 		excess += s.Work
@@ -51,7 +51,7 @@
 	return append(shed, reserved...), false
 }
 
-// shedFrom sheds up to what sheddable allows of each share in turn, and returns the excess that remains.
+// shedFrom sheds up to sheddable cores of each share in turn, and returns the excess that remains.
 func shedFrom(shares []Share, excess float64, sheddable func(s Share) float64) (shed []Shed, remaining float64) {
 	for _, s := range shares {
 		work := math.Min(sheddable(s), excess)
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if x := all[0]; x.Found || !strings.Contains(x.Reason, "plan=basic") || !strings.Contains(x.Reason, "lie on one brick (whole") || strings.Contains(x.Reason, "plan=priority") {
+	if x := all[0]; x.Found || !strings.Contains(x.Reason, "plan=basic") || !strings.Contains(x.Reason, "lie on one endpoint (whole") || strings.Contains(x.Reason, "plan=priority") {
 		t.Errorf("%+v", x)
 	}
 }
