--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -44,8 +44,8 @@
 	Deviation, NaiveDeviation [3]float64
 }
 
-// Good says whether all figures of the forecast, and of the naive one, are within a part of what was measured.
-func (c Comparison) Good(part float64) (forecast, naive bool) {
+// Within says whether all figures of the forecast, and of the naive one, are within a part of what was measured.
+func (c Comparison) Within(part float64) (forecast, naive bool) {
 	return within(c.Deviation, part), within(c.NaiveDeviation, part)
 }
 
@@ -59,7 +59,7 @@
 }
 
 // Learnt is what was recorded and read off it.
-type Learnt struct {
+type Recording struct {
 	Fleet    *pb.CapacityFleet
 	Model    *pb.CapacityModel
 	Requests []demand.Request
@@ -67,7 +67,7 @@
 }
 
 // Record plays a scenario with its gateways capturing, and learns from it. The capture is removed.
-func Record(ctx context.Context, d *pb.Drill, o scenario.Options) (*Learnt, error) {
+func Record(ctx context.Context, d *pb.Drill, o scenario.Options) (*Recording, error) {
 	dir, err := os.MkdirTemp("", "weirhaven-verify-")
 	if err != nil {
 		return nil, err
@@ -90,11 +90,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Learnt{Fleet: fleet, Model: model, Requests: requests, Load: load}, nil
+	return &Recording{Fleet: fleet, Model: model, Requests: requests, Load: load}, nil
 }
 
 // Run forecasts one case and plays it.
-func Run(ctx context.Context, d *pb.Drill, l *Learnt, c Case, o scenario.Options) (Comparison, error) {
+func Run(ctx context.Context, d *pb.Drill, l *Recording, c Case, o scenario.Options) (Comparison, error) {
 	result := Comparison{Case: c.Name}
 	fleet, load := l.Fleet, l.Requests
 	played := proto.Clone(d).(*pb.Drill)
@@ -108,7 +108,7 @@
 	load = demand.Slice(load, 0, length)
 	for i := range int64(forecastRuns) {
 		offered := c.Transform(load, rand.New(rand.NewSource(o.Seed+i)))
-		r, err := forecast.Run(forecast.Scenario{Fleet: fleet, Model: l.Model, Wants: offered, Events: c.Events, Seed: o.Seed + i})
+		r, err := forecast.Run(forecast.Scenario{Fleet: fleet, Model: l.Model, Requests: offered, Events: c.Events, Seed: o.Seed + i})
 		if err != nil {
 			return result, err
 		}
@@ -130,10 +130,10 @@
 // ForecastFigures are those of a forecast.
 func ForecastFigures(r *forecast.Result) Figures {
 	total := r.Total()
-	figures := Figures{InTarget: total.Part(), P99: total.Quantile(0.99)}
-	for _, endpoint := range r.Bricks {
-		for _, done := range endpoint.Done {
-			figures.Utilization += done / float64(len(endpoint.Done)*len(r.Bricks))
+	figures := Figures{InTarget: total.InTargetRatio(), P99: total.Quantile(0.99)}
+	for _, endpoint := range r.Endpoints {
+		for _, done := range endpoint.WorkDone {
+			figures.Utilization += done / float64(len(endpoint.WorkDone)*len(r.Endpoints))
 		}
 	}
 	return figures
