--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,5 @@
-// Command simulator-adapter runs the scheduler (package policy) on the simulator's wire, over standard input and output.
+// Command simulator-adapter connects the scheduler (package policy) to the simulator: it speaks the simulator's protocol on standard
+// input and output.
 package main
 
 import (
--- a/cmd/weirhaven-controller/main.go
+++ b/cmd/weirhaven-controller/main.go
@@ -1,5 +1,5 @@
-// Command weirhaven-controller is the control plane: it holds what the gateways should know of endpoints, volumes and service
-// plans, and serves snapshots of it under leases.
+// Command weirhaven-controller is the control plane. It holds the state of endpoints, volumes and service plans, and serves
+// snapshots of that state to the gateways under leases.
 package main
 
 import (
--- a/cmd/weirhavenctl/main.go
+++ b/cmd/weirhavenctl/main.go
@@ -10,7 +10,7 @@
 func main() {
 	var commands cli.CLI
 	parsed := kong.Parse(&commands, kong.Name("weirhavenctl"),
-		kong.Description("Operator's command line of the storage gateway: scenarios, audits, settings, test doubles, capacity, control plane."),
+		kong.Description("Operator's command line of the storage gateway: scenarios, audits, settings, fakes, capacity, control plane."),
 		kong.ShortUsageOnError())
 	parsed.FatalIfErrorf(parsed.Run())
 }
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -20,17 +20,17 @@
 )
 
 type capacityCmd struct {
-	Answer capacityAnswer `cmd:"" default:"withargs" help:"The first limit as the load grows, the fewest endpoints for goals, what a loss does."`
-	Learn  capacityLearn  `cmd:"" help:"How endpoints and clients behave, as a capture shows; printed with its fit."`
-	Verify capacityVerify `cmd:"" help:"Record a scenario, forecast it with more load, fewer endpoints, a zone lost, run each on loopback, compare."`
+	Answer capacityAnswer `cmd:"" default:"withargs" help:"Forecast the first limit as the load grows, the fewest endpoints that meet the goals, and the effect of losses."`
+	Learn  capacityLearn  `cmd:"" help:"Fit a model of endpoints and clients to a capture; print the model with its goodness of fit."`
+	Verify capacityVerify `cmd:"" help:"Record a scenario, forecast variants of it (more load, fewer endpoints, a lost zone), run each variant on loopback and compare."`
 }
 
 type capacityInputs struct {
 	Load  []string `required:"" help:"Captures: folders or files (*.wcap)." placeholder:"PATH"`
-	Fleet string   `required:"" type:"existingfile" help:"The fleet described (proto/capacity.proto); weirhavenctl fleet export writes one." placeholder:"FILE"`
+	Fleet string   `required:"" type:"existingfile" help:"Description of the fleet (proto/capacity.proto), as written by weirhavenctl fleet export." placeholder:"FILE"`
 }
 
-// read reads and aligns a capture and checks the fleet described.
+// read reads and aligns the captures, and reads and checks the description of the fleet.
 func (c *capacityInputs) read() (*capture.Load, *pb.CapacityFleet, error) {
 	f := &pb.CapacityFleet{}
 	if err := settings.Load(c.Fleet, f); err != nil {
@@ -41,23 +41,23 @@
 		return nil, nil, err
 	}
 	if err := l.Align(); err != nil {
-		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; their times are taken as they are")
+		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; using the recorded times without clock alignment")
 	}
 	return l, f, nil
 }
 
 type capacityLearn struct {
 	capacityInputs
-	Out string `help:"Write the model here, protobuf text format." placeholder:"FILE"`
+	Out string `help:"Write the model to this file, in protobuf text format." placeholder:"FILE"`
 }
 
-// Run learns a model from captures, prints it and, with --out, writes it.
+// Run fits a model to captures, prints it and, with --out, writes it to a file.
 func (c *capacityLearn) Run() error {
 	l, f, err := c.read()
 	if err != nil {
 		return err
 	}
-	m, _, err := learnt(l, f, c.Load)
+	m, _, err := learnModel(l, f, c.Load)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,8 @@
 	return os.WriteFile(c.Out, text, 0o644)
 }
 
-func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []demand.Request, error) {
+// learnModel fits a model to a capture. The second result holds the clients' requests, with retries folded into the first request.
+func learnModel(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []demand.Request, error) {
 	w, clients := demand.FoldRetries(l.Lines)
 	m, err := learn.Model(l.Lines, f, clients)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return m, w, nil
 }
 
-// captureInput tells what bounds need of the capture itself.
+// captureInput returns the figures of the capture from which package bounds computes limits.
 func captureInput(l *capture.Load) (in bounds.Input) {
 	held := time.Duration(0)
 	for _, x := range l.Lines {
@@ -104,20 +105,20 @@
 
 type capacityAnswer struct {
 	capacityInputs
-	Model     string        `type:"existingfile" help:"A model learnt before; none: it is learnt from the load." placeholder:"FILE"`
-	Goal      []string      `help:"Such as 'plan=priority target>=0.99' or 'queue=read p99<=250ms'; several count together. None: target>=0.95." sep:"none"`
-	Lose      []string      `help:"zone=NAME, brick=NAME or host=NAME; several at once with commas. More than one --lose: each by itself." sep:"none"`
-	Gone      time.Duration `help:"What is lost is gone this long before its replacement starts cold." default:"15s"`
-	Servers   bool          `help:"Look for the fewest endpoints of each kind, too."`
-	Only      bool          `help:"Leave out the search for the first limit."`
-	Seed      int64         `default:"1" help:"All chance comes from it."`
-	Stretch   time.Duration `default:"20s" help:"Length of what is played at a time."`
-	Stretches int           `default:"5" help:"How many stretches are played, the heaviest always."`
-	Jobs      int           `help:"So many at once; 0: as many as there are cores."`
-	Out       string        `help:"Put answer.txt, answer.json and charts into this folder." placeholder:"DIR"`
+	Model     string        `type:"existingfile" help:"Model written by capacity learn; without it, the model is fitted to the load." placeholder:"FILE"`
+	Goal      []string      `help:"Goal such as 'plan=priority target>=0.99' or 'queue=read p99<=250ms'; repeatable, all goals must be met. Without it: target>=0.95." sep:"none"`
+	Lose      []string      `help:"Loss to simulate: zone=NAME, brick=NAME (an endpoint) or host=NAME (a gateway); commas join simultaneous losses. Repeatable, each --lose is simulated separately." sep:"none"`
+	Gone      time.Duration `help:"Time between a loss and the cold start of the replacement." default:"15s"`
+	Servers   bool          `help:"Also search for the fewest endpoints of each kind."`
+	Only      bool          `help:"Skip the search for the first limit and, without --servers, for the fewest endpoints."`
+	Seed      int64         `default:"1" help:"Seed of the random number generator."`
+	Stretch   time.Duration `default:"20s" help:"Duration of one simulated interval of the captured load."`
+	Stretches int           `default:"5" help:"Number of simulated intervals; the one with the highest load is always among them."`
+	Jobs      int           `help:"Number of parallel simulations; 0: the number of cores."`
+	Out       string        `help:"Write answer.txt, answer.json and charts to this folder." placeholder:"DIR"`
 }
 
-// Run answers from captures and a fleet's description, prints the answer and, with --out, writes it to a folder.
+// Run forecasts capacity from captures and a description of the fleet, prints the answer and, with --out, writes it to a folder.
 func (c *capacityAnswer) Run() error {
 	start := time.Now()
 	l, f, err := c.read()
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// model reads the model that the flags name, or learns one from the load; offered is what clients asked for.
+// model reads the model that --model names, or fits one to the load. offered holds the requests of the clients, without their retries.
 func (c *capacityAnswer) model(l *capture.Load, f *pb.CapacityFleet) (m *pb.CapacityModel, offered []demand.Request, err error) {
 	if c.Model == "" {
-		return learnt(l, f, c.Load)
+		return learnModel(l, f, c.Load)
 	}
 	m = &pb.CapacityModel{}
 	if err := settings.Load(c.Model, m); err != nil {
@@ -179,7 +180,7 @@
 	return goals, nil
 }
 
-// search plays what the flags ask for: the load's growth, the fewest endpoints, losses. A signal ends it.
+// search runs the studies that the flags select: growth of the load, fewest endpoints, losses. SIGTERM or an interrupt cancels it.
 func (c *capacityAnswer) search(s *study.Study, a *report.Answer) (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -193,12 +194,12 @@
 			return err
 		}
 	}
-	for _, what := range c.Lose {
-		loss, err := s.SimulateLoss(ctx, what, c.Gone)
+	for _, loss := range c.Lose {
+		result, err := s.SimulateLoss(ctx, loss, c.Gone)
 		if err != nil {
 			return err
 		}
-		a.Losses = append(a.Losses, loss)
+		a.Losses = append(a.Losses, result)
 	}
 	return nil
 }
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -13,25 +13,25 @@
 )
 
 type captureCmd struct {
-	Start captureStart `cmd:"" help:"Let a gateway record its load."`
-	Stop  captureStop  `cmd:"" help:"Let it stop; what it recorded is on disk then."`
-	Info  captureInfo  `cmd:"" help:"What a gateway records now, or what is in captures on disk."`
-	Cut   captureCut   `cmd:"" help:"Keep an interval of a capture."`
-	Merge captureMerge `cmd:"" help:"Put captures of several gateways together, by aligned clocks."`
+	Start captureStart `cmd:"" help:"Start recording the load of a gateway."`
+	Stop  captureStop  `cmd:"" help:"Stop recording; returns when the recorded load is on disk."`
+	Info  captureInfo  `cmd:"" help:"Show the state of a gateway's recording, or summarize captures on disk."`
+	Cut   captureCut   `cmd:"" help:"Write an interval of captures to a new file."`
+	Merge captureMerge `cmd:"" help:"Merge captures of several gateways, with their clocks aligned."`
 }
 
 type captureStart struct {
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-// Run lets a gateway begin to record its load.
+// Run starts the recording of a gateway's load.
 func (c *captureStart) Run() error { return controlCapture(c.Gateway, "start") }
 
 type captureStop struct {
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-// Run lets a gateway end its recording; what it recorded is on disk then.
+// Run stops the recording of a gateway's load. The recorded load is on disk when it returns.
 func (c *captureStop) Run() error { return controlCapture(c.Gateway, "stop") }
 
 func controlCapture(gateway, action string) error {
@@ -47,23 +47,23 @@
 	Paths   []string `arg:"" optional:"" help:"Folders or files (*.wcap)."`
 }
 
-// Run describes what a gateway records, or captures on disk.
+// Run prints the state of a gateway's recording, or a summary of captures on disk.
 func (c *captureInfo) Run() error {
 	if c.Gateway != "" {
 		return controlCapture(c.Gateway, "info")
 	}
 	if len(c.Paths) == 0 {
-		return fmt.Errorf("name a gateway with --gateway, or captures on disk")
+		return fmt.Errorf("either --gateway or the path of a capture is required")
 	}
 	l, err := capture.Read(c.Paths...)
 	if err != nil {
 		return err
 	}
-	describe(l)
+	printCaptureSummary(l)
 	return nil
 }
 
-func describe(l *capture.Load) {
+func printCaptureSummary(l *capture.Load) {
 	requests, attempts, results := 0, 0, map[pb.CapturedCommand_Final]int{}
 	volumes, endpoints, gateways := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, x := range l.Lines {
@@ -91,8 +91,8 @@
 
 type captureCut struct {
 	Paths []string      `arg:"" help:"Folders or files (*.wcap)."`
-	From  time.Duration `help:"Counted from the first request."`
-	To    time.Duration `help:"Counted from the first request." default:"8760h"`
+	From  time.Duration `help:"Start of the interval, as time since the first request."`
+	To    time.Duration `help:"End of the interval, as time since the first request." default:"8760h"`
 	Out   string        `required:"" help:"File to write." placeholder:"FILE"`
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	return write(l.Cut(c.From, c.To), c.Out)
+	return writeCapture(l.Cut(c.From, c.To), c.Out)
 }
 
 type captureMerge struct {
@@ -110,14 +110,14 @@
 	Out   string   `required:"" help:"File to write." placeholder:"FILE"`
 }
 
-// Run writes captures of several gateways to one file, by aligned clocks.
+// Run aligns the clocks of several gateways' captures and writes the captures to one file.
 func (c *captureMerge) Run() error {
 	l, err := capture.Read(c.Paths...)
 	if err != nil {
 		return err
 	}
 	if err := l.Align(); err != nil {
-		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; their times stand as they are")
+		fmt.Fprintln(os.Stderr, "weirhavenctl:", err, "; keeping the recorded times without clock alignment")
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "GATEWAY\tCLOCK OFFSET\tUNCERTAINTY\tSHARED STARTS")
@@ -125,10 +125,10 @@
 		fmt.Fprintf(w, "%s\t%v\t%v\t%d\n", o.Gateway, o.Add, o.Spread, o.Marks)
 	}
 	_ = w.Flush()
-	return write(l, c.Out)
+	return writeCapture(l, c.Out)
 }
 
-func write(l *capture.Load, file string) error {
+func writeCapture(l *capture.Load, file string) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli holds weirhavenctl's commands: one type a command, whose fields are its flags and whose Run is called by kong.
+// Package cli implements the commands of weirhavenctl. Each command is a type: its fields are the flags and arguments, and kong
+// calls its Run method.
 package cli
 
 import (
@@ -7,46 +8,46 @@
 	"weirhaven/internal/gateway"
 )
 
-// CLI is the command line. Former command words stay valid as aliases, so that operators' scripts go on working.
+// CLI is the command line. Former names of commands and flags remain as aliases, so that operators' scripts keep working.
 type CLI struct {
 	Scenario struct {
 		List   scenarioList   `cmd:"" help:"List the scenarios that come with the program."`
-		Run    scenarioRun    `cmd:"" help:"Play a scripted day on loopback, audit it, exit 0 only if all rules are kept."`
+		Run    scenarioRun    `cmd:"" help:"Run a scenario on loopback and audit it; exit 0 only if no rule was broken."`
 		Import scenarioImport `cmd:"" help:"Turn a simulator's day file into a scenario, scaled down to this machine."`
-	} `cmd:"" aliases:"drill" help:"Scripted days with fakes and injected faults."`
-	Audit  auditRecord `cmd:"" help:"Judge a record again."`
+	} `cmd:"" aliases:"drill" help:"Scripted scenarios with fakes and injected faults."`
+	Audit  auditRecord `cmd:"" help:"Audit the record of an earlier scenario run."`
 	Config struct {
 		Check configCheck `cmd:"" help:"Check a settings file."`
-	} `cmd:"" help:"Settings."`
+	} `cmd:"" help:"Settings files."`
 	Fleet struct {
-		Show   fleetShow   `cmd:"" help:"What a gateway believes of each endpoint, how old, from which source, why."`
-		Dump   fleetDump   `cmd:"" help:"The same from a store on disk."`
-		Export fleetExport `cmd:"" help:"Write the fleet as a gateway believes it, for the capacity planner."`
-		Forget fleetForget `cmd:"" help:"Let a gateway forget an endpoint with its drain, or another gateway with its share."`
-	} `cmd:"" help:"What gateways believe of the fleet."`
-	Capacity     capacityCmd     `cmd:"" help:"What saturates first as the load grows, how many endpoints a goal takes, what a loss does."`
-	Capture      captureCmd      `cmd:"" help:"The load that gateways record."`
-	Object       objectCmd       `cmd:"" help:"Objects, over a gateway's object API."`
-	ControlPlane controlPlaneCmd `cmd:"" aliases:"plan" help:"State of a controller and of the gateways that follow it."`
-	Soak         soakCmd         `cmd:"" help:"Gateway processes under load and overlapping faults; exits 1 if an invariant was violated."`
+		Show   fleetShow   `cmd:"" help:"Show the state that a gateway holds for each endpoint, with its age, source and reason."`
+		Dump   fleetDump   `cmd:"" help:"Show the same table from a gateway's store on disk."`
+		Export fleetExport `cmd:"" help:"Print a gateway's view of the fleet, as input for weirhavenctl capacity."`
+		Forget fleetForget `cmd:"" help:"Remove an endpoint and its drain, or another gateway and its share, from a gateway's state."`
+	} `cmd:"" help:"State that gateways hold about the fleet."`
+	Capacity     capacityCmd     `cmd:"" help:"Capacity forecasts: the first limit as the load grows, endpoints needed for a goal, effect of losses."`
+	Capture      captureCmd      `cmd:"" help:"Captures of the load of gateways."`
+	Object       objectCmd       `cmd:"" help:"Store, read, list and remove objects over a gateway's object API."`
+	ControlPlane controlPlaneCmd `cmd:"" aliases:"plan" help:"State of a controller and of the gateways connected to it."`
+	Soak         soakCmd         `cmd:"" help:"Run gateway processes under load and overlapping faults; exit 1 if an invariant was violated."`
 	Keys         struct {
-		Make keysMake `cmd:"" help:"Make keys and certificates, for tests and first installations."`
-	} `cmd:"" help:"TLS keys of the programs."`
+		Make keysMake `cmd:"" help:"Generate keys and certificates, for tests and first installations."`
+	} `cmd:"" help:"TLS keys and certificates of the programs."`
 	Fake struct {
-		StorageNode fakeStorageNode `cmd:"" aliases:"brick" help:"A fake storage endpoint."`
-		Discovery   fakeDiscovery   `cmd:"" aliases:"lister" help:"A fake discovery service."`
-		Client      fakeClient      `cmd:"" help:"A client that generates load."`
-	} `cmd:"" aliases:"standin" help:"Start one fake by itself."`
-	Gateway    gatewayRun    `cmd:"" hidden:"" aliases:"edge" help:"A gateway, as weirhaven-gateway; scenarios start theirs by it."`
-	Controller controllerRun `cmd:"" hidden:"" aliases:"planner" help:"A controller, as weirhaven-controller; scenarios start theirs by it."`
+		StorageNode fakeStorageNode `cmd:"" aliases:"brick" help:"Run a fake storage endpoint."`
+		Discovery   fakeDiscovery   `cmd:"" aliases:"lister" help:"Run a fake discovery service."`
+		Client      fakeClient      `cmd:"" help:"Run a client that generates load."`
+	} `cmd:"" aliases:"standin" help:"Run a single fake."`
+	Gateway    gatewayRun    `cmd:"" hidden:"" aliases:"edge" help:"Run a gateway like weirhaven-gateway; scenarios start their gateways with this command."`
+	Controller controllerRun `cmd:"" hidden:"" aliases:"planner" help:"Run a controller like weirhaven-controller; scenarios start their controllers with this command."`
 }
 
 type gatewayRun struct {
 	gateway.Command
-	Baseline string `help:"Decide by a baseline instead of the scheduler." enum:",direct" default:""`
+	Baseline string `help:"Choose endpoints with this baseline algorithm instead of the scheduler." enum:",direct" default:""`
 }
 
-// Run runs a gateway in this process until a signal ends it.
+// Run runs a gateway in this process until a signal stops it.
 func (c *gatewayRun) Run() error {
 	if c.Baseline == "direct" {
 		return c.Execute(direct.Start)
@@ -56,5 +57,5 @@
 
 type controllerRun struct{ server.Command }
 
-// Run runs a controller in this process until a signal ends it.
+// Run runs a controller in this process until a signal stops it.
 func (c *controllerRun) Run() error { return c.Execute(gateway.Logger) }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -7,9 +7,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// Operators' scripts and pages from before the commands were renamed still call them by the former words. A word that is not
-// taken any more would stop such a script at night, so each former command and flag has to parse to what the new one parses to.
-func TestFormerWords(t *testing.T) {
+// TestDeprecatedNames guards against the loss of an alias: operators' scripts and documents still use the former names of commands
+// and flags. Each former command line must parse to the same command and values as the current one.
+func TestDeprecatedNames(t *testing.T) {
 	for _, c := range []struct{ former, command []string }{
 		{[]string{"drill", "list"}, []string{"scenario", "list"}},
 		{[]string{"drill", "run", "bad-day", "--hosts", "5", "--edge", "cli_test.go", "--calm"},
@@ -35,14 +35,14 @@
 		{[]string{"edge", "--config", "cli_test.go"}, []string{"gateway", "--config", "cli_test.go"}},
 		{[]string{"planner", "--config", "cli_test.go"}, []string{"controller", "--config", "cli_test.go"}},
 	} {
-		former, now := parse(t, c.former), parse(t, c.command)
-		if former.command != now.command || former.values != now.values {
-			t.Errorf("%q parses to %q %s, %q to %q %s", c.former, former.command, former.values, c.command, now.command, now.values)
+		former, current := parse(t, c.former), parse(t, c.command)
+		if former.command != current.command || former.values != current.values {
+			t.Errorf("%q parses to %q %s, %q to %q %s", c.former, former.command, former.values, c.command, current.command, current.values)
 		}
 	}
 }
 
-// parsed is a command line as kong reads it.
+// parsed is the result of parsing a command line: the selected command, and the values of all flags and arguments.
 type parsed struct{ command, values string }
 
 func parse(t *testing.T, arguments []string) parsed {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -7,10 +7,10 @@
 )
 
 type configCheck struct {
-	File string `arg:"" type:"existingfile" help:"Settings of a gateway (weirhaven-gateway)."`
+	File string `arg:"" type:"existingfile" help:"Settings file of a gateway (weirhaven-gateway)."`
 }
 
-// Run prints what settings hold, or the error that names file, line and field.
+// Run prints a summary of the settings, or returns an error that names the file, line and field.
 func (c *configCheck) Run() error {
 	e, err := settings.LoadGateway(c.File)
 	if err != nil {
--- a/internal/cli/controlplane.go
+++ b/internal/cli/controlplane.go
@@ -19,18 +19,18 @@
 )
 
 type controlPlaneCmd struct {
-	Status    controlPlaneStatus    `cmd:"" help:"What a controller is doing, and what keeps it from writing."`
-	Snapshots controlPlaneSnapshots `cmd:"" aliases:"views" help:"The snapshot that it serves."`
-	Gateways  controlPlaneGateways  `cmd:"" aliases:"edges" help:"The gateways that it knows, and what they hold."`
-	Diff      controlPlaneDiff      `cmd:"" help:"Differences between what a gateway last reported and the controller's snapshot."`
+	Status    controlPlaneStatus    `cmd:"" help:"Show the phase of a controller and why it can't write."`
+	Snapshots controlPlaneSnapshots `cmd:"" aliases:"views" help:"Print the snapshot that a controller serves."`
+	Gateways  controlPlaneGateways  `cmd:"" aliases:"edges" help:"List the gateways known to a controller, with the snapshot generation that each one holds."`
+	Diff      controlPlaneDiff      `cmd:"" help:"Compare the state that a gateway last reported with the controller's snapshot."`
 }
 
 type controlPlaneFlags struct {
 	Controller string `required:"" aliases:"planner" help:"Address of the controller." placeholder:"ADDR"`
-	Cert       string `help:"Certificate of the operator (PEM); none: plain, on loopback." placeholder:"FILE"`
-	Key        string `help:"Its key." placeholder:"FILE"`
-	Trusted    string `help:"Certificates that the controller's must be signed by." placeholder:"FILE"`
-	Server     string `help:"Name in the controller's certificate." default:"weirplan"`
+	Cert       string `help:"Certificate of the operator (PEM); without it, the connection is plaintext and limited to loopback." placeholder:"FILE"`
+	Key        string `help:"Private key of the certificate (PEM)." placeholder:"FILE"`
+	Trusted    string `help:"Certificates of the authorities that may have signed the controller's certificate (PEM)." placeholder:"FILE"`
+	Server     string `help:"Expected name in the controller's certificate." default:"weirplan"`
 }
 
 func (c *controlPlaneFlags) queryStatus(a *pb.StatusAsk) (*pb.StatusTold, error) {
@@ -42,7 +42,7 @@
 		}
 		creds = credentials.NewTLS(k.Client(c.Server))
 	} else if !tlskeys.Loopback(c.Controller) {
-		return nil, errors.New("without --cert, --key and --trusted only a controller on loopback is asked")
+		return nil, errors.New("a controller that is not on loopback requires --cert, --key and --trusted")
 	}
 	conn, err := grpc.NewClient("passthrough:///"+c.Controller, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(256<<20)))
 	if err != nil {
@@ -56,23 +56,23 @@
 
 type controlPlaneStatus struct{ controlPlaneFlags }
 
-// Run prints a controller's phase, and what keeps it from writing.
+// Run prints a controller's phase and the reason why it can't write, if any.
 func (c *controlPlaneStatus) Run() error {
 	t, err := c.queryStatus(&pb.StatusAsk{Edges: true})
 	if err != nil {
 		return err
 	}
-	up := 0
+	connected := 0
 	for _, e := range t.Edge {
 		if e.Connected {
-			up++
+			connected++
 		}
 	}
 	fmt.Printf("controller %s, term %d, generation %d\n%s", t.Tenure.GetPlanner(), t.Tenure.GetTerm(), t.Generation, t.Phase)
 	if t.Why != "" {
 		fmt.Printf(": %s", t.Why)
 	}
-	fmt.Printf("\n%d of %d gateways connected\n", up, len(t.Edge))
+	fmt.Printf("\n%d of %d gateways connected\n", connected, len(t.Edge))
 	return nil
 }
 
@@ -87,33 +87,33 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KIND\tNAME\tGENERATION\tTERM\tVALUE")
 	for _, x := range t.Item {
-		what := ""
+		value := ""
 		switch b := x.GetBrick(); {
 		case x.Gone:
-			what = "gone"
+			value = "gone"
 			if b.GetDrained() != 0 {
-				what += ", drained"
+				value += ", drained"
 			}
 		case b != nil:
-			what = fmt.Sprintf("%s zone %s shard %d serving %v", b.Address, b.Zone, b.Cell, b.Serving)
+			value = fmt.Sprintf("%s zone %s shard %d serving %v", b.Address, b.Zone, b.Cell, b.Serving)
 			if snapshot.Drained(b) {
-				what += ", drained"
+				value += ", drained"
 			}
 		case x.Volume != nil:
-			what = fmt.Sprintf("plan %s through %d gateways, shards %v", x.Volume.Plan, x.Volume.Hosts, x.Volume.Cell)
+			value = fmt.Sprintf("plan %s through %d gateways, shards %v", x.Volume.Plan, x.Volume.Hosts, x.Volume.Cell)
 		case x.Place != nil:
-			what = fmt.Sprintf("shard %d, given to %s", x.Place.Cell, x.Place.Edge)
+			value = fmt.Sprintf("shard %d, given to %s", x.Place.Cell, x.Place.Edge)
 		case x.Kind == pb.Item_HOSTS:
-			what = fmt.Sprint(x.Hosts)
+			value = fmt.Sprint(x.Hosts)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", x.Kind, x.Name, x.Generation, x.Term, what)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\n", x.Kind, x.Name, x.Generation, x.Term, value)
 	}
 	return w.Flush()
 }
 
 type controlPlaneGateways struct{ controlPlaneFlags }
 
-// Run prints the gateways that a controller knows.
+// Run prints the gateways known to a controller, with their connection and snapshot generation.
 func (c *controlPlaneGateways) Run() error {
 	t, err := c.queryStatus(&pb.StatusAsk{Edges: true})
 	if err != nil {
@@ -132,7 +132,7 @@
 	Gateway string `arg:"" help:"Name of a gateway."`
 }
 
-// Run prints where a gateway and its controller differ.
+// Run prints the differences between a gateway's last report and the controller's snapshot.
 func (c *controlPlaneDiff) Run() error {
 	t, err := c.queryStatus(&pb.StatusAsk{Diff: c.Gateway})
 	if err != nil {
@@ -148,10 +148,10 @@
 }
 
 type keysMake struct {
-	Dir   string        `required:"" help:"Folder to write to; trusted.pem and trusted.key there sign, and are made if absent." placeholder:"DIR"`
-	Valid time.Duration `default:"8760h" help:"How long the certificates are valid."`
-	Names []string      `arg:"" help:"A key and certificate for each: the controller (weirplan unless gateways name another), each gateway by its name, operators."`
+	Dir   string        `required:"" help:"Folder for the keys and certificates. Its trusted.pem and trusted.key sign them and are generated if absent." placeholder:"DIR"`
+	Valid time.Duration `default:"8760h" help:"Validity period of the certificates."`
+	Names []string      `arg:"" help:"Names that get a key and a certificate each: the controller (weirplan unless the gateways' settings say otherwise), each gateway, operators."`
 }
 
-// Run writes a key and a certificate for each name.
+// Run generates a key and a certificate for each name.
 func (c *keysMake) Run() error { return tlskeys.Make(c.Dir, c.Names, c.Valid) }
--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -19,31 +19,32 @@
 	"weirhaven/internal/record"
 )
 
-func untilStopped() context.Context {
+// signalContext returns a context that is canceled by SIGTERM or an interrupt.
+func signalContext() context.Context {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	context.AfterFunc(ctx, stop)
 	return ctx
 }
 
 type fakeStorageNode struct {
-	Name     string        `default:"brick-1" help:"Its name."`
-	Listen   string        `default:"127.0.0.1:0" help:"Address; port 0: the kernel chooses."`
-	Shard    int           `aliases:"cell" help:"The shard that it holds."`
-	Zone     string        `default:"hall"`
-	UnitWork time.Duration `default:"4ms" help:"Work of one unit."`
+	Name     string        `default:"brick-1" help:"Name of the endpoint."`
+	Listen   string        `default:"127.0.0.1:0" help:"Address to listen on; port 0: the kernel chooses."`
+	Shard    int           `aliases:"cell" help:"Shard that the endpoint holds."`
+	Zone     string        `default:"hall" help:"Zone of the endpoint."`
+	UnitWork time.Duration `default:"4ms" help:"Mean work of one unit, at speed 1."`
 	Vary     float64       `default:"0.5" help:"Coefficient of variation of the work."`
-	Queue    uint32        `default:"100" help:"Requests that may wait."`
-	Speed    float64       `default:"1"`
-	Cold     time.Duration `help:"Start cold, warm after this long."`
-	Slow     float64       `help:"Run this many times slower."`
-	Errors   float64       `help:"Fail this fraction of the requests at once."`
-	Lost     float64       `help:"Lose this fraction of the responses."`
-	Seed     int64         `default:"1"`
+	Queue    uint32        `default:"100" help:"Capacity of the queue, in requests."`
+	Speed    float64       `default:"1" help:"Speed of the endpoint, as a multiple of the nominal speed."`
+	Cold     time.Duration `help:"Duration of the slow start; 0: the endpoint starts warm."`
+	Slow     float64       `help:"Slowdown factor; values up to 1 have no effect."`
+	Errors   float64       `help:"Fraction of the requests that fail immediately, 0 to 1."`
+	Lost     float64       `help:"Fraction of the responses that are dropped, 0 to 1."`
+	Seed     int64         `default:"1" help:"Seed of the random number generator."`
 }
 
-// Run serves until a signal ends it.
+// Run serves requests until a signal stops it.
 func (c *fakeStorageNode) Run() error {
-	ctx := untilStopped()
+	ctx := signalContext()
 	b, err := storagenode.Start(storagenode.Config{Name: c.Name, Address: c.Listen, Shard: c.Shard, Zone: c.Zone, Speed: c.Speed, Seed: c.Seed,
 		SlowStart: c.Cold > 0, CollapseMultiple: 2, CollapseAfter: time.Second, WriteClasses: map[string]bool{},
 		Kind: &pb.BrickKind{UnitWork: c.UnitWork.String(), Vary: c.Vary, Queue: c.Queue, ColdFrom: 0.2, ColdFor: c.Cold.String()}})
@@ -58,28 +59,28 @@
 }
 
 type fakeDiscovery struct {
-	Listen   string   `default:"127.0.0.1:0" help:"Address; port 0: the kernel chooses."`
-	PollOnly bool     `aliases:"asked" help:"Answer polls only; push no changes."`
-	Endpoint []string `aliases:"brick" help:"An endpoint: name,address,zone,shard. Later lines on standard input, with a state behind, change the list." sep:"none"`
+	Listen   string   `default:"127.0.0.1:0" help:"Address to listen on; port 0: the kernel chooses."`
+	PollOnly bool     `aliases:"asked" help:"Answer polls only; don't push changes."`
+	Endpoint []string `aliases:"brick" help:"Endpoint in the initial list: name,address,zone,shard; repeatable. Lines name,address,zone,shard,state on standard input change the list." sep:"none"`
 }
 
-// Run serves until a signal ends it.
+// Run serves requests until a signal stops it.
 func (c *fakeDiscovery) Run() error {
-	ctx := untilStopped()
+	ctx := signalContext()
 	s, err := discovery.Start(discovery.Config{Address: c.Listen, PollOnly: c.PollOnly, Seed: 1})
 	if err != nil {
 		return err
 	}
 	defer s.Stop()
 	for _, b := range c.Endpoint {
-		if err := listLine(s, b+",serving"); err != nil {
+		if err := applyListLine(s, b+",serving"); err != nil {
 			return err
 		}
 	}
 	fmt.Printf("READY %s\n", s.Address())
 	go func() { // ends with the process
 		for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-			if err := listLine(s, in.Text()); err != nil {
+			if err := applyListLine(s, in.Text()); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 			}
 		}
@@ -88,7 +89,8 @@
 	return nil
 }
 
-func listLine(s *discovery.Service, line string) error {
+// applyListLine sets one endpoint of the list from a line name,address,zone,shard,state.
+func applyListLine(s *discovery.Service, line string) error {
 	f := strings.Split(line, ",")
 	if len(f) != 5 {
 		return fmt.Errorf("endpoint %q: expected name,address,zone,shard,state", line)
@@ -103,19 +105,19 @@
 
 type fakeClient struct {
 	Gateway          []string      `required:"" aliases:"host" help:"Address of a gateway."`
-	Volume           string        `default:"volume-1"`
-	Class            string        `default:"read" aliases:"queue-type" help:"Request class."`
-	Rate             float64       `default:"100" help:"Units a second."`
-	Shards           int           `default:"1" aliases:"cells" help:"Shards that hold the volume's data, from 0."`
-	Length           time.Duration `default:"10s"`
-	LatencyObjective time.Duration `default:"200ms" aliases:"target" help:"Latency objective."`
-	Timeout          time.Duration `default:"1s" help:"Request timeout."`
-	Seed             int64         `default:"1"`
+	Volume           string        `default:"volume-1" help:"Name of the volume."`
+	Class            string        `default:"read" aliases:"queue-type" help:"Name of the request class."`
+	Rate             float64       `default:"100" help:"Offered load, in units per second."`
+	Shards           int           `default:"1" aliases:"cells" help:"Number of shards that hold the volume's data, numbered from 0."`
+	Length           time.Duration `default:"10s" help:"Duration of the load."`
+	LatencyObjective time.Duration `default:"200ms" aliases:"target" help:"Latency objective of the request class."`
+	Timeout          time.Duration `default:"1s" help:"Timeout of a request."`
+	Seed             int64         `default:"1" help:"Seed of the random number generator."`
 }
 
-// Run sends load for the length asked for, and prints what came of it.
+// Run generates load for the given duration and prints the audited totals.
 func (c *fakeClient) Run() error {
-	ctx := untilStopped()
+	ctx := signalContext()
 	rec := record.New()
 	v := client.Volume{Name: c.Volume, Demand: c.Rate}
 	for i := range max(c.Shards, 1) {
@@ -133,6 +135,6 @@
 	l.Stop()
 	h := &pb.Header{Fleet: &pb.Fleet{AnswerSlack: "50ms"}, QueueType: []*pb.QueueType{q}, Plan: []*pb.Plan{{Name: "-", Importance: 1}},
 		Blur: int64(50 * time.Millisecond)}
-	table(os.Stdout, []string{"client"}, []*audit.Verdict{audit.Judge(h, rec.All())})
+	printVerdicts(os.Stdout, []string{"client"}, []*audit.Verdict{audit.Judge(h, rec.All())})
 	return nil
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -13,11 +13,11 @@
 	"weirhaven/internal/settings"
 )
 
-// callGateway sends one operator message to a gateway and returns the body of its answer.
+// callGateway sends one operator message to a gateway and returns the body of the response.
 func callGateway(address, verb, field, name string) ([]byte, error) {
 	nc, err := net.DialTimeout("tcp", address, 2*time.Second)
 	if err != nil {
-		return nil, fmt.Errorf("reach the gateway: %w", err)
+		return nil, fmt.Errorf("connect to the gateway: %w", err)
 	}
 	defer func() { _ = nc.Close() }()
 	r := lineproto.NewConnReader(nc, 64<<20, 5*time.Second, 5*time.Second)
@@ -42,7 +42,7 @@
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-// Run prints what a gateway believes of each endpoint.
+// Run prints the state that a gateway holds for each endpoint.
 func (c *fleetShow) Run() error {
 	b, err := callGateway(c.Gateway, lineproto.VerbShowFleet, "Brick", "")
 	if err == nil {
@@ -55,7 +55,7 @@
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-// Run prints a gateway's fleet as the capacity planner reads it.
+// Run prints a gateway's view of the fleet in the format that the capacity commands read.
 func (c *fleetExport) Run() error {
 	b, err := callGateway(c.Gateway, lineproto.VerbShowFleet, "Form", "txtpb")
 	if err == nil {
@@ -65,12 +65,12 @@
 }
 
 type fleetForget struct {
-	Name    string `arg:"" help:"Name of an endpoint, or with --peer of a gateway that sends nothing any more."`
-	Peer    bool   `aliases:"host" help:"It is a gateway: the others may use its share from now on. Only if it is surely gone."`
+	Name    string `arg:"" help:"Name of an endpoint or, with --peer, of a gateway that has stopped for good."`
+	Peer    bool   `aliases:"host" help:"NAME is a gateway: the other gateways may use its share from now on. Use it only if that gateway is permanently removed."`
 	Gateway string `required:"" aliases:"edge" help:"Address where clients reach the gateway." placeholder:"ADDR"`
 }
 
-// Run lets a gateway forget an endpoint, or another gateway.
+// Run removes an endpoint, or another gateway, from a gateway's state.
 func (c *fleetForget) Run() error {
 	field := "Brick"
 	if c.Peer {
@@ -81,29 +81,29 @@
 }
 
 type fleetDump struct {
-	File    string `arg:"" type:"existingfile" help:"A gateway's store; the gateway must not be running."`
-	Gateway string `required:"" aliases:"host" help:"The gateway's name."`
+	File    string `arg:"" type:"existingfile" help:"Store of a gateway; the gateway must not be running."`
+	Gateway string `required:"" aliases:"host" help:"Name of the gateway that owns the store."`
 }
 
-// Run prints the same as fleet show, from a store on disk.
+// Run prints the table of fleet show from a store on disk.
 func (c *fleetDump) Run() error {
-	all, hosts, last, err := store.Dump(c.File, c.Gateway)
+	beliefs, members, last, err := store.Dump(c.File, c.Gateway)
 	if err != nil {
 		return err
 	}
-	rules, err := settings.EndpointRules(&pb.Edge{}) // as a gateway with the default settings would weigh it now
+	rules, err := settings.EndpointRules(&pb.Edge{}) // a gateway with the default settings applies these rules to the stored state
 	if err != nil {
 		return err
 	}
 	now := time.Duration(time.Now().UnixNano())
-	f := endpointstate.New(rules, noSink{}, func(string) {})
-	f.Restore(all, last, now)
-	fmt.Print(gateway.FormatFleet(f.Beliefs(), hosts, last, now))
+	f := endpointstate.New(rules, discardSink{}, func(string) {})
+	f.Restore(beliefs, last, now)
+	fmt.Print(gateway.FormatFleet(f.Beliefs(), members, last, now))
 	return nil
 }
 
-// noSink is the sink of beliefs that are only printed.
-type noSink struct{}
+// discardSink ignores changes of endpoint state; fleet dump only prints the restored state.
+type discardSink struct{}
 
 // EndpointChanged does nothing.
-func (noSink) EndpointChanged(string, string, string, int, bool, bool, time.Duration) {}
+func (discardSink) EndpointChanged(string, string, string, int, bool, bool, time.Duration) {}
--- a/internal/cli/object.go
+++ b/internal/cli/object.go
@@ -18,17 +18,17 @@
 )
 
 type objectCmd struct {
-	Put objectPut `cmd:"" help:"Store a file."`
-	Get objectGet `cmd:"" help:"Fetch an object into a file."`
+	Put objectPut `cmd:"" help:"Store a file as an object."`
+	Get objectGet `cmd:"" help:"Download an object to a file."`
 	Cat objectCat `cmd:"" help:"Print an object, or a range of it."`
 	Ls  objectLs  `cmd:"" help:"List a volume's objects."`
 	Rm  objectRm  `cmd:"" help:"Remove objects."`
 }
 
 type objectFlags struct {
-	Endpoint string `required:"" env:"WEIRHAVEN_ENDPOINT" help:"Such as http://127.0.0.1:8600." placeholder:"URL"`
-	Key      string `env:"WEIRHAVEN_KEY" help:"Access key; none: nothing is signed."`
-	Secret   string `env:"WEIRHAVEN_SECRET" help:"Its secret."`
+	Endpoint string `required:"" env:"WEIRHAVEN_ENDPOINT" help:"URL of the object API, such as http://127.0.0.1:8600." placeholder:"URL"`
+	Key      string `env:"WEIRHAVEN_KEY" help:"Access key; without it, requests are not signed."`
+	Secret   string `env:"WEIRHAVEN_SECRET" help:"Secret of the access key."`
 }
 
 func (f *objectFlags) open() (*client.Client, context.Context, context.CancelFunc, error) {
@@ -37,17 +37,18 @@
 	return c, ctx, stop, err
 }
 
-// parseObjectPath reads VOLUME/NAME.
+// parseObjectPath splits VOLUME/NAME.
 func parseObjectPath(s string) (volume, name string, err error) {
 	volume, name, ok := strings.Cut(s, "/")
 	if !ok || volume == "" || name == "" {
-		return "", "", fmt.Errorf("%q: wanted VOLUME/NAME", s)
+		return "", "", fmt.Errorf("%q: expected VOLUME/NAME", s)
 	}
 	return volume, name, nil
 }
 
-// progress tells on standard error how far long work has come, a few times a second.
-func progress(what string, size int64) func(done int64) {
+// progress returns a function that prints the progress of a transfer on standard error: after the first second, at most every
+// 300 ms.
+func progress(label string, size int64) func(done int64) {
 	var mu sync.Mutex
 	start, last := time.Now(), time.Time{}
 	return func(done int64) {
@@ -55,7 +56,7 @@
 		defer mu.Unlock()
 		if now := time.Now(); now.Sub(start) > time.Second && (now.Sub(last) > 300*time.Millisecond || done == size) {
 			last = now
-			fmt.Fprintf(os.Stderr, "\r%s: %d of %d MiB, %.1f MiB/s ", what, done>>20, size>>20, float64(done)/(1<<20)/now.Sub(start).Seconds())
+			fmt.Fprintf(os.Stderr, "\r%s: %d of %d MiB, %.1f MiB/s ", label, done>>20, size>>20, float64(done)/(1<<20)/now.Sub(start).Seconds())
 			if done == size {
 				fmt.Fprintln(os.Stderr)
 			}
@@ -65,12 +66,12 @@
 
 type objectPut struct {
 	objectFlags
-	File     string `arg:"" type:"existingfile"`
-	To       string `arg:"" help:"VOLUME/NAME."`
-	Type     string `help:"Content type."`
-	Part     int64  `help:"Bytes of a part." default:"16777216"`
-	Parallel int    `help:"Parts at once." default:"4"`
-	OnlyNew  bool   `help:"Not over an object that is there."`
+	File     string `arg:"" type:"existingfile" help:"File to store."`
+	To       string `arg:"" help:"Object to write, as VOLUME/NAME."`
+	Type     string `help:"Content type of the object."`
+	Part     int64  `help:"Size of a part, in bytes." default:"16777216"`
+	Parallel int    `help:"Number of parts that are uploaded in parallel." default:"4"`
+	OnlyNew  bool   `help:"Fail if the object exists already."`
 }
 
 // Run stores a file as an object and prints its entity tag.
@@ -103,11 +104,11 @@
 
 type objectGet struct {
 	objectFlags
-	From string `arg:"" help:"VOLUME/NAME."`
+	From string `arg:"" help:"Object to read, as VOLUME/NAME."`
 	File string `arg:"" help:"File to write."`
 }
 
-// Run fetches an object; the file appears whole or not at all.
+// Run downloads an object. The file appears under its name only when the download is complete.
 func (c *objectGet) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
@@ -123,13 +124,13 @@
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	tmp := c.File + ".part" // the name stands for the whole file, or for nothing
+	tmp := c.File + ".part" // renamed after the download, so that no partial file appears under the final name
 	f, err := os.Create(tmp)
 	if err != nil {
 		return err
 	}
-	tell, done := progress(c.From, i.Size), int64(0)
-	_, err = io.Copy(f, io.TeeReader(body, counter(func(n int) { done += int64(n); tell(done) })))
+	report, done := progress(c.From, i.Size), int64(0)
+	_, err = io.Copy(f, io.TeeReader(body, counter(func(n int) { done += int64(n); report(done) })))
 	if err = errors.Join(err, f.Close()); err != nil {
 		_ = os.Remove(tmp)
 		return err
@@ -137,9 +138,10 @@
 	return os.Rename(tmp, c.File)
 }
 
+// counter is a writer that passes the size of each write to a function.
 type counter func(n int)
 
-// Write counts the bytes written.
+// Write reports the number of bytes written.
 func (c counter) Write(b []byte) (int, error) {
 	c(len(b))
 	return len(b), nil
@@ -147,8 +149,8 @@
 
 type objectCat struct {
 	objectFlags
-	From  string `arg:"" help:"VOLUME/NAME."`
-	Range string `help:"FROM-TO, FROM- or -LAST, in bytes from 0." placeholder:"RANGE"`
+	From  string `arg:"" help:"Object to read, as VOLUME/NAME."`
+	Range string `help:"Range of bytes, counted from 0 and including TO: FROM-TO, FROM- or -LAST (the last LAST bytes)." placeholder:"RANGE"`
 }
 
 // Run prints an object, or a range of it.
@@ -175,12 +177,13 @@
 	return err
 }
 
-// parseRange reads a range as it is given on the command line.
+// parseRange parses the value of --range: FROM-TO, FROM- or -LAST. Size 0 means the rest of the object; a negative from counts
+// from its end.
 func parseRange(s string) (from, size int64, err error) {
 	if s == "" {
 		return 0, 0, nil
 	}
-	bad := fmt.Errorf("range %q: wanted FROM-TO, FROM- or -LAST", s)
+	bad := fmt.Errorf("range %q: expected FROM-TO, FROM- or -LAST", s)
 	a, b, ok := strings.Cut(s, "-")
 	if !ok || a == "" && b == "" {
 		return 0, 0, bad
@@ -200,11 +203,11 @@
 
 type objectLs struct {
 	objectFlags
-	Volume string `arg:"" help:"VOLUME or VOLUME/PREFIX."`
-	All    bool   `help:"Names beyond the next / too."`
+	Volume string `arg:"" help:"Objects to list, as VOLUME or VOLUME/PREFIX."`
+	All    bool   `help:"List all names with the prefix instead of grouping them at the next slash."`
 }
 
-// Run prints names, sizes and times of objects.
+// Run prints the size, modification time and name of each object.
 func (c *objectLs) Run() error {
 	o, ctx, stop, err := c.open()
 	if err != nil {
@@ -233,7 +236,7 @@
 
 type objectRm struct {
 	objectFlags
-	Names []string `arg:"" help:"VOLUME/NAME."`
+	Names []string `arg:"" help:"Objects to remove, as VOLUME/NAME."`
 }
 
 // Run removes objects.
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -38,27 +38,27 @@
 
 type scenarioRun struct {
 	Scenario string          `arg:"" help:"Name of a scenario, or a file (.txtpb)."`
-	Seed     int64           `default:"1" help:"All randomness comes from it."`
-	Seeds    int             `default:"1" help:"Run this many seeds, from --seed on."`
-	Jobs     int             `default:"1" help:"This many seeds at once."`
+	Seed     int64           `default:"1" help:"Seed of the random number generator."`
+	Seeds    int             `default:"1" help:"Number of consecutive seeds to run, starting at --seed."`
+	Jobs     int             `default:"1" help:"Number of seeds to run in parallel."`
 	JSON     bool            `name:"json" help:"Print JSON instead of a table."`
-	Record   string          `help:"Keep the record in this folder." placeholder:"DIR"`
-	Baseline string          `help:"Play the same seed with gateways that decide by this, too, and print both." enum:",direct" default:""`
-	Gateways uint32          `aliases:"hosts" help:"This many gateways instead of the scenario's."`
-	Program  string          `aliases:"edge" help:"The gateway's program; none: this program itself." type:"existingfile" placeholder:"PROGRAM"`
-	Ages     []time.Duration `help:"Play the scenario without its discovery service, from saved endpoint lists of these ages, and with it, same seed; print a table." placeholder:"AGE"`
-	Length   time.Duration   `help:"This long instead, the faults again and again."`
-	State    time.Duration   `help:"Gateways log what they hold this often (JSON, to --logs); a table tells whether it stays flat."`
-	Capture  string          `help:"Let gateways record their load into this folder; fleet.txtpb there describes the fleet." placeholder:"DIR"`
-	Logs     string          `help:"Append what the gateways log to this file." placeholder:"FILE"`
+	Record   string          `help:"Write the record to this folder." placeholder:"DIR"`
+	Baseline string          `help:"Also run the seed with gateways that use this baseline algorithm, and print both results." enum:",direct" default:""`
+	Gateways uint32          `aliases:"hosts" help:"Number of gateways, instead of the scenario's number."`
+	Program  string          `aliases:"edge" help:"Program of the gateways; without it, this program." type:"existingfile" placeholder:"PROGRAM"`
+	Ages     []time.Duration `help:"Run the seed with the discovery service, and then without it from a saved endpoint list of each of these ages; print a table." placeholder:"AGE"`
+	Length   time.Duration   `help:"Duration instead of the scenario's own; the faults repeat."`
+	State    time.Duration   `help:"Interval at which gateways log their resource use (JSON, to --logs); a table compares early and late values to show growth."`
+	Capture  string          `help:"Record the load of the gateways to this folder, with a description of the fleet in fleet.txtpb." placeholder:"DIR"`
+	Logs     string          `help:"Append the logs of the gateways to this file." placeholder:"FILE"`
 
-	WithoutControllerFaults bool `aliases:"calm" help:"Play the same seed without faults of the controller, too, and print how the services compare."`
+	WithoutControllerFaults bool `aliases:"calm" help:"Also run the seed without faults of the controller, and print the ratio of the service."`
 }
 
-// armWithoutControllerFaults names the run in which the controller is left alone. Records and JSON output carry the name.
+// armWithoutControllerFaults is the name of the arm without faults of the controller, in records and JSON output.
 const armWithoutControllerFaults = "calm"
 
-// arm is one way to decide, and what came of it.
+// arm is one variant of a run (the scheduler, a baseline, or no faults of the controller) with its result.
 type arm struct {
 	Name    string
 	Result  *scenario.Result `json:"-"`
@@ -67,7 +67,7 @@
 	Exits   []string `json:",omitempty"`
 }
 
-// Run plays a scenario; it fails if a rule was broken in any run.
+// Run runs a scenario. It returns an error if the scheduler failed a check with any seed.
 func (c *scenarioRun) Run() error {
 	d, err := c.load()
 	if err != nil {
@@ -95,9 +95,9 @@
 		defer states.print(os.Stdout)
 	}
 	if len(c.Ages) > 0 {
-		return c.byAge(ctx, d, logs)
+		return c.compareListAges(ctx, d, logs)
 	}
-	return c.playSeeds(ctx, d, logs)
+	return c.runSeeds(ctx, d, logs)
 }
 
 // load reads the scenario and applies the flags that change it.
@@ -115,10 +115,10 @@
 	return d, nil
 }
 
-// describeFleet writes the fleet of the one run that is captured beside its captures.
+// describeFleet writes the description of the captured run's fleet to the folder of its captures.
 func (c *scenarioRun) describeFleet(d *pb.Drill) error {
 	if c.Seeds > 1 || c.Baseline != "" {
-		return errors.New("--capture takes one run: no --seeds, no --baseline")
+		return errors.New("--capture records a single run: it can't be combined with --seeds or --baseline")
 	}
 	text, err := settings.Text(scenario.Describe(d, c.Seed))
 	if err != nil {
@@ -130,17 +130,17 @@
 	return os.WriteFile(filepath.Join(c.Capture, "fleet.txtpb"), text, 0o644)
 }
 
-// played is what came of one seed.
-type played struct {
+// seedResult holds the arms of one seed, or the error that ended it.
+type seedResult struct {
 	arms []arm
 	err  error
 }
 
-// playSeeds plays all seeds, as many at once as --jobs allows, and shows them in their order.
-func (c *scenarioRun) playSeeds(ctx context.Context, d *pb.Drill, logs io.Writer) error {
-	done := make([]chan played, c.Seeds)
+// runSeeds runs all seeds, at most --jobs of them in parallel, and prints the results in the order of the seeds.
+func (c *scenarioRun) runSeeds(ctx context.Context, d *pb.Drill, logs io.Writer) error {
+	done := make([]chan seedResult, c.Seeds)
 	for i := range done {
-		done[i] = make(chan played, 1)
+		done[i] = make(chan seedResult, 1)
 	}
 	seeds := make(chan int)
 	go func() { // ends with the last seed, or with the process
@@ -150,34 +150,34 @@
 		close(seeds)
 	}()
 	for range min(max(c.Jobs, 1), c.Seeds) {
-		go func() { // as above
+		go func() { // ends with the last seed, or with the process
 			for i := range seeds {
-				arms, err := c.play(ctx, d, c.Seed+int64(i), logs)
-				done[i] <- played{arms, err}
+				arms, err := c.runSeed(ctx, d, c.Seed+int64(i), logs)
+				done[i] <- seedResult{arms, err}
 			}
 		}()
 	}
-	broken := 0
+	failed := 0
 	for i := range done {
 		p := <-done[i]
 		if p.err != nil {
 			return p.err
 		}
 		if !p.arms[0].Kept {
-			broken++
+			failed++
 		}
 		if err := c.show(d, c.Seed+int64(i), p.arms); err != nil {
 			return err
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d runs broke a rule or ended badly", broken, c.Seeds)
+	if failed > 0 {
+		return fmt.Errorf("%d of %d runs failed: rule broken, object check failed or process exited with an error", failed, c.Seeds)
 	}
 	return nil
 }
 
-// play plays one seed with the scheduler, and then as the flags ask for to compare.
-func (c *scenarioRun) play(ctx context.Context, d *pb.Drill, seed int64, logs io.Writer) ([]arm, error) {
+// runSeed runs one seed with the scheduler, followed by the arms for comparison that the flags select.
+func (c *scenarioRun) runSeed(ctx context.Context, d *pb.Drill, seed int64, logs io.Writer) ([]arm, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -241,20 +241,20 @@
 	for i, a := range arms {
 		names[i], verdicts[i] = a.Name, a.Verdict
 	}
-	table(os.Stdout, names, verdicts)
+	printVerdicts(os.Stdout, names, verdicts)
 	for _, a := range arms {
 		for _, x := range a.Exits {
 			fmt.Printf("%s: %s\n", a.Name, x)
 		}
 		if a.Result.Controller.Kills > 0 {
-			fmt.Printf("%s: controller killed %d times, of these %d onto an older disk or none, stalled %d times\n", a.Name, a.Result.Controller.Kills, a.Result.Controller.Rollbacks,
+			fmt.Printf("%s: controller killed %d times, restarted from an older or empty disk %d times, stalled %d times\n", a.Name, a.Result.Controller.Kills, a.Result.Controller.Rollbacks,
 				a.Result.Controller.Stalls)
 		}
 		if o := a.Result.Objects; o.Requests() > 0 {
 			fmt.Printf("%s: objects: %v\n", a.Name, o)
 		}
 		if a.Name == armWithoutControllerFaults {
-			fmt.Printf("service: %.3f of that without faults of the controller\n", arms[0].Verdict.Total().Share()/a.Verdict.Total().Share())
+			fmt.Printf("service: %.3f of the service without faults of the controller\n", arms[0].Verdict.Total().Share()/a.Verdict.Total().Share())
 		}
 	}
 	printViolations(os.Stdout, arms[0].Verdict)
--- a/internal/cli/scenarioages.go
+++ b/internal/cli/scenarioages.go
@@ -16,17 +16,17 @@
 	"weirhaven/internal/scenario"
 )
 
-// startupSpan is how much of a day counts as its start.
+// startupSpan is the part of a run that is judged as its start.
 const startupSpan = 10 * time.Second
 
-// byAge plays one seed with discovery up, then without it from saved lists of each age.
-func (c *scenarioRun) byAge(ctx context.Context, d *pb.Drill, logs io.Writer) error {
+// compareListAges runs one seed with the discovery service, and then without it from a saved endpoint list of each age.
+func (c *scenarioRun) compareListAges(ctx context.Context, d *pb.Drill, logs io.Writer) error {
 	if d.List == nil {
 		d.List = &pb.ListHabits{}
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "endpoint list\tfirst served after\tservice in 10 s\tratio\tto drained endpoints past the grace\tpeak load of a warming endpoint\trules\t\n")
-	broken, up := 0, 0.0
+	broken, shareWithDiscovery := 0, 0.0
 	for i := -1; i < len(c.Ages); i++ {
 		one := proto.Clone(d).(*pb.Drill)
 		name := "discovery up"
@@ -47,10 +47,10 @@
 			rules, broken = fmt.Sprint("BROKEN ", r.Verdict.Violations[1:], r.FailedExits), broken+1
 		}
 		if i < 0 {
-			up = startup.Share
+			shareWithDiscovery = startup.Share
 		}
 		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%d\t%.2f of what is allowed\t%s\t\n", name, startup.FirstServed.Round(time.Millisecond), startup.Share,
-			startup.Share/max(up, 1e-9), r.Verdict.Violations[3], startup.Pressure, rules)
+			startup.Share/max(shareWithDiscovery, 1e-9), r.Verdict.Violations[3], startup.Pressure, rules)
 	}
 	_ = w.Flush()
 	if broken > 0 {
--- a/internal/cli/scenarioimport.go
+++ b/internal/cli/scenarioimport.go
@@ -12,14 +12,14 @@
 )
 
 type scenarioImport struct {
-	Day       string        `arg:"" type:"existingfile" help:"A simulator's day file (JSON)."`
-	Output    string        `short:"o" help:"File for the scenario; none: standard output." placeholder:"FILE"`
-	Gateways  int           `default:"6" aliases:"hosts" help:"At most this many gateways."`
-	Endpoints int           `default:"12" aliases:"bricks" help:"At most this many endpoints."`
-	Length    time.Duration `default:"20s" help:"At most this long."`
+	Day       string        `arg:"" type:"existingfile" help:"Day file of the simulator (JSON)."`
+	Output    string        `short:"o" help:"File to write the scenario to; without it, standard output." placeholder:"FILE"`
+	Gateways  int           `default:"6" aliases:"hosts" help:"Largest number of gateways in the scenario."`
+	Endpoints int           `default:"12" aliases:"bricks" help:"Largest number of endpoints in the scenario."`
+	Length    time.Duration `default:"20s" help:"Longest duration of the scenario."`
 }
 
-// Run turns a simulator's day into a scenario.
+// Run converts a day file of the simulator to a scenario.
 func (c *scenarioImport) Run() error {
 	d, notes, err := scenario.Import(c.Day, scenario.Scale{Gateways: max(c.Gateways, 1), Endpoints: max(c.Endpoints, 1), Length: c.Length})
 	if err != nil {
@@ -29,9 +29,9 @@
 	if err != nil {
 		return err
 	}
-	text = append([]byte("# Made of a bench day. Changed or not carried over:\n# - "+strings.Join(notes, "\n# - ")+"\n"), text...)
+	text = append([]byte("# Imported from a day file of the simulator. Changed or not carried over:\n# - "+strings.Join(notes, "\n# - ")+"\n"), text...)
 	if err := settings.Parse(d.Name, text, &pb.Drill{}); err != nil {
-		return fmt.Errorf("the day does not fit a scenario: %w", err)
+		return fmt.Errorf("imported scenario is invalid: %w", err)
 	}
 	if c.Output == "" {
 		_, err = os.Stdout.Write(text)
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -12,21 +12,21 @@
 	"weirhaven/internal/soak"
 )
 
-// soakCmd runs gateway processes under load and overlapping faults, and judges the invariants.
+// soakCmd runs gateway processes under load and overlapping faults, and checks the invariants.
 type soakCmd struct {
-	Seed      int64         `help:"Draws the script." default:"1"`
-	Processes int           `help:"Gateway processes." default:"30"`
-	Length    time.Duration `help:"How long the load lasts." default:"60s"`
-	Rate      float64       `help:"Requests a second at each process." default:"12"`
-	Fault     []string      `aliases:"menu" help:"Inject only these faults (repeatable); all if absent. 'list' prints their names."`
-	Program   string        `help:"The gateway's program; weirhaven-gateway beside this one if absent." type:"path"`
-	Folder    string        `help:"Folder of configurations and logs; a temporary folder if absent." type:"path"`
+	Seed      int64         `help:"Seed that determines the load and the faults." default:"1"`
+	Processes int           `help:"Number of gateway processes." default:"30"`
+	Length    time.Duration `help:"Duration of the load." default:"60s"`
+	Rate      float64       `help:"Mean requests per second at each process." default:"12"`
+	Fault     []string      `aliases:"menu" help:"Fault to inject, repeatable; without it, all faults. 'list' prints the names."`
+	Program   string        `help:"Program of the gateways; without it, weirhaven-gateway in the folder of this program." type:"path"`
+	Folder    string        `help:"Folder for configurations and logs; without it, a temporary folder." type:"path"`
 }
 
-// exitViolations is the exit status of a run in which an invariant was broken.
+// exitViolations is the exit status of a run in which an invariant was violated.
 const exitViolations = 1
 
-// Run soaks; an invariant that was violated ends the program with exitViolations.
+// Run runs the soak test. It exits the program with exitViolations if an invariant was violated.
 func (c *soakCmd) Run() error {
 	if len(c.Fault) == 1 && c.Fault[0] == "list" {
 		for _, name := range soak.Names() {
--- a/internal/cli/states.go
+++ b/internal/cli/states.go
@@ -10,19 +10,20 @@
 	"text/tabwriter"
 )
 
-// states collects the "state" lines of gateways' logs while passing the logs on.
+// states is a writer for the logs of gateways: it collects the "state" lines and forwards all lines.
 type states struct {
-	to   io.Writer // nil: nowhere
+	to   io.Writer // destination of the forwarded logs; nil: none
 	mu   sync.Mutex
 	seen map[string][]state
 }
 
+// state is a "state" log line of a gateway. Its field names match the keys of the line, which encoding/json compares without regard to case.
 type state struct {
 	Msg, Gateway                   string
 	Heap, Goroutines, Open, Timers float64
 }
 
-// Write takes a piece of the gateways' logs, keeps its state lines and passes all on.
+// Write keeps the state lines of a piece of the logs and forwards the whole piece.
 func (s *states) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,19 +42,20 @@
 	return s.to.Write(b)
 }
 
-// print compares the second quarter of each gateway's time with the last: the first is start-up.
+// print compares the means of the second and the last quarter of each gateway's state lines. The first quarter is left out because
+// it covers the start-up.
 func (s *states) print(out io.Writer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\nstate\tlines\theap MiB, second quarter\tlast\tgoroutines\tlast\ttimers\tlast\t\n")
-	var hosts []string
-	for h := range s.seen {
-		hosts = append(hosts, h)
+	var gateways []string
+	for gateway := range s.seen {
+		gateways = append(gateways, gateway)
 	}
-	slices.Sort(hosts)
-	for _, h := range hosts {
-		x := s.seen[h]
+	slices.Sort(gateways)
+	for _, gateway := range gateways {
+		x := s.seen[gateway]
 		early, late := x[len(x)/4:max(len(x)/2, len(x)/4+1)], x[len(x)*3/4:]
 		mean := func(x []state, f func(state) float64) (m float64) {
 			for _, e := range x {
@@ -64,7 +66,7 @@
 		heap := func(e state) float64 { return e.Heap / (1 << 20) }
 		routines := func(e state) float64 { return e.Goroutines }
 		timers := func(e state) float64 { return e.Timers }
-		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", h, len(x), mean(early, heap), mean(late, heap), mean(early, routines),
+		fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", gateway, len(x), mean(early, heap), mean(late, heap), mean(early, routines),
 			mean(late, routines), mean(early, timers), mean(late, timers))
 	}
 	_ = w.Flush()
--- a/internal/cli/verdict.go
+++ b/internal/cli/verdict.go
@@ -14,11 +14,11 @@
 )
 
 type auditRecord struct {
-	Dir  string `arg:"" type:"existingdir" help:"Folder of a record."`
+	Dir  string `arg:"" type:"existingdir" help:"Folder of the record."`
 	JSON bool   `name:"json" help:"Print JSON instead of a table."`
 }
 
-// Run judges a record; it fails if a rule is broken.
+// Run audits a record. It returns an error if a rule is broken.
 func (c *auditRecord) Run() error {
 	h, seen, err := record.Read(c.Dir)
 	if err != nil {
@@ -31,7 +31,7 @@
 		}
 	} else {
 		fmt.Printf("scenario %s, seed %d, %d lines\n\n", h.Drill, h.Seed, len(seen))
-		table(os.Stdout, []string{h.Arm}, []*audit.Verdict{v})
+		printVerdicts(os.Stdout, []string{h.Arm}, []*audit.Verdict{v})
 		printViolations(os.Stdout, v)
 	}
 	if !v.Kept() {
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// table prints verdicts side by side.
-func table(out io.Writer, names []string, vs []*audit.Verdict) {
+// printVerdicts prints verdicts side by side, one column each.
+func printVerdicts(out io.Writer, names []string, vs []*audit.Verdict) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	row := func(name string, f func(v *audit.Verdict) string) {
 		fmt.Fprint(w, name, "\t")
@@ -63,7 +63,7 @@
 	count("rejected", func(s audit.Totals) int { return s.Rejected })
 	count("failed", func(s audit.Totals) int { return s.Failed })
 	count("late", func(s audit.Totals) int { return s.Late })
-	count("client or gateway gone", func(s audit.Totals) int { return s.Unanswered })
+	count("unanswered: client or gateway lost", func(s audit.Totals) int { return s.Unanswered })
 	count("not sent: no gateway", func(s audit.Totals) int { return s.NotReceived })
 	count("attempts", func(s audit.Totals) int { return s.Attempts })
 	count("retries", func(s audit.Totals) int { return s.Retries })
