--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -121,7 +121,7 @@
 		observationTolerance: time.Duration(header.Blur),
 		verdict:              &Verdict{},
 		byID:                 map[uint64]*request{},
-		downs:                map[gateway]*pb.Seen{},
+		gatewaysDown:         map[gateway]*pb.Seen{},
 		listings:             map[gateway]map[string][]listing{},
 	}
 	sort.SliceStable(a.seen, func(i, j int) bool { return a.seen[i].At < a.seen[j].At })
--- a/internal/audit/finalanswer.go
+++ b/internal/audit/finalanswer.go
@@ -35,7 +35,7 @@
 		a.violation(ruleFinalAnswer, at(r.ends[1]), r.trace, "request %d got %d final answers", r.sent.Command, answers)
 		return
 	}
-	down := a.downs[r.gateway]
+	down := a.gatewaysDown[r.gateway]
 	if len(r.ends) == 0 {
 		if down == nil || at(down) > due+a.observationTolerance {
 			a.violation(ruleFinalAnswer, due, r.trace, "request %d got no final answer", r.sent.Command)
@@ -83,7 +83,7 @@
 	}
 	answer := r.ends[0]
 	for _, t := range r.attempts {
-		if t.answered == nil || t.torn || t.answered.How != statusServed {
+		if t.answered == nil || t.resetAfterAnswer || t.answered.How != statusServed {
 			continue
 		}
 		if at(answer) > at(t.answered)+holdBackTolerances*a.observationTolerance {
--- a/internal/audit/index.go
+++ b/internal/audit/index.go
@@ -32,10 +32,10 @@
 
 // attempt is one attempt that reached an endpoint.
 type attempt struct {
-	reached  *pb.Seen
-	answered *pb.Seen // nil: never
-	ended    *pb.Seen // canceled, or cut with its connection or endpoint
-	torn     bool     // its connection was reset right after its answer was written: it may not have arrived
+	reached          *pb.Seen
+	answered         *pb.Seen // nil: never
+	ended            *pb.Seen // canceled, or cut with its connection or endpoint
+	resetAfterAnswer bool     // its connection was reset right after its answer was written: it may not have arrived
 }
 
 // mayHaveRun tells whether, by a moment, an attempt is not known not to have run.
@@ -67,7 +67,7 @@
 	verdict              *Verdict
 	byID                 map[uint64]*request
 	requests             []*request // in the order in which they were sent
-	downs                map[gateway]*pb.Seen
+	gatewaysDown         map[gateway]*pb.Seen
 	listings             map[gateway]map[string][]listing
 	pressure             float64 // the most that a warming endpoint was sent, as a part of what overloads it
 }
@@ -81,8 +81,8 @@
 	answered map[connection][]*attempt // last
 }
 
-// answersKept is how many answered attempts of a connection are kept for a reset that tears them.
-const answersKept = 64
+// maxAnsweredPerConnection is how many answered attempts of a connection are kept for a reset that tears them.
+const maxAnsweredPerConnection = 64
 
 // index goes through the record once and links what belongs together.
 func (a *auditor) index() {
@@ -122,7 +122,7 @@
 	case pb.Seen_BRICK_DOWN, pb.Seen_BRICK_FELL:
 		x.endpointDown(s)
 	case pb.Seen_HOST_DOWN:
-		x.downs[gatewayOf(s)] = s
+		x.gatewaysDown[gatewayOf(s)] = s
 	case pb.Seen_LISTED:
 		x.addListing(s)
 	}
@@ -158,7 +158,7 @@
 	}
 	t.answered = s
 	x.answered[on] = append(x.answered[on], t)
-	if len(x.answered[on]) > answersKept {
+	if len(x.answered[on]) > maxAnsweredPerConnection {
 		x.answered[on] = x.answered[on][1:]
 	}
 }
@@ -170,7 +170,7 @@
 		t.ended = s
 	}
 	for _, t := range x.answered[on] {
-		t.torn = at(s)-at(t.answered) <= x.observationTolerance
+		t.resetAfterAnswer = at(s)-at(t.answered) <= x.observationTolerance
 	}
 	delete(x.inFlight, on)
 	delete(x.answered, on)
--- a/internal/audit/ordering.go
+++ b/internal/audit/ordering.go
@@ -18,8 +18,8 @@
 	object  string
 }
 
-// ordersKept is how many of the last requests with a key a request is held against.
-const ordersKept = 16
+// maxPredecessors is how many of the last requests with a key a request is held against.
+const maxPredecessors = 16
 
 func (a *auditor) judgeOrdering() {
 	earlier := map[orderKey][]*request{}
@@ -34,8 +34,8 @@
 			}
 		}
 		earlier[key] = append(earlier[key], r)
-		if n := len(earlier[key]); n > ordersKept {
-			earlier[key] = earlier[key][n-ordersKept:]
+		if n := len(earlier[key]); n > maxPredecessors {
+			earlier[key] = earlier[key][n-maxPredecessors:]
 		}
 	}
 }
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -52,8 +52,8 @@
 	return total
 }
 
-// serviceKind is the key by which service is grouped.
-type serviceKind struct{ plan, class uint32 }
+// serviceKey is the key by which service is grouped.
+type serviceKey struct{ plan, class uint32 }
 
 // minPlanWeight keeps plans without a weight from counting nothing.
 const minPlanWeight = 1e-9
@@ -73,7 +73,7 @@
 			served[r.sent.First] = max(served[r.sent.First], value)
 		}
 	}
-	byKind := map[serviceKind]*Service{}
+	byKind := map[serviceKey]*Service{}
 	for id, first := range firsts {
 		a.addService(byKind, first, served[id])
 	}
@@ -85,8 +85,8 @@
 	})
 }
 
-func (a *auditor) addService(byKind map[serviceKind]*Service, first *request, served float64) {
-	kind := serviceKind{first.sent.Plan, first.sent.QueueType}
+func (a *auditor) addService(byKind map[serviceKey]*Service, first *request, served float64) {
+	kind := serviceKey{first.sent.Plan, first.sent.QueueType}
 	s := byKind[kind]
 	if s == nil {
 		s = &Service{Plan: a.header.Plan[kind.plan].Name, Class: first.class.Name}
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -15,8 +15,8 @@
 	"weirhaven/internal/settings"
 )
 
-// wait sleeps until a moment; false: the drill is over.
-func wait(ctx context.Context, until time.Time) bool {
+// waitUntil sleeps until a moment; false: the drill is over.
+func waitUntil(ctx context.Context, until time.Time) bool {
 	select {
 	case <-time.After(time.Until(until)):
 		return ctx.Err() == nil
@@ -25,8 +25,8 @@
 	}
 }
 
-// struck draws who is struck.
-func struck(t *pb.Trouble, n int, rng *rand.Rand) []int {
+// affected draws who is affected.
+func affected(t *pb.Trouble, n int, rng *rand.Rand) []int {
 	if len(t.On) > 0 {
 		var on []int
 		for _, i := range t.On {
@@ -42,76 +42,76 @@
 	return rng.Perm(n)[:min(n, max(1, int(math.Round(t.Part*float64(n)))))]
 }
 
-// play plays one trouble from its begin to its end.
-func (r *runner) play(ctx context.Context, t *pb.Trouble, start time.Time, rng *rand.Rand) {
+// playFault plays one trouble from its begin to its end.
+func (r *runner) playFault(ctx context.Context, t *pb.Trouble, start time.Time, rng *rand.Rand) {
 	begin := start.Add(settings.Duration(t.At, 0))
 	length := settings.Duration(t.Length, 0)
 	end := begin.Add(length)
-	if !wait(ctx, begin) {
+	if !waitUntil(ctx, begin) {
 		return
 	}
 	back := settings.Duration(t.Back, time.Second)
 	switch t.Kind {
 	case pb.Trouble_HOST_CRASH:
-		r.each(struck(t, len(r.hosts), rng), func(i int) {
-			r.killHost(r.hosts[i])
-			if wait(ctx, time.Now().Add(back)) {
-				_ = r.startHost(ctx, r.hosts[i]) // one that does not start stays down for the rest of the day
+		r.forEach(affected(t, len(r.gateways), rng), func(i int) {
+			r.killGateway(r.gateways[i])
+			if waitUntil(ctx, time.Now().Add(back)) {
+				_ = r.startGateway(ctx, r.gateways[i]) // one that does not start stays down for the rest of the day
 			}
 		})
 	case pb.Trouble_HOST_ROLL:
-		r.roll(ctx, t, end, back, rng)
+		r.rollGateways(ctx, t, end, back, rng)
 	case pb.Trouble_PREEMPT, pb.Trouble_BRICK_CRASH, pb.Trouble_AGEING:
-		r.each(struck(t, len(r.slots), rng), func(cell int) {
+		r.forEach(affected(t, len(r.placements), rng), func(cell int) {
 			switch t.Kind {
 			case pb.Trouble_PREEMPT:
-				r.replace(ctx, cell, length, back)
+				r.replaceEndpoint(ctx, cell, length, back)
 			case pb.Trouble_BRICK_CRASH:
-				r.crash(ctx, cell, back)
+				r.crashEndpoint(ctx, cell, back)
 			default:
-				r.age(ctx, t, cell, begin, length, back)
+				r.degradeEndpoint(ctx, t, cell, begin, length, back)
 			}
 		})
 	case pb.Trouble_BURST:
 		r.load.SetRate(-1, max(t.Size, 1))
-		wait(ctx, end)
+		waitUntil(ctx, end)
 		r.load.SetRate(-1, 1)
 	case pb.Trouble_PLAN_BURST:
-		plan := slices.IndexFunc(r.d.Plan, func(p *pb.Plan) bool { return p.Name == t.Plan })
+		plan := slices.IndexFunc(r.scenario.Plan, func(p *pb.Plan) bool { return p.Name == t.Plan })
 		r.load.SetRate(max(plan, 0), max(t.Size, 1))
-		wait(ctx, end)
+		waitUntil(ctx, end)
 		r.load.SetRate(max(plan, 0), 1)
 	case pb.Trouble_HOT_KEY:
 		r.load.SetHotShare(t.Size)
-		wait(ctx, end)
+		waitUntil(ctx, end)
 		r.load.SetHotShare(0)
 	case pb.Trouble_REPEAT_ABUSE:
 		r.load.SetImmediateRetries(int(max(t.Size, 1)))
-		wait(ctx, end)
+		waitUntil(ctx, end)
 		r.load.SetImmediateRetries(0)
 	case pb.Trouble_RECONNECT:
 		r.load.Reconnect(t.Size)
 	case pb.Trouble_LIST_FLAPS:
 		for how := discovery.Half; time.Now().Before(end); how = (how + 1) % (discovery.Cut + 1) {
-			r.list.Flap(how)
-			if !wait(ctx, time.Now().Add(150*time.Millisecond)) {
+			r.discovery.Flap(how)
+			if !waitUntil(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
-			r.list.Retell()
-			if !wait(ctx, time.Now().Add(150*time.Millisecond)) {
+			r.discovery.Retell()
+			if !waitUntil(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
 		}
 	case pb.Trouble_PLANNER_KILL, pb.Trouble_PLANNER_STALL, pb.Trouble_PLANNER_OLD:
-		r.troublePlanner(ctx, t, begin, end, back, rng)
+		r.playControllerFault(ctx, t, begin, end, back, rng)
 	case pb.Trouble_CLIENTS_STALL:
 		r.load.Stall(t.Size, length)
 	default:
-		r.conditions(ctx, t, end, rng)
+		r.applyConditions(ctx, t, end, rng)
 	}
 }
 
-func (r *runner) each(on []int, f func(i int)) {
+func (r *runner) forEach(on []int, f func(i int)) {
 	var wg sync.WaitGroup
 	for _, i := range on {
 		wg.Add(1)
@@ -123,8 +123,8 @@
 	wg.Wait()
 }
 
-// conditions are troubles that a brick has for a while.
-func (r *runner) conditions(ctx context.Context, t *pb.Trouble, end time.Time, rng *rand.Rand) {
+// applyConditions are troubles that a brick has for a while.
+func (r *runner) applyConditions(ctx context.Context, t *pb.Trouble, end time.Time, rng *rand.Rand) {
 	var set, reset func(c *storagenode.Conditions)
 	extra := time.Duration(t.Extra * float64(time.Second))
 	switch t.Kind {
@@ -146,89 +146,89 @@
 	default:
 		return
 	}
-	on := struck(t, len(r.slots), rng)
+	on := affected(t, len(r.placements), rng)
 	if len(on) == 0 {
-		on = rng.Perm(len(r.slots))
+		on = rng.Perm(len(r.placements))
 	}
 	for _, cell := range on {
-		r.at(cell).Set(set)
+		r.endpointAt(cell).Set(set)
 	}
-	wait(ctx, end)
+	waitUntil(ctx, end)
 	for _, cell := range on {
-		r.at(cell).Set(reset)
+		r.endpointAt(cell).Set(reset)
 	}
 }
 
-func (r *runner) at(cell int) *storagenode.Node {
+func (r *runner) endpointAt(cell int) *storagenode.Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.bricks[cell]
+	return r.endpoints[cell]
 }
 
-// roll restarts all hosts, a part at a time, politely.
-func (r *runner) roll(ctx context.Context, t *pb.Trouble, end time.Time, back time.Duration, rng *rand.Rand) {
-	order := rng.Perm(len(r.hosts))
+// rollGateways restarts all hosts, a part at a time, politely.
+func (r *runner) rollGateways(ctx context.Context, t *pb.Trouble, end time.Time, back time.Duration, rng *rand.Rand) {
+	order := rng.Perm(len(r.gateways))
 	step := max(1, int(math.Round(t.Part*float64(len(order)))))
 	waves := (len(order) + step - 1) / step
 	gap := time.Until(end) / time.Duration(waves)
 	for w := 0; w < len(order); w += step {
 		next := time.Now().Add(gap)
-		r.each(order[w:min(w+step, len(order))], func(i int) {
-			r.stopHost(r.hosts[i])
-			if wait(ctx, time.Now().Add(back)) {
-				_ = r.startHost(ctx, r.hosts[i]) // one that does not start stays down for the rest of the day
+		r.forEach(order[w:min(w+step, len(order))], func(i int) {
+			r.stopGateway(r.gateways[i])
+			if waitUntil(ctx, time.Now().Add(back)) {
+				_ = r.startGateway(ctx, r.gateways[i]) // one that does not start stays down for the rest of the day
 			}
 		})
-		if !wait(ctx, next) {
+		if !waitUntil(ctx, next) {
 			return
 		}
 	}
 }
 
-// replace drains a brick, takes it away, and puts a cold one with another name and address in its cell.
-func (r *runner) replace(ctx context.Context, cell int, drain, back time.Duration) {
-	b := r.at(cell)
-	r.unlist(b, cell, "draining")
+// replaceEndpoint drains a brick, takes it away, and puts a cold one with another name and address in its cell.
+func (r *runner) replaceEndpoint(ctx context.Context, cell int, drain, back time.Duration) {
+	b := r.endpointAt(cell)
+	r.listAs(b, cell, "draining")
 	b.AnnounceDraining()
-	if !wait(ctx, time.Now().Add(drain)) {
+	if !waitUntil(ctx, time.Now().Add(drain)) {
 		return
 	}
-	r.unlist(b, cell, "gone")
+	r.listAs(b, cell, "gone")
 	b.Stop()
-	if wait(ctx, time.Now().Add(back)) {
-		_, _ = r.startBrick(cell, "", true, "127.0.0.1:0") // without one the shard stays empty for the rest of the day
+	if waitUntil(ctx, time.Now().Add(back)) {
+		_, _ = r.startEndpoint(cell, "", true, "127.0.0.1:0") // without one the shard stays empty for the rest of the day
 	}
 }
 
-// crash lets a brick die with all it holds and come back cold, of the same name, at the same address.
-func (r *runner) crash(ctx context.Context, cell int, back time.Duration) {
-	b := r.at(cell)
+// crashEndpoint lets a brick die with all it holds and come back cold, of the same name, at the same address.
+func (r *runner) crashEndpoint(ctx context.Context, cell int, back time.Duration) {
+	b := r.endpointAt(cell)
 	b.Stop()
-	if !wait(ctx, time.Now().Add(back)) {
+	if !waitUntil(ctx, time.Now().Add(back)) {
 		return
 	}
 	address := strings.Replace(b.Address(), r.ip, "127.0.0.1", 1)
 	for range 50 {
-		if _, err := r.startBrick(cell, b.Name(), true, address); err == nil {
+		if _, err := r.startEndpoint(cell, b.Name(), true, address); err == nil {
 			return
 		}
-		if !wait(ctx, time.Now().Add(20*time.Millisecond)) {
+		if !waitUntil(ctx, time.Now().Add(20*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// age slows a brick down more and more, until it dies.
-func (r *runner) age(ctx context.Context, t *pb.Trouble, cell int, begin time.Time, length, back time.Duration) {
-	b := r.at(cell)
+// degradeEndpoint slows a brick down more and more, until it dies.
+func (r *runner) degradeEndpoint(ctx context.Context, t *pb.Trouble, cell int, begin time.Time, length, back time.Duration) {
+	b := r.endpointAt(cell)
 	for time.Since(begin) < length {
 		part := time.Since(begin).Seconds() / length.Seconds()
 		b.Set(func(c *storagenode.Conditions) { c.Slowdown = 1 + (t.Size-1)*part })
-		if !wait(ctx, time.Now().Add(length/20)) {
+		if !waitUntil(ctx, time.Now().Add(length/20)) {
 			return
 		}
 	}
-	if r.at(cell) == b {
-		r.crash(ctx, cell, back)
+	if r.endpointAt(cell) == b {
+		r.crashEndpoint(ctx, cell, back)
 	}
 }
--- a/internal/scenario/importday.go
+++ b/internal/scenario/importday.go
@@ -115,7 +115,7 @@
 	}
 }
 
-var kindsOfTrouble = map[string]pb.Trouble_Kind{"ageing": pb.Trouble_AGEING, "answer_lost": pb.Trouble_ANSWER_LOST,
+var faultKinds = map[string]pb.Trouble_Kind{"ageing": pb.Trouble_AGEING, "answer_lost": pb.Trouble_ANSWER_LOST,
 	"balancer_crash": pb.Trouble_HOST_CRASH, "balancer_roll": pb.Trouble_HOST_ROLL, "burst": pb.Trouble_BURST,
 	"tenant_burst": pb.Trouble_PLAN_BURST, "fast_errors": pb.Trouble_FAST_ERRORS, "heavy_tail": pb.Trouble_HEAVY_TAIL,
 	"hot_key": pb.Trouble_HOT_KEY, "neighbour": pb.Trouble_NEIGHBOUR, "pauses": pb.Trouble_PAUSES, "preempt": pb.Trouble_PREEMPT,
@@ -137,52 +137,54 @@
 		return nil, nil, fmt.Errorf("import %s: a day with volumes, plans, servers, classes and balancers is wanted", file)
 	}
 	im := &importer{day: &d, scale: s}
-	return im.drill(), im.notes, im.err
+	return im.scenario(), im.notes, im.err
 }
 
 type importer struct {
 	*day
-	scale  Scale
-	faster float64 // part of the day's time that the drill takes
-	notes  []string
-	err    error
+	scale     Scale
+	timeScale float64 // part of the day's time that the drill takes
+	notes     []string
+	err       error
 }
 
 func (im *importer) note(format string, args ...any) {
 	im.notes = append(im.notes, fmt.Sprintf(format, args...))
 }
 
-func us(x float64) string { return (time.Duration(math.Round(x)) * time.Microsecond).String() }
+func microseconds(x float64) string {
+	return (time.Duration(math.Round(x)) * time.Microsecond).String()
+}
 
-// span is a stretch of the day in the drill's time.
-func (im *importer) span(x float64) string { return us(x * im.faster) }
+// scaled is a stretch of the day in the drill's time.
+func (im *importer) scaled(x float64) string { return microseconds(x * im.timeScale) }
 
-func (im *importer) drill() *pb.Drill {
-	im.faster = min(1, float64(im.scale.Length.Microseconds())/im.Length)
-	if im.faster < 1 {
+func (im *importer) scenario() *pb.Drill {
+	im.timeScale = min(1, float64(im.scale.Length.Microseconds())/im.Length)
+	if im.timeScale < 1 {
 		im.note("the day's %s take %s: troubles begin and end, bricks warm up and leads move in proportion; targets and time-outs stay",
-			us(im.Length), im.scale.Length)
+			microseconds(im.Length), im.scale.Length)
 	}
 	hosts := min(len(im.Balancers), im.scale.Gateways)
 	if hosts < len(im.Balancers) {
 		im.note("%d of %d hosts", hosts, len(im.Balancers))
 	}
-	d := &pb.Drill{Name: strings.Trim(im.Site+"-"+im.Kind, "-"), Length: im.span(im.Length), Hosts: uint32(hosts)}
-	d.Bricks, d.Kind = im.bricks()
+	d := &pb.Drill{Name: strings.Trim(im.Site+"-"+im.Kind, "-"), Length: im.scaled(im.Length), Hosts: uint32(hosts)}
+	d.Bricks, d.Kind = im.endpoints()
 	im.fleet(d)
-	im.queueTypes(d)
+	im.requestClasses(d)
 	im.plansAndVolumes(d)
-	d.List = &pb.ListHabits{Notice: us(im.Discovery.Notice * im.faster)}
+	d.List = &pb.ListHabits{Notice: microseconds(im.Discovery.Notice * im.timeScale)}
 	d.Load.NewObjects, d.Load.Objects = 0.3, 50
-	d.Load.Repeats, d.Load.RepeatAfter = uint32(max(im.Clients.Retries, 0)), us(im.Clients.BackoffUS)
+	d.Load.Repeats, d.Load.RepeatAfter = uint32(max(im.Clients.Retries, 0)), microseconds(im.Clients.BackoffUS)
 	d.Load.LeadMoves, d.Load.Impatient, d.Load.Body = "5s", im.Clients.Impatient, 64
-	im.troubles(d)
+	im.faults(d)
 	im.note("noise of load reports, network delays between rooms, thrashing, slots beside cores and the price list")
 	im.note("surges of single volumes: only the day's scripted bursts are played")
 	return d
 }
 
-func (im *importer) bricks() (groups []*pb.BrickGroup, kinds []*pb.BrickKind) {
+func (im *importer) endpoints() (groups []*pb.BrickGroup, kinds []*pb.BrickKind) {
 	t := im.Tiers[0]
 	cv := 0.0
 	for _, c := range im.Classes {
@@ -194,10 +196,10 @@
 		if k.Cores > 1 {
 			im.note("kind %s: its %v cores as one core of %v times the speed", k.Name, k.Cores, k.Cores)
 		}
-		kinds = append(kinds, &pb.BrickKind{Name: k.Name, UnitWork: us(im.Fam.UnitWork), Vary: cv, Queue: uint32(max(k.Queue, 1)),
+		kinds = append(kinds, &pb.BrickKind{Name: k.Name, UnitWork: microseconds(im.Fam.UnitWork), Vary: cv, Queue: uint32(max(k.Queue, 1)),
 			Remembers: uint32(im.Fam.Remembers), RememberedSaves: min(im.Fam.Seek, 1), Deferred: min(im.Fam.Defer, 1),
-			FlushEvery: us(max(im.Fam.Flush, 10000)), ColdFrom: max(k.ColdFrom, 0.01), ColdFor: us(k.Cold * im.faster),
-			Cancel: cancels[k.Cancel], DropsExpired: k.DropsExpired, ProbeWork: us(t.ProbeWork), ProbeWaits: t.ProbeDeep,
+			FlushEvery: microseconds(max(im.Fam.Flush, 10000)), ColdFrom: max(k.ColdFrom, 0.01), ColdFor: microseconds(k.Cold * im.timeScale),
+			Cancel: cancels[k.Cancel], DropsExpired: k.DropsExpired, ProbeWork: microseconds(t.ProbeWork), ProbeWaits: t.ProbeDeep,
 			Errors: min(k.ErrorRate, 1)})
 		if k.PauseEvery > 0 {
 			im.note("kind %s: its usual short pauses", k.Name)
@@ -229,20 +231,20 @@
 	}
 	f := &pb.Fleet{ListAsked: im.Discovery.Ask, SecondCopies: im.Allow.SecondCopies, Cancel: im.Allow.Cancel, Probe: im.Allow.Probes,
 		Peers: im.Allow.Peers, ClientsMarkRepeats: im.Clients.MarksRetry, MaxDispatches: uint32(max(im.Allow.MaxAttempts, 1)),
-		AnswerSlack: "30ms", Resolution: "10ms", DrainGrace: us(im.DrainGrace), ColdFrom: max(from, 0.01), ColdFor: us(cold * im.faster),
-		FallMultiple: max(im.FallMultiple, 1), FallAfter: us(max(im.FallFor*im.faster, 500000)), TellsElsewhere: im.Fam.Tells != "",
+		AnswerSlack: "30ms", Resolution: "10ms", DrainGrace: microseconds(im.DrainGrace), ColdFrom: max(from, 0.01), ColdFor: microseconds(cold * im.timeScale),
+		FallMultiple: max(im.FallMultiple, 1), FallAfter: microseconds(max(im.FallFor*im.timeScale, 500000)), TellsElsewhere: im.Fam.Tells != "",
 		UsualUnits: im.Fam.MeanUnits, MostUnits: im.Fam.MostUnits}
 	if f.ListAsked {
 		f.AskWithin = "5s"
 	}
 	if im.Allow.RetryAfter {
-		f.MaxPause = us(im.Clients.MaxRetryAfter)
+		f.MaxPause = microseconds(im.Clients.MaxRetryAfter)
 	}
 	if im.Fam.Meter > 0 {
-		f.Meter = us(im.Fam.Meter)
+		f.Meter = microseconds(im.Fam.Meter)
 	}
 	if b := im.Budget; b != nil {
-		f.Budget = &pb.Budget{Free: b.Free, Share: b.Share, Span: us(b.Window)}
+		f.Budget = &pb.Budget{Free: b.Free, Share: b.Share, Span: microseconds(b.Window)}
 	}
 	// What a cold brick always bears within fall_after: eight tenths of what pushes the slowest one over.
 	after, _ := time.ParseDuration(f.FallAfter)
@@ -250,12 +252,12 @@
 	d.Fleet = f
 }
 
-func (im *importer) queueTypes(d *pb.Drill) {
+func (im *importer) requestClasses(d *pb.Drill) {
 	semantics := map[string]pb.Semantics{"keyed": pb.Semantics_TAGGED, "unsafe": pb.Semantics_NON_RETRYABLE}
 	groups := map[string]pb.Group{"zone": pb.Group_ZONE, "cell": pb.Group_CELL}
 	d.Load = &pb.Load{}
 	for _, c := range im.Classes {
-		q := &pb.QueueType{Name: c.Name, ServiceTarget: us(c.Aim), CommandTimeout: us(c.Deadline), Importance: c.Worth,
+		q := &pb.QueueType{Name: c.Name, ServiceTarget: microseconds(c.Aim), CommandTimeout: microseconds(c.Deadline), Importance: c.Worth,
 			LateShare: c.LateWorth, Semantics: semantics[c.Effect], Group: groups[c.Group], Streaming: c.Stream, InOrder: c.InOrder,
 			Writes: c.Write}
 		if q.Streaming {
@@ -263,7 +265,7 @@
 			im.note("queue type %s streams; it is answered whole", c.Name)
 		}
 		if q.Semantics == pb.Semantics_TAGGED {
-			q.TagWindow = us(c.Window)
+			q.TagWindow = microseconds(c.Window)
 		}
 		d.QueueType = append(d.QueueType, q)
 		d.Load.Mix = append(d.Load.Mix, c.Share)
@@ -306,25 +308,25 @@
 	}
 }
 
-func (im *importer) troubles(d *pb.Drill) {
+func (im *importer) faults(d *pb.Drill) {
 	for _, t := range im.Troubles {
-		kind, ok := kindsOfTrouble[t.Kind]
+		kind, ok := faultKinds[t.Kind]
 		if !ok {
 			im.note("trouble %s: not known here", t.Kind)
 			continue
 		}
-		x := &pb.Trouble{Kind: kind, At: im.span(t.At), Length: im.span(t.Len), Size: t.Size, Extra: t.Extra}
+		x := &pb.Trouble{Kind: kind, At: im.scaled(t.At), Length: im.scaled(t.Len), Size: t.Size, Extra: t.Extra}
 		of := len(im.Servers)
 		switch kind {
 		case pb.Trouble_HOST_CRASH:
 			of = len(im.Balancers)
-			x.Back = im.span(max(t.Len, 0))
+			x.Back = im.scaled(max(t.Len, 0))
 		case pb.Trouble_HOST_ROLL:
-			x.Part, x.Back = min(max(t.Size, 0.01), 1), im.span(t.Extra*1e6)
+			x.Part, x.Back = min(max(t.Size, 0.01), 1), im.scaled(t.Extra*1e6)
 		case pb.Trouble_PREEMPT:
-			x.Part, x.Back, x.Length = min(t.Size, 1), im.span(t.Extra*1e6), im.span(im.DrainGrace*2)
+			x.Part, x.Back, x.Length = min(t.Size, 1), im.scaled(t.Extra*1e6), im.scaled(im.DrainGrace*2)
 		case pb.Trouble_AGEING:
-			x.Back = im.span(t.Extra * 1e6)
+			x.Back = im.scaled(t.Extra * 1e6)
 		case pb.Trouble_PLAN_BURST:
 			x.Plan = im.Tenants[min(max(t.Which, 0), len(im.Tenants)-1)].Name
 		case pb.Trouble_ANSWER_LOST:
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -54,67 +54,67 @@
 	return b
 }
 
-// named is what may stand under a name: nothing (nil), or one of some contents: after a write that may have happened there are two.
-type named struct {
+// object is what may stand under a name: nothing (nil), or one of some contents: after a write that may have happened there are two.
+type object struct {
 	volume, name string
-	may          []*content
+	candidates   []*content
 }
 
-// objectWorks are a drill's object clients.
-type objectWorks struct {
-	r      *runner
-	mu     sync.Mutex
-	sum    ObjectCounts
-	names  [][]*named
-	client []*client.Client
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
+// objectClients are a drill's object clients.
+type objectClients struct {
+	r       *runner
+	mu      sync.Mutex
+	totals  ObjectCounts
+	objects [][]*object
+	clients  []*client.Client
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
 }
 
-// objectPorts gives each host an address for objects that it keeps.
-func (r *runner) objectPorts() error {
-	for _, p := range r.hosts {
+// reserveObjectPorts gives each host an address for objects that it keeps.
+func (r *runner) reserveObjectPorts() error {
+	for _, p := range r.gateways {
 		l, err := net.Listen("tcp", r.ip+":0")
 		if err != nil {
 			return err
 		}
 		defer func() { _ = l.Close() }()
-		p.objects = l.Addr().String()
+		p.objectAddress = l.Addr().String()
 	}
 	return nil
 }
 
-func (r *runner) startObjects(ctx context.Context) *objectWorks {
-	o := &objectWorks{r: r}
+func (r *runner) startObjectClients(ctx context.Context) *objectClients {
+	o := &objectClients{r: r}
 	ctx, o.stop = context.WithCancel(ctx)
 	volumes := 0
-	for _, g := range r.d.Volumes {
+	for _, g := range r.scenario.Volumes {
 		volumes += int(g.Count)
 	}
-	for i := range int(r.d.Objects.Workers) {
-		c, err := client.New(client.Config{Endpoint: "http://" + r.hosts[i%len(r.hosts)].objects, Repeats: 4, Wait: time.Second,
+	for i := range int(r.scenario.Objects.Workers) {
+		c, err := client.New(client.Config{Endpoint: "http://" + r.gateways[i%len(r.gateways)].objectAddress, Repeats: 4, Wait: time.Second,
 			HTTP: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}})
 		if err != nil {
 			continue
 		}
-		var own []*named
-		for n := range int(r.d.Objects.Names) {
+		var own []*object
+		for n := range int(r.scenario.Objects.Names) {
 			at := (i*7 + n) % volumes
-			own = append(own, &named{volume: volumeName(r.planOf(at), at), name: fmt.Sprintf("worker %d/%d", i, n), may: []*content{nil}})
+			own = append(own, &object{volume: volumeName(r.planOfVolume(at), at), name: fmt.Sprintf("worker %d/%d", i, n), candidates: []*content{nil}})
 		}
-		o.client, o.names = append(o.client, c), append(o.names, own)
+		o.clients, o.objects = append(o.clients, c), append(o.objects, own)
 		seed := r.rng.Int63()
 		o.wg.Add(1)
 		go func() {
 			defer o.wg.Done()
-			o.work(ctx, c, own, rand.New(rand.NewSource(seed)))
+			o.run(ctx, c, own, rand.New(rand.NewSource(seed)))
 		}()
 	}
 	return o
 }
 
-func (r *runner) planOf(no int) string {
-	for _, g := range r.d.Volumes {
+func (r *runner) planOfVolume(no int) string {
+	for _, g := range r.scenario.Volumes {
 		if no < int(g.Count) {
 			return g.Plan
 		}
@@ -123,23 +123,23 @@
 	return ""
 }
 
-func (o *objectWorks) count(f func(s *ObjectCounts)) {
+func (o *objectClients) count(f func(s *ObjectCounts)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	f(&o.sum)
+	f(&o.totals)
 }
 
-func (o *objectWorks) counts() ObjectCounts {
+func (o *objectClients) counts() ObjectCounts {
 	if o == nil {
 		return ObjectCounts{}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.sum
+	return o.totals
 }
 
-func (o *objectWorks) work(ctx context.Context, c *client.Client, own []*named, rng *rand.Rand) {
-	l := o.r.d.Objects
+func (o *objectClients) run(ctx context.Context, c *client.Client, own []*object, rng *rand.Rand) {
+	l := o.r.scenario.Objects
 	pause := settings.Duration(l.Pause, 10*time.Millisecond)
 	for ctx.Err() == nil {
 		n := own[rng.Intn(len(own))]
@@ -149,29 +149,29 @@
 		case x < 0.45:
 			o.count(func(s *ObjectCounts) { s.Deletes++ })
 			err := c.Delete(ctx, n.volume, n.name)
-			o.after(n, nil, err)
+			o.writeEnded(n, nil, err)
 		case x < 0.7:
 			o.get(ctx, c, n, 0, 0)
 		default:
 			from := rng.Int63n(int64(l.Largest))
 			o.get(ctx, c, n, from, 1+rng.Int63n(64<<10))
 		}
-		wait(ctx, time.Now().Add(pause))
+		waitUntil(ctx, time.Now().Add(pause))
 	}
 }
 
-// after notes what may stand under a name once a write ended.
-func (o *objectWorks) after(n *named, now *content, err error) {
+// writeEnded notes what may stand under a name once a write ended.
+func (o *objectClients) writeEnded(n *object, now *content, err error) {
 	if err == nil {
-		n.may = []*content{now}
+		n.candidates = []*content{now}
 		return
 	}
 	// Also where the last attempt cannot have run: one before it may have.
 	o.count(func(s *ObjectCounts) { s.Failed++ })
-	n.may = append(n.may, now)
+	n.candidates = append(n.candidates, now)
 }
 
-func (o *objectWorks) put(ctx context.Context, c *client.Client, n *named, x content, parts bool) {
+func (o *objectClients) put(ctx context.Context, c *client.Client, n *object, x content, parts bool) {
 	options := client.PutOptions{}
 	if parts {
 		x.size = 5<<20 + x.size%(1<<20)
@@ -181,11 +181,11 @@
 	o.count(func(s *ObjectCounts) { s.Puts++ })
 	b := x.bytes()
 	_, err := c.Put(ctx, n.volume, n.name, bytes.NewReader(b), int64(len(b)), options)
-	o.after(n, &x, err)
+	o.writeEnded(n, &x, err)
 }
 
 // get reads, and judges what came: it must be, whole, one of what may be there.
-func (o *objectWorks) get(ctx context.Context, c *client.Client, n *named, from, size int64) {
+func (o *objectClients) get(ctx context.Context, c *client.Client, n *object, from, size int64) {
 	if size > 0 {
 		o.count(func(s *ObjectCounts) { s.Ranges++ })
 	} else {
@@ -194,7 +194,7 @@
 	_, body, err := c.Get(ctx, n.volume, n.name, from, size)
 	var e *client.Error
 	if client.NotFound(err) {
-		o.judge(n, nil, false, from, size)
+		o.verify(n, nil, false, from, size)
 		return
 	}
 	if errors.As(err, &e) && e.Status == http.StatusRequestedRangeNotSatisfiable {
@@ -204,7 +204,7 @@
 		defer func() { _ = body.Close() }()
 		var b []byte
 		if b, err = io.ReadAll(body); err == nil {
-			o.judge(n, b, true, from, size)
+			o.verify(n, b, true, from, size)
 			return
 		}
 	}
@@ -213,8 +213,8 @@
 	}
 }
 
-func (o *objectWorks) judge(n *named, got []byte, there bool, from, size int64) {
-	for _, x := range n.may {
+func (o *objectClients) verify(n *object, got []byte, there bool, from, size int64) {
+	for _, x := range n.candidates {
 		switch {
 		case x == nil && !there:
 		case x == nil || !there:
@@ -240,28 +240,28 @@
 			s.Lost++
 		}
 		if s.FirstError == "" {
-			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes from %d of %d, there %v, %d may be)", n.volume, n.name, len(got), from, size, there, len(n.may))
+			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes from %d of %d, there %v, %d may be)", n.volume, n.name, len(got), from, size, there, len(n.candidates))
 		}
 	})
 }
 
 // finish ends the workers, then looks at every name.
-func (o *objectWorks) finish(ctx context.Context) {
+func (o *objectClients) finish(ctx context.Context) {
 	if o == nil {
 		return
 	}
 	o.stop()
 	o.wg.Wait()
 	var wg sync.WaitGroup
-	for i, own := range o.names {
+	for i, own := range o.objects {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for _, n := range own {
 				for range 20 { // bricks may be cold yet
 					before := o.counts().Failed
-					o.get(ctx, o.client[i], n, 0, 0)
-					if o.counts().Failed == before || !wait(ctx, time.Now().Add(100*time.Millisecond)) {
+					o.get(ctx, o.clients[i], n, 0, 0)
+					if o.counts().Failed == before || !waitUntil(ctx, time.Now().Add(100*time.Millisecond)) {
 						break
 					}
 				}
--- a/internal/scenario/planner.go
+++ b/internal/scenario/planner.go
@@ -24,18 +24,18 @@
 	"weirhaven/internal/settings"
 )
 
-// plannerProcess is the planner of a drill. A nil one is none.
-type plannerProcess struct {
-	r        *runner
-	address  string
-	file     string // settings
-	disk     string
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	exited   chan struct{}
-	stopped  bool // by SIGSTOP
-	over     bool
-	troubles ControllerFaults
+// controllerProcess is the planner of a drill. A nil one is none.
+type controllerProcess struct {
+	r            *runner
+	address      string
+	settingsPath string // settings
+	store        string
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	stalled      bool // by SIGSTOP
+	shutDown     bool
+	faults     ControllerFaults
 }
 
 // WithoutControllerFaults is a drill whose planner is left in peace.
@@ -45,9 +45,9 @@
 	return c
 }
 
-func (r *runner) startPlanner(ctx context.Context) error {
-	if len(r.o.Controller) == 0 {
-		return fmt.Errorf("drill %s needs a planner, and no program was given for one", r.d.Name)
+func (r *runner) startController(ctx context.Context) error {
+	if len(r.options.Controller) == 0 {
+		return fmt.Errorf("drill %s needs a planner, and no program was given for one", r.scenario.Name)
 	}
 	l, err := net.Listen("tcp", r.ip+":0") // its port stays its own: no other run uses the address
 	if err != nil {
@@ -55,13 +55,13 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	p := &plannerProcess{r: r, address: address, file: filepath.Join(r.dir, "planner.txtpb"), disk: filepath.Join(r.dir, "planner.db")}
-	conf := &pb.PlannerConf{Name: "planner", Listen: address, ListService: r.list.Address(), Store: p.disk, Plain: true, Fleet: r.d.Fleet, Plan: r.d.Plan, Edges: r.d.Hosts,
+	p := &controllerProcess{r: r, address: address, settingsPath: filepath.Join(r.directory, "planner.txtpb"), store: filepath.Join(r.directory, "planner.db")}
+	conf := &pb.PlannerConf{Name: "planner", Listen: address, ListService: r.discovery.Address(), Store: p.store, Plain: true, Fleet: r.scenario.Fleet, Plan: r.scenario.Plan, Edges: r.scenario.Hosts,
 		Lease: "500ms", Recover: "500ms"}
 	n := 0
-	for _, g := range r.d.Volumes {
+	for _, g := range r.scenario.Volumes {
 		for range g.Count {
-			conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.d.Hosts)})
+			conf.Volume = append(conf.Volume, &pb.PlannedVolume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.scenario.Hosts)})
 			n++
 		}
 	}
@@ -69,22 +69,22 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(p.file, text, 0o600); err != nil {
+	if err := os.WriteFile(p.settingsPath, text, 0o600); err != nil {
 		return err
 	}
-	r.plan = p
+	r.controller = p
 	return p.start(ctx)
 }
 
-func (p *plannerProcess) start(ctx context.Context) error {
+func (p *controllerProcess) start(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.shutDown {
 		return nil
 	}
-	cmd := exec.Command(p.r.o.Controller[0], append(slices.Clone(p.r.o.Controller[1:]), "--config", p.file)...)
-	cmd.Env = append(os.Environ(), p.r.o.Env...)
-	tail := &tail{to: p.r.o.Logs}
+	cmd := exec.Command(p.r.options.Controller[0], append(slices.Clone(p.r.options.Controller[1:]), "--config", p.settingsPath)...)
+	cmd.Env = append(os.Environ(), p.r.options.Env...)
+	tail := &logTail{to: p.r.options.Logs}
 	cmd.Stderr = tail
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -96,7 +96,7 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start the planner: %w", err)
 	}
-	p.cmd, p.exited, p.stopped = cmd, make(chan struct{}), false
+	p.cmd, p.exited, p.stalled = cmd, make(chan struct{}), false
 	exited := p.exited
 	ready := make(chan bool, 1)
 	go func() {
@@ -121,8 +121,8 @@
 	}
 }
 
-// settled waits until all edges hold the planner's view.
-func (p *plannerProcess) settled(ctx context.Context, edges int) error {
+// waitInStep waits until all edges hold the planner's view.
+func (p *controllerProcess) waitInStep(ctx context.Context, edges int) error {
 	if p == nil {
 		return nil
 	}
@@ -144,7 +144,7 @@
 				held++
 			}
 		}
-		if err == nil && held == edges && bricks >= len(p.r.slots) {
+		if err == nil && held == edges && bricks >= len(p.r.placements) {
 			return nil
 		}
 		if time.Now().After(end) {
@@ -153,14 +153,14 @@
 			}
 			return fmt.Errorf("the controller did not bring %d gateways into step within 20 s: %w", edges, err)
 		}
-		if !wait(ctx, time.Now().Add(20*time.Millisecond)) {
+		if !waitUntil(ctx, time.Now().Add(20*time.Millisecond)) {
 			return ctx.Err()
 		}
 	}
 }
 
-// end is SIGKILL.
-func (p *plannerProcess) end() {
+// sigkill is SIGKILL.
+func (p *controllerProcess) sigkill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -170,33 +170,33 @@
 	}
 }
 
-func (p *plannerProcess) kill() {
+func (p *controllerProcess) kill() {
 	if p != nil {
 		p.mu.Lock()
-		p.over = true
+		p.shutDown = true
 		p.mu.Unlock()
-		p.end()
+		p.sigkill()
 	}
 }
 
-func (p *plannerProcess) went() ControllerFaults {
+func (p *controllerProcess) faultCounts() ControllerFaults {
 	if p == nil {
 		return ControllerFaults{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.troubles
+	return p.faults
 }
 
-func (p *plannerProcess) count(f func(t *ControllerFaults)) {
+func (p *controllerProcess) count(f func(t *ControllerFaults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f(&p.troubles)
+	f(&p.faults)
 }
 
-// troublePlanner plays what a planner goes through.
-func (r *runner) troublePlanner(ctx context.Context, t *pb.Trouble, begin, end time.Time, back time.Duration, rng *rand.Rand) {
-	p := r.plan
+// playControllerFault plays what a planner goes through.
+func (r *runner) playControllerFault(ctx context.Context, t *pb.Trouble, begin, end time.Time, back time.Duration, rng *rand.Rand) {
+	p := r.controller
 	if p == nil {
 		return
 	}
@@ -204,12 +204,12 @@
 	switch t.Kind {
 	case pb.Trouble_PLANNER_KILL:
 		for at := begin; at.Before(end); at = at.Add(max(every, 100*time.Millisecond)) {
-			if !wait(ctx, at.Add(time.Duration(rng.Int63n(int64(max(every/2, time.Millisecond)))))) {
+			if !waitUntil(ctx, at.Add(time.Duration(rng.Int63n(int64(max(every/2, time.Millisecond)))))) {
 				return
 			}
 			p.count(func(t *ControllerFaults) { t.Kills++ })
-			p.end()
-			if !wait(ctx, time.Now().Add(back)) || p.start(ctx) != nil {
+			p.sigkill()
+			if !waitUntil(ctx, time.Now().Add(back)) || p.start(ctx) != nil {
 				return
 			}
 		}
@@ -217,32 +217,32 @@
 		p.mu.Lock()
 		if p.cmd != nil {
 			_ = p.cmd.Process.Signal(syscall.SIGSTOP)
-			p.troubles.Stalls++
+			p.faults.Stalls++
 		}
 		cmd := p.cmd
 		p.mu.Unlock()
-		wait(ctx, end)
+		waitUntil(ctx, end)
 		if cmd != nil {
 			_ = cmd.Process.Signal(syscall.SIGCONT)
 		}
 	case pb.Trouble_PLANNER_OLD:
-		old := p.disk + ".old"
+		old := p.store + ".old"
 		if every > 0 { // the copy is made between two lives: a file in use can't be copied from outside
-			p.end()
-			if copyFile(p.disk, old) != nil || p.start(ctx) != nil {
+			p.sigkill()
+			if copyFile(p.store, old) != nil || p.start(ctx) != nil {
 				return
 			}
-			if !wait(ctx, time.Now().Add(every)) {
+			if !waitUntil(ctx, time.Now().Add(every)) {
 				return
 			}
 		}
 		p.count(func(t *ControllerFaults) { t.Kills++; t.Rollbacks++ })
-		p.end()
-		_ = os.Remove(p.disk)
+		p.sigkill()
+		_ = os.Remove(p.store)
 		if every > 0 {
-			_ = os.Rename(old, p.disk)
+			_ = os.Rename(old, p.store)
 		}
-		if wait(ctx, time.Now().Add(back)) {
+		if waitUntil(ctx, time.Now().Add(back)) {
 			_ = p.start(ctx) // without one the gateways keep their last view
 		}
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -36,12 +36,12 @@
 )
 
 //go:embed days/*.txtpb
-var own embed.FS
+var builtin embed.FS
 
 // Names are the drills that come with the program.
 func Names() []string {
 	var names []string
-	entries, _ := own.ReadDir("days")
+	entries, _ := builtin.ReadDir("days")
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".txtpb"))
 	}
@@ -54,7 +54,7 @@
 	if strings.ContainsAny(name, "/.") {
 		return d, settings.Load(name, d)
 	}
-	text, err := own.ReadFile("days/" + name + ".txtpb")
+	text, err := builtin.ReadFile("days/" + name + ".txtpb")
 	if err != nil {
 		return nil, fmt.Errorf("no drill %q; there are %s, or a file", name, strings.Join(Names(), ", "))
 	}
@@ -94,46 +94,46 @@
 // ControllerFaults counts what a planner went through.
 type ControllerFaults struct{ Kills, Rollbacks, Stalls int }
 
-type hostProcess struct {
-	no          int
-	incarnation atomic.Uint32
-	mu          sync.Mutex
-	cmd         *exec.Cmd
-	stdin       io.WriteCloser
-	exited      chan struct{}
-	err         error
-	address     string
-	peers       string
-	objects     string // address of its object API
-	killed      bool
+type gatewayProcess struct {
+	ordinal       int
+	incarnation   atomic.Uint32
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	stdin         io.WriteCloser
+	exited        chan struct{}
+	err           error
+	address       string
+	peerAddress   string
+	objectAddress string // address of its object API
+	stopped       bool
 }
 
 type runner struct {
-	d     *pb.Drill
-	o     Options
-	rng   *rand.Rand
-	rec   *record.Recorder
-	dir   string
-	ip    string
-	hosts []*hostProcess
-	list  *discovery.Service
-	plan  *plannerProcess // nil: none
-	load  *client.Load
-	meter *storagenode.Meter
-	tags  map[string]*storagenode.IdempotencyKeys
-	data  map[int]*storagenode.Data // by cell: what replaces a brick holds what it held
-	works *objectWorks              // nil: none
-
-	mu     sync.Mutex
-	bricks []*storagenode.Node // by cell; the one there now
-	slots  []slot
-	serial int
-	old    []*storagenode.Node
-	exits  []string
-	wg     sync.WaitGroup
+	scenario        *pb.Drill
+	options         Options
+	rng             *rand.Rand
+	recorder        *record.Recorder
+	directory       string
+	ip              string
+	gateways        []*gatewayProcess
+	discovery       *discovery.Service
+	controller      *controllerProcess // nil: none
+	load            *client.Load
+	meter           *storagenode.Meter
+	idempotencyKeys map[string]*storagenode.IdempotencyKeys
+	dataByShard     map[int]*storagenode.Data // by cell: what replaces a brick holds what it held
+	objects         *objectClients            // nil: none
+
+	mu               sync.Mutex
+	endpoints        []*storagenode.Node // by cell; the one there now
+	placements       []placement
+	endpointsStarted int
+	replaced         []*storagenode.Node
+	failedExits      []string
+	wg               sync.WaitGroup
 }
 
-type slot struct {
+type placement struct {
 	kind  *pb.BrickKind
 	zone  string
 	speed float64
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	r := &runner{d: d, o: o, rng: rand.New(rand.NewSource(o.Seed)), rec: record.New(), dir: dir, tags: map[string]*storagenode.IdempotencyKeys{}, data: map[int]*storagenode.Data{}}
+	r := &runner{scenario: d, options: o, rng: rand.New(rand.NewSource(o.Seed)), recorder: record.New(), directory: dir, idempotencyKeys: map[string]*storagenode.IdempotencyKeys{}, dataByShard: map[int]*storagenode.Data{}}
 	if o.Capture != "" { // one key for all hosts, gone with the run
 		if err := os.WriteFile(filepath.Join(dir, "key"), fmt.Appendf(nil, "capture key of drill seed %d", o.Seed), 0o600); err != nil {
 			return nil, err
@@ -161,45 +161,45 @@
 	}
 	h := &pb.Header{Seed: o.Seed, Drill: d.Name, Fleet: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Hosts: d.Hosts,
 		Blur: int64(o.ObservationTolerance), Arm: o.Arm}
-	seen := r.rec.All()
-	return &Result{Header: h, Observations: seen, Verdict: audit.Judge(h, seen), FailedExits: r.exits, Controller: r.plan.went(), Objects: r.works.counts()}, nil
+	seen := r.recorder.All()
+	return &Result{Header: h, Observations: seen, Verdict: audit.Judge(h, seen), FailedExits: r.failedExits, Controller: r.controller.faultCounts(), Objects: r.objects.counts()}, nil
 }
 
 func (r *runner) run(ctx context.Context) (err error) {
 	defer func() {
 		r.killAll()
-		r.plan.kill()
+		r.controller.kill()
 		r.wg.Wait()
 		r.mu.Lock()
-		all := append(slices.Clone(r.bricks), r.old...)
+		all := append(slices.Clone(r.endpoints), r.replaced...)
 		r.mu.Unlock()
 		for _, b := range all {
 			b.Stop()
 		}
-		if r.list != nil {
-			r.list.Stop()
+		if r.discovery != nil {
+			r.discovery.Stop()
 		}
 	}()
-	if err := r.startBricks(); err != nil {
+	if err := r.startEndpoints(); err != nil {
 		return err
 	}
-	if r.d.Planner {
-		if err := r.startPlanner(ctx); err != nil {
+	if r.scenario.Planner {
+		if err := r.startController(ctx); err != nil {
 			return err
 		}
 	}
-	if err := r.startHosts(ctx); err != nil {
+	if err := r.startGateways(ctx); err != nil {
 		return err
 	}
-	if err := r.plan.settled(ctx, len(r.hosts)); err != nil {
+	if err := r.controller.waitInStep(ctx, len(r.gateways)); err != nil {
 		return err
 	}
 	volumes := r.volumes()
-	h := r.d.Fleet
-	r.load = client.Start(client.Config{AddressOf: func(i int) string { return r.hosts[i].address }, Gateways: len(r.hosts),
-		QueueTypes: r.d.QueueType, Volumes: volumes, Load: r.d.Load, MeanUnits: h.UsualUnits, MaxUnits: h.MostUnits,
-		MaxRetryAfter: settings.Duration(h.MaxPause, 0), MarkRetries: h.ClientsMarkRepeats, Seed: r.rng.Int63(), Recorder: r.rec,
-		Incarnation: func(i int) uint32 { return r.hosts[i].incarnation.Load() }})
+	h := r.scenario.Fleet
+	r.load = client.Start(client.Config{AddressOf: func(i int) string { return r.gateways[i].address }, Gateways: len(r.gateways),
+		QueueTypes: r.scenario.QueueType, Volumes: volumes, Load: r.scenario.Load, MeanUnits: h.UsualUnits, MaxUnits: h.MostUnits,
+		MaxRetryAfter: settings.Duration(h.MaxPause, 0), MarkRetries: h.ClientsMarkRepeats, Seed: r.rng.Int63(), Recorder: r.recorder,
+		Incarnation: func(i int) uint32 { return r.gateways[i].incarnation.Load() }})
 	defer r.load.Stop()
 	select { // hosts greet their clients and read their first list
 	case <-time.After(300 * time.Millisecond):
@@ -209,83 +209,83 @@
 	script, stop := context.WithCancel(ctx)
 	defer stop()
 	start := time.Now()
-	for _, t := range r.d.Trouble {
+	for _, t := range r.scenario.Trouble {
 		seed := r.rng.Int63()
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.play(script, t, start, rand.New(rand.NewSource(seed)))
+			r.playFault(script, t, start, rand.New(rand.NewSource(seed)))
 		}()
 	}
-	if r.d.Objects != nil {
-		r.works = r.startObjects(ctx)
+	if r.scenario.Objects != nil {
+		r.objects = r.startObjectClients(ctx)
 	}
-	r.load.Run(ctx, settings.Duration(r.d.Length, 0))
+	r.load.Run(ctx, settings.Duration(r.scenario.Length, 0))
 	stop()
 	r.wg.Wait()
-	r.works.finish(ctx)
-	for _, p := range r.hosts {
-		r.stopHost(p)
+	r.objects.finish(ctx)
+	for _, p := range r.gateways {
+		r.stopGateway(p)
 	}
 	r.load.Stop()
 	return ctx.Err()
 }
 
-func (r *runner) startBricks() error {
+func (r *runner) startEndpoints() error {
 	kinds := map[string]*pb.BrickKind{}
-	for _, k := range r.d.Kind {
+	for _, k := range r.scenario.Kind {
 		kinds[k.Name] = k
 	}
-	for _, g := range r.d.Bricks {
+	for _, g := range r.scenario.Bricks {
 		if kinds[g.Kind] == nil {
-			return fmt.Errorf("drill %s: bricks of kind %q, which it does not describe", r.d.Name, g.Kind)
+			return fmt.Errorf("drill %s: bricks of kind %q, which it does not describe", r.scenario.Name, g.Kind)
 		}
 		for range g.Count {
 			zone := g.Zone
 			if zone == "" {
 				zone = "hall"
 			}
-			r.slots = append(r.slots, slot{kinds[g.Kind], zone, max(g.Speed, 0)})
+			r.placements = append(r.placements, placement{kinds[g.Kind], zone, max(g.Speed, 0)})
 		}
 	}
-	f := r.d.Fleet
+	f := r.scenario.Fleet
 	if m := settings.Duration(f.Meter, 0); m > 0 {
-		r.meter = storagenode.NewMeter(m, m/2, r.nominal)
+		r.meter = storagenode.NewMeter(m, m/2, r.nominalRate)
 	}
-	l := r.d.List
+	l := r.scenario.List
 	if l == nil {
 		l = &pb.ListHabits{}
 	}
 	var err error
-	r.list, err = discovery.Start(discovery.Config{Address: r.ip + ":0", Asked: f.ListAsked, Notice: settings.Duration(l.Notice, 0),
-		ClockOff: settings.Duration(l.ClockOff, 0), Fails: l.Fails, Seed: r.rng.Int63(), Record: r.rec, HostOf: r.hostOf})
+	r.discovery, err = discovery.Start(discovery.Config{Address: r.ip + ":0", Asked: f.ListAsked, Notice: settings.Duration(l.Notice, 0),
+		ClockOff: settings.Duration(l.ClockOff, 0), Fails: l.Fails, Seed: r.rng.Int63(), Record: r.recorder, HostOf: r.gatewayByName})
 	if err != nil {
 		return err
 	}
-	r.bricks = make([]*storagenode.Node, len(r.slots))
-	for cell := range r.slots {
-		b, err := r.startBrick(cell, "", slices.Contains(l.Cold, uint32(cell)), "127.0.0.1:0")
+	r.endpoints = make([]*storagenode.Node, len(r.placements))
+	for cell := range r.placements {
+		b, err := r.startEndpoint(cell, "", slices.Contains(l.Cold, uint32(cell)), "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		if slices.Contains(l.Drained, uint32(cell)) {
-			r.unlist(b, cell, "draining")
+			r.listAs(b, cell, "draining")
 			b.AnnounceDraining()
 		}
 	}
 	return nil
 }
 
-// keepLists writes the hosts' stores: what a list said so long ago, when every brick served and had been up for long.
-func (r *runner) keepLists() error {
-	at := time.Duration(time.Now().UnixNano()) - settings.Duration(r.d.List.SavedAge, 0)
+// writeStores writes the hosts' stores: what a list said so long ago, when every brick served and had been up for long.
+func (r *runner) writeStores() error {
+	at := time.Duration(time.Now().UnixNano()) - settings.Duration(r.scenario.List.SavedAge, 0)
 	var all []endpointstate.Belief
-	for cell, b := range r.bricks {
-		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone,
+	for cell, b := range r.endpoints {
+		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: b.Name(), Address: b.Address(), Zone: r.placements[cell].zone,
 			Shard: cell, Serving: true, ObservedAt: at}})
 	}
-	for _, p := range r.hosts {
-		s, _, err := store.Open(r.storeOf(p), fmt.Sprintf("host-%d", p.no))
+	for _, p := range r.gateways {
+		s, _, err := store.Open(r.storePath(p), fmt.Sprintf("host-%d", p.ordinal))
 		if err != nil {
 			return err
 		}
@@ -297,21 +297,21 @@
 	return nil
 }
 
-func (r *runner) storeOf(p *hostProcess) string {
-	return filepath.Join(r.dir, fmt.Sprintf("host-%d.db", p.no))
+func (r *runner) storePath(p *gatewayProcess) string {
+	return filepath.Join(r.directory, fmt.Sprintf("host-%d.db", p.ordinal))
 }
 
-func (r *runner) hostOf(name string) (uint32, uint32) {
+func (r *runner) gatewayByName(name string) (uint32, uint32) {
 	var no int
-	if _, err := fmt.Sscanf(name, "host-%d", &no); err != nil || no < 0 || no >= len(r.hosts) {
+	if _, err := fmt.Sscanf(name, "host-%d", &no); err != nil || no < 0 || no >= len(r.gateways) {
 		return 1 << 31, 0
 	}
-	return uint32(no), r.hosts[no].incarnation.Load()
+	return uint32(no), r.gateways[no].incarnation.Load()
 }
 
-func (r *runner) nominal(volume string) float64 {
+func (r *runner) nominalRate(volume string) float64 {
 	name, _, _ := strings.Cut(volume, "-")
-	for _, p := range r.d.Plan {
+	for _, p := range r.scenario.Plan {
 		if p.Name == name {
 			return p.Nominal
 		}
@@ -319,21 +319,21 @@
 	return 1
 }
 
-// startBrick puts a brick into a cell and lists it. An empty name makes a new one.
-func (r *runner) startBrick(cell int, name string, cold bool, address string) (*storagenode.Node, error) {
-	s, f := r.slots[cell], r.d.Fleet
+// startEndpoint puts a brick into a cell and lists it. An empty name makes a new one.
+func (r *runner) startEndpoint(cell int, name string, cold bool, address string) (*storagenode.Node, error) {
+	s, f := r.placements[cell], r.scenario.Fleet
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if name == "" {
-		r.serial++
-		name = fmt.Sprintf("brick-%d", r.serial)
+		r.endpointsStarted++
+		name = fmt.Sprintf("brick-%d", r.endpointsStarted)
 	}
 	c := storagenode.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Shard: cell, Kind: s.kind,
 		Speed: s.speed, Seed: r.rng.Int63(), SlowStart: cold, CollapseMultiple: f.FallMultiple,
-		CollapseAfter: settings.Duration(f.FallAfter, 0), WriteClasses: map[string]bool{}, Recorder: r.rec, Meter: r.meter,
-		ReportOtherGateways: f.TellsElsewhere, GatewayOf: r.hostOf}
+		CollapseAfter: settings.Duration(f.FallAfter, 0), WriteClasses: map[string]bool{}, Recorder: r.recorder, Meter: r.meter,
+		ReportOtherGateways: f.TellsElsewhere, GatewayOf: r.gatewayByName}
 	group := "all"
-	for _, q := range r.d.QueueType {
+	for _, q := range r.scenario.QueueType {
 		c.WriteClasses[q.Name] = q.Writes
 		c.IdempotencyWindow = max(c.IdempotencyWindow, settings.Duration(q.TagWindow, 0))
 		switch q.Group {
@@ -343,45 +343,45 @@
 			group = fmt.Sprint("cell ", cell)
 		}
 	}
-	if r.tags[group] == nil {
-		r.tags[group] = storagenode.NewIdempotencyKeys()
+	if r.idempotencyKeys[group] == nil {
+		r.idempotencyKeys[group] = storagenode.NewIdempotencyKeys()
 	}
-	c.Keys = r.tags[group]
-	if r.d.Objects != nil {
-		if r.data[cell] == nil {
-			r.data[cell] = storagenode.NewData()
+	c.Keys = r.idempotencyKeys[group]
+	if r.scenario.Objects != nil {
+		if r.dataByShard[cell] == nil {
+			r.dataByShard[cell] = storagenode.NewData()
 		}
-		c.Data = r.data[cell]
+		c.Data = r.dataByShard[cell]
 	}
 	b, err := storagenode.Start(c)
 	if err != nil {
 		return nil, err
 	}
-	r.bricks[cell] = b
+	r.endpoints[cell] = b
 	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: cell, State: "serving"}
 	if cold {
 		e.Started = b.Started()
 	}
-	r.list.Set(e)
+	r.discovery.Set(e)
 	return b, nil
 }
 
-// unlist tells the list that a brick drains or is gone.
-func (r *runner) unlist(b *storagenode.Node, cell int, state string) {
-	r.list.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.slots[cell].zone, Cell: cell, State: state})
+// listAs tells the list that a brick drains or is gone.
+func (r *runner) listAs(b *storagenode.Node, cell int, state string) {
+	r.discovery.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.placements[cell].zone, Cell: cell, State: state})
 }
 
 func (r *runner) volumes() []client.Volume {
 	var all []client.Volume
-	for _, g := range r.d.Volumes {
-		plan := slices.IndexFunc(r.d.Plan, func(p *pb.Plan) bool { return p.Name == g.Plan })
+	for _, g := range r.scenario.Volumes {
+		plan := slices.IndexFunc(r.scenario.Plan, func(p *pb.Plan) bool { return p.Name == g.Plan })
 		if plan < 0 {
 			continue
 		}
 		for range g.Count {
 			all = append(all, client.Volume{Name: volumeName(g.Plan, len(all)), Plan: uint32(plan),
-				Shards:   r.rng.Perm(len(r.slots))[:min(int(g.Cells), len(r.slots))],
-				Gateways: r.rng.Perm(len(r.hosts))[:min(int(g.Hosts), len(r.hosts))], Demand: g.Demand * r.d.Plan[plan].Nominal})
+				Shards:   r.rng.Perm(len(r.placements))[:min(int(g.Cells), len(r.placements))],
+				Gateways: r.rng.Perm(len(r.gateways))[:min(int(g.Hosts), len(r.gateways))], Demand: g.Demand * r.scenario.Plan[plan].Nominal})
 		}
 	}
 	return all
@@ -403,89 +403,89 @@
 	return found, nil
 }
 
-func (r *runner) startHosts(ctx context.Context) error {
-	peers, err := r.freePorts(int(r.d.Hosts))
+func (r *runner) startGateways(ctx context.Context) error {
+	peers, err := r.freePorts(int(r.scenario.Hosts))
 	if err != nil {
 		return err
 	}
-	for i := range int(r.d.Hosts) {
-		r.hosts = append(r.hosts, &hostProcess{no: i, address: r.ip + ":0", peers: peers[i]})
+	for i := range int(r.scenario.Hosts) {
+		r.gateways = append(r.gateways, &gatewayProcess{ordinal: i, address: r.ip + ":0", peerAddress: peers[i]})
 	}
-	if r.d.Objects != nil {
-		if err := r.objectPorts(); err != nil {
+	if r.scenario.Objects != nil {
+		if err := r.reserveObjectPorts(); err != nil {
 			return err
 		}
 	}
-	if r.d.GetList().GetAbsent() {
-		if err := r.keepLists(); err != nil {
+	if r.scenario.GetList().GetAbsent() {
+		if err := r.writeStores(); err != nil {
 			return err
 		}
 	}
-	errs := make([]error, len(r.hosts))
+	errs := make([]error, len(r.gateways))
 	var wg sync.WaitGroup
-	for i, p := range r.hosts {
+	for i, p := range r.gateways {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			errs[i] = r.startHost(ctx, p)
+			errs[i] = r.startGateway(ctx, p)
 		}()
 	}
 	wg.Wait()
 	return errors.Join(errs...)
 }
 
-func (r *runner) config(p *hostProcess) *pb.Edge {
-	e := &pb.Edge{Name: fmt.Sprintf("host-%d", p.no), Listen: p.address, ListService: r.list.Address(), PeerListen: p.peers,
-		Ordinal: uint32(p.no), Hosts: r.d.Hosts, Zone: r.slots[0].zone, Seed: r.o.Seed*1000 + int64(p.no)*16 + int64(p.incarnation.Load()) + 1,
-		Fleet: r.d.Fleet, QueueType: r.d.QueueType, Plan: r.d.Plan, Bounds: r.d.Bounds}
-	e.Store, e.Network = r.storeOf(p), []string{"127.0.0.0/8"}
-	if r.d.GetList().GetAbsent() || r.d.Planner {
+func (r *runner) gatewaySettings(p *gatewayProcess) *pb.Edge {
+	e := &pb.Edge{Name: fmt.Sprintf("host-%d", p.ordinal), Listen: p.address, ListService: r.discovery.Address(), PeerListen: p.peerAddress,
+		Ordinal: uint32(p.ordinal), Hosts: r.scenario.Hosts, Zone: r.placements[0].zone, Seed: r.options.Seed*1000 + int64(p.ordinal)*16 + int64(p.incarnation.Load()) + 1,
+		Fleet: r.scenario.Fleet, QueueType: r.scenario.QueueType, Plan: r.scenario.Plan, Bounds: r.scenario.Bounds}
+	e.Store, e.Network = r.storePath(p), []string{"127.0.0.0/8"}
+	if r.scenario.GetList().GetAbsent() || r.scenario.Planner {
 		e.ListService = ""
 	}
-	if o := r.d.Objects; o != nil {
-		e.Objects = &pb.ObjectApi{Listen: p.objects, Index: filepath.Join(r.dir, fmt.Sprintf("objects-%d.db", p.no)), ReadType: o.ReadType, WriteType: o.WriteType,
+	if o := r.scenario.Objects; o != nil {
+		e.Objects = &pb.ObjectApi{Listen: p.objectAddress, Index: filepath.Join(r.directory, fmt.Sprintf("objects-%d.db", p.ordinal)), ReadType: o.ReadType, WriteType: o.WriteType,
 			Extent: o.Extent, Unit: o.Unit, LooseAge: "2s"}
 	}
-	if r.d.Planner {
-		e.Planner = &pb.Planner{Address: []string{r.plan.address}, Plain: true}
+	if r.scenario.Planner {
+		e.Planner = &pb.Planner{Address: []string{r.controller.address}, Plain: true}
 	}
-	for _, x := range r.hosts {
+	for _, x := range r.gateways {
 		if x != p {
-			e.Peer = append(e.Peer, &pb.Peer{Ordinal: uint32(x.no), Address: x.peers})
+			e.Peer = append(e.Peer, &pb.Peer{Ordinal: uint32(x.ordinal), Address: x.peerAddress})
 		}
 	}
-	if r.o.Capture != "" {
-		e.Capture = &pb.Capture{Folder: r.o.Capture, Key: filepath.Join(r.dir, "key"), On: true}
+	if r.options.Capture != "" {
+		e.Capture = &pb.Capture{Folder: r.options.Capture, Key: filepath.Join(r.directory, "key"), On: true}
 	}
-	if r.o.StateInterval > 0 {
-		e.Log = &pb.Log{Form: "json", State: r.o.StateInterval.String()}
+	if r.options.StateInterval > 0 {
+		e.Log = &pb.Log{Form: "json", State: r.options.StateInterval.String()}
 	}
 	n := 0
-	for _, g := range r.d.Volumes {
+	for _, g := range r.scenario.Volumes {
 		for range g.Count {
-			e.Volume = append(e.Volume, &pb.Volume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.d.Hosts)})
+			e.Volume = append(e.Volume, &pb.Volume{Name: volumeName(g.Plan, n), Plan: g.Plan, Hosts: min(g.Hosts, r.scenario.Hosts)})
 			n++
 		}
 	}
 	return e
 }
 
-// startHost starts a host's process and waits until it serves.
-func (r *runner) startHost(ctx context.Context, p *hostProcess) error {
+// startGateway starts a host's process and waits until it serves.
+func (r *runner) startGateway(ctx context.Context, p *gatewayProcess) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.incarnation.Add(1)
-	text, err := settings.Text(r.config(p))
+	text, err := settings.Text(r.gatewaySettings(p))
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(r.dir, fmt.Sprintf("host-%d.txtpb", p.no))
+	file := filepath.Join(r.directory, fmt.Sprintf("host-%d.txtpb", p.ordinal))
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(r.o.Gateway[0], append(slices.Clone(r.o.Gateway[1:]), "--config", file)...)
-	cmd.Env = append(os.Environ(), r.o.Env...)
-	tail := &tail{to: r.o.Logs}
+	cmd := exec.Command(r.options.Gateway[0], append(slices.Clone(r.options.Gateway[1:]), "--config", file)...)
+	cmd.Env = append(os.Environ(), r.options.Env...)
+	tail := &logTail{to: r.options.Logs}
 	cmd.Stderr = tail
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -497,9 +497,9 @@
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("start host %d: %w", p.no, err)
+		return fmt.Errorf("start host %d: %w", p.ordinal, err)
 	}
-	p.cmd, p.stdin, p.killed, p.exited = cmd, in, false, make(chan struct{})
+	p.cmd, p.stdin, p.stopped, p.exited = cmd, in, false, make(chan struct{})
 	ready := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(out)
@@ -516,44 +516,44 @@
 		if strings.HasSuffix(p.address, ":0") { // from then on it keeps the port, and clients read it
 			p.address = strings.Fields(a)[0]
 		}
-		r.rec.See(&pb.Seen{What: pb.Seen_HOST_UP, Host: uint32(p.no), Incarnation: p.incarnation.Load()})
+		r.recorder.See(&pb.Seen{What: pb.Seen_HOST_UP, Host: uint32(p.ordinal), Incarnation: p.incarnation.Load()})
 		return nil
 	case <-p.exited:
-		return fmt.Errorf("host %d ended at its start: %w\n%s", p.no, exitError(p.err), tail.last())
+		return fmt.Errorf("host %d ended at its start: %w\n%s", p.ordinal, exitError(p.err), tail.last())
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("host %d did not serve within 20 s\n%s", p.no, tail.last())
+		return fmt.Errorf("host %d did not serve within 20 s\n%s", p.ordinal, tail.last())
 	case <-ctx.Done():
 		_ = cmd.Process.Kill()
 		return ctx.Err()
 	}
 }
 
-// killHost is SIGKILL.
-func (r *runner) killHost(p *hostProcess) {
+// killGateway is SIGKILL.
+func (r *runner) killGateway(p *gatewayProcess) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.killed {
+	if p.cmd == nil || p.stopped {
 		return
 	}
-	p.killed = true
-	r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "killed"})
+	p.stopped = true
+	r.recorder.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.ordinal), Incarnation: p.incarnation.Load(), How: "killed"})
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// stopHost is SIGTERM: the host must end what it holds and exit with 0.
-func (r *runner) stopHost(p *hostProcess) {
+// stopGateway is SIGTERM: the host must end what it holds and exit with 0.
+func (r *runner) stopGateway(p *gatewayProcess) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.killed {
+	if p.cmd == nil || p.stopped {
 		return
 	}
-	p.killed = true
-	r.rec.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.no), Incarnation: p.incarnation.Load(), How: "stopping"})
+	p.stopped = true
+	r.recorder.See(&pb.Seen{What: pb.Seen_HOST_DOWN, Host: uint32(p.ordinal), Incarnation: p.incarnation.Load(), How: "stopping"})
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	longest := 5 * time.Second
-	for _, q := range r.d.QueueType {
+	for _, q := range r.scenario.QueueType {
 		longest = max(longest, settings.Duration(q.CommandTimeout, 0)+5*time.Second)
 	}
 	select {
@@ -564,16 +564,16 @@
 	}
 	if p.err != nil {
 		r.mu.Lock()
-		r.exits = append(r.exits, fmt.Sprintf("host %d told to stop: %v", p.no, p.err))
+		r.failedExits = append(r.failedExits, fmt.Sprintf("host %d told to stop: %v", p.ordinal, p.err))
 		r.mu.Unlock()
 	}
 }
 
 func (r *runner) killAll() {
-	for _, p := range r.hosts {
+	for _, p := range r.gateways {
 		p.mu.Lock()
-		if p.cmd != nil && !p.killed {
-			p.killed = true
+		if p.cmd != nil && !p.stopped {
+			p.stopped = true
 			_ = p.cmd.Process.Kill()
 			<-p.exited
 		}
@@ -581,14 +581,14 @@
 	}
 }
 
-// tail keeps the last of what a host logs, for the case that it fails to start.
-type tail struct {
+// logTail keeps the last of what a host logs, for the case that it fails to start.
+type logTail struct {
 	mu  sync.Mutex
 	to  io.Writer
 	buf []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.buf = append(t.buf, b...)
@@ -601,7 +601,7 @@
 	return len(b), nil
 }
 
-func (t *tail) last() string {
+func (t *logTail) last() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.buf)
@@ -626,7 +626,7 @@
 	l := d.Load
 	f.Client = &pb.CapacityModel_ClientModel{Repeats: float64(min(l.Repeats, 1)), Most: l.Repeats, Wait: settings.Duration(l.RepeatAfter, 0).Seconds(), Stays: true}
 	// The draws before the volumes' own: the list service's and one for each brick.
-	r := &runner{d: d, rng: rand.New(rand.NewSource(seed)), hosts: make([]*hostProcess, d.Hosts), slots: make([]slot, len(f.Brick))}
+	r := &runner{scenario: d, rng: rand.New(rand.NewSource(seed)), gateways: make([]*gatewayProcess, d.Hosts), placements: make([]placement, len(f.Brick))}
 	for range 1 + len(f.Brick) {
 		r.rng.Int63()
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -34,7 +34,7 @@
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		start := gateway.NewScheduler
 		if wrong > 0 {
-			start = func(h policy.Runtime, s policy.Settings) engine.Scheduler { return newWrong(wrong, h, s) }
+			start = func(h policy.Runtime, s policy.Settings) engine.Scheduler { return newFaultyScheduler(wrong, h, s) }
 		}
 		if err := c.Execute(start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -45,16 +45,16 @@
 	os.Exit(m.Run())
 }
 
-// wrong is the module behind a wrapper that breaks one rule.
-type wrong struct {
+// faultyScheduler is the module behind a wrapper that breaks one rule.
+type faultyScheduler struct {
 	*policy.Scheduler
 	policy.Runtime
 	rule int
 	n    int
 }
 
-func newWrong(rule int, h policy.Runtime, s policy.Settings) *wrong {
-	w := &wrong{Runtime: h, rule: rule}
+func newFaultyScheduler(rule int, h policy.Runtime, s policy.Settings) *faultyScheduler {
+	w := &faultyScheduler{Runtime: h, rule: rule}
 	switch rule {
 	case 6:
 		s.RetryBudget = false
@@ -70,7 +70,7 @@
 }
 
 // Reject loses each twentieth: rule 1.
-func (w *wrong) Reject(c *policy.Request, pause time.Duration) {
+func (w *faultyScheduler) Reject(c *policy.Request, pause time.Duration) {
 	if w.n++; w.rule == 1 && w.n%20 == 1 {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // AttemptEnded takes what may have run for never run: rule 2.
-func (w *wrong) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+func (w *faultyScheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
 	if w.rule == 2 && result.Outcome == policy.ErrorResponse {
 		result.Outcome = policy.ConnectFailed
 	}
@@ -86,7 +86,7 @@
 }
 
 // UpdateEndpoint takes a draining brick for a serving one (rule 3), a cold one for a warm one (rule 4).
-func (w *wrong) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
+func (w *faultyScheduler) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
 	switch w.rule {
 	case 3:
 		update.Serving, update.Removed = true, false
@@ -97,21 +97,21 @@
 }
 
 // RequestReceived forgets the key: rule 5.
-func (w *wrong) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
+func (w *faultyScheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	if w.rule == 5 {
 		arrival.Object = ""
 	}
 	return w.Scheduler.RequestReceived(request, arrival)
 }
 
-func (w *wrong) Log(line string) { w.Runtime.Log(line) }
+func (w *faultyScheduler) Log(line string) { w.Runtime.Log(line) }
 
 func options(seed int64, rule int) Options {
 	return Options{Seed: seed, Gateway: []string{os.Args[0], "edge"}, Env: []string{"WRONG=" + strconv.Itoa(rule)}, ObservationTolerance: 100 * time.Millisecond}
 }
 
-// short is the bad day cut down to a few seconds with the troubles given.
-func short(t testing.TB, length string, troubles string) *pb.Drill {
+// shortened is the bad day cut down to a few seconds with the troubles given.
+func shortened(t testing.TB, length string, troubles string) *pb.Drill {
 	t.Helper()
 	d, err := Load("bad-day")
 	if err != nil {
@@ -136,7 +136,7 @@
 	return r
 }
 
-func complain(t *testing.T, r *Result) {
+func reportViolations(t *testing.T, r *Result) {
 	t.Helper()
 	for _, b := range r.Verdict.First {
 		if b != nil {
@@ -150,9 +150,9 @@
 }
 
 // Hosts are killed and rolled, a brick drains, one dies and comes back cold on its address, answers are lost.
-func TestShortBadDayKeepsAllRules(t *testing.T) {
+func TestNoViolationsUnderFaults(t *testing.T) {
 	t.Parallel()
-	r := play(t, short(t, "4s", `
+	r := play(t, shortened(t, "4s", `
 		trouble { kind: ANSWER_LOST at: "300ms" length: "1s" size: 0.2 part: 0.3 }
 		trouble { kind: HOST_CRASH at: "600ms" on: 1 back: "300ms" }
 		trouble { kind: PREEMPT at: "1s" length: "500ms" on: 0 back: "200ms" }
@@ -160,24 +160,24 @@
 		trouble { kind: RECONNECT at: "1800ms" size: 0.7 }
 		trouble { kind: FAST_ERRORS at: "2s" length: "1s" size: 0.5 part: 0.4 }
 		trouble { kind: HOST_ROLL at: "2200ms" length: "1500ms" part: 0.34 back: "100ms" }`), options(1, 0))
-	complain(t, r)
+	reportViolations(t, r)
 	if s := r.Verdict.Totals; s.Served < 300 || s.Rejected == 0 || s.Retries == 0 {
 		t.Errorf("the day did not happen: %+v", s)
 	}
 }
 
 // A host killed in a burst of a limited plan, back within a second: it can't know what it spent, and the limit holds all the same.
-func TestKilledHostDoesNotRefillALimit(t *testing.T) {
+func TestRateLimitHoldsWhenGatewaysAreKilled(t *testing.T) {
 	t.Parallel()
-	r := play(t, short(t, "3s", `
+	r := play(t, shortened(t, "3s", `
 		trouble { kind: PLAN_BURST at: "100ms" length: "3s" size: 6 plan: "basic" }
 		trouble { kind: HOST_CRASH at: "700ms" part: 1 back: "100ms" }
 		trouble { kind: HOST_CRASH at: "1600ms" part: 1 back: "100ms" }`), options(2, 0))
-	complain(t, r)
+	reportViolations(t, r)
 }
 
 // The list service is down; lists on disk are old and know neither a draining brick nor a cold one.
-func TestNoDiscovery(t *testing.T) {
+func TestStartWithoutDiscovery(t *testing.T) {
 	for _, age := range []string{"5s", "720h"} {
 		t.Run(age, func(t *testing.T) {
 			t.Parallel()
@@ -187,7 +187,7 @@
 			}
 			d.Length, d.List.SavedAge, d.Trouble = "2500ms", age, d.Trouble[:0]
 			r := play(t, d, options(3, 0))
-			complain(t, r)
+			reportViolations(t, r)
 			if s := r.Verdict.Totals; s.Served < 300 {
 				t.Errorf("hardly any service: %+v", s)
 			}
@@ -198,7 +198,7 @@
 // The list service goes and comes, tells half a list, an empty one, an old one, while a brick drains: service goes on and all rules hold.
 // Hosts that hear of bricks from the planner alone, while it is killed again and again and comes back with an old disk, with none, and
 // stalls: all rules kept, and served as if it had been left in peace. The whole day is weirhavenctl drill run planner-killed --calm.
-func TestPlannerKilled(t *testing.T) {
+func TestControllerFaults(t *testing.T) {
 	t.Parallel()
 	d, err := Load("planner-killed")
 	if err != nil {
@@ -213,7 +213,7 @@
 		trouble { kind: PLANNER_STALL at: "7s" length: "800ms" }`), extra)
 	d.Length, d.Trouble = "8s", extra.Trouble
 	r := play(t, d, Options{Seed: 2, Gateway: []string{os.Args[0], "edge"}, Controller: []string{os.Args[0], "planner"}})
-	complain(t, r)
+	reportViolations(t, r)
 	if s := r.Verdict.Total().Share(); s < 0.85 || r.Controller.Kills < 5 || r.Controller.Rollbacks != 2 || r.Controller.Stalls != 1 {
 		t.Errorf("service %.3f, %+v", s, r.Controller)
 	}
@@ -234,33 +234,33 @@
 		trouble { kind: HOST_CRASH at: "3s" on: 0 back: "300ms" }`), extra)
 	d.Length, d.Trouble = "5s", extra.Trouble
 	r := play(t, d, Options{Seed: 3, Gateway: []string{os.Args[0], "edge"}})
-	complain(t, r)
+	reportViolations(t, r)
 	if o := r.Objects; !o.Good() || o.Checked != 54 || o.Puts < 100 || o.Failed > o.Requests()/10 {
 		t.Error(o)
 	}
 	// The judge itself: other bytes, bytes of two objects, and a name that is gone are told.
-	w := &objectWorks{}
+	w := &objectClients{}
 	a, b := &content{1, 1000}, &content{2, 1000}
-	n := &named{may: []*content{a, b}}
-	w.judge(n, a.bytes(), true, 0, 0)
-	w.judge(n, b.bytes()[10:30], true, 10, 20)
-	if w.sum.Wrong+w.sum.Lost != 0 {
-		t.Error(w.sum)
+	n := &object{candidates: []*content{a, b}}
+	w.verify(n, a.bytes(), true, 0, 0)
+	w.verify(n, b.bytes()[10:30], true, 10, 20)
+	if w.totals.Wrong+w.totals.Lost != 0 {
+		t.Error(w.totals)
 	}
-	w.judge(n, append(a.bytes()[:500], b.bytes()[500:]...), true, 0, 0)
-	w.judge(n, a.bytes()[:999], true, 0, 0)
-	w.judge(n, nil, false, 0, 0)
-	if w.sum.Wrong != 2 || w.sum.Lost != 1 {
-		t.Error(w.sum)
+	w.verify(n, append(a.bytes()[:500], b.bytes()[500:]...), true, 0, 0)
+	w.verify(n, a.bytes()[:999], true, 0, 0)
+	w.verify(n, nil, false, 0, 0)
+	if w.totals.Wrong != 2 || w.totals.Lost != 1 {
+		t.Error(w.totals)
 	}
 }
 
-func TestListFlaps(t *testing.T) {
+func TestDiscoveryFlapping(t *testing.T) {
 	t.Parallel()
-	r := play(t, short(t, "3s", `
+	r := play(t, shortened(t, "3s", `
 		trouble { kind: LIST_FLAPS at: "300ms" length: "2500ms" }
 		trouble { kind: PREEMPT at: "1s" length: "500ms" on: 0 back: "200ms" }`), options(4, 0))
-	complain(t, r)
+	reportViolations(t, r)
 	if w := r.Verdict.Total(); w.Share() < 0.6 {
 		t.Errorf("the service fell to %.3f", w.Share())
 	}
@@ -279,7 +279,7 @@
 	} {
 		t.Run(fmt.Sprintf("rule %d", rule), func(t *testing.T) {
 			t.Parallel()
-			d := short(t, "2500ms", c)
+			d := shortened(t, "2500ms", c)
 			switch rule {
 			case 1:
 				d.Fleet.Cancel = false
@@ -298,8 +298,8 @@
 }
 
 // Hosts that end at their start say why.
-func TestHostThatCantStart(t *testing.T) {
-	d := short(t, "1s", "")
+func TestGatewayStartErrorIsReported(t *testing.T) {
+	d := shortened(t, "1s", "")
 	d.Plan[0].Weight = 0
 	_, err := Run(context.Background(), d, options(1, 0))
 	if err == nil || !strings.Contains(err.Error(), "plan[0].weight") {
