--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -15,7 +15,7 @@
 	"weirhaven/internal/settings"
 )
 
-// waitUntil sleeps until a moment; false: the drill is over.
+// waitUntil sleeps until a time. It reports false if the run ended first.
 func waitUntil(ctx context.Context, until time.Time) bool {
 	select {
 	case <-time.After(time.Until(until)):
@@ -25,7 +25,7 @@
 	}
 }
 
-// affected draws who is affected.
+// affected returns the indices, below n, of the gateways or endpoints that a fault affects: those it lists, or a random share.
 func affected(t *pb.Trouble, n int, rng *rand.Rand) []int {
 	if len(t.On) > 0 {
 		var on []int
@@ -42,7 +42,7 @@
 	return rng.Perm(n)[:min(n, max(1, int(math.Round(t.Part*float64(n)))))]
 }
 
-// playFault plays one trouble from its begin to its end.
+// playFault injects one fault at its start time and removes it at its end.
 func (r *runner) playFault(ctx context.Context, t *pb.Trouble, start time.Time, rng *rand.Rand) {
 	begin := start.Add(settings.Duration(t.At, 0))
 	length := settings.Duration(t.Length, 0)
@@ -56,20 +56,20 @@
 		r.forEach(affected(t, len(r.gateways), rng), func(i int) {
 			r.killGateway(r.gateways[i])
 			if waitUntil(ctx, time.Now().Add(back)) {
-				_ = r.startGateway(ctx, r.gateways[i]) // one that does not start stays down for the rest of the day
+				_ = r.startGateway(ctx, r.gateways[i]) // a gateway that fails to start stays down for the rest of the run
 			}
 		})
 	case pb.Trouble_HOST_ROLL:
 		r.rollGateways(ctx, t, end, back, rng)
 	case pb.Trouble_PREEMPT, pb.Trouble_BRICK_CRASH, pb.Trouble_AGEING:
-		r.forEach(affected(t, len(r.placements), rng), func(cell int) {
+		r.forEach(affected(t, len(r.placements), rng), func(shard int) {
 			switch t.Kind {
 			case pb.Trouble_PREEMPT:
-				r.replaceEndpoint(ctx, cell, length, back)
+				r.replaceEndpoint(ctx, shard, length, back)
 			case pb.Trouble_BRICK_CRASH:
-				r.crashEndpoint(ctx, cell, back)
+				r.crashEndpoint(ctx, shard, back)
 			default:
-				r.degradeEndpoint(ctx, t, cell, begin, length, back)
+				r.degradeEndpoint(ctx, t, shard, begin, length, back)
 			}
 		})
 	case pb.Trouble_BURST:
@@ -92,8 +92,8 @@
 	case pb.Trouble_RECONNECT:
 		r.load.Reconnect(t.Size)
 	case pb.Trouble_LIST_FLAPS:
-		for how := discovery.Half; time.Now().Before(end); how = (how + 1) % (discovery.Cut + 1) {
-			r.discovery.Flap(how)
+		for mode := discovery.Half; time.Now().Before(end); mode = (mode + 1) % (discovery.Cut + 1) {
+			r.discovery.Flap(mode)
 			if !waitUntil(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
@@ -123,7 +123,7 @@
 	wg.Wait()
 }
 
-// applyConditions are troubles that a brick has for a while.
+// applyConditions sets conditions on endpoints until the fault's end, such as slowness or lost responses.
 func (r *runner) applyConditions(ctx context.Context, t *pb.Trouble, end time.Time, rng *rand.Rand) {
 	var set, reset func(c *storagenode.Conditions)
 	extra := time.Duration(t.Extra * float64(time.Second))
@@ -150,22 +150,22 @@
 	if len(on) == 0 {
 		on = rng.Perm(len(r.placements))
 	}
-	for _, cell := range on {
-		r.endpointAt(cell).Set(set)
+	for _, shard := range on {
+		r.endpointAt(shard).Set(set)
 	}
 	waitUntil(ctx, end)
-	for _, cell := range on {
-		r.endpointAt(cell).Set(reset)
+	for _, shard := range on {
+		r.endpointAt(shard).Set(reset)
 	}
 }
 
-func (r *runner) endpointAt(cell int) *storagenode.Node {
+func (r *runner) endpointAt(shard int) *storagenode.Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.endpoints[cell]
+	return r.endpoints[shard]
 }
 
-// rollGateways restarts all hosts, a part at a time, politely.
+// rollGateways restarts all gateways gracefully, a share of them at a time.
 func (r *runner) rollGateways(ctx context.Context, t *pb.Trouble, end time.Time, back time.Duration, rng *rand.Rand) {
 	order := rng.Perm(len(r.gateways))
 	step := max(1, int(math.Round(t.Part*float64(len(order)))))
@@ -176,7 +176,7 @@
 		r.forEach(order[w:min(w+step, len(order))], func(i int) {
 			r.stopGateway(r.gateways[i])
 			if waitUntil(ctx, time.Now().Add(back)) {
-				_ = r.startGateway(ctx, r.gateways[i]) // one that does not start stays down for the rest of the day
+				_ = r.startGateway(ctx, r.gateways[i]) // a gateway that fails to start stays down for the rest of the run
 			}
 		})
 		if !waitUntil(ctx, next) {
@@ -185,31 +185,31 @@
 	}
 }
 
-// replaceEndpoint drains a brick, takes it away, and puts a cold one with another name and address in its cell.
-func (r *runner) replaceEndpoint(ctx context.Context, cell int, drain, back time.Duration) {
-	b := r.endpointAt(cell)
-	r.listAs(b, cell, "draining")
-	b.AnnounceDraining()
+// replaceEndpoint drains and removes an endpoint and starts one in slow start, with another name and address, for its shard.
+func (r *runner) replaceEndpoint(ctx context.Context, shard int, drain, back time.Duration) {
+	endpoint := r.endpointAt(shard)
+	r.listAs(endpoint, shard, "draining")
+	endpoint.AnnounceDraining()
 	if !waitUntil(ctx, time.Now().Add(drain)) {
 		return
 	}
-	r.listAs(b, cell, "gone")
-	b.Stop()
+	r.listAs(endpoint, shard, "gone")
+	endpoint.Stop()
 	if waitUntil(ctx, time.Now().Add(back)) {
-		_, _ = r.startEndpoint(cell, "", true, "127.0.0.1:0") // without one the shard stays empty for the rest of the day
+		_, _ = r.startEndpoint(shard, "", true, "127.0.0.1:0") // on an error the shard has no endpoint for the rest of the run
 	}
 }
 
-// crashEndpoint lets a brick die with all it holds and come back cold, of the same name, at the same address.
-func (r *runner) crashEndpoint(ctx context.Context, cell int, back time.Duration) {
-	b := r.endpointAt(cell)
-	b.Stop()
+// crashEndpoint stops an endpoint without draining and restarts it in slow start, with the same name and address.
+func (r *runner) crashEndpoint(ctx context.Context, shard int, back time.Duration) {
+	endpoint := r.endpointAt(shard)
+	endpoint.Stop()
 	if !waitUntil(ctx, time.Now().Add(back)) {
 		return
 	}
-	address := strings.Replace(b.Address(), r.ip, "127.0.0.1", 1)
+	address := strings.Replace(endpoint.Address(), r.ip, "127.0.0.1", 1)
 	for range 50 {
-		if _, err := r.startEndpoint(cell, b.Name(), true, address); err == nil {
+		if _, err := r.startEndpoint(shard, endpoint.Name(), true, address); err == nil {
 			return
 		}
 		if !waitUntil(ctx, time.Now().Add(20*time.Millisecond)) {
@@ -218,17 +218,17 @@
 	}
 }
 
-// degradeEndpoint slows a brick down more and more, until it dies.
-func (r *runner) degradeEndpoint(ctx context.Context, t *pb.Trouble, cell int, begin time.Time, length, back time.Duration) {
-	b := r.endpointAt(cell)
+// degradeEndpoint slows an endpoint down progressively until it crashes.
+func (r *runner) degradeEndpoint(ctx context.Context, t *pb.Trouble, shard int, begin time.Time, length, back time.Duration) {
+	endpoint := r.endpointAt(shard)
 	for time.Since(begin) < length {
-		part := time.Since(begin).Seconds() / length.Seconds()
-		b.Set(func(c *storagenode.Conditions) { c.Slowdown = 1 + (t.Size-1)*part })
+		elapsed := time.Since(begin).Seconds() / length.Seconds()
+		endpoint.Set(func(c *storagenode.Conditions) { c.Slowdown = 1 + (t.Size-1)*elapsed })
 		if !waitUntil(ctx, time.Now().Add(length/20)) {
 			return
 		}
 	}
-	if r.endpointAt(cell) == b {
-		r.crashEndpoint(ctx, cell, back)
+	if r.endpointAt(shard) == endpoint {
+		r.crashEndpoint(ctx, shard, back)
 	}
 }
--- a/internal/scenario/importday.go
+++ b/internal/scenario/importday.go
@@ -13,13 +13,13 @@
 	"weirhaven/internal/pb"
 )
 
-// Scale bounds what an imported day may take of this machine.
+// Scale limits the size of a scenario that is made of an imported day file.
 type Scale struct {
 	Gateways, Endpoints int
 	Length              time.Duration
 }
 
-// day is the part of a bench day file that a drill can be made of. Times are in microseconds.
+// day holds the fields of a bench day file that a scenario can be made of. Times are in microseconds.
 type day struct {
 	Site    string
 	Kind    string
@@ -121,8 +121,8 @@
 	"hot_key": pb.Trouble_HOT_KEY, "neighbour": pb.Trouble_NEIGHBOUR, "pauses": pb.Trouble_PAUSES, "preempt": pb.Trouble_PREEMPT,
 	"reconnect": pb.Trouble_RECONNECT, "retry_abuse": pb.Trouble_REPEAT_ABUSE, "slow": pb.Trouble_SLOW}
 
-// Import makes a drill of a bench day file, scaled down to this machine. The second result names what it can't carry
-// over or carries over changed.
+// Import converts a bench day file into a scenario, scaled down to s. The notes that it returns name each part of the day file
+// that the scenario omits or changes.
 func Import(file string, s Scale) (*pb.Drill, []string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 	if d.Fam == nil || len(d.Tiers) == 0 || len(d.Servers) == 0 || len(d.Classes) == 0 || len(d.Fam.Plans) == 0 ||
 		len(d.Tenants) < len(d.Fam.Plans) || len(d.Balancers) == 0 || d.Length <= 0 {
-		return nil, nil, fmt.Errorf("import %s: a day with volumes, plans, servers, classes and balancers is wanted", file)
+		return nil, nil, fmt.Errorf("import %s: a day file needs volumes, plans, servers, classes and balancers", file)
 	}
 	im := &importer{day: &d, scale: s}
 	return im.scenario(), im.notes, im.err
@@ -143,7 +143,7 @@
 type importer struct {
 	*day
 	scale     Scale
-	timeScale float64 // part of the day's time that the drill takes
+	timeScale float64 // length of the scenario divided by that of the day; at most 1
 	notes     []string
 	err       error
 }
@@ -156,20 +156,20 @@
 	return (time.Duration(math.Round(x)) * time.Microsecond).String()
 }
 
-// scaled is a stretch of the day in the drill's time.
+// scaled converts a time of the day, in microseconds, into the scenario's time.
 func (im *importer) scaled(x float64) string { return microseconds(x * im.timeScale) }
 
 func (im *importer) scenario() *pb.Drill {
 	im.timeScale = min(1, float64(im.scale.Length.Microseconds())/im.Length)
 	if im.timeScale < 1 {
-		im.note("the day's %s take %s: troubles begin and end, bricks warm up and leads move in proportion; targets and time-outs stay",
+		im.note("the day's %s are shortened to %s: fault times, slow starts and changes of the busiest gateway are scaled; latency objectives and timeouts are not",
 			microseconds(im.Length), im.scale.Length)
 	}
-	hosts := min(len(im.Balancers), im.scale.Gateways)
-	if hosts < len(im.Balancers) {
-		im.note("%d of %d hosts", hosts, len(im.Balancers))
+	gateways := min(len(im.Balancers), im.scale.Gateways)
+	if gateways < len(im.Balancers) {
+		im.note("%d of %d gateways", gateways, len(im.Balancers))
 	}
-	d := &pb.Drill{Name: strings.Trim(im.Site+"-"+im.Kind, "-"), Length: im.scaled(im.Length), Hosts: uint32(hosts)}
+	d := &pb.Drill{Name: strings.Trim(im.Site+"-"+im.Kind, "-"), Length: im.scaled(im.Length), Hosts: uint32(gateways)}
 	d.Bricks, d.Kind = im.endpoints()
 	im.fleet(d)
 	im.requestClasses(d)
@@ -179,8 +179,8 @@
 	d.Load.Repeats, d.Load.RepeatAfter = uint32(max(im.Clients.Retries, 0)), microseconds(im.Clients.BackoffUS)
 	d.Load.LeadMoves, d.Load.Impatient, d.Load.Body = "5s", im.Clients.Impatient, 64
 	im.faults(d)
-	im.note("noise of load reports, network delays between rooms, thrashing, slots beside cores and the price list")
-	im.note("surges of single volumes: only the day's scripted bursts are played")
+	im.note("omitted: noise of load reports, network delays between zones, thrashing, slots beside cores and the price list")
+	im.note("omitted: load surges of single volumes; only the day's scripted bursts are kept")
 	return d
 }
 
@@ -194,7 +194,7 @@
 		"all": pb.BrickKind_STOPS, "running": pb.BrickKind_STOPS}
 	for _, k := range t.Kinds {
 		if k.Cores > 1 {
-			im.note("kind %s: its %v cores as one core of %v times the speed", k.Name, k.Cores, k.Cores)
+			im.note("kind %s: its %v cores become one core of %v times the speed", k.Name, k.Cores, k.Cores)
 		}
 		kinds = append(kinds, &pb.BrickKind{Name: k.Name, UnitWork: microseconds(im.Fam.UnitWork), Vary: cv, Queue: uint32(max(k.Queue, 1)),
 			Remembers: uint32(im.Fam.Remembers), RememberedSaves: min(im.Fam.Seek, 1), Deferred: min(im.Fam.Defer, 1),
@@ -202,7 +202,7 @@
 			Cancel: cancels[k.Cancel], DropsExpired: k.DropsExpired, ProbeWork: microseconds(t.ProbeWork), ProbeWaits: t.ProbeDeep,
 			Errors: min(k.ErrorRate, 1)})
 		if k.PauseEvery > 0 {
-			im.note("kind %s: its usual short pauses", k.Name)
+			im.note("omitted: the regular short pauses of kind %s", k.Name)
 		}
 	}
 	n := 0
@@ -215,7 +215,7 @@
 			Speed: s.Speed * max(t.Kinds[s.Kind].Cores, 1)})
 	}
 	if n < len(im.Servers) {
-		im.note("%d of %d bricks", n, len(im.Servers))
+		im.note("%d of %d endpoints", n, len(im.Servers))
 	}
 	return groups, kinds
 }
@@ -246,7 +246,7 @@
 	if b := im.Budget; b != nil {
 		f.Budget = &pb.Budget{Free: b.Free, Share: b.Share, Span: microseconds(b.Window)}
 	}
-	// What a cold brick always bears within fall_after: eight tenths of what pushes the slowest one over.
+	// Units that an endpoint in slow start always accepts within fall_after: 80% of those that overload the slowest one.
 	after, _ := time.ParseDuration(f.FallAfter)
 	f.ColdUnits = 0.8 * f.FallMultiple * f.ColdFrom * slowest * after.Seconds() / (im.Fam.UnitWork / 1e6)
 	d.Fleet = f
@@ -262,7 +262,7 @@
 			Writes: c.Write}
 		if q.Streaming {
 			q.Streaming = false
-			im.note("queue type %s streams; it is answered whole", c.Name)
+			im.note("request class %s: its streamed responses are sent whole", c.Name)
 		}
 		if q.Semantics == pb.Semantics_TAGGED {
 			q.TagWindow = microseconds(c.Window)
@@ -278,33 +278,33 @@
 		capacity += g.Speed / (im.Fam.UnitWork / 1e6)
 	}
 	type sum struct {
-		n, hosts, cells int
-		base            float64
+		volumes, gateways, shards int
+		base                      float64
 	}
 	sums := make([]sum, len(im.Fam.Plans))
 	for _, v := range im.Fam.Volumes {
 		if v.Plan >= 0 && v.Plan < len(sums) {
 			s := &sums[v.Plan]
-			s.n, s.hosts, s.cells, s.base = s.n+1, s.hosts+v.Hosts, s.cells+len(v.Nodes), s.base+v.Base
+			s.volumes, s.gateways, s.shards, s.base = s.volumes+1, s.gateways+v.Hosts, s.shards+len(v.Nodes), s.base+v.Base
 		}
 	}
-	// As many volumes for each brick as the day has.
-	part := float64(len(d.Bricks)) / float64(len(im.Servers))
-	asked := 0.0
+	// The number of volumes for each endpoint is that of the day.
+	endpointShare := float64(len(d.Bricks)) / float64(len(im.Servers))
+	demand := 0.0
 	for i, p := range im.Fam.Plans {
 		d.Plan = append(d.Plan, &pb.Plan{Name: im.Tenants[i].Name, Nominal: p.Rate, Reservation: p.Reserve, Limit: p.Limit,
 			Depth: p.LimitBurst, Slack: p.Slack, Weight: p.Weight, Importance: p.Price})
 		s := sums[i]
-		if s.n == 0 {
+		if s.volumes == 0 {
 			continue
 		}
-		g := &pb.VolumeGroup{Plan: im.Tenants[i].Name, Count: uint32(max(1, math.Round(float64(s.n)*part))),
-			Cells: uint32(max(1, s.cells/s.n)), Hosts: uint32(min(max(1, s.hosts/s.n), int(d.Hosts))), Demand: s.base / float64(s.n)}
-		asked += float64(g.Count) * g.Demand * p.Rate
+		g := &pb.VolumeGroup{Plan: im.Tenants[i].Name, Count: uint32(max(1, math.Round(float64(s.volumes)*endpointShare))),
+			Cells: uint32(max(1, s.shards/s.volumes)), Hosts: uint32(min(max(1, s.gateways/s.volumes), int(d.Hosts))), Demand: s.base / float64(s.volumes)}
+		demand += float64(g.Count) * g.Demand * p.Rate
 		d.Volumes = append(d.Volumes, g)
 	}
-	for _, g := range d.Volumes { // the day's load, as a part of what these bricks can do
-		g.Demand *= im.Traffic.Load * capacity / max(asked, 1e-9)
+	for _, g := range d.Volumes { // scale the demand so that the load is the day's share of the endpoints' capacity
+		g.Demand *= im.Traffic.Load * capacity / max(demand, 1e-9)
 	}
 }
 
@@ -312,14 +312,14 @@
 	for _, t := range im.Troubles {
 		kind, ok := faultKinds[t.Kind]
 		if !ok {
-			im.note("trouble %s: not known here", t.Kind)
+			im.note("omitted: fault %s, which scenarios do not have", t.Kind)
 			continue
 		}
 		x := &pb.Trouble{Kind: kind, At: im.scaled(t.At), Length: im.scaled(t.Len), Size: t.Size, Extra: t.Extra}
-		of := len(im.Servers)
+		total := len(im.Servers)
 		switch kind {
 		case pb.Trouble_HOST_CRASH:
-			of = len(im.Balancers)
+			total = len(im.Balancers)
 			x.Back = im.scaled(max(t.Len, 0))
 		case pb.Trouble_HOST_ROLL:
 			x.Part, x.Back = min(max(t.Size, 0.01), 1), im.scaled(t.Extra*1e6)
@@ -333,7 +333,7 @@
 			x.Reset_ = t.How == "reset"
 		}
 		if len(t.On) > 0 {
-			x.Part = min(1, float64(len(t.On))/float64(of))
+			x.Part = min(1, float64(len(t.On))/float64(total))
 		}
 		x.Size, x.Extra = min(x.Size, 1e6), min(x.Extra, 1e6)
 		d.Trouble = append(d.Trouble, x)
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -18,28 +18,28 @@
 	"weirhaven/internal/settings"
 )
 
-// ObjectCounts is what came of a drill's objects.
+// ObjectCounts counts the object requests of a run and the wrong results.
 type ObjectCounts struct {
 	Puts, Gets, Ranges, Deletes, Uploads int
-	Failed                               int // requests that were answered with an error, or not
-	Wrong                                int // reads that gave other bytes than any that may be there
-	Lost                                 int // names that were answered and are not there
-	Checked                              int // names looked at once all was over
+	Failed                               int // requests that got an error or no response
+	Wrong                                int // reads whose bytes match no possible content
+	Lost                                 int // reads that found no object although every possible content is one
+	Checked                              int // names read after the workers ended
 	FirstError                           string
 }
 
-// Requests is the number of requests sent.
+// Requests returns the number of requests sent.
 func (o ObjectCounts) Requests() int { return o.Puts + o.Gets + o.Ranges + o.Deletes + o.Uploads }
 
-// Good reports whether no object had a wrong byte and none was lost.
+// Good reports whether no read returned wrong bytes and no object was lost.
 func (o ObjectCounts) Good() bool { return o.Wrong == 0 && o.Lost == 0 }
 
 func (o ObjectCounts) String() string {
-	return fmt.Sprintf("%d puts, %d in parts, %d reads, %d of ranges, %d deletes; %d failed; %d names looked at in the end; %d wrong, %d lost %s", o.Puts, o.Uploads, o.Gets,
+	return fmt.Sprintf("%d puts, %d of them in parts, %d reads, %d range reads, %d deletes; %d failed; %d names checked after the run; %d wrong, %d lost %s", o.Puts, o.Uploads, o.Gets,
 		o.Ranges, o.Deletes, o.Failed, o.Checked, o.Wrong, o.Lost, o.FirstError)
 }
 
-// content is an object's bytes, made anew from its seed.
+// content is an object's content, generated from a seed.
 type content struct {
 	seed int64
 	size int
@@ -60,18 +60,18 @@
 	candidates   []*content
 }
 
-// objectClients are a drill's object clients.
+// objectClients sends object requests over HTTP and checks the responses.
 type objectClients struct {
 	r       *runner
 	mu      sync.Mutex
 	totals  ObjectCounts
 	objects [][]*object
-	clients  []*client.Client
+	clients []*client.Client
 	stop    context.CancelFunc
 	wg      sync.WaitGroup
 }
 
-// reserveObjectPorts gives each host an address for objects that it keeps.
+// reserveObjectPorts chooses for each gateway the address of its object API, which it keeps over restarts.
 func (r *runner) reserveObjectPorts() error {
 	for _, p := range r.gateways {
 		l, err := net.Listen("tcp", r.ip+":0")
@@ -166,7 +166,7 @@
 		n.candidates = []*content{now}
 		return
 	}
-	// Also where the last attempt cannot have run: one before it may have.
+	// Also if the last attempt can't have run, because an earlier one may have.
 	o.count(func(s *ObjectCounts) { s.Failed++ })
 	n.candidates = append(n.candidates, now)
 }
@@ -213,11 +213,11 @@
 	}
 }
 
-func (o *objectClients) verify(n *object, got []byte, there bool, from, size int64) {
+func (o *objectClients) verify(n *object, got []byte, found bool, from, size int64) {
 	for _, x := range n.candidates {
 		switch {
-		case x == nil && !there:
-		case x == nil || !there:
+		case x == nil && !found:
+		case x == nil || !found:
 			continue
 		default:
 			want := x.bytes()
@@ -234,18 +234,18 @@
 		return
 	}
 	o.count(func(s *ObjectCounts) {
-		if there {
+		if found {
 			s.Wrong++
 		} else {
 			s.Lost++
 		}
 		if s.FirstError == "" {
-			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes from %d of %d, there %v, %d may be)", n.volume, n.name, len(got), from, size, there, len(n.candidates))
+			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes read from offset %d, range length %d, found %v, %d possible contents)", n.volume, n.name, len(got), from, size, found, len(n.candidates))
 		}
 	})
 }
 
-// finish ends the workers, then looks at every name.
+// finish ends the workers, then reads every name.
 func (o *objectClients) finish(ctx context.Context) {
 	if o == nil {
 		return
@@ -258,7 +258,7 @@
 		go func() {
 			defer wg.Done()
 			for _, n := range own {
-				for range 20 { // bricks may be cold yet
+				for range 20 { // endpoints may still be in slow start
 					before := o.counts().Failed
 					o.get(ctx, o.clients[i], n, 0, 0)
 					if o.counts().Failed == before || !waitUntil(ctx, time.Now().Add(100*time.Millisecond)) {
--- a/internal/scenario/planner.go
+++ b/internal/scenario/planner.go
@@ -24,21 +24,21 @@
 	"weirhaven/internal/settings"
 )
 
-// controllerProcess is the planner of a drill. A nil one is none.
+// controllerProcess is the process of a scenario's controller. It is nil for a scenario without one.
 type controllerProcess struct {
 	r            *runner
 	address      string
-	settingsPath string // settings
+	settingsPath string
 	store        string
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	exited       chan struct{}
 	stalled      bool // by SIGSTOP
 	shutDown     bool
-	faults     ControllerFaults
+	faults       ControllerFaults
 }
 
-// WithoutControllerFaults is a drill whose planner is left in peace.
+// WithoutControllerFaults returns a copy of a scenario without the faults of the controller.
 func WithoutControllerFaults(d *pb.Drill) *pb.Drill {
 	c := proto.Clone(d).(*pb.Drill)
 	c.Trouble = slices.DeleteFunc(c.Trouble, func(t *pb.Trouble) bool { return t.Kind >= pb.Trouble_PLANNER_KILL })
@@ -47,9 +47,9 @@
 
 func (r *runner) startController(ctx context.Context) error {
 	if len(r.options.Controller) == 0 {
-		return fmt.Errorf("drill %s needs a planner, and no program was given for one", r.scenario.Name)
+		return fmt.Errorf("scenario %s needs a controller, but no command for it is set", r.scenario.Name)
 	}
-	l, err := net.Listen("tcp", r.ip+":0") // its port stays its own: no other run uses the address
+	l, err := net.Listen("tcp", r.ip+":0") // the port stays free after Close: no other run uses this IP address
 	if err != nil {
 		return err
 	}
@@ -90,11 +90,11 @@
 	if err != nil {
 		return err
 	}
-	if _, err := cmd.StdinPipe(); err != nil { // it ends by itself when this pipe does
+	if _, err := cmd.StdinPipe(); err != nil { // the controller exits when this pipe is closed
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("start the planner: %w", err)
+		return fmt.Errorf("start the controller: %w", err)
 	}
 	p.cmd, p.exited, p.stalled = cmd, make(chan struct{}), false
 	exited := p.exited
@@ -111,18 +111,18 @@
 	case <-ready:
 		return nil
 	case <-exited:
-		return fmt.Errorf("the planner ended at its start\n%s", tail.last())
+		return fmt.Errorf("the controller exited before it served\n%s", tail.last())
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("the planner did not serve within 20 s\n%s", tail.last())
+		return fmt.Errorf("the controller did not serve within 20 s\n%s", tail.last())
 	case <-ctx.Done():
 		_ = cmd.Process.Kill()
 		return ctx.Err()
 	}
 }
 
-// waitInStep waits until all edges hold the planner's view.
-func (p *controllerProcess) waitInStep(ctx context.Context, edges int) error {
+// waitUpToDate waits until the controller knows all endpoints and all gateways have its current snapshot.
+func (p *controllerProcess) waitUpToDate(ctx context.Context, gateways int) error {
 	if p == nil {
 		return nil
 	}
@@ -133,25 +133,25 @@
 	defer func() { _ = conn.Close() }()
 	for end := time.Now().Add(20 * time.Second); ; {
 		t, err := pb.NewPlanningClient(conn).Status(ctx, &pb.StatusAsk{Edges: true, View: true})
-		held, bricks := 0, 0
+		upToDate, endpoints := 0, 0
 		for _, x := range t.GetItem() {
 			if x.Brick != nil {
-				bricks++
+				endpoints++
 			}
 		}
 		for _, e := range t.GetEdge() {
 			if e.Generation == t.Generation && t.Generation > 0 {
-				held++
+				upToDate++
 			}
 		}
-		if err == nil && held == edges && bricks >= len(p.r.placements) {
+		if err == nil && upToDate == gateways && endpoints >= len(p.r.placements) {
 			return nil
 		}
 		if time.Now().After(end) {
 			if err == nil {
-				return fmt.Errorf("the controller did not bring %d gateways into step within 20 s: %s %s", edges, t.GetPhase(), t.GetWhy())
+				return fmt.Errorf("the controller did not bring %d gateways up to date within 20 s: %s %s", gateways, t.GetPhase(), t.GetWhy())
 			}
-			return fmt.Errorf("the controller did not bring %d gateways into step within 20 s: %w", edges, err)
+			return fmt.Errorf("the controller did not bring %d gateways up to date within 20 s: %w", gateways, err)
 		}
 		if !waitUntil(ctx, time.Now().Add(20*time.Millisecond)) {
 			return ctx.Err()
@@ -159,7 +159,7 @@
 	}
 }
 
-// sigkill is SIGKILL.
+// sigkill ends the process with SIGKILL.
 func (p *controllerProcess) sigkill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,17 +194,17 @@
 	f(&p.faults)
 }
 
-// playControllerFault plays what a planner goes through.
+// playControllerFault injects a fault into the controller.
 func (r *runner) playControllerFault(ctx context.Context, t *pb.Trouble, begin, end time.Time, back time.Duration, rng *rand.Rand) {
 	p := r.controller
 	if p == nil {
 		return
 	}
-	every := time.Duration(t.Extra * float64(time.Second))
+	interval := time.Duration(t.Extra * float64(time.Second))
 	switch t.Kind {
 	case pb.Trouble_PLANNER_KILL:
-		for at := begin; at.Before(end); at = at.Add(max(every, 100*time.Millisecond)) {
-			if !waitUntil(ctx, at.Add(time.Duration(rng.Int63n(int64(max(every/2, time.Millisecond)))))) {
+		for at := begin; at.Before(end); at = at.Add(max(interval, 100*time.Millisecond)) {
+			if !waitUntil(ctx, at.Add(time.Duration(rng.Int63n(int64(max(interval/2, time.Millisecond)))))) {
 				return
 			}
 			p.count(func(t *ControllerFaults) { t.Kills++ })
@@ -226,24 +226,24 @@
 			_ = cmd.Process.Signal(syscall.SIGCONT)
 		}
 	case pb.Trouble_PLANNER_OLD:
-		old := p.store + ".old"
-		if every > 0 { // the copy is made between two lives: a file in use can't be copied from outside
+		oldStore := p.store + ".old"
+		if interval > 0 { // the store is copied while the controller is down: it can't be copied while it is in use
 			p.sigkill()
-			if copyFile(p.store, old) != nil || p.start(ctx) != nil {
+			if copyFile(p.store, oldStore) != nil || p.start(ctx) != nil {
 				return
 			}
-			if !waitUntil(ctx, time.Now().Add(every)) {
+			if !waitUntil(ctx, time.Now().Add(interval)) {
 				return
 			}
 		}
 		p.count(func(t *ControllerFaults) { t.Kills++; t.Rollbacks++ })
 		p.sigkill()
 		_ = os.Remove(p.store)
-		if every > 0 {
-			_ = os.Rename(old, p.store)
+		if interval > 0 {
+			_ = os.Rename(oldStore, p.store)
 		}
 		if waitUntil(ctx, time.Now().Add(back)) {
-			_ = p.start(ctx) // without one the gateways keep their last view
+			_ = p.start(ctx) // on an error the gateways keep their last snapshot
 		}
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario plays a scripted day on loopback: stand-in bricks, list service and clients in this process, hosts
-// as processes of their own, troubles by script. What crossed the sockets is recorded and judged by the audit.
+// Package scenario runs a scripted scenario on loopback addresses: fake storage nodes, a fake discovery service and fake
+// clients in this process, gateways as processes of their own, and faults injected at scripted times. It records the
+// traffic at the clients and endpoints, and package audit checks the record.
 package scenario
 
 import (
@@ -38,7 +39,7 @@
 //go:embed days/*.txtpb
 var builtin embed.FS
 
-// Names are the drills that come with the program.
+// Names returns the names of the built-in scenarios.
 func Names() []string {
 	var names []string
 	entries, _ := builtin.ReadDir("days")
@@ -48,7 +49,7 @@
 	return names
 }
 
-// Load reads a drill by its name, or a file.
+// Load reads a built-in scenario by its name, or a scenario file by its path, which contains a slash or a dot.
 func Load(name string) (*pb.Drill, error) {
 	d := &pb.Drill{}
 	if strings.ContainsAny(name, "/.") {
@@ -56,42 +57,44 @@
 	}
 	text, err := builtin.ReadFile("days/" + name + ".txtpb")
 	if err != nil {
-		return nil, fmt.Errorf("no drill %q; there are %s, or a file", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario %q; built-in scenarios are %s; for a file, give a path", name, strings.Join(Names(), ", "))
 	}
 	return d, settings.Parse(name+".txtpb", text, d)
 }
 
-// Options say how a drill is run.
+// Options are the settings of a run.
 type Options struct {
 	Seed int64
-	// Gateway is the command that runs a host; "--config FILE" is added.
+	// Gateway is the command line that runs a gateway; "--config FILE" is appended.
 	Gateway []string
 	Env     []string
-	// Arm names what decides in the hosts.
+	// Arm is the name under which results are compared, such as the scheduler's. The record's header carries it.
 	Arm string
-	// Logs takes what the hosts log; nil: nowhere.
+	// Logs receives the logs of the gateways and the controller; nil discards them.
 	Logs io.Writer
-	// StateInterval lets hosts log what they hold this often, as JSON; 0: not.
+	// StateInterval is the interval at which gateways log their state as JSON; 0 disables it.
 	StateInterval time.Duration
-	// Controller is the command that runs a planner; "--config FILE" is added. Drills with a planner need it.
+	// Controller is the command line that runs the controller; "--config FILE" is appended. Scenarios with a controller
+	// need it.
 	Controller []string
-	// Capture lets hosts record their load into this folder.
+	// Capture is the folder into which gateways capture their load; empty disables it.
 	Capture string
-	// ObservationTolerance is how late the observer may read; 0: 50 ms.
+	// ObservationTolerance is the delay that the audit allows between an event and its observation; 0 means 50 ms.
 	ObservationTolerance time.Duration
 }
 
-// Result is a drill's record and verdict.
+// Result is the record of a run and the audit's verdict on it.
 type Result struct {
 	Header       *pb.Header
 	Observations []*pb.Seen
 	Verdict      *audit.Verdict
-	FailedExits  []string // of hosts told to stop that did not end well
+	FailedExits  []string // one message for each gateway that exited with an error after SIGTERM
 	Controller   ControllerFaults
 	Objects      ObjectCounts
 }
 
-// ControllerFaults counts what a planner went through.
+// ControllerFaults counts the faults injected into the controller. Rollbacks are kills after which it restarted with an older
+// copy of its store, or with none.
 type ControllerFaults struct{ Kills, Rollbacks, Stalls int }
 
 type gatewayProcess struct {
@@ -104,7 +107,7 @@
 	err           error
 	address       string
 	peerAddress   string
-	objectAddress string // address of its object API
+	objectAddress string // listen address of the object API
 	stopped       bool
 }
 
@@ -117,15 +120,15 @@
 	ip              string
 	gateways        []*gatewayProcess
 	discovery       *discovery.Service
-	controller      *controllerProcess // nil: none
+	controller      *controllerProcess // nil without a controller
 	load            *client.Load
 	meter           *storagenode.Meter
 	idempotencyKeys map[string]*storagenode.IdempotencyKeys
-	dataByShard     map[int]*storagenode.Data // by cell: what replaces a brick holds what it held
-	objects         *objectClients            // nil: none
+	dataByShard     map[int]*storagenode.Data // by shard; the replacement of an endpoint gets the same data
+	objects         *objectClients            // nil without object requests
 
 	mu               sync.Mutex
-	endpoints        []*storagenode.Node // by cell; the one there now
+	endpoints        []*storagenode.Node // current endpoint of each shard
 	placements       []placement
 	endpointsStarted int
 	replaced         []*storagenode.Node
@@ -139,7 +142,7 @@
 	speed float64
 }
 
-// Run plays a drill to its end.
+// Run runs a scenario to its end.
 func Run(ctx context.Context, d *pb.Drill, o Options) (*Result, error) {
 	if o.ObservationTolerance == 0 {
 		o.ObservationTolerance = 50 * time.Millisecond
@@ -150,7 +153,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	r := &runner{scenario: d, options: o, rng: rand.New(rand.NewSource(o.Seed)), recorder: record.New(), directory: dir, idempotencyKeys: map[string]*storagenode.IdempotencyKeys{}, dataByShard: map[int]*storagenode.Data{}}
-	if o.Capture != "" { // one key for all hosts, gone with the run
+	if o.Capture != "" { // one key for all gateways; removed with the run's directory
 		if err := os.WriteFile(filepath.Join(dir, "key"), fmt.Appendf(nil, "capture key of drill seed %d", o.Seed), 0o600); err != nil {
 			return nil, err
 		}
@@ -191,7 +194,7 @@
 	if err := r.startGateways(ctx); err != nil {
 		return err
 	}
-	if err := r.controller.waitInStep(ctx, len(r.gateways)); err != nil {
+	if err := r.controller.waitUpToDate(ctx, len(r.gateways)); err != nil {
 		return err
 	}
 	volumes := r.volumes()
@@ -201,7 +204,7 @@
 		MaxRetryAfter: settings.Duration(h.MaxPause, 0), MarkRetries: h.ClientsMarkRepeats, Seed: r.rng.Int63(), Recorder: r.recorder,
 		Incarnation: func(i int) uint32 { return r.gateways[i].incarnation.Load() }})
 	defer r.load.Stop()
-	select { // hosts greet their clients and read their first list
+	select { // gateways accept the clients' connections and read their first endpoint list
 	case <-time.After(300 * time.Millisecond):
 	case <-ctx.Done():
 		return ctx.Err()
@@ -238,7 +241,7 @@
 	}
 	for _, g := range r.scenario.Bricks {
 		if kinds[g.Kind] == nil {
-			return fmt.Errorf("drill %s: bricks of kind %q, which it does not describe", r.scenario.Name, g.Kind)
+			return fmt.Errorf("scenario %s: endpoints of kind %q, which is not defined", r.scenario.Name, g.Kind)
 		}
 		for range g.Count {
 			zone := g.Zone
@@ -263,26 +266,27 @@
 		return err
 	}
 	r.endpoints = make([]*storagenode.Node, len(r.placements))
-	for cell := range r.placements {
-		b, err := r.startEndpoint(cell, "", slices.Contains(l.Cold, uint32(cell)), "127.0.0.1:0")
+	for shard := range r.placements {
+		b, err := r.startEndpoint(shard, "", slices.Contains(l.Cold, uint32(shard)), "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		if slices.Contains(l.Drained, uint32(cell)) {
-			r.listAs(b, cell, "draining")
+		if slices.Contains(l.Drained, uint32(shard)) {
+			r.listAs(b, shard, "draining")
 			b.AnnounceDraining()
 		}
 	}
 	return nil
 }
 
-// writeStores writes the hosts' stores: what a list said so long ago, when every brick served and had been up for long.
+// writeStores writes the gateways' stores as they were saved SavedAge ago, when every endpoint was serving and none was in slow
+// start.
 func (r *runner) writeStores() error {
 	at := time.Duration(time.Now().UnixNano()) - settings.Duration(r.scenario.List.SavedAge, 0)
 	var all []endpointstate.Belief
-	for cell, b := range r.endpoints {
-		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: b.Name(), Address: b.Address(), Zone: r.placements[cell].zone,
-			Shard: cell, Serving: true, ObservedAt: at}})
+	for shard, b := range r.endpoints {
+		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: b.Name(), Address: b.Address(), Zone: r.placements[shard].zone,
+			Shard: shard, Serving: true, ObservedAt: at}})
 	}
 	for _, p := range r.gateways {
 		s, _, err := store.Open(r.storePath(p), fmt.Sprintf("host-%d", p.ordinal))
@@ -302,11 +306,11 @@
 }
 
 func (r *runner) gatewayByName(name string) (uint32, uint32) {
-	var no int
-	if _, err := fmt.Sscanf(name, "host-%d", &no); err != nil || no < 0 || no >= len(r.gateways) {
+	var number int
+	if _, err := fmt.Sscanf(name, "host-%d", &number); err != nil || number < 0 || number >= len(r.gateways) {
 		return 1 << 31, 0
 	}
-	return uint32(no), r.gateways[no].incarnation.Load()
+	return uint32(number), r.gateways[number].incarnation.Load()
 }
 
 func (r *runner) nominalRate(volume string) float64 {
@@ -319,16 +323,16 @@
 	return 1
 }
 
-// startEndpoint puts a brick into a cell and lists it. An empty name makes a new one.
-func (r *runner) startEndpoint(cell int, name string, cold bool, address string) (*storagenode.Node, error) {
-	s, f := r.placements[cell], r.scenario.Fleet
+// startEndpoint starts an endpoint of a shard and adds it to discovery. With an empty name it gets a new one.
+func (r *runner) startEndpoint(shard int, name string, cold bool, address string) (*storagenode.Node, error) {
+	s, f := r.placements[shard], r.scenario.Fleet
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if name == "" {
 		r.endpointsStarted++
 		name = fmt.Sprintf("brick-%d", r.endpointsStarted)
 	}
-	c := storagenode.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Shard: cell, Kind: s.kind,
+	c := storagenode.Config{Name: name, Zone: s.zone, Address: strings.Replace(address, "127.0.0.1", r.ip, 1), Shard: shard, Kind: s.kind,
 		Speed: s.speed, Seed: r.rng.Int63(), SlowStart: cold, CollapseMultiple: f.FallMultiple,
 		CollapseAfter: settings.Duration(f.FallAfter, 0), WriteClasses: map[string]bool{}, Recorder: r.recorder, Meter: r.meter,
 		ReportOtherGateways: f.TellsElsewhere, GatewayOf: r.gatewayByName}
@@ -340,7 +344,7 @@
 		case pb.Group_ZONE:
 			group = "zone " + s.zone
 		case pb.Group_CELL:
-			group = fmt.Sprint("cell ", cell)
+			group = fmt.Sprint("cell ", shard)
 		}
 	}
 	if r.idempotencyKeys[group] == nil {
@@ -348,17 +352,17 @@
 	}
 	c.Keys = r.idempotencyKeys[group]
 	if r.scenario.Objects != nil {
-		if r.dataByShard[cell] == nil {
-			r.dataByShard[cell] = storagenode.NewData()
+		if r.dataByShard[shard] == nil {
+			r.dataByShard[shard] = storagenode.NewData()
 		}
-		c.Data = r.dataByShard[cell]
+		c.Data = r.dataByShard[shard]
 	}
 	b, err := storagenode.Start(c)
 	if err != nil {
 		return nil, err
 	}
-	r.endpoints[cell] = b
-	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: cell, State: "serving"}
+	r.endpoints[shard] = b
+	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: shard, State: "serving"}
 	if cold {
 		e.Started = b.Started()
 	}
@@ -366,9 +370,9 @@
 	return b, nil
 }
 
-// listAs tells the list that a brick drains or is gone.
-func (r *runner) listAs(b *storagenode.Node, cell int, state string) {
-	r.discovery.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.placements[cell].zone, Cell: cell, State: state})
+// listAs sets the state that discovery reports for an endpoint.
+func (r *runner) listAs(b *storagenode.Node, shard int, state string) {
+	r.discovery.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.placements[shard].zone, Cell: shard, State: state})
 }
 
 func (r *runner) volumes() []client.Volume {
@@ -389,7 +393,7 @@
 
 func volumeName(plan string, n int) string { return fmt.Sprintf("%s-%d", plan, n) }
 
-// freePorts asks the kernel for UDP ports on this run's own address.
+// freePorts returns UDP addresses with ports that are free on this run's own IP address.
 func (r *runner) freePorts(n int) ([]string, error) {
 	var found []string
 	for range n {
@@ -470,7 +474,7 @@
 	return e
 }
 
-// startGateway starts a host's process and waits until it serves.
+// startGateway starts a gateway's process and waits until it serves.
 func (r *runner) startGateway(ctx context.Context, p *gatewayProcess) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -491,13 +495,13 @@
 	if err != nil {
 		return err
 	}
-	// A host ends by itself when this pipe does: none is left over if the drill is killed.
+	// A gateway exits when this pipe is closed, so that none is left over if this process is killed.
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("start host %d: %w", p.ordinal, err)
+		return fmt.Errorf("start gateway %d: %w", p.ordinal, err)
 	}
 	p.cmd, p.stdin, p.stopped, p.exited = cmd, in, false, make(chan struct{})
 	ready := make(chan string, 1)
@@ -513,23 +517,23 @@
 	}()
 	select {
 	case a := <-ready:
-		if strings.HasSuffix(p.address, ":0") { // from then on it keeps the port, and clients read it
+		if strings.HasSuffix(p.address, ":0") { // a restarted gateway listens on the same port
 			p.address = strings.Fields(a)[0]
 		}
 		r.recorder.See(&pb.Seen{What: pb.Seen_HOST_UP, Host: uint32(p.ordinal), Incarnation: p.incarnation.Load()})
 		return nil
 	case <-p.exited:
-		return fmt.Errorf("host %d ended at its start: %w\n%s", p.ordinal, exitError(p.err), tail.last())
+		return fmt.Errorf("gateway %d exited before it served: %w\n%s", p.ordinal, exitError(p.err), tail.last())
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("host %d did not serve within 20 s\n%s", p.ordinal, tail.last())
+		return fmt.Errorf("gateway %d did not serve within 20 s\n%s", p.ordinal, tail.last())
 	case <-ctx.Done():
 		_ = cmd.Process.Kill()
 		return ctx.Err()
 	}
 }
 
-// killGateway is SIGKILL.
+// killGateway ends a gateway with SIGKILL.
 func (r *runner) killGateway(p *gatewayProcess) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -542,7 +546,7 @@
 	<-p.exited
 }
 
-// stopGateway is SIGTERM: the host must end what it holds and exit with 0.
+// stopGateway sends SIGTERM to a gateway, which must finish its open requests and exit with status 0.
 func (r *runner) stopGateway(p *gatewayProcess) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -564,7 +568,7 @@
 	}
 	if p.err != nil {
 		r.mu.Lock()
-		r.failedExits = append(r.failedExits, fmt.Sprintf("host %d told to stop: %v", p.ordinal, p.err))
+		r.failedExits = append(r.failedExits, fmt.Sprintf("gateway %d after SIGTERM: %v", p.ordinal, p.err))
 		r.mu.Unlock()
 	}
 }
@@ -581,7 +585,7 @@
 	}
 }
 
-// logTail keeps the last of what a host logs, for the case that it fails to start.
+// logTail forwards a process's log and keeps its last part for the error message when the process fails to start.
 type logTail struct {
 	mu  sync.Mutex
 	to  io.Writer
@@ -607,8 +611,8 @@
 	return string(t.buf)
 }
 
-// Describe is a drill's fleet as an operator would describe it: names, places, queues, where volumes lie. How its bricks work is
-// left to be learnt.
+// Describe returns a scenario's fleet as an operator would describe it: names, zones, queue lengths and the shards of each volume.
+// It leaves out the endpoints' service times, which are learned from captures.
 func Describe(d *pb.Drill, seed int64) *pb.CapacityFleet {
 	f := &pb.CapacityFleet{Rules: d.Fleet, QueueType: d.QueueType, Plan: d.Plan, Bounds: d.Bounds}
 	for _, k := range d.Kind {
@@ -625,7 +629,7 @@
 	}
 	l := d.Load
 	f.Client = &pb.CapacityModel_ClientModel{Repeats: float64(min(l.Repeats, 1)), Most: l.Repeats, Wait: settings.Duration(l.RepeatAfter, 0).Seconds(), Stays: true}
-	// The draws before the volumes' own: the list service's and one for each brick.
+	// Skip the random draws that Run makes before those of the volumes: one for the discovery service, one for each endpoint.
 	r := &runner{scenario: d, rng: rand.New(rand.NewSource(seed)), gateways: make([]*gatewayProcess, d.Hosts), placements: make([]placement, len(f.Brick))}
 	for range 1 + len(f.Brick) {
 		r.rng.Int63()
@@ -640,22 +644,22 @@
 	return f
 }
 
-// Extend makes a drill that is so long, its troubles played again and again.
+// Extend returns a copy of a scenario with another length, over which its faults are repeated.
 func Extend(d *pb.Drill, length time.Duration) *pb.Drill {
-	long := proto.Clone(d).(*pb.Drill)
-	long.Length, long.Trouble = length.String(), nil
+	extended := proto.Clone(d).(*pb.Drill)
+	extended.Length, extended.Trouble = length.String(), nil
 	once := settings.Duration(d.Length, length)
 	for at := time.Duration(0); at < length; at += once {
 		for _, t := range d.Trouble {
 			t = proto.Clone(t).(*pb.Trouble)
 			t.At = (at + settings.Duration(t.At, 0)).String()
-			long.Trouble = append(long.Trouble, t)
+			extended.Trouble = append(extended.Trouble, t)
 		}
 	}
-	return long
+	return extended
 }
 
-// errExitedCleanly stands for the end of a process with exit status 0, which exec reports as no error.
+// errExitedCleanly reports that a process exited with status 0, for which exec returns no error.
 var errExitedCleanly = errors.New("exit status 0")
 
 // exitError returns the error with which a process ended; it is never nil.
