--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,6 +1,7 @@
-// Package audit judges seven rules from a record of what crossed the sockets, one rule a file. It knows nothing of how a gateway
-// decides: only the settings that state the rules' figures, and what clients, endpoints and discovery saw. An observer sees a
-// thing a little late; each rule allows for the header's blur, the tolerance for observation delay, in the gateway's favor.
+// Package audit checks the record of a run against seven rules, each in a file of its own. Its input is the record, which holds the
+// observations of clients, endpoints and the discovery service, and the settings that set the rules' limits; it does not depend on
+// the scheduler. Observations are recorded with a small delay, so each rule tolerates a delay of up to the header's blur in the
+// gateway's favor.
 package audit
 
 import (
@@ -12,7 +13,7 @@
 	"weirhaven/internal/pb"
 )
 
-// The numbers of the rules.
+// Rule numbers.
 const (
 	ruleFinalAnswer = iota + 1
 	ruleEffectOnce
@@ -23,7 +24,7 @@
 	ruleRateLimit
 )
 
-// Rules names the rules, from 1.
+// Rules holds the name of each rule by its number, from 1.
 var Rules = [8]string{
 	ruleFinalAnswer: "no request lost",
 	ruleEffectOnce:  "no effect twice",
@@ -34,26 +35,26 @@
 	ruleRateLimit:   "rate limits",
 }
 
-// Violation is one breaking of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule        int
 	At          time.Duration // on the record's clock
 	Description string        `json:"What"`
-	Trace       []string      // what was seen of it, as Describe spells it
+	Trace       []string      // the observations that show it, formatted by Describe
 }
 
-// Verdict is what a record shows. Its JSON form keeps the names that earlier versions gave it.
+// Verdict is the result of auditing a record. Its JSON form keeps the field names of earlier versions.
 type Verdict struct {
-	Violations [8]int        `json:"Breaches"` // how many, by rule
-	First      [8]*Violation // by rule; nil: kept
+	Violations [8]int        `json:"Breaches"` // number of violations by rule
+	First      [8]*Violation // earliest violation by rule; nil if there is none
 	Totals     Totals        `json:"Sums"`
 	Service    []Service     // by plan and request class, sorted
 }
 
-// Kept tells whether all rules are kept.
+// Kept reports whether no rule is violated.
 func (v *Verdict) Kept() bool { return v.Violations == [8]int{} }
 
-// Judge reads a whole record. It changes nothing of what it is given.
+// Judge audits a whole record. It does not modify its arguments.
 func Judge(header *pb.Header, seen []*pb.Seen) *Verdict {
 	a := newAuditor(header, seen)
 	for _, r := range a.requests {
@@ -69,14 +70,14 @@
 	return a.verdict
 }
 
-// Startup is the service at the beginning of a run.
+// Startup describes the service at the beginning of a run.
 type Startup struct {
-	FirstServed time.Duration // from the first request to the first one served; negative: none was
-	Share       float64       // of the value due for the requests first sent within the span
-	Pressure    float64       // the most that a warming endpoint was sent, as a part of what overloads it
+	FirstServed time.Duration // time from the first request to the first served response; negative if there was none
+	Share       float64       // value served as a share of the value due, for requests first sent within the span
+	Pressure    float64       // peak load of an endpoint in slow start, as a share of the load that overloads it
 }
 
-// JudgeStartup tells how a day began; the span counts from its first request.
+// JudgeStartup measures the start of a run: the given time span from its first request.
 func JudgeStartup(header *pb.Header, seen []*pb.Seen, span time.Duration) Startup {
 	a := newAuditor(header, seen)
 	a.judgeSlowStart()
@@ -101,7 +102,7 @@
 	return -1
 }
 
-// violation counts a violation and keeps the earliest one of each rule.
+// violation counts a violation and keeps the earliest violation of each rule.
 func (a *auditor) violation(rule int, when time.Duration, trace []*pb.Seen, format string, args ...any) {
 	a.verdict.Violations[rule]++
 	if first := a.verdict.First[rule]; first != nil && first.At <= when {
--- a/internal/audit/describe.go
+++ b/internal/audit/describe.go
@@ -7,7 +7,7 @@
 	"weirhaven/internal/pb"
 )
 
-// Describe spells one thing seen as a line for people. The names of what was seen are the record's.
+// Describe formats an observation as a line of text. It uses the record's name for the kind of observation.
 func Describe(s *pb.Seen) string {
 	line := fmt.Sprintf("%9.3f ms  %-10s", time.Duration(s.At).Seconds()*1000, s.What)
 	if s.Command != 0 {
@@ -26,6 +26,7 @@
 	return line
 }
 
+// where formats the attempt, gateway or endpoint that an observation concerns.
 func where(s *pb.Seen) string {
 	switch s.What {
 	case pb.Seen_REACHED, pb.Seen_REPLIED, pb.Seen_CALLED_OFF, pb.Seen_EFFECT:
--- a/internal/audit/draining.go
+++ b/internal/audit/draining.go
@@ -6,8 +6,8 @@
 	"weirhaven/internal/settings"
 )
 
-// Rule 3: nothing reaches an endpoint later than the drain grace after the gateway was notified that it drains or is removed, until
-// it is notified of a later start.
+// Rule 3: once a gateway was notified that an endpoint is draining or removed, its attempts may reach the endpoint only within the
+// drain grace, until the gateway is notified of a later start.
 
 func (a *auditor) judgeDraining() {
 	grace := settings.Duration(a.header.Fleet.DrainGrace, 0)
@@ -23,7 +23,8 @@
 	}
 }
 
-// drainedBy is the notification by which an endpoint drains for a gateway at a moment; nil: it doesn't.
+// drainedBy returns the notification by which a gateway knows, at a given time, that an endpoint is draining or removed. It returns
+// nil if there is none.
 func (a *auditor) drainedBy(g gateway, endpoint string, now time.Duration) (drained *listing) {
 	listings := a.listings[g][endpoint]
 	for i := range listings {
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -7,20 +7,21 @@
 	"weirhaven/internal/settings"
 )
 
-// Rule 2: no request has its effect twice, and none is rejected, which promises that asking again is harmless, when it may have run.
+// Rule 2: no request takes effect twice. A rejection tells the client that a retry is safe, so no request may be rejected that may
+// have run, unless running it again is harmless.
 
 func (a *auditor) judgeEffects(r *request) {
 	for i, t := range r.attempts {
 		for _, earlier := range r.attempts[:i] {
-			a.judgeRepeat(r, earlier, t)
+			a.judgeRetry(r, earlier, t)
 		}
 	}
 	a.judgeRejection(r)
 	a.judgeChanges(r)
 }
 
-// judgeRepeat judges an attempt after an earlier one.
-func (a *auditor) judgeRepeat(r *request, earlier, t *attempt) {
+// judgeRetry checks an attempt against an earlier attempt of the same request.
+func (a *auditor) judgeRetry(r *request, earlier, t *attempt) {
 	now := at(t.reached)
 	over := earlier.answered != nil && at(earlier.answered) <= now || earlier.ended != nil && at(earlier.ended) <= now+a.observationTolerance
 	if !over && !a.header.Fleet.SecondCopies {
@@ -39,7 +40,7 @@
 	}
 }
 
-// keyUnknown tells whether an endpoint can't know the idempotency key of an earlier attempt.
+// keyUnknown reports whether the endpoint of an attempt can't know the idempotency key of an earlier attempt.
 func (a *auditor) keyUnknown(class *pb.QueueType, earlier, t *attempt, now time.Duration) bool {
 	switch {
 	case class.Group == pb.Group_ZONE && earlier.reached.Zone != t.reached.Zone:
@@ -51,7 +52,7 @@
 	}
 }
 
-// judgeRejection looks for a rejection after an attempt that may have run.
+// judgeRejection checks that a request was not rejected after an attempt that may have run.
 func (a *auditor) judgeRejection(r *request) {
 	harmless := r.class.Semantics == pb.Semantics_RETRYABLE || r.class.Semantics == pb.Semantics_TAGGED && r.class.Group == pb.Group_ALL
 	if harmless {
@@ -69,7 +70,7 @@
 	}
 }
 
-// judgeChanges counts the changes of data that endpoints made for a request.
+// judgeChanges checks that endpoints changed data at most once for a request that is not idempotent.
 func (a *auditor) judgeChanges(r *request) {
 	if r.class.Semantics != pb.Semantics_NON_RETRYABLE {
 		return
--- a/internal/audit/finalanswer.go
+++ b/internal/audit/finalanswer.go
@@ -7,10 +7,10 @@
 	"weirhaven/internal/settings"
 )
 
-// Rule 1: each request that a gateway received gets exactly one final answer in time, nothing is sent for it afterwards, and an
-// answer is not held back. A gateway that was killed, or a client that left, ends what is owed.
+// Rule 1: each request that a gateway received gets exactly one final answer in time. No attempt is sent after the answer, and the
+// gateway passes an endpoint's answer on without delay. The rule does not apply once the gateway was killed or the client left.
 
-// holdBackTolerances is how many observation tolerances an answer may take from the endpoint's writing to the client's reading.
+// holdBackTolerances limits the time from an endpoint's answer to the client's reading it, in observation tolerances.
 const holdBackTolerances = 5
 
 func (a *auditor) judgeFinalAnswer(r *request) {
@@ -23,7 +23,7 @@
 	a.judgeHeldBack(r)
 }
 
-// judgeAnswerCount looks for an answer that is missing, late or one too many.
+// judgeAnswerCount checks that a request got exactly one answer and got it in time.
 func (a *auditor) judgeAnswerCount(r *request, due time.Duration) {
 	answers := 0
 	for _, end := range r.ends {
@@ -54,7 +54,7 @@
 	}
 }
 
-// endedWithGateway tells whether a connection ended because its gateway was killed, or was asked to stop before the request came.
+// endedWithGateway reports whether a connection ended because its gateway was killed, or was told to stop before the request was sent.
 func (a *auditor) endedWithGateway(r *request, end, down *pb.Seen) bool {
 	if down == nil || at(down) > at(end)+a.observationTolerance {
 		return false
@@ -62,7 +62,7 @@
 	return down.How != "stopping" || at(r.sent) >= at(down)-a.observationTolerance
 }
 
-// judgeAfterEnd looks for attempts that began after the request was over.
+// judgeAfterEnd checks that no attempt reached an endpoint after the request had ended.
 func (a *auditor) judgeAfterEnd(r *request, due time.Duration) {
 	end := due
 	if len(r.ends) > 0 && r.ends[0].What == pb.Seen_ANSWERED {
@@ -76,7 +76,7 @@
 	}
 }
 
-// judgeHeldBack looks for answers that an endpoint gave long before the client got one.
+// judgeHeldBack checks that the client got an endpoint's answer without delay.
 func (a *auditor) judgeHeldBack(r *request) {
 	if len(r.ends) == 0 || r.ends[0].What != pb.Seen_ANSWERED {
 		return
--- a/internal/audit/index.go
+++ b/internal/audit/index.go
@@ -7,19 +7,19 @@
 	"weirhaven/internal/pb"
 )
 
-// How an answer ended, as the record spells it.
+// Status of an answer in the record.
 const (
 	statusServed   = "DONE"
 	statusRejected = "BUSY"
 )
 
-// request is one request with all that was seen of it.
+// request is a request with all its observations.
 type request struct {
 	sent         *pb.Seen
 	gateway      gateway
 	class        *pb.QueueType
 	ends         []*pb.Seen // answers, and connections that ended without one
-	disconnected *pb.Seen   // when its client gave up
+	disconnected *pb.Seen   // the client gave up
 	attempts     []*attempt
 	trace        []*pb.Seen
 }
@@ -27,26 +27,27 @@
 // received reports whether a gateway received the request.
 func (r *request) received() bool { return r.sent.How == "" }
 
-// deadline is when the client's timeout passes.
+// deadline returns the time at which the client's timeout expires.
 func (r *request) deadline() time.Duration { return at(r.sent) + time.Duration(r.sent.Timeout) }
 
-// attempt is one attempt that reached an endpoint.
+// attempt is an attempt that reached an endpoint.
 type attempt struct {
 	reached          *pb.Seen
-	answered         *pb.Seen // nil: never
-	ended            *pb.Seen // canceled, or cut with its connection or endpoint
-	resetAfterAnswer bool     // its connection was reset right after its answer was written: it may not have arrived
+	answered         *pb.Seen // nil if the endpoint did not answer
+	ended            *pb.Seen // a cancel, or the end of the connection or the endpoint
+	resetAfterAnswer bool     // the connection ended right after the answer was written, which may not have arrived
 }
 
-// mayHaveRun tells whether, by a moment, an attempt is not known not to have run.
+// mayHaveRun reports whether an attempt may have run as far as is known at a given time. Only an endpoint's rejection shows that it
+// did not run.
 func (t *attempt) mayHaveRun(by time.Duration) bool {
 	return t.answered == nil || t.answered.How != statusRejected || at(t.answered) > by
 }
 
-// gateway is one life of a gateway process.
+// gateway is one run of a gateway's process.
 type gateway struct{ number, incarnation uint32 }
 
-// listing is what a gateway was notified of an endpoint.
+// listing is a notification to a gateway about an endpoint.
 type listing struct {
 	at         time.Duration
 	serving    bool
@@ -54,7 +55,7 @@
 	startKnown bool
 }
 
-// connection is one connection to an endpoint.
+// connection identifies a connection to an endpoint.
 type connection struct {
 	endpoint string
 	number   int64
@@ -69,22 +70,23 @@
 	requests             []*request // in the order in which they were sent
 	gatewaysDown         map[gateway]*pb.Seen
 	listings             map[gateway]map[string][]listing
-	pressure             float64 // the most that a warming endpoint was sent, as a part of what overloads it
+	pressure             float64 // peak load of an endpoint in slow start, as a share of the load that overloads it
 }
 
 func at(s *pb.Seen) time.Duration { return time.Duration(s.At) }
 
-// indexer matches what was seen on connections to attempts.
+// indexer matches the observations on connections with attempts.
 type indexer struct {
 	*auditor
 	inFlight map[connection][]*attempt
-	answered map[connection][]*attempt // last
+	answered map[connection][]*attempt // the last ones, at most maxAnsweredPerConnection
 }
 
-// maxAnsweredPerConnection is how many answered attempts of a connection are kept for a reset that tears them.
+// maxAnsweredPerConnection is the number of answered attempts kept for each connection, to mark them if the connection ends right
+// after their answers.
 const maxAnsweredPerConnection = 64
 
-// index goes through the record once and links what belongs together.
+// index reads the record once and links each observation to its request, attempt, gateway and endpoint.
 func (a *auditor) index() {
 	x := &indexer{auditor: a, inFlight: map[connection][]*attempt{}, answered: map[connection][]*attempt{}}
 	for _, s := range a.seen {
@@ -163,7 +165,7 @@
 	}
 }
 
-// cut ends what was in flight on a connection; an answer written right before may not have arrived.
+// cut ends the attempts in flight on a connection and marks those whose answers, written right before, may not have arrived.
 func (x *indexer) cut(s *pb.Seen) {
 	on := connectionOf(s)
 	for _, t := range x.inFlight[on] {
--- a/internal/audit/ordering.go
+++ b/internal/audit/ordering.go
@@ -9,16 +9,16 @@
 	"weirhaven/internal/settings"
 )
 
-// Rule 5: requests of an ordered class with one key run one at a time at each gateway, in the order in which it received them, and
-// the key rests after an attempt that may still run.
+// Rule 5: at each gateway, requests of an ordered class that have the same key run one at a time, in the order in which the gateway
+// received them. After an attempt that may still be running, the next request with the key waits for a cooldown.
 
-// orderKey is what is ordered: one key at one gateway.
+// orderKey identifies a sequence of ordered requests: those with one key at one gateway.
 type orderKey struct {
 	gateway gateway
 	object  string
 }
 
-// maxPredecessors is how many of the last requests with a key a request is held against.
+// maxPredecessors is the number of preceding requests with the same key that a request is checked against.
 const maxPredecessors = 16
 
 func (a *auditor) judgeOrdering() {
@@ -40,15 +40,15 @@
 	}
 }
 
-// judgeOrder judges an attempt of a request against a request with the same key that was received before.
+// judgeOrder checks an attempt of a request against a request with the same key that the gateway received earlier.
 func (a *auditor) judgeOrder(before, r *request, t *attempt) {
 	now, end := at(t.reached), before.end()
 	trace := append(slices.Clone(before.trace), r.trace...)
-	served := false // what is served at the endpoint ends a request before its client has read the answer
+	served := false // the endpoint's answer ends a request before its client has read it
 	for _, other := range before.attempts {
 		if at(other.reached) > now {
 			if at(other.reached) > now+a.observationTolerance {
-				a.violation(ruleOrdering, now, trace, "request %d ran before %d, which was received earlier with the same key",
+				a.violation(ruleOrdering, now, trace, "request %d ran before request %d, which was received earlier with the same key",
 					r.sent.Command, before.sent.Command)
 			}
 			continue
@@ -57,24 +57,24 @@
 		a.judgeCooldown(before, r, other, now, end, trace)
 	}
 	if !served && now < end-a.observationTolerance {
-		a.violation(ruleOrdering, now, trace, "request %d was sent before %d, received earlier with the same key, was over",
+		a.violation(ruleOrdering, now, trace, "request %d was sent before request %d, received earlier with the same key, had ended",
 			r.sent.Command, before.sent.Command)
 	}
 }
 
-// judgeCooldown judges whether a key had to rest after an attempt of the request before.
+// judgeCooldown checks that the cooldown after an attempt of the earlier request was kept.
 func (a *auditor) judgeCooldown(before, r *request, other *attempt, now, end time.Duration, trace []*pb.Seen) {
-	rest := settings.Duration(a.header.Fleet.KeyRest, 0)
+	cooldown := settings.Duration(a.header.Fleet.KeyRest, 0)
 	switch {
 	case other.answered != nil && at(other.answered) <= now:
-	case other.ended != nil && now < at(other.ended)+rest-a.observationTolerance:
-		a.violation(ruleOrdering, now, trace, "request %d was sent while the key of %d had to rest", r.sent.Command, before.sent.Command)
-	case other.ended == nil && now < end+rest-a.observationTolerance:
-		a.violation(ruleOrdering, now, trace, "request %d was sent while an attempt of %d had no outcome", r.sent.Command, before.sent.Command)
+	case other.ended != nil && now < at(other.ended)+cooldown-a.observationTolerance:
+		a.violation(ruleOrdering, now, trace, "request %d was sent within the cooldown of its key after request %d", r.sent.Command, before.sent.Command)
+	case other.ended == nil && now < end+cooldown-a.observationTolerance:
+		a.violation(ruleOrdering, now, trace, "request %d was sent while an attempt of request %d with the same key had no outcome", r.sent.Command, before.sent.Command)
 	}
 }
 
-// end is when a request was over, for whoever waits behind it.
+// end returns the time at which a request ended for the next request with its key.
 func (r *request) end() time.Duration {
 	switch {
 	case len(r.ends) > 0:
--- a/internal/audit/ratelimit.go
+++ b/internal/audit/ratelimit.go
@@ -6,16 +6,16 @@
 	"weirhaven/internal/pb"
 )
 
-// Rule 7: all gateways together keep each volume within its plan's limit: a token bucket that may be overdrawn by the plan's slack.
+// Rule 7: all gateways together keep each volume within its plan's rate limit, a token bucket that may be overdrawn by the plan's slack.
 
-// bucket is a volume's bucket over all gateways.
+// bucket is the token bucket of a volume for all gateways together.
 type bucket struct {
 	level  float64
 	at     time.Duration
 	recent []*pb.Seen
 }
 
-// rounding is a level below which a difference is none.
+// rounding is the tolerance for floating-point errors, in units.
 const rounding = 1e-9
 
 func (a *auditor) judgeRateLimits() {
@@ -37,13 +37,13 @@
 		}
 		b.charge(plan, r.sent.Units, s)
 		if b.level < -plan.Slack-plan.Limit*a.observationTolerance.Seconds()-rounding {
-			a.violation(ruleRateLimit, at(s), b.recent, "volume %s: its bucket stands at %.2f, %.2f below its slack", r.sent.Volume, b.level,
+			a.violation(ruleRateLimit, at(s), b.recent, "volume %s: its bucket is at %.2f units, %.2f below its slack", r.sent.Volume, b.level,
 				-plan.Slack-b.level)
 		}
 	}
 }
 
-// charge fills the bucket up to a moment and takes a request's units from it.
+// charge refills the bucket up to the observation's time and takes a request's units from it.
 func (b *bucket) charge(plan *pb.Plan, units float64, s *pb.Seen) {
 	b.level = min(plan.Depth, b.level+plan.Limit*(at(s)-b.at).Seconds()) - units
 	b.at = at(s)
--- a/internal/audit/retrybudget.go
+++ b/internal/audit/retrybudget.go
@@ -7,7 +7,7 @@
 	"weirhaven/internal/settings"
 )
 
-// Rule 6: within a window a gateway makes no more retries than the budget gives for the requests that it received.
+// Rule 6: within a window, a gateway makes no more retries than the retry budget allows for the requests that it received.
 
 func (a *auditor) judgeRetryBudget() {
 	budget := a.header.Fleet.Budget
@@ -36,9 +36,9 @@
 	}
 }
 
-// since drops what was seen before a moment.
-func since(seen []*pb.Seen, moment time.Duration) []*pb.Seen {
-	for len(seen) > 0 && at(seen[0]) < moment {
+// since returns the observations from a given time on.
+func since(seen []*pb.Seen, start time.Duration) []*pb.Seen {
+	for len(seen) > 0 && at(seen[0]) < start {
 		seen = seen[1:]
 	}
 	return seen
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -8,31 +8,31 @@
 	"weirhaven/internal/settings"
 )
 
-// Totals count the requests that clients sent, by their end, and the attempts that reached endpoints.
+// Totals counts the requests that clients sent, by outcome, and the attempts that reached endpoints.
 type Totals struct {
 	Sent        int `json:"Asked"`
-	Received    int `json:"Taken"` // by a gateway that was there
+	Received    int `json:"Taken"` // by a running gateway
 	Served      int `json:"Completed"`
 	Rejected    int `json:"BusyReplied"`
 	Failed      int `json:"Aborted"`
-	Late        int // answered after the client's timeout, whatever the answer
-	Unanswered  int // the client or the gateway went away
-	NotReceived int `json:"Unreached"` // no gateway was there
+	Late        int // answered after the client's timeout, with any status
+	Unanswered  int // the client or the gateway disconnected first
+	NotReceived int `json:"Unreached"` // no gateway was running
 	Attempts    int `json:"Dispatches"`
 	Retries     int `json:"Further"`
 }
 
-// Service is what the clients of a plan and request class got. A client's retries count with its first request.
+// Service is the service for the requests of a plan and request class. A client's retries count as part of its first request.
 type Service struct {
 	Plan        string
 	Class       string  `json:"QueueType"`
-	ValueDue    float64 `json:"Due"` // priority weights of all requests
-	ValueServed float64 `json:"Got"` // of what was served, less where it was late
+	ValueDue    float64 `json:"Due"` // value of all requests: priority weights times units
+	ValueServed float64 `json:"Got"` // value of the served requests, reduced for late ones
 	InTime      int
 	Requests    int `json:"Wants"`
 }
 
-// Share is the value served as a part of the value due; 0 where nothing was due.
+// Share returns the value served as a share of the value due, or 0 if no value was due.
 func (s Service) Share() float64 {
 	if s.ValueDue == 0 {
 		return 0
@@ -40,7 +40,7 @@
 	return s.ValueServed / s.ValueDue
 }
 
-// Total is the service of all plans and request classes together.
+// Total returns the service of all plans and request classes together.
 func (v *Verdict) Total() Service {
 	total := Service{Plan: "all", Class: "all"}
 	for _, s := range v.Service {
@@ -52,16 +52,16 @@
 	return total
 }
 
-// serviceKey is the key by which service is grouped.
+// serviceKey is the plan and request class by which requests are grouped.
 type serviceKey struct{ plan, class uint32 }
 
-// minPlanWeight keeps plans without a weight from counting nothing.
+// minPlanWeight is the least priority weight of a plan, so that a plan without one still counts.
 const minPlanWeight = 1e-9
 
-// measureService counts requests and sets the service of each plan and class.
+// measureService sets the verdict's totals and the service of each plan and class.
 func (a *auditor) measureService() {
-	firsts := map[uint64]*request{} // by the first request of a client's retries
-	served := map[uint64]float64{}  // the best answer among them: 1 in time, less if late
+	firsts := map[uint64]*request{} // by the ID of the client's first request
+	served := map[uint64]float64{}  // highest value of an answer to a request or its retries: 1 in time, less if late
 	for _, r := range a.requests {
 		a.countRequest(r)
 		first := firsts[r.sent.First]
@@ -73,11 +73,11 @@
 			served[r.sent.First] = max(served[r.sent.First], value)
 		}
 	}
-	byKind := map[serviceKey]*Service{}
+	byKey := map[serviceKey]*Service{}
 	for id, first := range firsts {
-		a.addService(byKind, first, served[id])
+		a.addService(byKey, first, served[id])
 	}
-	for _, s := range byKind {
+	for _, s := range byKey {
 		a.verdict.Service = append(a.verdict.Service, *s)
 	}
 	slices.SortFunc(a.verdict.Service, func(x, y Service) int {
@@ -85,14 +85,14 @@
 	})
 }
 
-func (a *auditor) addService(byKind map[serviceKey]*Service, first *request, served float64) {
-	kind := serviceKey{first.sent.Plan, first.sent.QueueType}
-	s := byKind[kind]
+func (a *auditor) addService(byKey map[serviceKey]*Service, first *request, served float64) {
+	key := serviceKey{first.sent.Plan, first.sent.QueueType}
+	s := byKey[key]
 	if s == nil {
-		s = &Service{Plan: a.header.Plan[kind.plan].Name, Class: first.class.Name}
-		byKind[kind] = s
+		s = &Service{Plan: a.header.Plan[key.plan].Name, Class: first.class.Name}
+		byKey[key] = s
 	}
-	value := first.class.Importance * max(a.header.Plan[kind.plan].Importance, minPlanWeight) * first.sent.Units
+	value := first.class.Importance * max(a.header.Plan[key.plan].Importance, minPlanWeight) * first.sent.Units
 	s.ValueDue += value
 	s.ValueServed += value * served
 	s.Requests++
@@ -129,7 +129,7 @@
 	}
 }
 
-// answer is what ended a request, where that was an answer.
+// answer returns the answer that ended a request, or nil if it ended without one.
 func (r *request) answer() *pb.Seen {
 	if len(r.ends) == 0 || r.ends[0].What != pb.Seen_ANSWERED {
 		return nil
@@ -137,8 +137,8 @@
 	return r.ends[0]
 }
 
-// servedValue is what a request's answer is worth, 1 within the latency objective of the client's first request; ok is false where
-// it was not served before its timeout.
+// servedValue returns the value of a request's answer: 1 within the latency objective, counted from the client's first request, and
+// the class's late share afterwards. ok is false if the request was not served before its timeout.
 func (r *request) servedValue(first *request) (value float64, ok bool) {
 	answer := r.answer()
 	if answer == nil || answer.How != statusServed || at(answer) > r.deadline() {
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -8,20 +8,20 @@
 	"weirhaven/internal/settings"
 )
 
-// Rule 4: all gateways together don't overload an endpoint in slow start, as far as two thirds of the work came from gateways that
-// had been notified of its start.
+// Rule 4: all gateways together do not overload an endpoint in slow start. An overload is a violation if at least two thirds of the
+// work came from gateways that had been notified of the endpoint's start.
 
 const (
-	// notifiedShare of the work makes an overload a violation.
+	// Share of the work that notified gateways must have sent for an overload to be a violation.
 	notifiedNumerator, notifiedDenominator = 2, 3
-	// traceLength is how many of the last sightings a violation shows.
+	// traceLength is the number of last observations that a violation shows.
 	traceLength = 12
 )
 
 // arrival is work that reached an endpoint in slow start.
 type arrival struct {
 	seen     *pb.Seen
-	notified bool // its gateway knew of the start
+	notified bool // its gateway had been notified of the start
 }
 
 func (a *auditor) judgeSlowStart() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// notifiedOfStart tells whether the gateway whose attempt this is had been notified of an endpoint's start.
+// notifiedOfStart reports whether the gateway that sent an attempt had been notified of the endpoint's start.
 func (a *auditor) notifiedOfStart(reached, start *pb.Seen) bool {
 	r := a.byID[reached.Command]
 	if r == nil {
@@ -54,7 +54,8 @@
 	})
 }
 
-// judgeArrivals judges what reached an endpoint within the window before a moment, against what it bears then.
+// judgeArrivals checks the work that reached an endpoint within the window before an observation against the endpoint's capacity at
+// that time.
 func (a *auditor) judgeArrivals(arrivals []arrival, start, now *pb.Seen, window time.Duration) {
 	work, notified := 0.0, 0.0
 	for _, x := range arrivals {
@@ -66,9 +67,9 @@
 	age := at(now) - at(start)
 	multiple := a.header.Fleet.FallMultiple
 	capacity := start.Capacity * (start.ColdFrom + (1-start.ColdFrom)*age.Seconds()/time.Duration(start.ColdFor).Seconds())
-	bearable := multiple * capacity * window.Seconds()
-	a.pressure = max(a.pressure, work/bearable)
-	if work <= bearable || notified < work*notifiedNumerator/notifiedDenominator {
+	overload := multiple * capacity * window.Seconds()
+	a.pressure = max(a.pressure, work/overload)
+	if work <= overload || notified < work*notifiedNumerator/notifiedDenominator {
 		return
 	}
 	var trace []*pb.Seen
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what an observer beside the gateways saw on the sockets of clients and endpoints during a scenario or
-// a soak: one clock, one order, one file. Package audit judges from it alone; nothing that a gateway says of itself is in it.
+// Package record stores the observations made at the clients and endpoints, outside the gateways, during a scenario or a soak: in
+// one file, in the order of one clock. Package audit checks the record alone, so it contains nothing that a gateway reports of itself.
 package record
 
 import (
@@ -18,10 +18,10 @@
 	"weirhaven/internal/pb"
 )
 
-// Version is that of the file's format. Read takes no other.
+// Version is the version of the file format. Read accepts no other.
 const Version = 1
 
-// File is the record's file name in its folder.
+// File is the name of the record's file in its folder.
 const File = "record.pb"
 
 const (
@@ -29,20 +29,20 @@
 	readBuffer  = 1 << 18 // bytes
 )
 
-// Recorder collects what is seen. It is safe for concurrent use.
+// Recorder collects observations. It is safe for concurrent use.
 type Recorder struct {
 	start time.Time
 	mu    sync.Mutex
 	seen  []*pb.Seen
 }
 
-// New returns an empty Recorder whose clock starts at 0 now.
+// New returns an empty Recorder whose clock starts at 0.
 func New() *Recorder { return &Recorder{start: time.Now()} }
 
 // Now returns the observer's clock: the time since New.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// See records what was seen just now: it sets At and keeps the message, which the caller must not change afterwards. A nil
+// See records an observation made now: it sets At and keeps the message, which the caller must not change afterwards. A nil
 // Recorder records nothing.
 func (r *Recorder) See(seen *pb.Seen) {
 	if r == nil {
@@ -50,18 +50,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen.At = int64(time.Since(r.start)) // under the lock, so that the order is that of the times
+	seen.At = int64(time.Since(r.start)) // read under the lock, so that the observations are in the order of At
 	r.seen = append(r.seen, seen)
 }
 
-// All returns what was seen so far, in the order of At.
+// All returns the observations so far, in the order of At.
 func (r *Recorder) All() []*pb.Seen {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.seen)
 }
 
-// Write writes a record into dir, which is made if need be, in place of one that is there. It sets the header's Version.
+// Write writes a record into dir, which it creates if needed, and replaces an earlier record there. It sets the header's Version.
 func Write(dir string, header *pb.Header, seen []*pb.Seen) (err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("record: %w", err)
@@ -94,11 +94,11 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("record: %w", err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	reader := bufio.NewReaderSize(file, readBuffer)
 	header = &pb.Header{}
 	if err := protodelim.UnmarshalFrom(reader, header); err != nil {
-		return nil, nil, fmt.Errorf("%s is no record: %w", path, err)
+		return nil, nil, fmt.Errorf("%s is not a record: %w", path, err)
 	}
 	if header.Version != Version {
 		return nil, nil, fmt.Errorf("%s: record format %d; this program reads format %d", path, header.Version, Version)
@@ -110,7 +110,7 @@
 			return header, seen, nil
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("%s breaks off after %d messages: %w", path, len(seen), err)
+			return nil, nil, fmt.Errorf("%s: truncated or malformed after %d observations: %w", path, len(seen), err)
 		}
 		seen = append(seen, message)
 	}
--- a/internal/record/stored_data_test.go
+++ b/internal/record/stored_data_test.go
@@ -23,7 +23,7 @@
 		Plan: []*pb.Plan{{Name: "basic", Nominal: 14, Reservation: 1, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8}}}
 }
 
-// storedSeen are one line of each kind, in the order of their times.
+// storedSeen returns one observation of each kind, in the order of their times.
 func storedSeen() []*pb.Seen {
 	return []*pb.Seen{
 		{What: pb.Seen_HOST_UP, At: 1, Host: 1, Incarnation: 2},
@@ -45,22 +45,22 @@
 	}
 }
 
-// Version a32f63c wrote what an observer saw in a drill. Every later version must read the record, so that its audit can be made again.
+// Every later version must read a record that version a32f63c wrote, so that it can be audited again.
 func TestStoredRecordIsRead(t *testing.T) {
 	header, seen, err := Read("testdata")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !proto.Equal(header, storedHeader()) {
-		t.Errorf("header %v\nwanted %v", header, storedHeader())
+		t.Errorf("header = %v\nwant %v", header, storedHeader())
 	}
 	want := storedSeen()
 	if len(seen) != len(want) {
-		t.Fatalf("%d lines, wanted %d", len(seen), len(want))
+		t.Fatalf("%d observations, want %d", len(seen), len(want))
 	}
 	for i := range want {
 		if !proto.Equal(seen[i], want[i]) {
-			t.Errorf("line %d: %v\nwanted %v", i, seen[i], want[i])
+			t.Errorf("observation %d = %v\nwant %v", i, seen[i], want[i])
 		}
 	}
 }
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -54,7 +54,8 @@
 	return b
 }
 
-// object is what may stand under a name: nothing (nil), or one of some contents: after a write that may have happened there are two.
+// object is a name with the contents that a read may return; nil stands for no object. After a write whose outcome is unknown there
+// is more than one.
 type object struct {
 	volume, name string
 	candidates   []*content
@@ -160,15 +161,15 @@
 	}
 }
 
-// writeEnded notes what may stand under a name once a write ended.
-func (o *objectClients) writeEnded(n *object, now *content, err error) {
+// writeEnded updates the possible contents of a name after a write.
+func (o *objectClients) writeEnded(n *object, written *content, err error) {
 	if err == nil {
-		n.candidates = []*content{now}
+		n.candidates = []*content{written}
 		return
 	}
 	// Also if the last attempt can't have run, because an earlier one may have.
 	o.count(func(s *ObjectCounts) { s.Failed++ })
-	n.candidates = append(n.candidates, now)
+	n.candidates = append(n.candidates, written)
 }
 
 func (o *objectClients) put(ctx context.Context, c *client.Client, n *object, x content, parts bool) {
@@ -184,7 +185,7 @@
 	o.writeEnded(n, &x, err)
 }
 
-// get reads, and judges what came: it must be, whole, one of what may be there.
+// get reads an object, or a range of it if size is above 0, and verifies the result.
 func (o *objectClients) get(ctx context.Context, c *client.Client, n *object, from, size int64) {
 	if size > 0 {
 		o.count(func(s *ObjectCounts) { s.Ranges++ })
@@ -213,6 +214,7 @@
 	}
 }
 
+// verify counts a read result that matches none of the object's possible contents as wrong or lost.
 func (o *objectClients) verify(n *object, got []byte, found bool, from, size int64) {
 	for _, x := range n.candidates {
 		switch {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -18,10 +18,10 @@
 	"weirhaven/policy"
 )
 
-// The test binary is also the host program, so that hosts are processes here too. WRONG names the rule that such a
-// host breaks on purpose.
+// TestMain lets the test binary also run as a gateway or a controller, so that scenarios start both as processes. The variable
+// WRONG is the number of the audit rule that the gateway breaks on purpose.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == "planner" { // never the tests again, whatever stands behind it
+	if len(os.Args) > 1 && os.Args[1] == "planner" { // exits in any case, so that a child process never runs the tests
 		c := server.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		if err := c.Execute(gateway.Logger); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -45,7 +45,7 @@
 	os.Exit(m.Run())
 }
 
-// faultyScheduler is the module behind a wrapper that breaks one rule.
+// faultyScheduler wraps the scheduler and breaks one rule of the audit.
 type faultyScheduler struct {
 	*policy.Scheduler
 	policy.Runtime
@@ -69,7 +69,7 @@
 	return w
 }
 
-// Reject loses each twentieth: rule 1.
+// Reject drops one rejection in 20, so that the request gets no final answer: rule 1.
 func (w *faultyScheduler) Reject(c *policy.Request, pause time.Duration) {
 	if w.n++; w.rule == 1 && w.n%20 == 1 {
 		return
@@ -77,7 +77,7 @@
 	w.Runtime.Reject(c, pause)
 }
 
-// AttemptEnded takes what may have run for never run: rule 2.
+// AttemptEnded reports an error response as a failed connect, so that a request that may have run is sent again: rule 2.
 func (w *faultyScheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
 	if w.rule == 2 && result.Outcome == policy.ErrorResponse {
 		result.Outcome = policy.ConnectFailed
@@ -85,7 +85,7 @@
 	w.Scheduler.AttemptEnded(attempt, result)
 }
 
-// UpdateEndpoint takes a draining brick for a serving one (rule 3), a cold one for a warm one (rule 4).
+// UpdateEndpoint reports a draining endpoint as serving (rule 3) or hides that an endpoint is in slow start (rule 4).
 func (w *faultyScheduler) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
 	switch w.rule {
 	case 3:
@@ -96,7 +96,7 @@
 	w.Scheduler.UpdateEndpoint(endpoint, update)
 }
 
-// RequestReceived forgets the key: rule 5.
+// RequestReceived removes the request's ordering key: rule 5.
 func (w *faultyScheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	if w.rule == 5 {
 		arrival.Object = ""
@@ -110,15 +110,15 @@
 	return Options{Seed: seed, Gateway: []string{os.Args[0], "edge"}, Env: []string{"WRONG=" + strconv.Itoa(rule)}, ObservationTolerance: 100 * time.Millisecond}
 }
 
-// shortened is the bad day cut down to a few seconds with the troubles given.
-func shortened(t testing.TB, length string, troubles string) *pb.Drill {
+// shortened returns the scenario bad-day with another length and the given faults.
+func shortened(t testing.TB, length string, faults string) *pb.Drill {
 	t.Helper()
 	d, err := Load("bad-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	extra := &pb.Drill{}
-	if err := settings.Parse("troubles", []byte(troubles), extra); err != nil && extra.Trouble == nil && troubles != "" {
+	if err := settings.Parse("troubles", []byte(faults), extra); err != nil && extra.Trouble == nil && faults != "" {
 		t.Fatal(err)
 	}
 	d.Length, d.Trouble = length, extra.Trouble
@@ -149,7 +149,8 @@
 	}
 }
 
-// Hosts are killed and rolled, a brick drains, one dies and comes back cold on its address, answers are lost.
+// No rule is broken while gateways are killed and restarted, an endpoint is drained and replaced, another one crashes and restarts in
+// slow start at its address, endpoints return errors, responses are lost and clients reconnect.
 func TestNoViolationsUnderFaults(t *testing.T) {
 	t.Parallel()
 	r := play(t, shortened(t, "4s", `
@@ -162,11 +163,12 @@
 		trouble { kind: HOST_ROLL at: "2200ms" length: "1500ms" part: 0.34 back: "100ms" }`), options(1, 0))
 	reportViolations(t, r)
 	if s := r.Verdict.Totals; s.Served < 300 || s.Rejected == 0 || s.Retries == 0 {
-		t.Errorf("the day did not happen: %+v", s)
+		t.Errorf("too few requests were served, rejected or retried: %+v", s)
 	}
 }
 
-// A host killed in a burst of a limited plan, back within a second: it can't know what it spent, and the limit holds all the same.
+// A gateway that is killed and restarted within a second does not know how much of a plan's rate limit it has used. The limit must hold
+// all the same.
 func TestRateLimitHoldsWhenGatewaysAreKilled(t *testing.T) {
 	t.Parallel()
 	r := play(t, shortened(t, "3s", `
@@ -176,7 +178,8 @@
 	reportViolations(t, r)
 }
 
-// The list service is down; lists on disk are old and know neither a draining brick nor a cold one.
+// Gateways start without the discovery service, from stored endpoint lists in which neither a drained endpoint nor one in slow start is
+// marked as such.
 func TestStartWithoutDiscovery(t *testing.T) {
 	for _, age := range []string{"5s", "720h"} {
 		t.Run(age, func(t *testing.T) {
@@ -189,15 +192,15 @@
 			r := play(t, d, options(3, 0))
 			reportViolations(t, r)
 			if s := r.Verdict.Totals; s.Served < 300 {
-				t.Errorf("hardly any service: %+v", s)
+				t.Errorf("served too few requests: %+v", s)
 			}
 		})
 	}
 }
 
-// The list service goes and comes, tells half a list, an empty one, an old one, while a brick drains: service goes on and all rules hold.
-// Hosts that hear of bricks from the planner alone, while it is killed again and again and comes back with an old disk, with none, and
-// stalls: all rules kept, and served as if it had been left in peace. The whole day is weirhavenctl drill run planner-killed --calm.
+// Gateways learn of endpoints from the controller alone. No rule is broken and requests are still served while the controller is killed
+// repeatedly, restarts with an old store and with an empty one, and stalls. The full scenario with a comparison run is
+// weirhavenctl scenario run planner-killed --without-controller-faults.
 func TestControllerFaults(t *testing.T) {
 	t.Parallel()
 	d, err := Load("planner-killed")
@@ -219,7 +222,8 @@
 	}
 }
 
-// Objects over HTTP while hosts are killed, a brick is replaced and answers are lost: no byte is wrong, none that was answered is lost.
+// No object read over HTTP has wrong bytes and no acknowledged object is lost while gateways are killed, an endpoint is replaced and
+// responses are lost.
 func TestObjectDay(t *testing.T) {
 	t.Parallel()
 	d, err := Load("object-day")
@@ -238,7 +242,7 @@
 	if o := r.Objects; !o.Good() || o.Checked != 54 || o.Puts < 100 || o.Failed > o.Requests()/10 {
 		t.Error(o)
 	}
-	// The judge itself: other bytes, bytes of two objects, and a name that is gone are told.
+	// The check itself reports mixed and truncated contents as wrong and a missing object as lost.
 	w := &objectClients{}
 	a, b := &content{1, 1000}, &content{2, 1000}
 	n := &object{candidates: []*content{a, b}}
@@ -255,6 +259,8 @@
 	}
 }
 
+// While the discovery service is down and returns partial, empty and outdated lists, and an endpoint is drained and replaced, no rule
+// is broken and requests are still served.
 func TestDiscoveryFlapping(t *testing.T) {
 	t.Parallel()
 	r := play(t, shortened(t, "3s", `
@@ -262,11 +268,11 @@
 		trouble { kind: PREEMPT at: "1s" length: "500ms" on: 0 back: "200ms" }`), options(4, 0))
 	reportViolations(t, r)
 	if w := r.Verdict.Total(); w.Share() < 0.6 {
-		t.Errorf("the service fell to %.3f", w.Share())
+		t.Errorf("service fell to %.3f, want at least 0.6", w.Share())
 	}
 }
 
-// Each host breaks one rule on purpose; the audit must see that rule broken.
+// The audit must report the rule that the gateways break on purpose.
 func TestAuditCatchesWrongHosts(t *testing.T) {
 	for rule, c := range map[int]string{
 		1: ``,
@@ -283,26 +289,26 @@
 			switch rule {
 			case 1:
 				d.Fleet.Cancel = false
-			case 4: // a start that is easily pushed over
+			case 4: // an endpoint in slow start that little load overloads
 				d.Fleet.ColdFrom, d.Fleet.ColdUnits, d.Kind[0].ColdFrom = 0.05, 2, 0.05
 				d.Fleet.FallAfter = "300ms"
-			case 5: // many writes of few rows
+			case 5: // many writes to few objects
 				d.Load.Mix, d.Load.Objects, d.Load.NewObjects = []float64{0.3, 0, 0, 0.7}, 2, 0
 			}
 			r := play(t, d, options(int64(rule), rule))
 			if r.Verdict.Violations[rule] == 0 {
-				t.Errorf("not caught; %+v, breaches %v", r.Verdict.Totals, r.Verdict.Violations)
+				t.Errorf("rule %d: no violation reported; %+v, violations %v", rule, r.Verdict.Totals, r.Verdict.Violations)
 			}
 		})
 	}
 }
 
-// Hosts that end at their start say why.
+// If a gateway exits at its start, Run returns an error with the reason that it logged.
 func TestGatewayStartErrorIsReported(t *testing.T) {
 	d := shortened(t, "1s", "")
 	d.Plan[0].Weight = 0
 	_, err := Run(context.Background(), d, options(1, 0))
 	if err == nil || !strings.Contains(err.Error(), "plan[0].weight") {
-		t.Errorf("got %v", err)
+		t.Errorf("error = %v, want one that names plan[0].weight", err)
 	}
 }
--- a/internal/scenario/stored_data_test.go
+++ b/internal/scenario/stored_data_test.go
@@ -9,7 +9,7 @@
 	"weirhaven/internal/pb"
 )
 
-func storedDrill() *pb.Drill {
+func storedScenario() *pb.Drill {
 	return &pb.Drill{Name: "own-day", Length: "14s", Hosts: 3,
 		Fleet: &pb.Fleet{Cancel: true, MaxDispatches: 3, Resolution: "10ms", Budget: &pb.Budget{Free: 3, Share: 0.25, Span: "3s"}, UsualUnits: 2, MostUnits: 8},
 		QueueType: []*pb.QueueType{
@@ -27,10 +27,10 @@
 		Bounds:  &pb.Bounds{Connections: 200, Idle: "31s"}, NewsLost: 0.05, Planner: true,
 		Objects: &pb.ObjectLoad{Workers: 9, Names: 6, ReadType: "read", WriteType: "order", Largest: 400000, Extent: 65536, Unit: 32768, Parts: 0.03,
 			Pause: "15ms"},
-		Trouble: storedTroubles()}
+		Trouble: storedFaults()}
 }
 
-func storedTroubles() []*pb.Trouble {
+func storedFaults() []*pb.Trouble {
 	return []*pb.Trouble{
 		{Kind: pb.Trouble_AGEING, At: "1s", Length: "2500ms", Size: 6, Part: 0.15, Back: "600ms"},
 		{Kind: pb.Trouble_ANSWER_LOST, At: "2s", Length: "1s", Size: 0.05, Part: 0.2, Reset_: true},
@@ -56,13 +56,13 @@
 	}
 }
 
-// A drill as users of version a32f63c may have written one. Every later version must read each field of it, and the troubles in their order.
-func TestStoredDrillIsRead(t *testing.T) {
+// Every later version must read a scenario file as users of version a32f63c may have written it: each field, and the faults in order.
+func TestStoredScenarioIsRead(t *testing.T) {
 	got, err := Load(filepath.Join("testdata", "stored", "drill.txtpb"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !proto.Equal(got, storedDrill()) {
-		t.Errorf("%v\nwanted %v", got, storedDrill())
+	if !proto.Equal(got, storedScenario()) {
+		t.Errorf("scenario = %v\nwant %v", got, storedScenario())
 	}
 }
