--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -114,12 +114,12 @@
 	return o
 }
 
-func (r *runner) planOfVolume(no int) string {
+func (r *runner) planOfVolume(number int) string {
 	for _, g := range r.scenario.Volumes {
-		if no < int(g.Count) {
+		if number < int(g.Count) {
 			return g.Plan
 		}
-		no -= int(g.Count)
+		number -= int(g.Count)
 	}
 	return ""
 }
@@ -167,7 +167,7 @@
 		n.candidates = []*content{written}
 		return
 	}
-	// Also if the last attempt can't have run, because an earlier one may have.
+	// The write may have happened even if the last attempt can't have run, because an earlier one may have.
 	o.count(func(s *ObjectCounts) { s.Failed++ })
 	n.candidates = append(n.candidates, written)
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -68,7 +68,7 @@
 	// Gateway is the command line that runs a gateway; "--config FILE" is appended.
 	Gateway []string
 	Env     []string
-	// Arm is the name under which results are compared, such as the scheduler's. The record's header carries it.
+	// Arm is the run's name in a comparison, such as that of its scheduler. The record's header carries it.
 	Arm string
 	// Logs receives the logs of the gateways and the controller; nil discards them.
 	Logs io.Writer
@@ -97,6 +97,7 @@
 // copy of its store, or with none.
 type ControllerFaults struct{ Kills, Rollbacks, Stalls int }
 
+// gatewayProcess is a gateway's process, which may be restarted during a run.
 type gatewayProcess struct {
 	ordinal       int
 	incarnation   atomic.Uint32
@@ -108,9 +109,10 @@
 	address       string
 	peerAddress   string
 	objectAddress string // listen address of the object API
-	stopped       bool
+	stopped       bool   // killed or told to stop by this package
 }
 
+// runner holds the state of one run.
 type runner struct {
 	scenario        *pb.Drill
 	options         Options
@@ -124,7 +126,7 @@
 	load            *client.Load
 	meter           *storagenode.Meter
 	idempotencyKeys map[string]*storagenode.IdempotencyKeys
-	dataByShard     map[int]*storagenode.Data // by shard; the replacement of an endpoint gets the same data
+	dataByShard     map[int]*storagenode.Data // the replacement of an endpoint gets the same data
 	objects         *objectClients            // nil without object requests
 
 	mu               sync.Mutex
@@ -136,6 +138,7 @@
 	wg               sync.WaitGroup
 }
 
+// placement describes the endpoints of a shard.
 type placement struct {
 	kind  *pb.BrickKind
 	zone  string
@@ -176,8 +179,8 @@
 		r.mu.Lock()
 		all := append(slices.Clone(r.endpoints), r.replaced...)
 		r.mu.Unlock()
-		for _, b := range all {
-			b.Stop()
+		for _, endpoint := range all {
+			endpoint.Stop()
 		}
 		if r.discovery != nil {
 			r.discovery.Stop()
@@ -198,10 +201,10 @@
 		return err
 	}
 	volumes := r.volumes()
-	h := r.scenario.Fleet
+	fleet := r.scenario.Fleet
 	r.load = client.Start(client.Config{AddressOf: func(i int) string { return r.gateways[i].address }, Gateways: len(r.gateways),
-		QueueTypes: r.scenario.QueueType, Volumes: volumes, Load: r.scenario.Load, MeanUnits: h.UsualUnits, MaxUnits: h.MostUnits,
-		MaxRetryAfter: settings.Duration(h.MaxPause, 0), MarkRetries: h.ClientsMarkRepeats, Seed: r.rng.Int63(), Recorder: r.recorder,
+		QueueTypes: r.scenario.QueueType, Volumes: volumes, Load: r.scenario.Load, MeanUnits: fleet.UsualUnits, MaxUnits: fleet.MostUnits,
+		MaxRetryAfter: settings.Duration(fleet.MaxPause, 0), MarkRetries: fleet.ClientsMarkRepeats, Seed: r.rng.Int63(), Recorder: r.recorder,
 		Incarnation: func(i int) uint32 { return r.gateways[i].incarnation.Load() }})
 	defer r.load.Stop()
 	select { // gateways accept the clients' connections and read their first endpoint list
@@ -267,13 +270,13 @@
 	}
 	r.endpoints = make([]*storagenode.Node, len(r.placements))
 	for shard := range r.placements {
-		b, err := r.startEndpoint(shard, "", slices.Contains(l.Cold, uint32(shard)), "127.0.0.1:0")
+		endpoint, err := r.startEndpoint(shard, "", slices.Contains(l.Cold, uint32(shard)), "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		if slices.Contains(l.Drained, uint32(shard)) {
-			r.listAs(b, shard, "draining")
-			b.AnnounceDraining()
+			r.listAs(endpoint, shard, "draining")
+			endpoint.AnnounceDraining()
 		}
 	}
 	return nil
@@ -284,8 +287,8 @@
 func (r *runner) writeStores() error {
 	at := time.Duration(time.Now().UnixNano()) - settings.Duration(r.scenario.List.SavedAge, 0)
 	var all []endpointstate.Belief
-	for shard, b := range r.endpoints {
-		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: b.Name(), Address: b.Address(), Zone: r.placements[shard].zone,
+	for shard, endpoint := range r.endpoints {
+		all = append(all, endpointstate.Belief{Source: endpointstate.List, Report: endpointstate.Report{Name: endpoint.Name(), Address: endpoint.Address(), Zone: r.placements[shard].zone,
 			Shard: shard, Serving: true, ObservedAt: at}})
 	}
 	for _, p := range r.gateways {
@@ -357,22 +360,22 @@
 		}
 		c.Data = r.dataByShard[shard]
 	}
-	b, err := storagenode.Start(c)
+	endpoint, err := storagenode.Start(c)
 	if err != nil {
 		return nil, err
 	}
-	r.endpoints[shard] = b
-	e := discovery.Entry{Name: name, Address: b.Address(), Zone: s.zone, Cell: shard, State: "serving"}
+	r.endpoints[shard] = endpoint
+	e := discovery.Entry{Name: name, Address: endpoint.Address(), Zone: s.zone, Cell: shard, State: "serving"}
 	if cold {
-		e.Started = b.Started()
+		e.Started = endpoint.Started()
 	}
 	r.discovery.Set(e)
-	return b, nil
+	return endpoint, nil
 }
 
 // listAs sets the state that discovery reports for an endpoint.
-func (r *runner) listAs(b *storagenode.Node, shard int, state string) {
-	r.discovery.Set(discovery.Entry{Name: b.Name(), Address: b.Address(), Zone: r.placements[shard].zone, Cell: shard, State: state})
+func (r *runner) listAs(endpoint *storagenode.Node, shard int, state string) {
+	r.discovery.Set(discovery.Entry{Name: endpoint.Name(), Address: endpoint.Address(), Zone: r.placements[shard].zone, Cell: shard, State: state})
 }
 
 func (r *runner) volumes() []client.Volume {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -297,7 +297,7 @@
 			}
 			r := play(t, d, options(int64(rule), rule))
 			if r.Verdict.Violations[rule] == 0 {
-				t.Errorf("rule %d: no violation reported; %+v, violations %v", rule, r.Verdict.Totals, r.Verdict.Violations)
+				t.Errorf("no violation reported; %+v, violations %v", r.Verdict.Totals, r.Verdict.Violations)
 			}
 		})
 	}
