--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -104,7 +104,7 @@
 		{"removed endpoint listed again with a later start", 0, "", lines{listed(0, "a", "gone", 9000), listed(90, "a", "serving", 10), sent(100, 1, 0),
 			reached(120, 1, 0, "a"), answered(130, 1, "BUSY")}},
 
-		{"endpoint in slow start below its capacity", 0, "", append(lines{endpointUp(0, "a"), listed(1, "a", "serving", 1)}, repeated(2, func(i int) lines {
+		{"endpoint in slow start, not overloaded", 0, "", append(lines{endpointUp(0, "a"), listed(1, "a", "serving", 1)}, repeated(2, func(i int) lines {
 			at, id := one(i)
 			return lines{sent(10+at, id, 0), reached(11+at, id, 0, "a"), answered(20+at, id, "BUSY")}
 		})...)},
--- a/internal/audit/index.go
+++ b/internal/audit/index.go
@@ -61,6 +61,7 @@
 	number   int64
 }
 
+// auditor holds the indexed record and the verdict.
 type auditor struct {
 	header               *pb.Header
 	seen                 []*pb.Seen // by time
