--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -27,26 +27,26 @@
 	return &pb.Seen{At: t * ms, What: pb.Seen_ASKED, Command: id, First: id, QueueType: class, Units: 4, Object: "k", Volume: "v",
 		Timeout: 500 * ms, Incarnation: 1}
 }
-func answered(t int64, id uint64, how string) *pb.Seen {
-	return &pb.Seen{At: t * ms, What: pb.Seen_ANSWERED, Command: id, How: how}
+func answered(t int64, id uint64, status string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_ANSWERED, Command: id, How: status}
 }
-func unanswered(t int64, id uint64, how string) *pb.Seen {
-	return &pb.Seen{At: t * ms, What: pb.Seen_UNANSWERED, Command: id, How: how}
+func unanswered(t int64, id uint64, status string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_UNANSWERED, Command: id, How: status}
 }
 func reached(t int64, id uint64, n uint32, endpoint string) *pb.Seen {
 	return &pb.Seen{At: t * ms, What: pb.Seen_REACHED, Command: id, Dispatch: n, Brick: endpoint, Cell: int32(endpoint[0]), Units: 4, Work: 0.1}
 }
-func answeredByEndpoint(t int64, id uint64, n uint32, endpoint, how string) *pb.Seen {
-	return &pb.Seen{At: t * ms, What: pb.Seen_REPLIED, Command: id, Dispatch: n, Brick: endpoint, How: how}
+func answeredByEndpoint(t int64, id uint64, n uint32, endpoint, status string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_REPLIED, Command: id, Dispatch: n, Brick: endpoint, How: status}
 }
 func canceled(t int64, id uint64, n uint32, endpoint string) *pb.Seen {
 	return &pb.Seen{At: t * ms, What: pb.Seen_CALLED_OFF, Command: id, Dispatch: n, Brick: endpoint}
 }
-func listed(t int64, endpoint, how string, started int64) *pb.Seen {
-	return &pb.Seen{At: t * ms, What: pb.Seen_LISTED, Brick: endpoint, How: how, Started: started * ms, Incarnation: 1}
+func listed(t int64, endpoint, status string, started int64) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_LISTED, Brick: endpoint, How: status, Started: started * ms, Incarnation: 1}
 }
-func gatewayDown(t int64, how string) *pb.Seen {
-	return &pb.Seen{At: t * ms, What: pb.Seen_HOST_DOWN, Incarnation: 1, How: how}
+func gatewayDown(t int64, status string) *pb.Seen {
+	return &pb.Seen{At: t * ms, What: pb.Seen_HOST_DOWN, Incarnation: 1, How: status}
 }
 func endpointUp(t int64, endpoint string) *pb.Seen {
 	return &pb.Seen{At: t * ms, What: pb.Seen_BRICK_UP, Brick: endpoint, Capacity: 1, ColdFrom: 0.1, ColdFor: 4000 * ms}
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -98,17 +98,17 @@
 		if err != nil {
 			continue
 		}
-		var own []*object
+		var objects []*object
 		for n := range int(r.scenario.Objects.Names) {
 			at := (i*7 + n) % volumes
-			own = append(own, &object{volume: volumeName(r.planOfVolume(at), at), name: fmt.Sprintf("worker %d/%d", i, n), candidates: []*content{nil}})
+			objects = append(objects, &object{volume: volumeName(r.planOfVolume(at), at), name: fmt.Sprintf("worker %d/%d", i, n), candidates: []*content{nil}})
 		}
-		o.clients, o.objects = append(o.clients, c), append(o.objects, own)
+		o.clients, o.objects = append(o.clients, c), append(o.objects, objects)
 		seed := r.rng.Int63()
 		o.wg.Add(1)
 		go func() {
 			defer o.wg.Done()
-			o.run(ctx, c, own, rand.New(rand.NewSource(seed)))
+			o.run(ctx, c, objects, rand.New(rand.NewSource(seed)))
 		}()
 	}
 	return o
@@ -139,11 +139,11 @@
 	return o.totals
 }
 
-func (o *objectClients) run(ctx context.Context, c *client.Client, own []*object, rng *rand.Rand) {
+func (o *objectClients) run(ctx context.Context, c *client.Client, objects []*object, rng *rand.Rand) {
 	l := o.r.scenario.Objects
 	pause := settings.Duration(l.Pause, 10*time.Millisecond)
 	for ctx.Err() == nil {
-		n := own[rng.Intn(len(own))]
+		n := objects[rng.Intn(len(objects))]
 		switch x := rng.Float64(); {
 		case x < 0.4:
 			o.put(ctx, c, n, content{rng.Int63(), int(math.Exp(rng.Float64() * math.Log(float64(l.Largest))))}, rng.Float64() < l.Parts)
@@ -255,11 +255,11 @@
 	o.stop()
 	o.wg.Wait()
 	var wg sync.WaitGroup
-	for i, own := range o.objects {
+	for i, objects := range o.objects {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for _, n := range own {
+			for _, n := range objects {
 				for range 20 { // endpoints may still be in slow start
 					before := o.counts().Failed
 					o.get(ctx, o.clients[i], n, 0, 0)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -34,7 +34,7 @@
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		start := gateway.NewScheduler
 		if wrong > 0 {
-			start = func(h policy.Runtime, s policy.Settings) engine.Scheduler { return newFaultyScheduler(wrong, h, s) }
+			start = func(runtime policy.Runtime, settings policy.Settings) engine.Scheduler { return newFaultyScheduler(wrong, runtime, settings) }
 		}
 		if err := c.Execute(start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
