--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -34,7 +34,9 @@
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		start := gateway.NewScheduler
 		if wrong > 0 {
-			start = func(runtime policy.Runtime, settings policy.Settings) engine.Scheduler { return newFaultyScheduler(wrong, runtime, settings) }
+			start = func(runtime policy.Runtime, s policy.Settings) engine.Scheduler {
+				return newFaultyScheduler(wrong, runtime, s)
+			}
 		}
 		if err := c.Execute(start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
