--- a/internal/httpgateway/upstream/send_test.go
+++ b/internal/httpgateway/upstream/send_test.go
@@ -31,8 +31,8 @@
 }
 
 // While an attempt waits for its connection, its request ends (client disconnected or final response sent) or a time limit passes,
-// and the engine's loop has not canceled the attempt yet when the connection is established. No byte of the attempt may be sent, as the endpoint would do useless work,
-// and the attempt must still be reported.
+// and the engine's loop has not canceled the attempt yet when the connection is established. No byte of the
+// attempt may be sent, as the endpoint would do useless work, and the attempt must still be reported.
 func TestSendGuard(t *testing.T) {
 	for name, row := range map[string]struct {
 		sent    bool
@@ -128,7 +128,7 @@
 }
 
 // The process is suspended while it sends an attempt, between any two clock readings. The remaining time sent to the endpoint must
-// not exceed that of the client by more than schedulingSlack; otherwise the endpoint would work after the client has given up.
+// not exceed that of the client by more than schedulingSlack; otherwise the endpoint would work after the client has stopped waiting.
 func TestSuspendedWhileSending(t *testing.T) {
 	for beforeReading := 1; beforeReading <= 6; beforeReading++ {
 		t.Run(fmt.Sprint("before reading ", beforeReading), func(t *testing.T) {
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -92,12 +92,12 @@
 	case pb.Trouble_RECONNECT:
 		r.load.Reconnect(t.Size)
 	case pb.Trouble_LIST_FLAPS:
-		for mode := discovery.Half; time.Now().Before(end); mode = (mode + 1) % (discovery.Cut + 1) {
-			r.discovery.Flap(mode)
+		for mode := discovery.PartialList; time.Now().Before(end); mode = (mode + 1) % (discovery.ConnectionLoss + 1) {
+			r.discovery.Inject(mode)
 			if !waitUntil(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
-			r.discovery.Retell()
+			r.discovery.SendFullList()
 			if !waitUntil(ctx, time.Now().Add(150*time.Millisecond)) {
 				return
 			}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -263,8 +263,8 @@
 		l = &pb.ListHabits{}
 	}
 	var err error
-	r.discovery, err = discovery.Start(discovery.Config{Address: r.ip + ":0", Asked: f.ListAsked, Notice: settings.Duration(l.Notice, 0),
-		ClockOff: settings.Duration(l.ClockOff, 0), Fails: l.Fails, Seed: r.rng.Int63(), Record: r.recorder, HostOf: r.gatewayByName})
+	r.discovery, err = discovery.Start(discovery.Config{Address: r.ip + ":0", PollOnly: f.ListAsked, NotifyDelay: settings.Duration(l.Notice, 0),
+		ClockOffset: settings.Duration(l.ClockOff, 0), FailureShare: l.Fails, Seed: r.rng.Int63(), Recorder: r.recorder, GatewayOf: r.gatewayByName})
 	if err != nil {
 		return err
 	}
@@ -365,7 +365,7 @@
 		return nil, err
 	}
 	r.endpoints[shard] = endpoint
-	e := discovery.Entry{Name: name, Address: endpoint.Address(), Zone: s.zone, Cell: shard, State: "serving"}
+	e := discovery.Entry{Name: name, Address: endpoint.Address(), Zone: s.zone, Shard: shard, State: "serving"}
 	if cold {
 		e.Started = endpoint.Started()
 	}
@@ -375,7 +375,7 @@
 
 // listAs sets the state that discovery reports for an endpoint.
 func (r *runner) listAs(endpoint *storagenode.Node, shard int, state string) {
-	r.discovery.Set(discovery.Entry{Name: endpoint.Name(), Address: endpoint.Address(), Zone: r.placements[shard].zone, Cell: shard, State: state})
+	r.discovery.Set(discovery.Entry{Name: endpoint.Name(), Address: endpoint.Address(), Zone: r.placements[shard].zone, Shard: shard, State: state})
 }
 
 func (r *runner) volumes() []client.Volume {
--- a/internal/soak/fault_signals.go
+++ b/internal/soak/fault_signals.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Times between signals of a series.
+// Delays of the signals of a series.
 const (
 	repeatedSignalDelay = 100 * time.Millisecond
-	maxStartDelay       = 40 * time.Millisecond // before a process that starts is told to stop, at most
-	crowdGathers        = 300 * time.Millisecond
+	maxStartDelay       = 40 * time.Millisecond  // longest time between the start of a process and SIGTERM
+	idleFillDelay       = 300 * time.Millisecond // time for idle clients to use up the descriptors before SIGTERM
 )
 
-// signalSeries sends processes signals in series, each ending in a graceful shutdown, and starts them again.
+// signalSeries sends processes several signals in quick succession, each series with a graceful shutdown, and starts them
+// again.
 func signalSeries(_ context.Context, r *run, rng *rand.Rand) {
 	series := []func(p *process, rng *rand.Rand){reloadTwiceThenStop, stopTwice, stopDuringReload, reloadDuringStop, stopBeforeReady}
 	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
@@ -30,30 +31,30 @@
 }
 
 func stopTwice(p *process, _ *rand.Rand) {
-	p.stopBy(func() {
+	p.stopWith(func() {
 		p.signal(syscall.SIGTERM)
 		time.Sleep(repeatedSignalDelay)
 		p.signal(syscall.SIGTERM)
 	})
 }
 
-// stopDuringReload signals SIGTERM right behind SIGHUP: the new configuration is read meanwhile.
+// stopDuringReload sends SIGTERM right after SIGHUP, while the process reads the new configuration.
 func stopDuringReload(p *process, _ *rand.Rand) {
-	p.stopBy(func() {
+	p.stopWith(func() {
 		p.reloadOrReport()
 		p.signal(syscall.SIGTERM)
 	})
 }
 
 func reloadDuringStop(p *process, rng *rand.Rand) {
-	p.stopBy(func() {
+	p.stopWith(func() {
 		p.signal(syscall.SIGTERM)
 		time.Sleep(time.Duration(rng.Int63n(int64(requestTimeout))))
 		p.reloadOrReport()
 	})
 }
 
-// stopBeforeReady stops the process, starts it again and stops that one while it starts.
+// stopBeforeReady stops the process, starts it again and stops it before it is ready.
 func stopBeforeReady(p *process, rng *rand.Rand) {
 	p.stop()
 	if err := p.launch(p.run.discovery.Whole()); err != nil {
@@ -64,7 +65,7 @@
 	p.stopStarting()
 }
 
-// stopStarting stops a process that is not ready yet. It may end by the signal itself, before it has taken hold of signals.
+// stopStarting stops a process that is not ready yet. SIGTERM may kill it, because its signal handler may not be installed.
 func (p *process) stopStarting() {
 	if !p.recordEnd("stopping") {
 		return
@@ -78,29 +79,29 @@
 	}
 }
 
-// reloadOrReport reloads the process; where that can't be done it is the run's fault and reported as such.
+// reloadOrReport reloads the process. It reports a failure of the run itself, not of the process, under the rule soak.
 func (p *process) reloadOrReport() {
 	if err := p.reload(); err != nil {
 		p.run.report(Violation{Rule: "soak", Process: p.name(), Detail: err.Error()})
 	}
 }
 
-// stopCrowded stops processes whose descriptors idle clients have filled and go on filling until the process ends.
+// stopCrowded stops processes whose descriptors are used up by idle clients. The clients stay connected until the process ends.
 func stopCrowded(ctx context.Context, r *run, rng *rand.Rand) {
 	r.load.behavior.socketsExhausted.Store(true)
-	half := rng.Intn(2) == 0
+	partial := rng.Intn(2) == 0
 	forEachConcurrently(pickSome(rng, r.processes, 4), func(p *process) {
 		r.restartAfter(p, func() {
-			crowd, leave := context.WithCancel(context.Background())
-			gone := make(chan struct{})
+			fillCtx, stopFilling := context.WithCancel(context.Background())
+			fillEnded := make(chan struct{})
 			go func() {
-				defer close(gone)
-				r.load.holdIdle(crowd, p.number, sockets, half)
+				defer close(fillEnded)
+				r.load.holdIdle(fillCtx, p.number, sockets, partial)
 			}()
-			wait(ctx, crowdGathers)
+			wait(ctx, idleFillDelay)
 			p.stop()
-			leave()
-			<-gone
+			stopFilling()
+			<-fillEnded
 		})
 	})
 	time.AfterFunc(time.Second, func() { r.load.behavior.socketsExhausted.Store(false) })
--- a/internal/soak/process_log.go
+++ b/internal/soak/process_log.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// maxGoroutines bounds those of a process: two for each descriptor, and what it needs besides.
+// maxGoroutines is the most goroutines of a process: two for each descriptor, and some for the rest of the program.
 const maxGoroutines = 2*sockets + 50
 
-// stateFigures finds heap (bytes) and goroutines in a state line.
-var stateFigures = regexp.MustCompile(`msg=state .*heap=(\d+) .*goroutines=(\d+)`)
+// stateLinePattern matches a state line and captures its heap size in bytes and its number of goroutines.
+var stateLinePattern = regexp.MustCompile(`msg=state .*heap=(\d+) .*goroutines=(\d+)`)
 
-// figure converts digits; a text that is none counts as 0.
-func figure(text string) int {
+// parseDigits returns the number in text, or 0 if it is none.
+func parseDigits(text string) int {
 	n, _ := strconv.Atoi(text)
 	return n
 }
 
-// scanLog reads the process's log for broken invariants, panics, and state that exceeds its bounds.
+// scanLog searches the process's log for broken invariants, panics, fatal errors and state that exceeds its bounds.
 func (p *process) scanLog() (violations []Violation) {
 	logFile, err := os.Open(p.path(".log"))
 	if err != nil {
@@ -31,7 +31,7 @@
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		text := lines.Text()
-		if found := stateFigures.FindStringSubmatch(text); found != nil && (figure(found[1]) > memoryMB<<20/2 || figure(found[2]) > maxGoroutines) {
+		if found := stateLinePattern.FindStringSubmatch(text); found != nil && (parseDigits(found[1]) > memoryMB<<20/2 || parseDigits(found[2]) > maxGoroutines) {
 			violations = append(violations, Violation{Rule: "bounded state", Process: p.name(), Detail: text, Log: p.path(".log")})
 		}
 		if strings.Contains(text, "invariant broken") || strings.Contains(text, "panic") || strings.Contains(text, "fatal error") {
