--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -18,10 +18,10 @@
 	"weirhaven/policy"
 )
 
-// The test binary is also the host program, so that hosts are processes here too. WRONG names the rule that such a
-// host breaks on purpose.
+// TestMain lets the test binary also run as a gateway or a controller, so that scenarios start both as processes. The variable
+// WRONG is the number of the audit rule that the gateway breaks on purpose.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == "planner" { // never the tests again, whatever stands behind it
+	if len(os.Args) > 1 && os.Args[1] == "planner" { // exits in any case, so that a child process never runs the tests
 		c := server.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		if err := c.Execute(gateway.Logger); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -34,7 +34,9 @@
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		start := gateway.NewScheduler
 		if wrong > 0 {
-			start = func(h policy.Runtime, s policy.Settings) engine.Scheduler { return newWrong(wrong, h, s) }
+			start = func(runtime policy.Runtime, s policy.Settings) engine.Scheduler {
+				return newFaultyScheduler(wrong, runtime, s)
+			}
 		}
 		if err := c.Execute(start); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -45,16 +47,16 @@
 	os.Exit(m.Run())
 }
 
-// wrong is the module behind a wrapper that breaks one rule.
-type wrong struct {
+// faultyScheduler wraps the scheduler and breaks one rule of the audit.
+type faultyScheduler struct {
 	*policy.Scheduler
 	policy.Runtime
 	rule int
 	n    int
 }
 
-func newWrong(rule int, h policy.Runtime, s policy.Settings) *wrong {
-	w := &wrong{Runtime: h, rule: rule}
+func newFaultyScheduler(rule int, h policy.Runtime, s policy.Settings) *faultyScheduler {
+	w := &faultyScheduler{Runtime: h, rule: rule}
 	switch rule {
 	case 6:
 		s.RetryBudget = false
@@ -69,24 +71,24 @@
 	return w
 }
 
-// Reject loses each twentieth: rule 1.
-func (w *wrong) Reject(c *policy.Request, pause time.Duration) {
+// Reject drops one rejection in 20, so that the request gets no final answer: rule 1.
+func (w *faultyScheduler) Reject(c *policy.Request, pause time.Duration) {
 	if w.n++; w.rule == 1 && w.n%20 == 1 {
 		return
 	}
 	w.Runtime.Reject(c, pause)
 }
 
-// AttemptEnded takes what may have run for never run: rule 2.
-func (w *wrong) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
+// AttemptEnded reports an error response as a failed connect, so that a request that may have run is sent again: rule 2.
+func (w *faultyScheduler) AttemptEnded(attempt *policy.Attempt, result policy.AttemptResult) {
 	if w.rule == 2 && result.Outcome == policy.ErrorResponse {
 		result.Outcome = policy.ConnectFailed
 	}
 	w.Scheduler.AttemptEnded(attempt, result)
 }
 
-// UpdateEndpoint takes a draining brick for a serving one (rule 3), a cold one for a warm one (rule 4).
-func (w *wrong) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
+// UpdateEndpoint reports a draining endpoint as serving (rule 3) or hides that an endpoint is in slow start (rule 4).
+func (w *faultyScheduler) UpdateEndpoint(endpoint *policy.Endpoint, update policy.EndpointUpdate) {
 	switch w.rule {
 	case 3:
 		update.Serving, update.Removed = true, false
@@ -96,29 +98,29 @@
 	w.Scheduler.UpdateEndpoint(endpoint, update)
 }
 
-// RequestReceived forgets the key: rule 5.
-func (w *wrong) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
+// RequestReceived removes the request's ordering key: rule 5.
+func (w *faultyScheduler) RequestReceived(request *policy.Request, arrival policy.RequestArrival) error {
 	if w.rule == 5 {
 		arrival.Object = ""
 	}
 	return w.Scheduler.RequestReceived(request, arrival)
 }
 
-func (w *wrong) Log(line string) { w.Runtime.Log(line) }
+func (w *faultyScheduler) Log(line string) { w.Runtime.Log(line) }
 
 func options(seed int64, rule int) Options {
 	return Options{Seed: seed, Gateway: []string{os.Args[0], "edge"}, Env: []string{"WRONG=" + strconv.Itoa(rule)}, ObservationTolerance: 100 * time.Millisecond}
 }
 
-// short is the bad day cut down to a few seconds with the troubles given.
-func short(t testing.TB, length string, troubles string) *pb.Drill {
+// shortened returns the scenario bad-day with another length and the given faults.
+func shortened(t testing.TB, length string, faults string) *pb.Drill {
 	t.Helper()
 	d, err := Load("bad-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	extra := &pb.Drill{}
-	if err := settings.Parse("troubles", []byte(troubles), extra); err != nil && extra.Trouble == nil && troubles != "" {
+	if err := settings.Parse("troubles", []byte(faults), extra); err != nil && extra.Trouble == nil && faults != "" {
 		t.Fatal(err)
 	}
 	d.Length, d.Trouble = length, extra.Trouble
@@ -136,7 +138,7 @@
 	return r
 }
 
-func complain(t *testing.T, r *Result) {
+func reportViolations(t *testing.T, r *Result) {
 	t.Helper()
 	for _, b := range r.Verdict.First {
 		if b != nil {
@@ -149,10 +151,11 @@
 	}
 }
 
-// Hosts are killed and rolled, a brick drains, one dies and comes back cold on its address, answers are lost.
-func TestShortBadDayKeepsAllRules(t *testing.T) {
+// No rule is broken while gateways are killed and restarted, an endpoint is drained and replaced, another one crashes and restarts in
+// slow start at its address, endpoints return errors, responses are lost and clients reconnect.
+func TestNoViolationsUnderFaults(t *testing.T) {
 	t.Parallel()
-	r := play(t, short(t, "4s", `
+	r := play(t, shortened(t, "4s", `
 		trouble { kind: ANSWER_LOST at: "300ms" length: "1s" size: 0.2 part: 0.3 }
 		trouble { kind: HOST_CRASH at: "600ms" on: 1 back: "300ms" }
 		trouble { kind: PREEMPT at: "1s" length: "500ms" on: 0 back: "200ms" }
@@ -160,24 +163,26 @@
 		trouble { kind: RECONNECT at: "1800ms" size: 0.7 }
 		trouble { kind: FAST_ERRORS at: "2s" length: "1s" size: 0.5 part: 0.4 }
 		trouble { kind: HOST_ROLL at: "2200ms" length: "1500ms" part: 0.34 back: "100ms" }`), options(1, 0))
-	complain(t, r)
+	reportViolations(t, r)
 	if s := r.Verdict.Totals; s.Served < 300 || s.Rejected == 0 || s.Retries == 0 {
-		t.Errorf("the day did not happen: %+v", s)
+		t.Errorf("too few requests were served, rejected or retried: %+v", s)
 	}
 }
 
-// A host killed in a burst of a limited plan, back within a second: it can't know what it spent, and the limit holds all the same.
-func TestKilledHostDoesNotRefillALimit(t *testing.T) {
+// A gateway that is killed and restarted within a second does not know how much of a plan's rate limit it has used. The limit must hold
+// all the same.
+func TestRateLimitHoldsWhenGatewaysAreKilled(t *testing.T) {
 	t.Parallel()
-	r := play(t, short(t, "3s", `
+	r := play(t, shortened(t, "3s", `
 		trouble { kind: PLAN_BURST at: "100ms" length: "3s" size: 6 plan: "basic" }
 		trouble { kind: HOST_CRASH at: "700ms" part: 1 back: "100ms" }
 		trouble { kind: HOST_CRASH at: "1600ms" part: 1 back: "100ms" }`), options(2, 0))
-	complain(t, r)
+	reportViolations(t, r)
 }
 
-// The list service is down; lists on disk are old and know neither a draining brick nor a cold one.
-func TestNoDiscovery(t *testing.T) {
+// Gateways start without the discovery service, from stored endpoint lists in which neither a drained endpoint nor one in slow start is
+// marked as such.
+func TestStartWithoutDiscovery(t *testing.T) {
 	for _, age := range []string{"5s", "720h"} {
 		t.Run(age, func(t *testing.T) {
 			t.Parallel()
@@ -187,18 +192,18 @@
 			}
 			d.Length, d.List.SavedAge, d.Trouble = "2500ms", age, d.Trouble[:0]
 			r := play(t, d, options(3, 0))
-			complain(t, r)
+			reportViolations(t, r)
 			if s := r.Verdict.Totals; s.Served < 300 {
-				t.Errorf("hardly any service: %+v", s)
+				t.Errorf("served too few requests: %+v", s)
 			}
 		})
 	}
 }
 
-// The list service goes and comes, tells half a list, an empty one, an old one, while a brick drains: service goes on and all rules hold.
-// Hosts that hear of bricks from the planner alone, while it is killed again and again and comes back with an old disk, with none, and
-// stalls: all rules kept, and served as if it had been left in peace. The whole day is weirhavenctl drill run planner-killed --calm.
-func TestPlannerKilled(t *testing.T) {
+// Gateways learn of endpoints from the controller alone. No rule is broken and requests are still served while the controller is killed
+// repeatedly, restarts with an old store and with an empty one, and stalls. The full scenario with a comparison run is
+// weirhavenctl scenario run planner-killed --without-controller-faults.
+func TestControllerFaults(t *testing.T) {
 	t.Parallel()
 	d, err := Load("planner-killed")
 	if err != nil {
@@ -213,13 +218,14 @@
 		trouble { kind: PLANNER_STALL at: "7s" length: "800ms" }`), extra)
 	d.Length, d.Trouble = "8s", extra.Trouble
 	r := play(t, d, Options{Seed: 2, Gateway: []string{os.Args[0], "edge"}, Controller: []string{os.Args[0], "planner"}})
-	complain(t, r)
+	reportViolations(t, r)
 	if s := r.Verdict.Total().Share(); s < 0.85 || r.Controller.Kills < 5 || r.Controller.Rollbacks != 2 || r.Controller.Stalls != 1 {
 		t.Errorf("service %.3f, %+v", s, r.Controller)
 	}
 }
 
-// Objects over HTTP while hosts are killed, a brick is replaced and answers are lost: no byte is wrong, none that was answered is lost.
+// No object read over HTTP has wrong bytes and no acknowledged object is lost while gateways are killed, an endpoint is replaced and
+// responses are lost.
 func TestObjectDay(t *testing.T) {
 	t.Parallel()
 	d, err := Load("object-day")
@@ -234,39 +240,41 @@
 		trouble { kind: HOST_CRASH at: "3s" on: 0 back: "300ms" }`), extra)
 	d.Length, d.Trouble = "5s", extra.Trouble
 	r := play(t, d, Options{Seed: 3, Gateway: []string{os.Args[0], "edge"}})
-	complain(t, r)
+	reportViolations(t, r)
 	if o := r.Objects; !o.Good() || o.Checked != 54 || o.Puts < 100 || o.Failed > o.Requests()/10 {
 		t.Error(o)
 	}
-	// The judge itself: other bytes, bytes of two objects, and a name that is gone are told.
-	w := &objectWorks{}
+	// The check itself reports mixed and truncated contents as wrong and a missing object as lost.
+	w := &objectClients{}
 	a, b := &content{1, 1000}, &content{2, 1000}
-	n := &named{may: []*content{a, b}}
-	w.judge(n, a.bytes(), true, 0, 0)
-	w.judge(n, b.bytes()[10:30], true, 10, 20)
-	if w.sum.Wrong+w.sum.Lost != 0 {
-		t.Error(w.sum)
+	n := &object{candidates: []*content{a, b}}
+	w.verify(n, a.bytes(), true, 0, 0)
+	w.verify(n, b.bytes()[10:30], true, 10, 20)
+	if w.totals.Wrong+w.totals.Lost != 0 {
+		t.Error(w.totals)
 	}
-	w.judge(n, append(a.bytes()[:500], b.bytes()[500:]...), true, 0, 0)
-	w.judge(n, a.bytes()[:999], true, 0, 0)
-	w.judge(n, nil, false, 0, 0)
-	if w.sum.Wrong != 2 || w.sum.Lost != 1 {
-		t.Error(w.sum)
+	w.verify(n, append(a.bytes()[:500], b.bytes()[500:]...), true, 0, 0)
+	w.verify(n, a.bytes()[:999], true, 0, 0)
+	w.verify(n, nil, false, 0, 0)
+	if w.totals.Wrong != 2 || w.totals.Lost != 1 {
+		t.Error(w.totals)
 	}
 }
 
-func TestListFlaps(t *testing.T) {
+// While the discovery service is down and returns partial, empty and outdated lists, and an endpoint is drained and replaced, no rule
+// is broken and requests are still served.
+func TestDiscoveryFlapping(t *testing.T) {
 	t.Parallel()
-	r := play(t, short(t, "3s", `
+	r := play(t, shortened(t, "3s", `
 		trouble { kind: LIST_FLAPS at: "300ms" length: "2500ms" }
 		trouble { kind: PREEMPT at: "1s" length: "500ms" on: 0 back: "200ms" }`), options(4, 0))
-	complain(t, r)
+	reportViolations(t, r)
 	if w := r.Verdict.Total(); w.Share() < 0.6 {
-		t.Errorf("the service fell to %.3f", w.Share())
+		t.Errorf("service fell to %.3f, want at least 0.6", w.Share())
 	}
 }
 
-// Each host breaks one rule on purpose; the audit must see that rule broken.
+// The audit must report the rule that the gateways break on purpose.
 func TestAuditCatchesWrongHosts(t *testing.T) {
 	for rule, c := range map[int]string{
 		1: ``,
@@ -279,30 +287,30 @@
 	} {
 		t.Run(fmt.Sprintf("rule %d", rule), func(t *testing.T) {
 			t.Parallel()
-			d := short(t, "2500ms", c)
+			d := shortened(t, "2500ms", c)
 			switch rule {
 			case 1:
 				d.Fleet.Cancel = false
-			case 4: // a start that is easily pushed over
+			case 4: // an endpoint in slow start that little load overloads
 				d.Fleet.ColdFrom, d.Fleet.ColdUnits, d.Kind[0].ColdFrom = 0.05, 2, 0.05
 				d.Fleet.FallAfter = "300ms"
-			case 5: // many writes of few rows
+			case 5: // many writes to few objects
 				d.Load.Mix, d.Load.Objects, d.Load.NewObjects = []float64{0.3, 0, 0, 0.7}, 2, 0
 			}
 			r := play(t, d, options(int64(rule), rule))
 			if r.Verdict.Violations[rule] == 0 {
-				t.Errorf("not caught; %+v, breaches %v", r.Verdict.Totals, r.Verdict.Violations)
+				t.Errorf("no violation reported; %+v, violations %v", r.Verdict.Totals, r.Verdict.Violations)
 			}
 		})
 	}
 }
 
-// Hosts that end at their start say why.
-func TestHostThatCantStart(t *testing.T) {
-	d := short(t, "1s", "")
+// If a gateway exits at its start, Run returns an error with the reason that it logged.
+func TestGatewayStartErrorIsReported(t *testing.T) {
+	d := shortened(t, "1s", "")
 	d.Plan[0].Weight = 0
 	_, err := Run(context.Background(), d, options(1, 0))
 	if err == nil || !strings.Contains(err.Error(), "plan[0].weight") {
-		t.Errorf("got %v", err)
+		t.Errorf("error = %v, want one that names plan[0].weight", err)
 	}
 }
