--- a/internal/capacity/report/answer.go
+++ b/internal/capacity/report/answer.go
@@ -1,5 +1,5 @@
-// Package report writes capacity answers: as text, as JSON, as charts (SVG), with the digests of the files they were computed
-// from. It computes no figure of its own but means.
+// Package report writes capacity answers as text, JSON and SVG charts, with the digests of the input files. Apart from means it computes
+// no figures.
 package report
 
 import (
@@ -14,27 +14,27 @@
 	"weirhaven/internal/capacity/study"
 )
 
-// Answer is all that was asked and answered. Its JSON form is answer.json.
+// Answer holds the answers to all questions of a run. Its JSON encoding is answer.json.
 type Answer struct {
 	Inputs     []InputFile
-	Captured   int           `json:"Commands"` // requests as captured, retries included
-	Requests   int           `json:"Wants"`    // what clients asked for, retries folded
-	Folded     int           // retries
-	LostLines  uint64        `json:"Lost"` // lines that gateways could not write
-	TornBlocks int           `json:"Torn"` // blocks of the capture that were damaged
+	Captured   int           `json:"Commands"` // captured requests, clients' retries included
+	Requests   int           `json:"Wants"`    // client requests, retries folded
+	Folded     int           // client retries folded into their requests
+	LostLines  uint64        `json:"Lost"` // lines that gateways failed to write
+	TornBlocks int           `json:"Torn"` // damaged blocks of the capture
 	Span       time.Duration // of the capture
 	Seed       int64
 	Elapsed    time.Duration `json:"Took"` // to compute the answer
 	Capacity   float64       // of all endpoints, cores
-	Work       []float64     // asked for by second, core seconds
+	Work       []float64     // by second, core seconds
 	Limits     []bounds.Limit
 	Growth     *study.Growth   `json:",omitempty"`
 	Servers    []study.Servers `json:",omitempty"`
 	Losses     []*study.Loss   `json:",omitempty"`
 }
 
-// Write puts an answer into a folder, which it makes: answer.txt, answer.json, load.svg, growth.svg, and loss-N.svg for each loss,
-// N from 1. Where one file fails it still writes the others that follow it, and returns all errors.
+// Write creates a folder and writes the answer to it: answer.txt, answer.json, load.svg, growth.svg, and loss-N.svg for each loss, N
+// from 1. If answer.txt can't be created, it writes no file. If another file fails, it still writes the rest and returns all errors.
 func Write(dir string, a *Answer) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("answer: %w", err)
--- a/internal/capacity/report/charts.go
+++ b/internal/capacity/report/charts.go
@@ -24,7 +24,7 @@
 	x, y []float64
 }
 
-// bySecond is a series whose values are those of seconds 0, 1, 2 and so on.
+// bySecond returns a series with one value per second, from second 0.
 func bySecond(name string, values []float64) series {
 	seconds := make([]float64, len(values))
 	for i := range seconds {
@@ -41,9 +41,9 @@
 	return p
 }
 
-// addSeries draws each series that has a point.
+// addSeries draws each series that has points.
 func addSeries(p *plot.Plot, all []series) error {
-	var namesAndPoints []any // as plotutil takes them: a name, its points, the next name
+	var namesAndPoints []any // name and points alternate, as plotutil expects
 	for _, s := range all {
 		points := make(plotter.XYs, len(s.x))
 		for i := range points {
@@ -61,12 +61,12 @@
 }
 
 func loadChart(dir string, a *Answer) error {
-	p := newChart("work asked for", "second of the capture", "cores")
+	p := newChart("work of the load", "second of the capture", "cores")
 	capacity := make([]float64, len(a.Work))
 	for i := range capacity {
 		capacity[i] = a.Capacity
 	}
-	if err := addSeries(p, []series{bySecond("asked for", a.Work), bySecond("all bricks", capacity)}); err != nil {
+	if err := addSeries(p, []series{bySecond("load", a.Work), bySecond("capacity of all endpoints", capacity)}); err != nil {
 		return err
 	}
 	p.Y.Min = 0
@@ -74,7 +74,7 @@
 }
 
 func growthChart(dir string, g *study.Growth) error {
-	p := newChart("service as the load grows", "times the captured load", "in target")
+	p := newChart("service as the load grows", "multiple of the captured load", "fraction in target")
 	var all []series
 	for _, c := range g.Plans {
 		all = append(all, series{name: c.Plan, x: c.LoadFactors, y: c.InTarget})
@@ -86,9 +86,9 @@
 	return save(p, dir, "growth.svg")
 }
 
-// lossChart draws the number-th loss, counted from 1.
+// lossChart draws a loss to loss-N.svg, where N is number.
 func lossChart(dir string, number int, l *study.Loss) error {
-	p := newChart("losing "+l.Target, "second", "in target")
+	p := newChart("losing "+l.Target, "second", "fraction in target")
 	var all []series
 	for i, plan := range l.Plans {
 		all = append(all, bySecond(plan, l.InTarget[i]))
--- a/internal/capacity/report/digest.go
+++ b/internal/capacity/report/digest.go
@@ -9,13 +9,13 @@
 	"path/filepath"
 )
 
-// InputFile is a file that an answer was computed from.
+// InputFile identifies a file that an answer was computed from.
 type InputFile struct {
 	File   string // path
 	SHA256 string // hexadecimal
 }
 
-// Digest returns the digests of files; of a folder, of all files in it.
+// Digest returns the digests of files and, for each folder, of all files in it.
 func Digest(paths ...string) ([]InputFile, error) {
 	var files []InputFile
 	for _, path := range paths {
--- a/internal/capacity/report/json.go
+++ b/internal/capacity/report/json.go
@@ -9,13 +9,13 @@
 	"weirhaven/internal/capacity/study"
 )
 
-// JSON has no infinity. These stand for it in answer.json.
+// Values that replace infinity in answer.json, as JSON has none.
 const (
-	neverReached    = -1 // the factor of a limit
-	unboundedMargin = 1  // the margin of a load at which no goal counts
+	neverReached    = -1 // factor of a limit
+	unboundedMargin = 1  // margin of a load for which no goal has requests
 )
 
-// finite returns a copy of the answer that JSON can hold; the argument stays as it is.
+// finite returns a copy of the answer without infinite values. It leaves a unchanged.
 func finite(a *Answer) *Answer {
 	c := *a
 	c.Limits = finiteLimits(a.Limits)
--- a/internal/capacity/verify/cases.go
+++ b/internal/capacity/verify/cases.go
@@ -10,29 +10,29 @@
 	"weirhaven/internal/pb"
 )
 
-// Case is a change of the recorded scenario: how the scenario is played, and how the same change is forecast.
+// Case is a change of the recorded scenario, applied to the run and to the forecast.
 type Case struct {
 	Name      string
-	Apply     func(d *pb.Drill)                                            // changes what is played
-	Transform func(load []demand.Request, rng *rand.Rand) []demand.Request // changes what is forecast; the argument stays as it is
+	Apply     func(d *pb.Drill)                                            // changes the scenario that is run
+	Transform func(load []demand.Request, rng *rand.Rand) []demand.Request // returns the changed load for the forecast; leaves load unchanged
 	Events    []forecast.Event
-	Relocated bool // the fleet is another one
+	Relocated bool // the case changes the fleet
 }
 
-// When things fail in a case, and come back.
+// Start and end of the failures in a case, from the start of the run.
 const (
 	failAt    = 4 * time.Second
 	recoverAt = 8 * time.Second
 )
 
-// The surge of a plan in one of the cases.
+// The surge of one service plan, from failAt.
 const (
 	surgePlan   = "basic"
 	surgeLength = 5 * time.Second
 	surgeTimes  = 4
 )
 
-// Cases are the ten that forecasts are verified by.
+// Cases returns the ten cases by which forecasts are verified.
 func Cases(_ *pb.Drill, f *pb.CapacityFleet) []Case {
 	return append(loadCases(), append(fleetCases(), failureCases(f)...)...)
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// failureCases lose the zone of the last endpoint, and a gateway.
+// failureCases returns the loss of the zone of the last endpoint, and the loss of a gateway.
 func failureCases(f *pb.CapacityFleet) []Case {
 	zone := f.Brick[len(f.Brick)-1].Zone
 	var events []forecast.Event
@@ -98,7 +98,8 @@
 	return func(load []demand.Request, rng *rand.Rand) []demand.Request { return demand.Scale(load, times, rng) }
 }
 
-// addSurge makes the surge of all of the plan's requests, not of those in its few seconds: these would repeat their chance.
+// addSurge adds copies of requests of the plan, drawn from the whole load: copies of the few seconds of the surge alone would repeat
+// their random deviations.
 func addSurge(load []demand.Request, rng *rand.Rand) []demand.Request {
 	surged := slices.Clone(load)
 	copies := (surgeTimes - 1) * surgeLength.Seconds() / load[len(load)-1].Arrival.Seconds() // of each request
--- a/internal/capacity/verify/measure.go
+++ b/internal/capacity/verify/measure.go
@@ -9,20 +9,20 @@
 	"weirhaven/internal/settings"
 )
 
-// What a record says of how a request or an attempt ended.
+// Outcomes of a request or an attempt in a record.
 const (
 	outcomeDone      = "DONE"
-	outcomeCancelled = "left" // its client went away
+	outcomeCancelled = "left" // the client cancelled it
 )
 
-// observedRequest is what a client asked for, retries included.
+// observedRequest is a client's request together with its retries.
 type observedRequest struct {
-	start, completed int64 // ns on the observer's clock; completed 0: not yet
+	start, completed int64 // ns on the observer's clock; completed is 0 until then
 	queueType        uint32
 	cancelled        bool
 }
 
-// attemptID names an attempt at an endpoint.
+// attemptID identifies an attempt at an endpoint.
 type attemptID struct {
 	endpoint   string
 	connection int64
@@ -30,19 +30,19 @@
 	attempt    uint32
 }
 
-// observer follows a record of what crossed the sockets.
+// observer computes the figures from a record of the messages on the sockets.
 type observer struct {
 	scenario                      *pb.Drill
-	requests                      map[uint64]*observedRequest // by the number of the first try
-	first                         map[uint64]uint64           // the first try of each
-	work                          map[attemptID]float64       // seconds at speed 1
-	done                          float64                     // work completed
-	capacity                      float64                     // work a second, of the endpoints that the scenario starts with
+	requests                      map[uint64]*observedRequest // by number of the first submission
+	first                         map[uint64]uint64           // first submission, by number of the submission
+	work                          map[attemptID]float64       // core seconds at speed 1
+	done                          float64                     // completed work, core seconds
+	capacity                      float64                     // cores of the endpoints that the scenario starts with
 	endpoints                     uint32
 	firstRequestAt, lastRequestAt int64 // ns
 }
 
-// measure reads the figures off a record.
+// measure returns the figures of a recorded run.
 func measure(d *pb.Drill, seen []*pb.Seen) Figures {
 	o := &observer{scenario: d, requests: map[uint64]*observedRequest{}, first: map[uint64]uint64{}, work: map[attemptID]float64{}, firstRequestAt: -1}
 	for _, s := range seen {
--- a/internal/capacity/verify/naive.go
+++ b/internal/capacity/verify/naive.go
@@ -11,13 +11,14 @@
 	"weirhaven/internal/settings"
 )
 
-// naive is what a mean rate over a mean work says: one queue for all endpoints (M/M/c by its utilization, waits exponential).
+// naive estimates the figures from the mean load alone: one queue for all endpoints (M/M/c by its utilization), with exponentially
+// distributed latency.
 func naive(f *pb.CapacityFleet, m *pb.CapacityModel, load []demand.Request) Figures {
 	speed, capacity := bounds.Speeds(f, m), 0.0
 	for _, endpoint := range f.Brick {
 		capacity += speed(endpoint)
 	}
-	objectives := map[string]float64{} // latency objective by queue type, seconds
+	objectives := map[string]float64{} // latency objective by request class, seconds
 	for _, q := range f.QueueType {
 		objectives[q.Name] = settings.Duration(q.ServiceTarget, 0).Seconds()
 	}
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -1,5 +1,5 @@
-// Package verify compares forecasts with what simulated endpoints on loopback then did: a scenario is recorded, its endpoints are
-// learnt, and each case is forecast and run.
+// Package verify compares forecasts with measurements of fake endpoints on loopback. It records a scenario, learns a model from the
+// capture, and then forecasts and runs each case.
 package verify
 
 import (
@@ -26,31 +26,31 @@
 
 const (
 	caseLength   = 14 * time.Second
-	forecastRuns = 5 // whose mean is taken: one forecast is as much chance as one run
+	forecastRuns = 5 // forecasts per case; their mean reduces the random error
 )
 
-// Figures are what is compared.
+// Figures are the compared figures of a forecast or a run.
 type Figures struct {
-	InTarget    float64       // part of the requests that completed within the latency objective
-	P99         time.Duration // latency of what completed
-	Utilization float64       // of the endpoints' cores, in the mean
+	InTarget    float64       // fraction of the requests that completed within the latency objective
+	P99         time.Duration // latency of completed requests
+	Utilization float64       // mean of the endpoints' cores
 }
 
-// Comparison is a case's forecast, what was measured, and what a mean rate over a mean work would have said.
+// Comparison holds the figures of a case: forecast, measured, and the naive estimate from the mean load.
 type Comparison struct {
 	Case                      string
 	Forecast, Measured, Naive Figures
-	// Deviations of InTarget, P99 and Utilization, as a part of what was measured.
+	// Relative deviations of InTarget, P99 and Utilization from the measurement, in this order.
 	Deviation, NaiveDeviation [3]float64
 }
 
 // Within says whether all figures of the forecast, and of the naive one, are within a part of what was measured.
-func (c Comparison) Within(part float64) (forecast, naive bool) {
-	return within(c.Deviation, part), within(c.NaiveDeviation, part)
+func (c Comparison) Within(tolerance float64) (forecast, naive bool) {
+	return within(c.Deviation, tolerance), within(c.NaiveDeviation, tolerance)
 }
 
-func within(deviation [3]float64, part float64) bool {
-	return !slices.ContainsFunc(deviation[:], func(x float64) bool { return math.Abs(x) > part })
+func within(deviation [3]float64, tolerance float64) bool {
+	return !slices.ContainsFunc(deviation[:], func(x float64) bool { return math.Abs(x) > tolerance })
 }
 
 func deviation(a, b Figures) [3]float64 {
@@ -58,7 +58,7 @@
 	return [3]float64{relative(a.InTarget, b.InTarget), relative(a.P99.Seconds(), b.P99.Seconds()), relative(a.Utilization, b.Utilization)}
 }
 
-// Learnt is what was recorded and read off it.
+// Recording is a recorded load and the model learnt from it.
 type Recording struct {
 	Fleet    *pb.CapacityFleet
 	Model    *pb.CapacityModel
@@ -66,13 +66,13 @@
 	Load     *capture.Load
 }
 
-// Record plays a scenario with its gateways capturing, and learns from it. The capture is removed.
+// Record runs a scenario with capturing gateways and learns a model from the capture, which it removes.
 func Record(ctx context.Context, d *pb.Drill, o scenario.Options) (*Recording, error) {
 	dir, err := os.MkdirTemp("", "weirhaven-verify-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what remains in the temporary folder harms nobody
+	defer func() { _ = os.RemoveAll(dir) }() // a leftover temporary folder is harmless
 	o.Capture = filepath.Join(dir, "capture")
 	if _, err := scenario.Run(ctx, d, o); err != nil {
 		return nil, err
@@ -93,22 +93,22 @@
 	return &Recording{Fleet: fleet, Model: model, Requests: requests, Load: load}, nil
 }
 
-// Run forecasts one case and plays it.
-func Run(ctx context.Context, d *pb.Drill, l *Recording, c Case, o scenario.Options) (Comparison, error) {
+// Run forecasts and runs one case.
+func Run(ctx context.Context, d *pb.Drill, recorded *Recording, c Case, o scenario.Options) (Comparison, error) {
 	result := Comparison{Case: c.Name}
-	fleet, load := l.Fleet, l.Requests
+	fleet, load := recorded.Fleet, recorded.Requests
 	played := proto.Clone(d).(*pb.Drill)
 	length := min(caseLength, settings.Duration(d.Length, caseLength))
 	played.Length = length.String()
 	c.Apply(played)
-	if c.Relocated { // an endpoint that was not there before counts with its kind's mean speed
+	if c.Relocated { // an added endpoint has its kind's mean speed
 		fleet = scenario.Describe(played, o.Seed)
-		load = place.Relocate(load, l.Fleet, fleet, place.CostOf(l.Model, l.Fleet), bounds.Speeds(fleet, l.Model))
+		load = place.Relocate(load, recorded.Fleet, fleet, place.CostOf(recorded.Model, recorded.Fleet), bounds.Speeds(fleet, recorded.Model))
 	}
 	load = demand.Slice(load, 0, length)
 	for i := range int64(forecastRuns) {
 		offered := c.Transform(load, rand.New(rand.NewSource(o.Seed+i)))
-		r, err := forecast.Run(forecast.Scenario{Fleet: fleet, Model: l.Model, Requests: offered, Events: c.Events, Seed: o.Seed + i})
+		r, err := forecast.Run(forecast.Scenario{Fleet: fleet, Model: recorded.Model, Requests: offered, Events: c.Events, Seed: o.Seed + i})
 		if err != nil {
 			return result, err
 		}
@@ -116,7 +116,7 @@
 		result.Forecast.InTarget += figures.InTarget / forecastRuns
 		result.Forecast.P99 += figures.P99 / forecastRuns
 		result.Forecast.Utilization += figures.Utilization / forecastRuns
-		result.Naive = naive(fleet, l.Model, offered)
+		result.Naive = naive(fleet, recorded.Model, offered)
 	}
 	run, err := scenario.Run(ctx, played, o)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return result, nil
 }
 
-// ForecastFigures are those of a forecast.
+// ForecastFigures returns the figures of a forecast.
 func ForecastFigures(r *forecast.Result) Figures {
 	total := r.Total()
 	figures := Figures{InTarget: total.InTargetRatio(), P99: total.Quantile(0.99)}
--- a/internal/capacity/verify/verify_test.go
+++ b/internal/capacity/verify/verify_test.go
@@ -11,9 +11,9 @@
 	"weirhaven/internal/scenario"
 )
 
-// The test binary is the host program, too.
+// The test binary also serves as the gateway program.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == "edge" { // never the tests again, whatever stands behind it
+	if len(os.Args) > 1 && os.Args[1] == "edge" { // must never start the tests again, whatever arguments follow
 		c := gateway.Command{Config: os.Args[len(os.Args)-1], Bound: true}
 		if err := c.Execute(gateway.NewScheduler); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -24,8 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// A short day on loopback is recorded and learnt; the forecast of half as much load again agrees with what then happens. The ten cases
-// at length are `weirhavenctl capacity verify`.
+// A model learnt from 5 s on loopback must forecast the run at 1.5 times the load. All ten cases run in `weirhavenctl capacity verify`.
 func TestForecastAgainstLoopback(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -54,7 +53,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%+v", r)
-		if math.Abs(r.Deviation[0]) > 0.15 || math.Abs(r.Deviation[2]) > 0.25 || r.Measured.Utilization < 0.3 { // p99 of five seconds says little
+		if math.Abs(r.Deviation[0]) > 0.15 || math.Abs(r.Deviation[2]) > 0.25 || r.Measured.Utilization < 0.3 { // no check of P99, as it varies too much over 5 s
 			t.Errorf("%+v", r)
 		}
 	}
