--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -125,7 +125,7 @@
 	Pressure    float64       // highest load on an endpoint while warming up, as a fraction of the load that breaks it down
 	BudgetUsed  float64       // highest use of a gateway's retry budget, as a fraction of the budget
 	MaxInFlight int           // most requests open at one gateway
-	Span        time.Duration // until the last request completed or timed out
+	Span        time.Duration // until the last deadline of a request
 }
 
 // ByKey sums all blocks by service plan and request class.
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -44,7 +44,8 @@
 	Deviation, NaiveDeviation [3]float64
 }
 
-// Within says whether all figures of the forecast, and of the naive one, are within a part of what was measured.
+// Within reports whether the figures of the forecast, and of the naive estimate, deviate from the measurement by at most the fraction
+// tolerance.
 func (c Comparison) Within(tolerance float64) (forecast, naive bool) {
 	return within(c.Deviation, tolerance), within(c.NaiveDeviation, tolerance)
 }
