--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -26,7 +26,7 @@
 func steady(rate int, from, to time.Duration, volume, plan string, cells ...int) (all []demand.Request) {
 	i := 0
 	for at := from; at < to; at += time.Second / time.Duration(rate) {
-		all = append(all, demand.Request{Arrival: at, Gateway: "h", Volume: volume, Plan: plan, QueueType: "read", Units: 1, Shard: cells[i%len(cells)], Attempts: 1})
+		all = append(all, demand.Request{Arrival: at, Gateway: "h", Volume: volume, Plan: plan, Class: "read", Units: 1, Shard: cells[i%len(cells)], Attempts: 1})
 		i++
 	}
 	return all
@@ -74,7 +74,7 @@
 	f, m := fleet()
 	var w []demand.Request
 	for i := range 5 {
-		w = append(w, demand.Request{Gateway: "h", Volume: fmt.Sprint("p", i), Plan: "priority", QueueType: "read", Units: 1, Shard: i})
+		w = append(w, demand.Request{Gateway: "h", Volume: fmt.Sprint("p", i), Plan: "priority", Class: "read", Units: 1, Shard: i})
 	}
 	w = append(w, steady(80, 0, 4*time.Second, "v", "basic", 0, 1)...)
 	all := Limits(Input{Fleet: f, Model: m, Demand: w, ExtraAttempts: 30, Requests: 100, Span: 20 * time.Second, HoldTime: time.Second})
@@ -111,7 +111,7 @@
 	f, m := fleet()
 	var w []demand.Request
 	for i := range 4000 {
-		x := demand.Request{Volume: "wide", Plan: "priority", QueueType: "read", Units: 1, Shard: i % 4, Object: uint64(i*7919 + 1)}
+		x := demand.Request{Volume: "wide", Plan: "priority", Class: "read", Units: 1, Shard: i % 4, Object: uint64(i*7919 + 1)}
 		if i%4 == 0 {
 			x.Volume, x.Shard = "lone", 2
 		}
--- a/internal/capacity/demand/demand.go
+++ b/internal/capacity/demand/demand.go
@@ -7,15 +7,15 @@
 
 // Request is what a client asked for, counted once, however often it retried.
 type Request struct {
-	Arrival                          time.Duration // since the capture's first
-	Gateway, Volume, Plan, QueueType string
-	Units                            float64
-	Shard                            int // -1: a new object
-	Object                           uint64
-	Timeout                          time.Duration
-	CancelAfter                      time.Duration // its client goes away then, since Arrival; 0: it waits
-	Body                             int           // bytes
-	Attempts                         int           // how often it was asked for, as captured
+	Arrival                      time.Duration // since the capture's first
+	Gateway, Volume, Plan, Class string
+	Units                        float64
+	Shard                        int // -1: a new object
+	Object                       uint64
+	Timeout                      time.Duration
+	CancelAfter                  time.Duration // its client goes away then, since Arrival; 0: it waits
+	BodyBytes                    int           // bytes
+	Attempts                     int           // how often it was asked for, as captured
 }
 
 // Slice returns the requests that arrive from one time until before another, their arrivals counted from the first.
--- a/internal/capacity/demand/fold.go
+++ b/internal/capacity/demand/fold.go
@@ -74,8 +74,8 @@
 }
 
 func (f *folder) addFirst(id identity, now time.Duration, captured *pb.CapturedCommand) {
-	r := Request{Arrival: now - f.begin, Gateway: captured.Host, Volume: captured.Volume, Plan: captured.Plan, QueueType: captured.QueueType,
-		Units: captured.Units, Shard: int(captured.Cell), Object: captured.Object, Timeout: time.Duration(captured.Timeout), Body: int(captured.Body), Attempts: 1}
+	r := Request{Arrival: now - f.begin, Gateway: captured.Host, Volume: captured.Volume, Plan: captured.Plan, Class: captured.QueueType,
+		Units: captured.Units, Shard: int(captured.Cell), Object: captured.Object, Timeout: time.Duration(captured.Timeout), BodyBytes: int(captured.Body), Attempts: 1}
 	switch captured.Final {
 	case pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_ABORTED:
 		f.failed++
--- a/internal/capacity/demand/scale.go
+++ b/internal/capacity/demand/scale.go
@@ -30,7 +30,7 @@
 			}
 			r := original
 			if remaining != times {
-				r = copyOf(original, load, classes[requestClass{original.Volume, original.QueueType}], last, rng)
+				r = copyOf(original, load, classes[requestClass{original.Volume, original.Class}], last, rng)
 			}
 			scaled = append(scaled, r)
 		}
@@ -43,7 +43,7 @@
 func classify(load []Request) (classes map[requestClass][]int, last time.Duration) {
 	classes = map[requestClass][]int{}
 	for i, r := range load {
-		class := requestClass{r.Volume, r.QueueType}
+		class := requestClass{r.Volume, r.Class}
 		classes[class] = append(classes[class], i)
 		last = max(last, r.Arrival)
 	}
--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -213,7 +213,7 @@
 	no      int // its place in the description
 	name    string
 	address string
-	m       *model.Brick
+	m       *model.Endpoint
 	up      bool
 	started time.Duration
 	way     time.Duration
@@ -266,7 +266,7 @@
 		w.count(h)
 	}
 	for _, b := range w.bricks {
-		w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, b.m.Pressure), w.r.Turned+b.m.Turned
+		w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, b.m.PeakColdLoad), w.r.Turned+b.m.Rejected
 	}
 	keep := int(s.Wants[len(s.Wants)-1].Arrival/w.s.Block) + 1 // uses are told for as long as there is load
 	for i := range w.r.Bricks {
@@ -395,12 +395,12 @@
 		}
 	}
 	f := w.s.Fleet.Rules
-	c := model.Config{Name: name, Zone: l.Zone, Cell: int(l.Cell), Kind: k, Cores: int(server.Cores), Queue: int(server.Queue), Speed: speed,
-		Cancel: server.Cancel, DropsExpired: server.DropsExpired, Writes: w.writes, FallMultiple: f.FallMultiple, Seed: w.rng.Int63(), Start: w.now,
-		MeanWork: w.mean}
+	c := model.Config{Name: name, Zone: l.Zone, Shard: int(l.Cell), Kind: k, Cores: int(server.Cores), QueueLimit: int(server.Queue), Speed: speed,
+		CancelMode: server.Cancel, DropsExpired: server.DropsExpired, Writes: w.writes, OverloadMultiple: f.FallMultiple, Seed: w.rng.Int63(), Start: w.now,
+		MeanUnitWork: w.mean}
 	started := time.Duration(0)
 	if cold {
-		c.ColdFrom, c.ColdFor, c.FallAfter = f.ColdFrom, settings.Duration(f.ColdFor, 0), settings.Duration(f.FallAfter, 0)
+		c.SlowStartInitial, c.SlowStartDuration, c.OverloadWindow = f.ColdFrom, settings.Duration(f.ColdFor, 0), settings.Duration(f.FallAfter, 0)
 		started = w.now
 	}
 	w.serial++
@@ -521,8 +521,8 @@
 				return
 			}
 			n.used, n.made = old.used, old.made
-			n.m.Busy, n.m.Done = old.used, old.made
-			w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, old.m.Pressure), w.r.Turned+old.m.Turned
+			n.m.BusyTime, n.m.WarmBusyTime = old.used, old.made
+			w.r.Pressure, w.r.Turned = math.Max(w.r.Pressure, old.m.PeakColdLoad), w.r.Turned+old.m.Rejected
 			w.bricks[i] = n
 		}
 		w.tell()
@@ -533,8 +533,8 @@
 // fall ends a brick with what it holds.
 func (w *world) fall(b *brick) {
 	b.up = false
-	for _, j := range b.m.Held() {
-		w.end(b, w.hosts[j.Host], j.ID, policy.ConnectionReset)
+	for _, j := range b.m.Jobs() {
+		w.end(b, w.hosts[j.Gateway], j.ID, policy.ConnectionReset)
 	}
 }
 
@@ -551,9 +551,9 @@
 func (w *world) sample() {
 	for i, b := range w.bricks {
 		cores := float64(b.m.Config().Cores) * w.s.Block.Seconds()
-		w.r.Bricks[i].By = append(w.r.Bricks[i].By, (b.m.Busy-b.used).Seconds()/cores)
-		w.r.Bricks[i].Done = append(w.r.Bricks[i].Done, (b.m.Done-b.made).Seconds()/cores)
-		b.used, b.made = b.m.Busy, b.m.Done
+		w.r.Bricks[i].By = append(w.r.Bricks[i].By, (b.m.BusyTime-b.used).Seconds()/cores)
+		w.r.Bricks[i].Done = append(w.r.Bricks[i].Done, (b.m.WarmBusyTime-b.made).Seconds()/cores)
+		b.used, b.made = b.m.BusyTime, b.m.WarmBusyTime
 	}
 	for i, h := range w.hosts {
 		x := 0.0
@@ -603,7 +603,7 @@
 	if h == nil {
 		h = v.at[int(hash(x.Gateway+x.Volume)%uint64(len(v.at)))]
 	}
-	o := &open{w: x, first: w.now, until: w.now + x.Timeout, host: h, tally: w.tally(w.now, Key{x.Plan, x.QueueType})}
+	o := &open{w: x, first: w.now, until: w.now + x.Timeout, host: h, tally: w.tally(w.now, Key{x.Plan, x.Class})}
 	o.tally.Wanted++
 	if x.CancelAfter > 0 {
 		w.at(w.now+x.CancelAfter, func() {
@@ -644,7 +644,7 @@
 	x, h := o.w, o.host
 	h.taken++
 	cell := x.Shard
-	o.task = &engine.Request{Volume: x.Volume, Class: x.QueueType, Object: fmt.Sprintf("%x", x.Object), Shard: cell, Units: x.Units,
+	o.task = &engine.Request{Volume: x.Volume, Class: x.Class, Object: fmt.Sprintf("%x", x.Object), Shard: cell, Units: x.Units,
 		Timeout: o.until - w.now, Retry: o.asked > 1 && w.s.Fleet.Rules.ClientsMarkRepeats}
 	o.task.Respond = func(a engine.Response) { w.answered(o, a) }
 	h.in(func(c *engine.Core) {
@@ -703,7 +703,7 @@
 	o.over = true
 	took := w.now - o.first
 	switch {
-	case how == engine.Served && took <= w.targets[o.w.QueueType]:
+	case how == engine.Served && took <= w.targets[o.w.Class]:
 		o.tally.InTarget++
 	case how == engine.Served:
 		o.tally.Late++
@@ -746,7 +746,7 @@
 		})
 		return
 	}
-	j := &model.Job{ID: id, Host: h.no, Queue: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Until: w.now + left}
+	j := &model.Attempt{ID: id, Gateway: h.no, Class: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Deadline: w.now + left}
 	w.at(w.now+b.way/2, func() {
 		if !b.up {
 			w.end(b, h, id, policy.ConnectionReset)
@@ -757,7 +757,7 @@
 		case b.errors > 0 && w.rng.Float64() < b.errors:
 			w.end(b, h, id, policy.ErrorResponse)
 		case !b.m.Arrive(j, w.now):
-			if b.m.Fell {
+			if b.m.Crashed {
 				w.r.Fell++
 				w.fall(b)
 				w.tell()
@@ -792,9 +792,9 @@
 
 // work lets a brick do what it has done by now.
 func (w *world) work(b *brick) {
-	b.m.Advance(w.now, func(j *model.Job, at time.Duration) {
+	b.m.Advance(w.now, func(j *model.Attempt, at time.Duration) {
 		b.done[j.Volume] += j.Units
-		h := w.hosts[j.Host]
+		h := w.hosts[j.Gateway]
 		if b.own[h] == nil {
 			b.own[h], b.told[h] = map[string]float64{}, map[string]float64{}
 		}
@@ -824,7 +824,7 @@
 
 // rouse wakes a brick for what is done next.
 func (w *world) rouse(b *brick) {
-	at, ok := b.m.Next()
+	at, ok := b.m.NextCompletion()
 	if !ok || b.wake >= w.now && b.wake <= at && b.wake > 0 {
 		return
 	}
--- a/internal/capacity/forecast/forecast_test.go
+++ b/internal/capacity/forecast/forecast_test.go
@@ -39,10 +39,10 @@
 			return all
 		}
 		v := rng.Intn(4 * bricks)
-		w := demand.Request{Arrival: at, Volume: fmt.Sprint("v", v), Plan: []string{"basic", "priority"}[v%2], QueueType: "read", Units: 1,
+		w := demand.Request{Arrival: at, Volume: fmt.Sprint("v", v), Plan: []string{"basic", "priority"}[v%2], Class: "read", Units: 1,
 			Shard: (v + rng.Intn(2)) % bricks, Object: rng.Uint64()%50 + 1, Timeout: time.Second, Gateway: fmt.Sprint("h", (v+rng.Intn(2))%hosts)}
 		if rng.Intn(4) == 0 {
-			w.QueueType, w.Timeout = "post", 1500*time.Millisecond
+			w.Class, w.Timeout = "post", 1500*time.Millisecond
 		}
 		for w.Units < 8 && rng.Intn(2) == 0 {
 			w.Units++
--- a/internal/capacity/learn/learn_test.go
+++ b/internal/capacity/learn/learn_test.go
@@ -23,7 +23,7 @@
 	way := time.Duration(k.Way / 2 * float64(time.Second))
 	at := 1000 * time.Hour
 	byID := map[uint64]*pb.Captured{}
-	done := func(j *model.Job, at time.Duration) {
+	done := func(j *model.Attempt, at time.Duration) {
 		d := byID[j.ID].GetCommand().Dispatch[0]
 		d.Took, d.How = int64(at+way)-byID[j.ID].At, int32(policy.Served)
 		if j.ID%200 == 199 { // now and then the answer is lost
@@ -33,7 +33,7 @@
 	for id := range uint64(n) {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		for {
-			next, ok := b.Next()
+			next, ok := b.NextCompletion()
 			if !ok || next > at+way {
 				break
 			}
@@ -48,7 +48,7 @@
 		lines = append(lines, l)
 		byID[id] = l
 		b.Advance(at+way, done)
-		b.Arrive(&model.Job{ID: id, Queue: c.QueueType, Units: c.Units, Object: c.Object, First: true}, at+way)
+		b.Arrive(&model.Attempt{ID: id, Class: c.QueueType, Units: c.Units, Object: c.Object, First: true}, at+way)
 	}
 	b.Advance(at+time.Hour, done)
 	return lines
--- a/internal/capacity/place/cost.go
+++ b/internal/capacity/place/cost.go
@@ -14,7 +14,7 @@
 	meanUnit := meanUnitCost(m)
 	return func(request *demand.Request) float64 {
 		for _, kind := range m.Kind {
-			if work := model.Work(kind, request.QueueType, request.Units, -1); work > 0 {
+			if work := model.Work(kind, request.Class, request.Units, -1); work > 0 {
 				return work
 			}
 		}
--- a/internal/capacity/sample/sample.go
+++ b/internal/capacity/sample/sample.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Stretch is one that is played, and how many like it there are in the load, itself included.
-type Stretch struct {
+// Interval is one that is played, and how many like it there are in the load, itself included.
+type Interval struct {
 	From, To time.Duration
 	Weight   float64
 	Heaviest bool
@@ -17,7 +17,7 @@
 
 // Choose cuts a load into stretches of a length and takes at most n of them: the heaviest, and the middle ones of even shares of
 // the others in the order of their work. work is by second. What is shorter than a stretch is one.
-func Choose(work []float64, length time.Duration, n int) []Stretch {
+func Choose(work []float64, length time.Duration, n int) []Interval {
 	per := max(int(length/time.Second), 1)
 	type piece struct {
 		from int
@@ -48,17 +48,17 @@
 		return time.Duration(i+per) * time.Second
 	}
 	slices.SortStableFunc(all, func(a, b piece) int { return cmp.Compare(b.work, a.work) })
-	out := []Stretch{{From: time.Duration(all[0].from) * time.Second, To: end(all[0].from), Weight: 1, Heaviest: true}}
+	out := []Interval{{From: time.Duration(all[0].from) * time.Second, To: end(all[0].from), Weight: 1, Heaviest: true}}
 	rest := all[1:]
 	shares := min(n-1, len(rest))
 	for i := range shares {
 		lo, hi := i*len(rest)/shares, (i+1)*len(rest)/shares
 		p := rest[(lo+hi)/2]
-		out = append(out, Stretch{From: time.Duration(p.from) * time.Second, To: end(p.from), Weight: float64(hi - lo)})
+		out = append(out, Interval{From: time.Duration(p.from) * time.Second, To: end(p.from), Weight: float64(hi - lo)})
 	}
 	if shares == 0 && len(rest) > 0 {
 		out[0].Weight += float64(len(rest))
 	}
-	slices.SortFunc(out, func(a, b Stretch) int { return cmp.Compare(a.From, b.From) })
+	slices.SortFunc(out, func(a, b Interval) int { return cmp.Compare(a.From, b.From) })
 	return out
 }
--- a/internal/capacity/study/shares.go
+++ b/internal/capacity/study/shares.go
@@ -24,7 +24,7 @@
 	units := map[string]float64{} // by volume, so far: the first of it are reserved
 	for i := range load {
 		r := &load[i]
-		plan, queueType := plans[r.Plan], types[r.QueueType]
+		plan, queueType := plans[r.Plan], types[r.Class]
 		if int(r.Arrival/time.Second) != worst || plan == nil || queueType == nil {
 			continue
 		}
@@ -34,9 +34,9 @@
 			unreachable += work
 			continue
 		}
-		key := forecast.Key{Plan: r.Plan, Type: r.QueueType}
+		key := forecast.Key{Plan: r.Plan, Type: r.Class}
 		if sums[key] == nil {
-			sums[key] = &decide.Share{Plan: r.Plan, QueueType: r.QueueType, Weight: math.Max(plan.Importance, minImportance) * math.Max(queueType.Importance, minImportance)}
+			sums[key] = &decide.Share{Plan: r.Plan, QueueType: r.Class, Weight: math.Max(plan.Importance, minImportance) * math.Max(queueType.Importance, minImportance)}
 		}
 		sum := sums[key]
 		sum.Work += work
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -38,7 +38,7 @@
 	Progress func(line string)
 
 	Captured bounds.Input // ExtraAttempts, Requests, HoldTime and Span as captured
-	stretch  []sample.Stretch
+	stretch  []sample.Interval
 	cost     place.Cost
 	speed    func(*pb.Server) float64
 }
--- a/internal/capacity/verify/naive.go
+++ b/internal/capacity/verify/naive.go
@@ -24,7 +24,7 @@
 	cost, work, objective := place.CostOf(m, f), 0.0, 0.0
 	for i := range load {
 		work += cost(&load[i])
-		objective += objectives[load[i].QueueType] / float64(len(load))
+		objective += objectives[load[i].Class] / float64(len(load))
 	}
 	span := load[len(load)-1].Arrival.Seconds()
 	utilization := math.Min(work/span/capacity, 1)
--- a/internal/capacity/verify/verify.go
+++ b/internal/capacity/verify/verify.go
@@ -85,8 +85,8 @@
 		return nil, err
 	}
 	fleet := scenario.Describe(d, o.Seed)
-	requests, clients := demand.FoldRetries(load.Lines)
-	model, err := learn.Model(load.Lines, fleet, clients)
+	requests, clients := demand.FoldRetries(load.Records)
+	model, err := learn.Model(load.Records, fleet, clients)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -60,7 +60,7 @@
 	w.Stop()
 	state := w.State()
 	w.Close()
-	if state.Lost != 0 || state.Lines != 2000 && state.Lines != 2001 || state.On {
+	if state.Lost != 0 || state.Written != 2000 && state.Written != 2001 || state.Enabled {
 		t.Errorf("%+v", state)
 	}
 	load, err := Read(dir)
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	commands, objects, started := 0, map[uint64]bool{}, int64(0)
-	for _, c := range load.Lines {
+	for _, c := range load.Records {
 		started = max(started, c.GetBrick().GetStarted())
 		if x := c.GetCommand(); x != nil {
 			if x.Host != "host-0" || c.At != int64(commands)*1e6 || x.Dispatch[0].How != int32(policy.ErrorResponse) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
@@ -254,7 +254,7 @@
 	}
 	w.Stop()
 	w.Close()
-	if s := w.State(); s.Lost != 50 || s.Lines < 50 || s.LastError != "" {
+	if s := w.State(); s.Lost != 50 || s.Written < 50 || s.LastError != "" {
 		t.Errorf("%+v", s)
 	}
 	n := 0
@@ -304,7 +304,7 @@
 		t.Fatal(err)
 	}
 	n := 0
-	for _, c := range merged.Lines {
+	for _, c := range merged.Records {
 		if x := c.GetCommand(); x != nil {
 			if x.Host != fmt.Sprint("host-", n%2) || c.At != int64(1e15)+int64(50+n)*1e6 {
 				t.Fatalf("%d: %v", n, c)
@@ -345,7 +345,7 @@
 	b.StopTimer()
 	w.Close()
 	s := w.State()
-	b.ReportMetric(float64(s.Bytes)/max(float64(s.Lines), 1), "bytes/line")
+	b.ReportMetric(float64(s.Bytes)/max(float64(s.Written), 1), "bytes/line")
 	if s.LastError != "" {
 		b.Fatal(errors.New(s.LastError))
 	}
--- a/internal/capture/load.go
+++ b/internal/capture/load.go
@@ -17,7 +17,7 @@
 // Load is what was captured, by one gateway or by several.
 type Load struct {
 	Heads   []*pb.CaptureHead // one for each run of a gateway
-	Lines   []*pb.Captured    // records by time; those of requests and endpoints name their gateway
+	Records []*pb.Captured    // records by time; those of requests and endpoints name their gateway
 	Lost    uint64            // records that gateways could not write, as the captures say
 	Torn    Torn
 	Files   int            // that were read
@@ -26,7 +26,7 @@
 
 // Span returns when the first and the last request were received, in ns since 1970; 0 if there is none.
 func (l *Load) Span() (from, to time.Duration) {
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if record.GetCommand() != nil {
 			if from == 0 {
 				from = time.Duration(record.At)
@@ -77,7 +77,7 @@
 }
 
 func (l *Load) sort() {
-	slices.SortStableFunc(l.Lines, func(a, b *pb.Captured) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.Records, func(a, b *pb.Captured) int { return cmp.Compare(a.At, b.At) })
 }
 
 // readFile adds a file. runs are the runs of gateways whose heads were added already.
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer func() { _ = file.Close() }() // only read
-	before := len(l.Lines)
+	before := len(l.Records)
 	head, torn, err := ReadSegment(file, func(record *pb.Captured) error {
 		l.add(record)
 		return nil
@@ -98,7 +98,7 @@
 		return err
 	}
 	l.Files++
-	for _, record := range l.Lines[before:] {
+	for _, record := range l.Records[before:] {
 		setGateway(record, head.Host)
 	}
 	if run := fmt.Sprint(head.Host, head.Life); !runs[run] {
@@ -114,7 +114,7 @@
 		return
 	}
 	if record.What != nil {
-		l.Lines = append(l.Lines, record)
+		l.Records = append(l.Records, record)
 	}
 }
 
--- a/internal/capture/merge.go
+++ b/internal/capture/merge.go
@@ -19,7 +19,7 @@
 	for _, offset := range offsets {
 		add[offset.Gateway] = int64(offset.Add)
 	}
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if request := record.GetCommand(); request != nil {
 			record.At += add[request.Host]
 		}
@@ -42,7 +42,7 @@
 			starts[head.Host] = align.Marks{}
 		}
 	}
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if endpoint := record.GetBrick(); endpoint != nil && endpoint.Started > 0 && starts[endpoint.Host] != nil {
 			starts[endpoint.Host][endpoint.Name] = time.Duration(endpoint.Started)
 		}
@@ -54,11 +54,11 @@
 func (l *Load) Cut(from, to time.Duration) *Load {
 	begin, _ := l.Span()
 	cut := *l
-	cut.Lines = nil
-	for _, record := range l.Lines {
+	cut.Records = nil
+	for _, record := range l.Records {
 		received := time.Duration(record.At) - begin
 		if record.GetBrick() != nil || received >= from && received < to {
-			cut.Lines = append(cut.Lines, record)
+			cut.Records = append(cut.Records, record)
 		}
 	}
 	return &cut
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if err := block.add(record); err != nil {
 			return err
 		}
--- a/internal/capture/stored_data_test.go
+++ b/internal/capture/stored_data_test.go
@@ -120,7 +120,7 @@
 	if load.Files != 1 || load.Torn != (Torn{}) || load.Lost != 3 {
 		t.Errorf("%d files, torn %+v, %d lost", load.Files, load.Torn, load.Lost)
 	}
-	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()...))
+	checkEqual(t, load.Records, append(storedBricks(), storedCommands()...))
 	if from, to := load.Span(); from != storedMoment || to != storedMoment+3*time.Millisecond {
 		t.Errorf("from %v to %v", from, to)
 	}
@@ -133,7 +133,7 @@
 	if load.Torn != (Torn{Blocks: 1, Bytes: 84}) {
 		t.Errorf("torn: %+v", load.Torn)
 	}
-	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()[:2]...))
+	checkEqual(t, load.Records, append(storedBricks(), storedCommands()[:2]...))
 }
 
 // The same capture with a flipped byte in the middle of its second block. Every later version must leave out just that block and read those
@@ -143,7 +143,7 @@
 	if load.Torn != (Torn{Blocks: 1, Bytes: 228}) {
 		t.Errorf("torn: %+v", load.Torn)
 	}
-	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()[2:]...))
+	checkEqual(t, load.Records, append(storedBricks(), storedCommands()[2:]...))
 }
 
 // Version a32f63c wrote the capture again as one merged file, by its command line. Every later version must find the same records in it.
@@ -152,7 +152,7 @@
 	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) || load.Torn != (Torn{}) || load.Lost != 3 {
 		t.Errorf("heads %v, torn %+v, %d lost", load.Heads, load.Torn, load.Lost)
 	}
-	checkEqual(t, load.Lines, append(storedBricks(), storedCommands()...))
+	checkEqual(t, load.Records, append(storedBricks(), storedCommands()...))
 }
 
 // A later version continues the capture in the folder that version a32f63c wrote: its segment has the next number, and with the same key the
@@ -177,8 +177,8 @@
 	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) {
 		t.Errorf("heads %v\nwanted %v", load.Heads, storedHead())
 	}
-	checkEqual(t, load.Lines, storedCommands())
-	if both := readStored(t, dir); both.Files != 2 || len(both.Lines) != len(storedBricks())+2*len(storedCommands()) {
-		t.Errorf("%d files, %d lines", both.Files, len(both.Lines))
+	checkEqual(t, load.Records, storedCommands())
+	if both := readStored(t, dir); both.Files != 2 || len(both.Records) != len(storedBricks())+2*len(storedCommands()) {
+		t.Errorf("%d files, %d lines", both.Files, len(both.Records))
 	}
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -43,8 +43,8 @@
 
 // State is what a Writer has done so far.
 type State struct {
-	On              bool
-	Lines, Lost     int64 // records written, and not written
+	Enabled         bool
+	Written, Lost   int64 // records written, and not written
 	Bytes, MaxBytes int64 // of all segments
 	Segments        int
 	Since           time.Duration // when the capture was started, in ns since 1970; 0: never
@@ -163,7 +163,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := w.state
-	state.On, state.Lost, state.Lines = w.on.Load(), w.lost.Load(), w.written.Load()
+	state.Enabled, state.Lost, state.Written = w.on.Load(), w.lost.Load(), w.written.Load()
 	return state
 }
 
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -73,8 +73,8 @@
 }
 
 func learnt(l *capture.Load, f *pb.CapacityFleet, paths []string) (*pb.CapacityModel, []demand.Request, error) {
-	w, clients := demand.FoldRetries(l.Lines)
-	m, err := learn.Model(l.Lines, f, clients)
+	w, clients := demand.FoldRetries(l.Records)
+	m, err := learn.Model(l.Records, f, clients)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -87,7 +87,7 @@
 // captureInput tells what bounds need of the capture itself.
 func captureInput(l *capture.Load) (in bounds.Input) {
 	held := time.Duration(0)
-	for _, x := range l.Lines {
+	for _, x := range l.Records {
 		if m := x.GetCommand(); m != nil {
 			in.Requests++
 			in.ExtraAttempts += float64(max(len(m.Dispatch)-1, 0))
@@ -164,7 +164,7 @@
 	if err := settings.Load(c.Model, m); err != nil {
 		return nil, nil, err
 	}
-	offered, _ = demand.FoldRetries(l.Lines)
+	offered, _ = demand.FoldRetries(l.Records)
 	return m, offered, nil
 }
 
--- a/internal/cli/capture.go
+++ b/internal/cli/capture.go
@@ -66,7 +66,7 @@
 func describe(l *capture.Load) {
 	requests, attempts, results := 0, 0, map[pb.CapturedCommand_Final]int{}
 	volumes, endpoints, gateways := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for _, x := range l.Lines {
+	for _, x := range l.Records {
 		if m := x.GetCommand(); m != nil {
 			requests++
 			attempts += len(m.Dispatch)
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -57,12 +57,12 @@
 
 func captureStatus(s capture.State) string {
 	on := "off"
-	if s.On {
+	if s.Enabled {
 		on = "on since " + time.Unix(0, int64(s.Since)).UTC().Format(time.RFC3339)
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "capture %s\nfolder %s\nsegments %d, %d bytes of at most %d\nlines written %d, lost %d\n", on, s.Folder, s.Segments,
-		s.Bytes, s.MaxBytes, s.Lines, s.Lost)
+		s.Bytes, s.MaxBytes, s.Written, s.Lost)
 	if s.LastError != "" {
 		fmt.Fprintf(&text, "last error: %s\n", s.LastError)
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -597,7 +597,7 @@
 		t.Fatal(err)
 	}
 	n, marks := 0, 0
-	for _, x := range l.Lines {
+	for _, x := range l.Records {
 		if m := x.GetCommand(); m != nil {
 			n++
 			if m.Volume != "v" || m.Plan != "plain" || m.Object == 0 || len(m.Dispatch) != 2 || m.Dispatch[0].How != int32(policy.ErrorResponse) ||
