--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -533,7 +533,7 @@
 // fall ends a brick with what it holds.
 func (w *world) fall(b *brick) {
 	b.up = false
-	for _, j := range b.m.Jobs() {
+	for _, j := range b.m.Attempts() {
 		w.end(b, w.hosts[j.Gateway], j.ID, policy.ConnectionReset)
 	}
 }
--- a/internal/capacity/learn/cache.go
+++ b/internal/capacity/learn/cache.go
@@ -7,19 +7,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// cacheSizes are those looked at, in objects.
+// cacheSizes are the candidate cache sizes, in objects.
 var cacheSizes = []int{1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 64, 128, 256}
 
 const (
-	// minSignificance is how many standard errors hits and misses must differ by. By chance the largest difference of a dozen sizes
-	// is rarely over 3.
+	// minSignificance is the least difference between the means of hits and misses, in standard errors. By chance, the largest difference
+	// over a dozen sizes rarely exceeds 3.
 	minSignificance = 5.0
-	minSaving       = 0.05 // part of the service time that a hit must save
+	minSaving       = 0.05 // least share of the service time that a hit saves
 	maxSaving       = 0.95
 )
 
-// findCache returns how many objects an endpoint caches and the part of the service time that a hit saves: the size under which
-// hits and misses differ most surely; 0, 0 for none. It leaves samples marked for the last size.
+// findCache estimates how many objects an endpoint caches, and the share of the service time that a hit saves. It takes the size for which
+// hits and misses differ most significantly, and returns 0, 0 if none does. On return, samples are marked for the last candidate size.
 func (l *learner) findCache() (size uint32, saves float64) {
 	best := minSignificance
 	for _, candidate := range cacheSizes {
@@ -38,7 +38,7 @@
 	return size, saves
 }
 
-// hitsAndMisses are service times as a part of what they should be without a cache.
+// hitsAndMisses returns the service times of hits and of misses, each divided by the expected service time without a cache.
 func (l *learner) hitsAndMisses() (hits, misses []float64) {
 	for _, e := range l.endpoints {
 		for i := range e.samples {
@@ -57,7 +57,7 @@
 	return hits, misses
 }
 
-// markCached marks what a cache of a size would have held: objects come in when missed, the oldest is evicted.
+// markCached marks the samples that a cache of the given size would have served. A miss adds its object, and the oldest object is evicted.
 func (l *learner) markCached(size int) {
 	for _, e := range l.endpoints {
 		var cache []uint64
--- a/internal/capacity/learn/fit.go
+++ b/internal/capacity/learn/fit.go
@@ -7,16 +7,17 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// costs are the service times of a core of speed 1, in seconds.
+// costs holds service times on a core of speed 1, in seconds.
 type costs struct {
-	base, unit []float64 // by queue type: of an attempt, and of each unit
+	base, unit []float64 // by request class: per attempt, and per unit
 	roundTrip  float64   // of the network
 }
 
-// work is the service time of a sample.
-func (c *costs) work(s *sample) float64 { return c.base[s.queueType] + c.unit[s.queueType]*s.units }
+// work returns the service time of a sample.
+func (c *costs) work(s *sample) float64 { return c.base[s.class] + c.unit[s.class]*s.units }
 
-// network is the part of a sample's duration that the network takes: where it waited, the round trip passed meanwhile.
+// network returns the part of a sample's duration that the network takes. It is 0 for an attempt that was queued: its round trip passed while
+// the core was busy.
 func (c *costs) network(s *sample) float64 {
 	if s.idle {
 		return c.roundTrip
@@ -24,32 +25,32 @@
 	return 0
 }
 
-// total is the duration of a sample.
+// total returns the expected duration of a sample.
 func (c *costs) total(s *sample) float64 { return c.work(s) + c.network(s) }
 
 const (
 	fitIterations = 8
 	// madToSigma turns a median absolute deviation into the standard deviation of a normal distribution.
 	madToSigma = 1.4826
-	// minBound is the least relative deviation that counts as far off.
+	// minBound is the least relative deviation from which on a sample loses weight.
 	minBound = 0.05
 )
 
-// observation is a sample and its duration at speed 1 without a cache's help, in seconds.
+// observation is a sample with its duration normalized to speed 1 and no cache.
 type observation struct {
 	sample *sample
-	value  float64
+	value  float64 // seconds
 }
 
-// column is an unknown of the fit.
+// column is an unknown of the fit: its coefficient for each sample, and where its solution goes.
 type column struct {
 	factor func(s *sample) float64
 	set    func(x float64)
 }
 
-// fitter is a least-squares fit of base and unit of each queue type, and of the network's round trip in what found the endpoint
-// idle. It is relative, since the spread of service times grows with them, and robust: what lies far off counts less (Huber's
-// weights), what lies very far off not at all.
+// fitter fits base and unit of each request class, and the network's round trip for attempts that found the core idle, by weighted least
+// squares. Residuals are relative, since the spread of service times grows with the service time. The fit is robust: samples far from it
+// have less weight (Huber's weights), samples very far from it have none.
 type fitter struct {
 	observations []observation
 	weights      []float64
@@ -85,8 +86,8 @@
 	}
 }
 
-// chooseColumns takes an unknown for each cost that the samples can tell apart: base only where a queue type comes in several
-// sizes, the round trip only where both idle and queued begins are seen.
+// chooseColumns adds a column for each cost that the samples determine: base only for a request class with several sizes in units, the
+// round trip only if there are both samples that found the core idle and samples that were queued.
 func (f *fitter) chooseColumns(types int) {
 	idle := 0
 	seen := make([]int, types)
@@ -98,8 +99,8 @@
 		if o.sample.idle {
 			idle++
 		}
-		seen[o.sample.queueType]++
-		sizes[o.sample.queueType][o.sample.units] = true
+		seen[o.sample.class]++
+		sizes[o.sample.class][o.sample.units] = true
 	}
 	for q := range types {
 		if seen[q] == 0 {
@@ -107,11 +108,11 @@
 		}
 		if len(sizes[q]) > 1 && seen[q] >= minSamples {
 			f.columns = append(f.columns, column{
-				factor: func(s *sample) float64 { return indicator(s.queueType == q) },
+				factor: func(s *sample) float64 { return indicator(s.class == q) },
 				set:    func(x float64) { f.costs.base[q] = x }})
 		}
 		f.columns = append(f.columns, column{
-			factor: func(s *sample) float64 { return indicator(s.queueType == q) * s.units },
+			factor: func(s *sample) float64 { return indicator(s.class == q) * s.units },
 			set:    func(x float64) { f.costs.unit[q] = x }})
 	}
 	if queued := len(f.observations) - idle; idle >= minSamples && queued >= minSamples {
@@ -128,7 +129,7 @@
 	return 0
 }
 
-// initialWeights make the first fit relative to the units.
+// initialWeights weights the first fit by the inverse of the units.
 func (f *fitter) initialWeights() {
 	f.weights = make([]float64, len(f.observations))
 	mean := 0.0
@@ -140,11 +141,11 @@
 	}
 }
 
-// solve solves the normal equations and sets the costs; false: they have no solution, the costs stay.
+// solve solves the normal equations and sets the costs. It reports false if they have no solution; the costs then stay as they are.
 func (f *fitter) solve() bool {
 	n := len(f.columns)
 	left, right := f.normalEquations()
-	for a := range n { // ridge regularization: nearly collinear columns stay solvable
+	for a := range n { // ridge regularization keeps nearly collinear columns solvable
 		left.SetSym(a, a, left.At(a, a)*(1+1e-9)+1e-12)
 	}
 	var factors mat.Cholesky
@@ -177,7 +178,7 @@
 	return left, right
 }
 
-// forbidNegative fits a queue type with a negative cost again, by units alone.
+// forbidNegative fits each request class that got a negative cost again, with the cost per unit alone.
 func (f *fitter) forbidNegative() {
 	c := &f.costs
 	for q := range c.base {
@@ -186,7 +187,7 @@
 		}
 		sum, units := 0.0, 0.0
 		for i, o := range f.observations {
-			if o.sample.queueType == q {
+			if o.sample.class == q {
 				weight := f.weights[i] * o.sample.units
 				sum, units = sum+weight*(o.value-c.network(o.sample)), units+weight*o.sample.units
 			}
@@ -196,7 +197,7 @@
 	c.roundTrip = math.Max(c.roundTrip, 0)
 }
 
-// reweight lets what lies far off count less in the next iteration.
+// reweight reduces the weight of samples far from the fit in the next iteration.
 func (f *fitter) reweight() {
 	deviations := make([]float64, len(f.observations))
 	for i, o := range f.observations {
@@ -211,7 +212,7 @@
 	}
 }
 
-// median leaves the values in their order.
+// median returns the median (of an even number, the upper one) and leaves the order of values unchanged.
 func median(values []float64) float64 {
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
--- a/internal/capacity/learn/interruptions.go
+++ b/internal/capacity/learn/interruptions.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	outlierSigmas = 6 // standard deviations beyond which a service time is an outlier
-	// minCorrelation of excess and writes above which outliers are deferred work; below they are pauses.
+	outlierSigmas = 6 // deviation from which on a service time is an outlier, in standard deviations
+	// minCorrelation is the correlation of excess time and preceding writes above which interruptions count as deferred work, else as pauses.
 	minCorrelation = 0.35
-	maxDeferred    = 0.9 // part of a write's work
+	maxDeferred    = 0.9 // share of the work of a write
 )
 
-// markOutliers marks samples that took far longer than what is like them: at least twice as long.
+// markOutliers marks samples that took far longer than expected: at least twice as long.
 func (l *learner) markOutliers() {
 	var deviations []float64
 	for _, e := range l.endpoints {
@@ -30,7 +30,7 @@
 	}
 }
 
-// relative is a sample's service time as a part of the expected.
+// relative returns a sample's service time divided by the expected one.
 func (l *learner) relative(e *endpoint, s *sample) float64 {
 	expected := s.expected
 	if expected == 0 {
@@ -39,16 +39,16 @@
 	return (s.duration - l.costs.network(s)) * e.speed / math.Max(expected, minSeconds)
 }
 
-// interruption is what ran before an outlier.
+// interruption is the other work, or the pause, that delayed an outlier.
 type interruption struct {
-	excess  float64 // core seconds at speed 1
-	written float64 // work of the writes since the interruption before, core seconds
-	follows bool    // there is one before it
-	gap     float64 // since the one before, seconds; 0 where there is none
+	excess  float64 // duration beyond the expected one, core seconds at speed 1
+	written float64 // work of the writes since the previous interruption, core seconds
+	follows bool    // whether there is a previous interruption
+	gap     float64 // time since the previous interruption, seconds; 0 if there is none
 }
 
-// learnInterruptions finds out what ran before the outliers: deferred work of writes, if how much it was goes with the writes since
-// the last time, else pauses.
+// learnInterruptions finds out what delayed the outliers: deferred work of writes if the excess correlates with the writes since the
+// previous interruption, else pauses.
 func (l *learner) learnInterruptions() {
 	var all []interruption
 	span, written := 0.0, 0.0
@@ -77,7 +77,7 @@
 	l.kind.Pause, l.kind.PauseEvery = median(excess), span/float64(len(excess))
 }
 
-// interruptions returns those of an endpoint, and the work of all its writes in core seconds.
+// interruptions returns the interruptions of an endpoint, and the work of all its writes in core seconds.
 func (l *learner) interruptions(e *endpoint) (found []interruption, written float64) {
 	since, last := 0.0, time.Duration(0)
 	for i := range e.samples {
@@ -99,8 +99,8 @@
 	return found, written
 }
 
-// learnDeferred states the part of writes that is deferred. Some interruptions were not seen, behind a large attempt: only what came
-// about one usual gap after the one before counts.
+// learnDeferred sets the share of the work of writes that is deferred, and the flush interval. An interruption during a large attempt is not
+// noticed, so that two gaps look like one: only interruptions about one usual gap after the previous one count.
 func (l *learner) learnDeferred(all []interruption, usualGap float64) {
 	excess, written := 0.0, 0.0
 	for _, i := range all {
--- a/internal/capacity/learn/kind.go
+++ b/internal/capacity/learn/kind.go
@@ -6,21 +6,21 @@
 	"weirhaven/internal/pb"
 )
 
-// rounds is how often costs, speeds and cache are estimated in turn: each is read off what the others leave.
+// rounds is the number of passes over costs, speeds and cache: the estimate of each depends on the other two.
 const rounds = 3
 
-// minSeconds keeps a ratio of service times defined.
+// minSeconds is the least divisor in a ratio of service times.
 const minSeconds = 1e-9
 
-// endpoint is one of a kind while it is learnt.
+// endpoint holds the data of one endpoint of the kind.
 type endpoint struct {
 	name     string
 	attempts []attempt // by start
 	samples  []sample
-	speed    float64 // of its cores
+	speed    float64 // of each core
 }
 
-// learner estimates one kind of endpoint.
+// learner estimates the model of one kind of endpoint.
 type learner struct {
 	kind      *pb.CapacityModel_KindModel
 	types     []*pb.QueueType
@@ -28,7 +28,7 @@
 	costs     costs
 }
 
-// learnKind returns the model of a kind and the speeds of its endpoints beside the kind's mean; nil with too few samples.
+// learnKind returns the model of a kind and the speeds of its endpoints relative to the kind's mean; nil if there are too few samples.
 func learnKind(kind *pb.ServerKind, names []string, attempts map[string][]attempt, types []*pb.QueueType) (
 	*pb.CapacityModel_KindModel, []*pb.CapacityModel_BrickSpeed) {
 	l := &learner{types: types}
@@ -54,7 +54,7 @@
 	return l.kind, l.speeds(mean)
 }
 
-// estimate is one round.
+// estimate runs one round.
 func (l *learner) estimate() {
 	l.costs = fitCosts(l.endpoints, l.kind.Saves, len(l.types))
 	for _, e := range l.endpoints {
@@ -67,7 +67,7 @@
 	l.markCached(int(l.kind.Remembers))
 }
 
-// estimateSpeed compares what the samples should take at speed 1 with what they took.
+// estimateSpeed estimates the speed as the ratio of expected service time at speed 1 to measured service time, outliers left out.
 func (e *endpoint) estimateSpeed(c *costs, cacheSaves float64) {
 	expected, took := 0.0, 0.0
 	for i := range e.samples {
@@ -102,7 +102,7 @@
 	return speeds
 }
 
-// compareUse compares the core seconds that the endpoints worked with what the model says of the same attempts.
+// compareUse sets the core seconds that the endpoints worked as captured, and as the model predicts for the same attempts.
 func (l *learner) compareUse() {
 	seen, modelled := 0.0, 0.0
 	for _, e := range l.endpoints {
--- a/internal/capacity/learn/model.go
+++ b/internal/capacity/learn/model.go
@@ -1,9 +1,9 @@
-// Package learn finds out how endpoints work from what gateways captured of their attempts. It has no I/O, clock or goroutine.
+// Package learn fits a model of the endpoints to the attempts that gateways captured. It has no I/O, clock or goroutine.
 //
-// An endpoint serves attempts in order of arrival. Where the captures of all gateways are there, it is known when each attempt was
-// begun: when it arrived, or when what came before it ended (on the core that was free first), whichever is later. So its service
-// time is separated from its queueing time. What follows an attempt whose end nobody saw (timed out, cancelled, connection reset)
-// is left out: its begin is not known.
+// An endpoint serves attempts in order of arrival. With the captures of all gateways, the start of service of each attempt is known: it is
+// the later of the attempt's arrival and the end of the attempt before it on the first core to become free. This separates service time from
+// queueing time. If no gateway saw the end of an attempt (timed out, cancelled, connection reset), the attempts queued behind it are left out,
+// since their start of service is unknown.
 package learn
 
 import (
@@ -15,31 +15,31 @@
 	"weirhaven/policy"
 )
 
-// Version of the model's form.
+// Version is the version of the model's format.
 const Version = 1
 
 const (
-	minSamples  = 20 // of a queue type, of queued or idle begins, of cache hits: fewer give no estimate
-	minOutliers = 8  // fewer say nothing of deferred work or pauses
-	// maxAttempts bounds how many attempts to an endpoint are looked at, the last ones, however long the capture is. They are enough
-	// to be sure to a percent.
+	minSamples  = 20 // least number of samples (of a request class, queued, idle, cache hits) for an estimate
+	minOutliers = 8  // least number of outliers for an estimate of deferred work or pauses
+	// maxAttempts is the number of attempts evaluated for each endpoint, the last ones of the capture. They determine the estimates to within
+	// one percent.
 	maxAttempts = 8000
 )
 
-// attempt is one to an endpoint, as a gateway captured it.
+// attempt is an attempt sent to an endpoint, as its gateway captured it.
 type attempt struct {
 	start, end time.Duration
-	queueType  int // index
+	class      int // index
 	units      float64
 	object     uint64
-	first      bool // of its request: what a cache remembers
+	first      bool // whether it is its request's first attempt: a cache keeps the objects of these only
 	outcome    policy.Outcome
 }
 
-// Model learns a model from a capture. Endpoints that the fleet does not name count as of its first kind. It fails where a request
-// has a queue type that the fleet does not describe, and where no kind has enough served attempts.
-func Model(lines []*pb.Captured, f *pb.CapacityFleet, client *pb.CapacityModel_ClientModel) (*pb.CapacityModel, error) {
-	attempts, err := attemptsByEndpoint(lines, f)
+// Model fits a model to the records of a capture. Endpoints that the fleet does not name count as endpoints of its first kind. It fails if a
+// request has a class that the fleet does not describe, and if no kind has enough served attempts.
+func Model(records []*pb.Captured, f *pb.CapacityFleet, client *pb.CapacityModel_ClientModel) (*pb.CapacityModel, error) {
+	attempts, err := attemptsByEndpoint(records, f)
 	if err != nil {
 		return nil, err
 	}
@@ -62,25 +62,25 @@
 	return m, nil
 }
 
-// attemptsByEndpoint returns the last attempts to each endpoint, in the order of their requests.
-func attemptsByEndpoint(lines []*pb.Captured, f *pb.CapacityFleet) (map[string][]attempt, error) {
-	queueTypes := map[string]int{}
+// attemptsByEndpoint returns the last maxAttempts attempts of each endpoint, in the order of their requests.
+func attemptsByEndpoint(records []*pb.Captured, f *pb.CapacityFleet) (map[string][]attempt, error) {
+	classes := map[string]int{}
 	for i, q := range f.QueueType {
-		queueTypes[q.Name] = i
+		classes[q.Name] = i
 	}
 	attempts := map[string][]attempt{}
-	for _, line := range lines {
-		request := line.GetCommand()
+	for _, record := range records {
+		request := record.GetCommand()
 		if request == nil {
 			continue
 		}
-		queueType, ok := queueTypes[request.QueueType]
+		class, ok := classes[request.QueueType]
 		if !ok {
 			return nil, fmt.Errorf("the capture has commands of queue type %q, which the fleet does not describe", request.QueueType)
 		}
 		for n, d := range request.Dispatch {
-			start := time.Duration(line.At + d.After)
-			attempts[d.Brick] = append(attempts[d.Brick], attempt{start: start, end: start + time.Duration(d.Took), queueType: queueType,
+			start := time.Duration(record.At + d.After)
+			attempts[d.Brick] = append(attempts[d.Brick], attempt{start: start, end: start + time.Duration(d.Took), class: class,
 				units: request.Units, object: request.Object, first: n == 0, outcome: policy.Outcome(d.How)})
 		}
 	}
@@ -90,7 +90,7 @@
 	return attempts, nil
 }
 
-// namesByKind returns the names of the endpoints of each kind, in order.
+// namesByKind returns the sorted names of the endpoints of each kind.
 func namesByKind(attempts map[string][]attempt, f *pb.CapacityFleet) map[string][]string {
 	kinds := map[string]string{}
 	for _, endpoint := range f.Brick {
--- a/internal/capacity/learn/sample.go
+++ b/internal/capacity/learn/sample.go
@@ -9,36 +9,37 @@
 	"weirhaven/policy"
 )
 
-// sample is a served attempt whose begin is known.
+// sample is a served attempt whose start of service is known.
 type sample struct {
-	arrival   time.Duration
-	duration  float64 // service time; with the network's round trip where idle; seconds
-	queueType int
-	units     float64
-	write     bool
-	idle      bool    // the core was idle before
-	object    uint64  // 0: nothing a cache remembers
-	cached    bool    // it would be in a cache of the size looked at
-	outlier   bool    // far longer than what is like it: something else ran before
-	expected  float64 // service time at speed 1 by the estimate so far, seconds; 0: none yet
+	arrival  time.Duration
+	duration float64 // service time, plus the network's round trip if idle, in seconds
+	class    int     // index
+	units    float64
+	write    bool    // whether its class writes
+	idle     bool    // whether the core was idle on its arrival
+	object   uint64  // 0: none, or not the first attempt
+	cached   bool    // whether its object would be in a cache of the size under test
+	outlier  bool    // whether it took far longer than expected: other work or a pause came before it
+	expected float64 // service time at speed 1 by the present estimate, in seconds; 0: none yet
 }
 
-// Attempts whose core became free within these times of their arrival are left out: it isn't sure whether they waited.
+// An attempt counts as queued if its core became free later than queuedMargin after its arrival, and as idle if the core became free earlier
+// than idleMargin before it. Attempts between the two are left out, since they may or may not have waited.
 const (
 	queuedMargin = 300 * time.Microsecond
 	idleMargin   = time.Millisecond
 )
 
-// separator follows the cores of an endpoint through its attempts.
+// separator separates service time from queueing time by following the cores of an endpoint through its attempts.
 type separator struct {
 	freeAt  []time.Duration // by core
-	unknown []bool          // by core: what ran there last has no known end
+	unknown []bool          // by core: whether the end of its last attempt is unknown
 	samples []sample
-	errors  int // error responses
-	served  int // with errors
+	errors  int // attempts answered with an error
+	served  int // attempts answered, including errors
 }
 
-// separate finds the service times of an endpoint's attempts, which it sorts by start.
+// separate returns the samples of an endpoint's attempts. It sorts attempts by start.
 func separate(attempts []attempt, cores int, types []*pb.QueueType) *separator {
 	slices.SortStableFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.start, b.start) })
 	s := &separator{freeAt: make([]time.Duration, cores), unknown: make([]bool, cores)}
@@ -46,10 +47,10 @@
 		switch a.outcome {
 		case policy.Served:
 			s.served++
-			s.addServed(a, types[a.queueType].Writes)
+			s.addServed(a, types[a.class].Writes)
 		case policy.ErrorResponse:
 			s.errors++
-			s.served++ // it counts as failed at once: it keeps no core
+			s.served++ // an error takes no time on a core
 		case policy.TimedOut, policy.Canceled, policy.ConnectionReset:
 			for core := range s.unknown {
 				s.unknown[core] = true
@@ -60,7 +61,7 @@
 	return s
 }
 
-// addServed takes the attempt to the core that is free first.
+// addServed assigns an attempt to the core that becomes free first.
 func (s *separator) addServed(a attempt, write bool) {
 	core := 0
 	for i := range s.freeAt {
@@ -72,7 +73,7 @@
 	idle := freeAt < a.start-idleMargin
 	queued := freeAt > a.start+queuedMargin && !s.unknown[core]
 	if duration := a.end - max(freeAt, a.start); duration > 0 && (idle || queued) {
-		added := sample{arrival: a.start, duration: duration.Seconds(), queueType: a.queueType, units: a.units, write: write, idle: idle}
+		added := sample{arrival: a.start, duration: duration.Seconds(), class: a.class, units: a.units, write: write, idle: idle}
 		if a.first {
 			added.object = a.object
 		}
--- a/internal/capacity/learn/work.go
+++ b/internal/capacity/learn/work.go
@@ -9,31 +9,31 @@
 	"weirhaven/internal/pb"
 )
 
-// maxVariation bounds the coefficient of variation that a model states.
+// maxVariation is the greatest coefficient of variation in a model.
 const maxVariation = 5
 
-// residuals compare samples with the model.
+// residuals holds measured and expected service times.
 type residuals struct {
-	relative       [][]float64 // by queue type: service time as a part of the expected
+	relative       [][]float64 // by request class: service time divided by the expected one
 	took, expected []float64   // seconds
 }
 
-// learnWork states the work of each queue type at the kind's mean speed, and how well it explains the samples.
+// learnWork sets the work of each request class at the kind's mean speed, and the share of the variance that it explains.
 func (l *learner) learnWork(meanSpeed float64) {
 	r := l.queuedResiduals()
-	if len(r.took) < minSamples { // hardly ever two at once: idle begins must do
+	if len(r.took) < minSamples { // attempts hardly ever queue: use those that found the core idle too
 		l.addIdleResiduals(r)
 	}
-	for q, queueType := range l.types {
+	for q, class := range l.types {
 		count := l.count(q)
 		if count < minSamples {
 			continue
 		}
 		scale := 1 / meanSpeed
-		if queueType.Writes {
-			scale /= 1 - l.kind.Deferred // what is seen at once is what was not deferred
+		if class.Writes {
+			scale /= 1 - l.kind.Deferred // samples show only the work that was not deferred
 		}
-		work := &pb.CapacityModel_Work{QueueType: queueType.Name, Base: l.costs.base[q] * scale, Unit: l.costs.unit[q] * scale, Samples: uint32(count)}
+		work := &pb.CapacityModel_Work{QueueType: class.Name, Base: l.costs.base[q] * scale, Unit: l.costs.unit[q] * scale, Samples: uint32(count)}
 		if len(r.relative[q]) >= minSamples {
 			work.Vary = variation(r.relative[q])
 		}
@@ -42,7 +42,7 @@
 	l.kind.Fit.Explained = math.Max(0, 1-squares(r.took, r.expected)/math.Max(stat.Variance(r.took, nil)*float64(len(r.took)-1), 1e-18))
 }
 
-// queuedResiduals are those of samples that waited: the network is not in them. It also counts these.
+// queuedResiduals returns the residuals of queued samples, whose durations hold no network time, and counts these samples in the fit.
 func (l *learner) queuedResiduals() *residuals {
 	r := &residuals{relative: make([][]float64, len(l.types))}
 	for _, e := range l.endpoints {
@@ -55,14 +55,14 @@
 			if s.outlier {
 				continue
 			}
-			r.relative[s.queueType] = append(r.relative[s.queueType], s.duration*e.speed/math.Max(s.expected, minSeconds))
+			r.relative[s.class] = append(r.relative[s.class], s.duration*e.speed/math.Max(s.expected, minSeconds))
 			r.took, r.expected = append(r.took, s.duration), append(r.expected, s.expected/e.speed)
 		}
 	}
 	return r
 }
 
-// addIdleResiduals replaces took and expected by those of all samples, and adds to the relative ones.
+// addIdleResiduals replaces took and expected by those of all samples, and adds all samples to relative.
 func (l *learner) addIdleResiduals(r *residuals) {
 	r.took, r.expected = nil, nil
 	for _, e := range l.endpoints {
@@ -72,16 +72,16 @@
 			if s.outlier || service <= 0 {
 				continue
 			}
-			r.relative[s.queueType] = append(r.relative[s.queueType], service*e.speed/math.Max(s.expected, minSeconds))
+			r.relative[s.class] = append(r.relative[s.class], service*e.speed/math.Max(s.expected, minSeconds))
 			r.took, r.expected = append(r.took, s.duration), append(r.expected, s.expected/e.speed+l.costs.network(s))
 		}
 	}
 }
 
-func (l *learner) count(queueType int) (n int) {
+func (l *learner) count(class int) (n int) {
 	for _, e := range l.endpoints {
 		for i := range e.samples {
-			if e.samples[i].queueType == queueType {
+			if e.samples[i].class == class {
 				n++
 			}
 		}
@@ -89,13 +89,13 @@
 	return n
 }
 
-// variation is the coefficient of variation of a lognormal distribution that has the quantiles 0.1 and 0.9 of the values, which it
-// sorts. Quantiles are taken since outliers, the tail, are cut off.
+// variation returns the coefficient of variation of the lognormal distribution with the same 0.1 and 0.9 quantiles as the values, which it
+// sorts. It uses quantiles because the tail is missing: outliers are left out.
 func variation(values []float64) float64 {
 	slices.Sort(values)
 	n := len(values)
 	low, high := math.Max(values[n/10], 1e-3), math.Max(values[n-1-n/10], 1e-3)
-	sigma := math.Log(high/low) / (2 * 1.2816) // the normal distribution's quantile 0.9
+	sigma := math.Log(high/low) / (2 * 1.2816) // 1.2816: the 0.9 quantile of the normal distribution
 	return math.Min(math.Sqrt(math.Exp(sigma*sigma)-1), maxVariation)
 }
 
--- a/internal/capacity/model/endpoint.go
+++ b/internal/capacity/model/endpoint.go
@@ -1,6 +1,6 @@
-// Package model is a brick as learnt from a capture, in virtual time: cores, a queue in turn of arrival, work by queue type and
-// units, a cache of the last pieces, deferred work of writes, pauses, a cold start with its ramp. It has no I/O, clock or
-// goroutine; who drives it tells the time.
+// Package model simulates one endpoint, as learnt from a capture, in virtual time: its cores, its first-in, first-out queue, the work of
+// each attempt by request class and units, its cache of recent objects, the deferred work of writes, its pauses, and the slow start after a
+// cold start. The package has no I/O, clock or goroutine; the caller passes the current time.
 package model
 
 import (
@@ -12,74 +12,73 @@
 	"weirhaven/internal/pb"
 )
 
-// Config is what a brick is made of.
+// Config describes an endpoint.
 type Config struct {
 	Name              string
 	Zone              string
 	Shard             int
 	Kind              *pb.CapacityModel_KindModel
 	Cores             int
-	QueueLimit        int // 0: as many as come
-	Speed             float64
+	QueueLimit        int     // attempts that may wait; 0: no limit
+	Speed             float64 // of a core
 	CancelMode        pb.BrickCancel
-	DropsExpired      bool
-	Writes            map[string]bool
-	SlowStartInitial  float64 // 1: it is warm
+	DropsExpired      bool            // whether attempts that waited past their deadline are dropped
+	Writes            map[string]bool // request classes that write
+	SlowStartInitial  float64         // share of the capacity right after a cold start; 1: no slow start
 	SlowStartDuration time.Duration
-	OverloadMultiple  float64
-	OverloadWindow    time.Duration
+	OverloadMultiple  float64       // multiple of the slow-start capacity beyond which the endpoint crashes
+	OverloadWindow    time.Duration // sliding window over which that is measured; 0: it never crashes
 	Seed              int64
-	Start             time.Duration
-	MeanUnitWork      float64                           // of a queue type that the capture shows none of
-	workBy            map[string]*pb.CapacityModel_Work // by queue type
+	Start             time.Duration                     // when the endpoint was started
+	MeanUnitWork      float64                           // work per unit of a request class that the capture has no samples of, in core seconds
+	workByClass       map[string]*pb.CapacityModel_Work // by request class
 }
 
-// Attempt is one dispatch at a brick.
+// Attempt is an attempt sent to an endpoint.
 type Attempt struct {
 	ID       uint64
 	Gateway  int
 	Class    string
 	Volume   string
 	Units    float64
-	Object   uint64
-	First    bool // the command's first dispatch: what a cache remembers
+	Object   uint64 // 0: none
+	First    bool   // whether it is its request's first attempt: a cache keeps the objects of these only
 	Deadline time.Duration
 	Arrival  time.Duration
-	work     float64
+	work     float64 // core seconds at speed 1
 	gone     bool
 }
 
-// Endpoint is one while it serves.
+// Endpoint is a running endpoint.
 type Endpoint struct {
-	c        Config
-	rng      *rand.Rand
-	waiting  []*Attempt
-	cores    []core
-	recent   []uint64
-	deferred float64
-	flushAt  time.Duration
-	pauseAt  time.Duration
-	pressed  []press
-	// BusyTime is the time that its cores have worked so far, WarmBusyTime what that comes to on a warm brick; Fell tells whether it was pushed over; Pressure is the most that it was sent while
-	// cold, as a part of what pushes it over.
+	config     Config
+	rng        *rand.Rand
+	waiting    []*Attempt
+	cores      []core
+	cached     []uint64 // objects, oldest first
+	deferred   float64  // work that writes left for the next flush, core seconds
+	nextFlush  time.Duration
+	nextPause  time.Duration
+	recentWork []arrivedWork // within the overload window, during slow start
+	// BusyTime is the time that all cores have worked so far, pauses left out. WarmBusyTime is what it would be if the endpoint had been at
+	// full capacity throughout.
 	BusyTime, WarmBusyTime time.Duration
-	Crashed                bool
-	PeakColdLoad           float64
-	// Rejected counts what found the queue full.
-	Rejected int
+	Crashed                bool    // whether overload during slow start made it crash
+	PeakColdLoad           float64 // highest load during slow start, as a multiple of the load that makes it crash
+	Rejected               int     // attempts that arrived at a full queue or after the crash
 }
 
 type core struct {
-	job  *Attempt
-	ends time.Duration // 0: idle
+	attempt *Attempt      // nil: idle, or a flush of deferred work
+	end     time.Duration // 0: idle
 }
 
-type press struct {
-	at   time.Duration
-	work float64
+type arrivedWork struct {
+	arrival time.Duration
+	work    float64 // core seconds at speed 1
 }
 
-// New brings one up.
+// New returns a running endpoint.
 func New(c Config) *Endpoint {
 	c.Cores = max(c.Cores, 1)
 	if c.Speed <= 0 {
@@ -88,183 +87,184 @@
 	if c.SlowStartInitial <= 0 {
 		c.SlowStartInitial = 1
 	}
-	c.workBy = map[string]*pb.CapacityModel_Work{}
+	c.workByClass = map[string]*pb.CapacityModel_Work{}
 	for _, w := range c.Kind.Work {
-		c.workBy[w.QueueType] = w
+		c.workByClass[w.QueueType] = w
 	}
-	b := &Endpoint{c: c, rng: rand.New(rand.NewSource(c.Seed)), cores: make([]core, c.Cores)}
-	b.flushAt, b.pauseAt = never, never
+	e := &Endpoint{config: c, rng: rand.New(rand.NewSource(c.Seed)), cores: make([]core, c.Cores)}
+	e.nextFlush, e.nextPause = never, never
 	if c.Kind.Flush > 0 {
-		b.flushAt = c.Start + time.Duration(b.rng.Float64()*c.Kind.Flush*float64(time.Second))
+		e.nextFlush = c.Start + time.Duration(e.rng.Float64()*c.Kind.Flush*float64(time.Second))
 	}
 	if c.Kind.Pause > 0 && c.Kind.PauseEvery > 0 {
-		b.pauseAt = c.Start + time.Duration(b.rng.ExpFloat64()*c.Kind.PauseEvery*float64(time.Second))
+		e.nextPause = c.Start + time.Duration(e.rng.ExpFloat64()*c.Kind.PauseEvery*float64(time.Second))
 	}
-	return b
+	return e
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// Config is what it is made of.
-func (b *Endpoint) Config() Config { return b.c }
+// Config returns the configuration of the endpoint, with defaults filled in.
+func (e *Endpoint) Config() Config { return e.config }
 
-// Work is the mean work of a dispatch on a core of speed 1, in seconds.
-func Work(k *pb.CapacityModel_KindModel, queue string, units, mean float64) float64 {
+// Work returns the mean work of an attempt, in core seconds at speed 1. A request class without samples costs meanUnit for each unit.
+func Work(k *pb.CapacityModel_KindModel, class string, units, meanUnit float64) float64 {
 	for _, w := range k.Work {
-		if w.QueueType == queue && w.Samples > 0 {
+		if w.QueueType == class && w.Samples > 0 {
 			return w.Base + w.Unit*units
 		}
 	}
-	return mean * units
+	return meanUnit * units
 }
 
-// SlowStartCapacity is the part of its capacity that it has.
-func (b *Endpoint) SlowStartCapacity(now time.Duration) float64 {
-	age := now - b.c.Start
-	if b.c.SlowStartInitial >= 1 || b.c.SlowStartDuration <= 0 || age >= b.c.SlowStartDuration {
+// SlowStartCapacity returns the share of its capacity that the endpoint has: below 1 during slow start.
+func (e *Endpoint) SlowStartCapacity(now time.Duration) float64 {
+	age := now - e.config.Start
+	if e.config.SlowStartInitial >= 1 || e.config.SlowStartDuration <= 0 || age >= e.config.SlowStartDuration {
 		return 1
 	}
-	return b.c.SlowStartInitial + (1-b.c.SlowStartInitial)*float64(age)/float64(b.c.SlowStartDuration)
+	return e.config.SlowStartInitial + (1-e.config.SlowStartInitial)*float64(age)/float64(e.config.SlowStartDuration)
 }
 
-// Arrive takes a dispatch; false: turned away unseen.
-func (b *Endpoint) Arrive(j *Attempt, now time.Duration) bool {
-	k := b.c.Kind
-	j.Arrival, j.work = now, Work(k, j.Class, j.Units, b.c.MeanUnitWork)
-	if w := b.c.workBy[j.Class]; w != nil && w.Vary > 0 {
+// Arrive takes an attempt; it reports false if the endpoint rejects it.
+func (e *Endpoint) Arrive(a *Attempt, now time.Duration) bool {
+	k := e.config.Kind
+	a.Arrival, a.work = now, Work(k, a.Class, a.Units, e.config.MeanUnitWork)
+	if w := e.config.workByClass[a.Class]; w != nil && w.Vary > 0 {
 		s := math.Sqrt(math.Log(1 + w.Vary*w.Vary))
-		j.work *= math.Exp(s*b.rng.NormFloat64() - s*s/2)
+		a.work *= math.Exp(s*e.rng.NormFloat64() - s*s/2)
 	}
-	if k.Remembers > 0 && j.First && j.Object != 0 {
-		if slices.Contains(b.recent, j.Object) {
-			j.work *= 1 - k.Saves
-		} else if b.recent = append(b.recent, j.Object); len(b.recent) > int(k.Remembers) {
-			b.recent = b.recent[1:]
+	if k.Remembers > 0 && a.First && a.Object != 0 {
+		if slices.Contains(e.cached, a.Object) {
+			a.work *= 1 - k.Saves
+		} else if e.cached = append(e.cached, a.Object); len(e.cached) > int(k.Remembers) {
+			e.cached = e.cached[1:]
 		}
 	}
-	b.press(j.work, now)
-	if b.Crashed || b.c.QueueLimit > 0 && len(b.waiting) >= b.c.QueueLimit {
-		b.Rejected++
+	e.checkOverload(a.work, now)
+	if e.Crashed || e.config.QueueLimit > 0 && len(e.waiting) >= e.config.QueueLimit {
+		e.Rejected++
 		return false
 	}
-	b.waiting = append(b.waiting, j)
-	b.begin(now)
+	e.waiting = append(e.waiting, a)
+	e.startWaiting(now)
 	return true
 }
 
-// press is the rule by which a cold brick is pushed over.
-func (b *Endpoint) press(work float64, now time.Duration) {
-	if b.c.OverloadWindow <= 0 || b.SlowStartCapacity(now) >= 1 {
-		b.pressed = nil
+// checkOverload makes the endpoint crash if the work that arrived within the overload window during slow start exceeds a multiple of what
+// it can do at its present capacity.
+func (e *Endpoint) checkOverload(work float64, now time.Duration) {
+	if e.config.OverloadWindow <= 0 || e.SlowStartCapacity(now) >= 1 {
+		e.recentWork = nil
 		return
 	}
-	b.pressed = append(b.pressed, press{now, work})
+	e.recentWork = append(e.recentWork, arrivedWork{now, work})
 	sum, from := 0.0, 0
-	for i, p := range b.pressed {
-		if now-p.at >= b.c.OverloadWindow {
+	for i, p := range e.recentWork {
+		if now-p.arrival >= e.config.OverloadWindow {
 			from = i + 1
 			continue
 		}
 		sum += p.work
 	}
-	b.pressed = b.pressed[from:]
-	most := b.c.OverloadMultiple * b.c.Speed * float64(b.c.Cores) * b.SlowStartCapacity(now) * b.c.OverloadWindow.Seconds()
-	b.PeakColdLoad = math.Max(b.PeakColdLoad, sum/math.Max(most, 1e-9))
-	b.Crashed = b.Crashed || sum > most
+	e.recentWork = e.recentWork[from:]
+	limit := e.config.OverloadMultiple * e.config.Speed * float64(e.config.Cores) * e.SlowStartCapacity(now) * e.config.OverloadWindow.Seconds()
+	e.PeakColdLoad = math.Max(e.PeakColdLoad, sum/math.Max(limit, 1e-9))
+	e.Crashed = e.Crashed || sum > limit
 }
 
-// begin lets free cores take what waits; what is deferred goes first when it is due.
-func (b *Endpoint) begin(now time.Duration) {
-	for i := range b.cores {
-		c := &b.cores[i]
-		for c.ends == 0 {
-			work, j := 0.0, (*Attempt)(nil)
+// startWaiting starts waiting attempts on idle cores. Deferred work that is due goes first.
+func (e *Endpoint) startWaiting(now time.Duration) {
+	for i := range e.cores {
+		c := &e.cores[i]
+		for c.end == 0 {
+			work, a := 0.0, (*Attempt)(nil)
 			switch {
-			case b.deferred > 0 && now >= b.flushAt:
-				work, b.deferred = b.deferred, 0
-				b.flushAt = now + time.Duration(b.c.Kind.Flush*float64(time.Second))
-			case len(b.waiting) > 0:
-				j = b.waiting[0]
-				b.waiting = b.waiting[1:]
-				if b.c.DropsExpired && now > j.Deadline {
+			case e.deferred > 0 && now >= e.nextFlush:
+				work, e.deferred = e.deferred, 0
+				e.nextFlush = now + time.Duration(e.config.Kind.Flush*float64(time.Second))
+			case len(e.waiting) > 0:
+				a = e.waiting[0]
+				e.waiting = e.waiting[1:]
+				if e.config.DropsExpired && now > a.Deadline {
 					continue
 				}
-				work = j.work
-				if b.c.Writes[j.Class] && b.c.Kind.Deferred > 0 {
-					b.deferred += work * b.c.Kind.Deferred
-					work *= 1 - b.c.Kind.Deferred
+				work = a.work
+				if e.config.Writes[a.Class] && e.config.Kind.Deferred > 0 {
+					e.deferred += work * e.config.Kind.Deferred
+					work *= 1 - e.config.Kind.Deferred
 				}
 			default:
 				return
 			}
-			took := time.Duration(work / (b.c.Speed * b.SlowStartCapacity(now)) * float64(time.Second))
-			b.BusyTime += took
-			b.WarmBusyTime += time.Duration(work / b.c.Speed * float64(time.Second))
-			if now >= b.pauseAt { // it stands still for a while, then goes on
-				took += time.Duration(b.c.Kind.Pause * float64(time.Second))
-				b.pauseAt = now + time.Duration(b.rng.ExpFloat64()*b.c.Kind.PauseEvery*float64(time.Second))
+			duration := time.Duration(work / (e.config.Speed * e.SlowStartCapacity(now)) * float64(time.Second))
+			e.BusyTime += duration
+			e.WarmBusyTime += time.Duration(work / e.config.Speed * float64(time.Second))
+			if now >= e.nextPause { // the core pauses, then continues
+				duration += time.Duration(e.config.Kind.Pause * float64(time.Second))
+				e.nextPause = now + time.Duration(e.rng.ExpFloat64()*e.config.Kind.PauseEvery*float64(time.Second))
 			}
-			c.job, c.ends = j, now+max(took, 1)
+			c.attempt, c.end = a, now+max(duration, 1)
 		}
 	}
 }
 
-// NextCompletion is when something is done; false: nothing runs.
-func (b *Endpoint) NextCompletion() (at time.Duration, ok bool) {
+// NextCompletion returns when the next running attempt or flush ends; ok is false if none is running.
+func (e *Endpoint) NextCompletion() (at time.Duration, ok bool) {
 	at = never
-	for _, c := range b.cores {
-		if c.ends > 0 && c.ends < at {
-			at = c.ends
+	for _, c := range e.cores {
+		if c.end > 0 && c.end < at {
+			at = c.end
 		}
 	}
 	return at, at != never
 }
 
-// Advance lets time pass until now and calls done for each job that ends, in order.
-func (b *Endpoint) Advance(now time.Duration, done func(j *Attempt, at time.Duration)) {
+// Advance moves the time to now and calls done for each attempt that ends by then, in order of time.
+func (e *Endpoint) Advance(now time.Duration, done func(a *Attempt, at time.Duration)) {
 	for {
 		i, at := -1, never
-		for k, c := range b.cores {
-			if c.ends > 0 && c.ends <= now && c.ends < at {
-				i, at = k, c.ends
+		for k, c := range e.cores {
+			if c.end > 0 && c.end <= now && c.end < at {
+				i, at = k, c.end
 			}
 		}
 		if i < 0 {
 			return
 		}
-		j := b.cores[i].job
-		b.cores[i] = core{}
-		b.begin(at)
-		if j != nil && !j.gone {
-			done(j, at)
+		a := e.cores[i].attempt
+		e.cores[i] = core{}
+		e.startWaiting(at)
+		if a != nil && !a.gone {
+			done(a, at)
 		}
 	}
 }
 
-// Cancel calls a dispatch off.
-func (b *Endpoint) Cancel(host int, id uint64, now time.Duration) {
-	if b.c.CancelMode == pb.BrickCancel_CANCEL_IGNORED {
+// Cancel cancels an attempt, as far as the cancel mode of the endpoint allows.
+func (e *Endpoint) Cancel(gateway int, id uint64, now time.Duration) {
+	if e.config.CancelMode == pb.BrickCancel_CANCEL_IGNORED {
 		return
 	}
-	b.waiting = slices.DeleteFunc(b.waiting, func(j *Attempt) bool { return j.Gateway == host && j.ID == id })
-	if b.c.CancelMode != pb.BrickCancel_CANCEL_STOPS {
+	e.waiting = slices.DeleteFunc(e.waiting, func(a *Attempt) bool { return a.Gateway == gateway && a.ID == id })
+	if e.config.CancelMode != pb.BrickCancel_CANCEL_STOPS {
 		return
 	}
-	for i, c := range b.cores {
-		if c.job != nil && c.job.Gateway == host && c.job.ID == id {
-			b.BusyTime -= c.ends - now
-			b.cores[i] = core{}
-			b.begin(now)
+	for i, c := range e.cores {
+		if c.attempt != nil && c.attempt.Gateway == gateway && c.attempt.ID == id {
+			e.BusyTime -= c.end - now
+			e.cores[i] = core{}
+			e.startWaiting(now)
 		}
 	}
 }
 
-// Jobs are the jobs in it.
-func (b *Endpoint) Jobs() (all []*Attempt) {
-	for _, c := range b.cores {
-		if c.job != nil {
-			all = append(all, c.job)
+// Attempts returns all attempts at the endpoint, running ones first.
+func (e *Endpoint) Attempts() (all []*Attempt) {
+	for _, c := range e.cores {
+		if c.attempt != nil {
+			all = append(all, c.attempt)
 		}
 	}
-	return append(all, b.waiting...)
+	return append(all, e.waiting...)
 }
