--- a/internal/capacity/bounds/bounds.go
+++ b/internal/capacity/bounds/bounds.go
@@ -9,15 +9,15 @@
 	"weirhaven/internal/settings"
 )
 
-// Input is what the bounds are computed from.
+// Input holds the data that the bounds are computed from.
 type Input struct {
 	Fleet  *pb.CapacityFleet
 	Model  *pb.CapacityModel
-	Demand []demand.Request // by time
+	Demand []demand.Request // sorted by arrival
 	// ExtraAttempts (retries and hedged attempts) and Requests are counts over Span, as captured.
 	ExtraAttempts, Requests float64
-	HoldTime                time.Duration // mean time that a gateway holds a request; 0: not known
-	Span                    time.Duration // length of the capture; 0: not known
+	HoldTime                time.Duration // mean time that a gateway holds a request; 0: unknown
+	Span                    time.Duration // length of the capture; 0: unknown
 }
 
 // analysis collects the limits of one input.
@@ -26,11 +26,11 @@
 	usage    *usage
 	byShard  map[int][]*pb.Server
 	speed    func(endpoint *pb.Server) float64
-	capacity float64 // of all endpoints, cores
+	capacity float64 // of all endpoints, in cores
 	limits   []Limit
 }
 
-// Limits returns all bounds, the nearest first. A limit that needs an input which isn't known or a setting which isn't there is left out.
+// Limits returns all limits, the nearest first. A limit that depends on an unknown input or a missing setting is left out.
 func Limits(in Input) []Limit {
 	a := &analysis{Input: in, byShard: map[int][]*pb.Server{}, speed: Speeds(in.Fleet, in.Model)}
 	for _, endpoint := range in.Fleet.Brick {
@@ -64,10 +64,10 @@
 	}
 }
 
-// addSlowStart finds the endpoint whose replacement, still warming up, would be overloaded first. Only the sole holder of a shard
-// counts: others leave the replacement time.
+// addSlowStart adds the limit of the endpoint whose replacement would be the first to be overloaded during slow start. It considers only
+// endpoints that hold a shard alone: where there are other holders, they take the load until the replacement is warm.
 func (a *analysis) addSlowStart() {
-	initial := a.Fleet.Rules.ColdFrom // part of its capacity that an endpoint starts with
+	initial := a.Fleet.Rules.ColdFrom // share of its capacity that an endpoint starts with
 	if initial <= 0 || initial >= 1 {
 		return
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-// addInFlight applies Little's law: requests held at once are their rate times the mean time that each is held.
+// addInFlight applies Little's law: the number of requests in flight is their rate times the mean time that each is held.
 func (a *analysis) addInFlight() {
 	b := a.Fleet.Bounds
 	if b == nil || b.CommandsAConnection <= 0 || b.Connections <= 0 || a.HoldTime <= 0 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// addAttemptBudget compares a gateway's retries and hedged attempts with its budget: a fixed allowance, and a share of its
-// requests. The share grows with the load, the allowance doesn't, so only what exceeds the share counts against it.
+// addAttemptBudget compares a gateway's retries and hedged attempts with its budget: a fixed allowance plus a share of its requests. The
+// share grows with the load and the allowance doesn't, so only the attempts beyond the share count against the allowance.
 func (a *analysis) addAttemptBudget() {
 	b := a.Fleet.Rules.Budget
 	if b == nil || a.Requests <= 0 || a.Span <= 0 {
--- a/internal/capacity/bounds/bounds_test.go
+++ b/internal/capacity/bounds/bounds_test.go
@@ -22,11 +22,11 @@
 	return f, &pb.CapacityModel{Kind: []*pb.CapacityModel_KindModel{{Name: "k", Work: []*pb.CapacityModel_Work{{QueueType: "read", Unit: 0.01, Samples: 9}}}}}
 }
 
-// steady asks rate times a second, each of a unit, on the cells in turn.
-func steady(rate int, from, to time.Duration, volume, plan string, cells ...int) (all []demand.Request) {
+// steadyLoad returns rate requests per second of one unit each, on the given shards in turn.
+func steadyLoad(rate int, from, to time.Duration, volume, plan string, shards ...int) (all []demand.Request) {
 	i := 0
 	for at := from; at < to; at += time.Second / time.Duration(rate) {
-		all = append(all, demand.Request{Arrival: at, Gateway: "h", Volume: volume, Plan: plan, Class: "read", Units: 1, Shard: cells[i%len(cells)], Attempts: 1})
+		all = append(all, demand.Request{Arrival: at, Gateway: "h", Volume: volume, Plan: plan, Class: "read", Units: 1, Shard: shards[i%len(shards)], Attempts: 1})
 		i++
 	}
 	return all
@@ -43,12 +43,12 @@
 	return Limit{}
 }
 
-// A surge of two seconds in ten minutes rules, though the mean hardly knows of it.
+// A surge of 2 s within 10 min must determine the limits, although it hardly changes the mean load.
 func TestSurge(t *testing.T) {
 	f, m := fleet()
-	w := steady(20, 0, 300*time.Second, "v", "priority", 0, 1, 2, 3)
-	w = append(w, steady(200, 300*time.Second, 302*time.Second, "v", "priority", 1, 1, 1, 0)...)
-	w = append(w, steady(20, 302*time.Second, 600*time.Second, "v", "priority", 0, 1, 2, 3)...)
+	w := steadyLoad(20, 0, 300*time.Second, "v", "priority", 0, 1, 2, 3)
+	w = append(w, steadyLoad(200, 300*time.Second, 302*time.Second, "v", "priority", 1, 1, 1, 0)...)
+	w = append(w, steadyLoad(20, 302*time.Second, 600*time.Second, "v", "priority", 0, 1, 2, 3)...)
 	all := Limits(Input{Fleet: f, Model: m, Demand: w})
 	first := Usual(all)[0]
 	if first.Kind != "brick" || first.Subject != "b1" || math.Abs(first.Factor-1/1.5) > 0.02 || first.PeakStart < 299*time.Second || first.PeakStart > 302*time.Second {
@@ -68,15 +68,15 @@
 	}
 }
 
-// Reservations that sum to more than the fleet; a volume over its plan's limit, but for what the store lets through; budget; data on no
-// brick; a kind that the capture never saw.
-func TestPromises(t *testing.T) {
+// Limits must report reservations beyond the fleet's capacity, a volume beyond its plan's quota and burst, an exceeded attempt budget, data that
+// no endpoint holds, and the configured speed of a kind without samples.
+func TestGuaranteesAndBudgets(t *testing.T) {
 	f, m := fleet()
 	var w []demand.Request
 	for i := range 5 {
 		w = append(w, demand.Request{Gateway: "h", Volume: fmt.Sprint("p", i), Plan: "priority", Class: "read", Units: 1, Shard: i})
 	}
-	w = append(w, steady(80, 0, 4*time.Second, "v", "basic", 0, 1)...)
+	w = append(w, steadyLoad(80, 0, 4*time.Second, "v", "basic", 0, 1)...)
 	all := Limits(Input{Fleet: f, Model: m, Demand: w, ExtraAttempts: 30, Requests: 100, Span: 20 * time.Second, HoldTime: time.Second})
 	if l := find(t, all, "reserve"); math.Abs(l.Used-5) > 0.01 || math.Abs(l.Factor-0.8) > 0.01 { // 5 x 100 units x 10 ms on 4 cores
 		t.Error(l)
@@ -84,10 +84,10 @@
 	if l := find(t, all, "plan limit"); l.Subject != "v" || math.Abs(l.Factor-0.5) > 0.02 { // 30 + 20 in 2 s against 80
 		t.Error(l)
 	}
-	if l := find(t, all, "budget"); math.Abs(l.Factor-2.0/10) > 0.01 { // 15 further, 5 of them from the share
+	if l := find(t, all, "budget"); math.Abs(l.Factor-2.0/10) > 0.01 { // 15 further attempts, 5 of them within the share
 		t.Error(l)
 	}
-	if l := all[0]; l.Kind != "cell" || l.Factor != 0 { // p4 is on cell 4
+	if l := all[0]; l.Kind != "cell" || l.Factor != 0 { // p4 is on shard 4
 		t.Error(l)
 	}
 	g, err := place.ResizeFleet(f, "k", 6)
@@ -105,8 +105,8 @@
 	}
 }
 
-// A fleet grows to twice its endpoints. A volume on three shards then lies on six; one on a single shard stays whole. When the fleet
-// shrinks to two endpoints instead, every request still has one that is there.
+// If a fleet grows to twice its endpoints, Relocate must spread a volume from three shards to six, and keep a volume on a single shard whole. If
+// it shrinks to two endpoints, every request must lie on a shard that is left.
 func TestRelocate(t *testing.T) {
 	f, m := fleet()
 	var w []demand.Request
@@ -126,8 +126,8 @@
 	if len(by["lone"]) != 1 || len(by["wide"]) != 6 {
 		t.Error(by)
 	}
-	less, _ := place.ResizeFleet(f, "k", 2)
-	for _, x := range place.Relocate(w, f, less, place.CostOf(m, f), Speeds(less, m)) {
+	smaller, _ := place.ResizeFleet(f, "k", 2)
+	for _, x := range place.Relocate(w, f, smaller, place.CostOf(m, f), Speeds(smaller, m)) {
 		if x.Shard > 1 {
 			t.Fatal(x)
 		}
--- a/internal/capacity/bounds/doc.go
+++ b/internal/capacity/bounds/doc.go
@@ -1,6 +1,6 @@
-// Package bounds computes, from sums alone, how far a load may grow before a limit is reached. It is quick, and a check on what the
-// simulated forecast finds. It has no I/O, clock or goroutine, and it doesn't know of queueing, retries or caches.
+// Package bounds computes how far a load may grow before it reaches a limit, by adding up the work of requests. It is quick, and serves as a
+// check on the simulated forecast. It ignores queueing, retries and caches, and has no I/O, clock or goroutine.
 //
-// Every bound looks at the worst window of the load. A window is as long as the longest request timeout: what is asked for within
-// it can't be put off past it. A mean over the whole capture would hide a surge; the worst window doesn't.
+// Every bound evaluates the worst window of the load. A window is as long as the longest request timeout, since a request can't be deferred
+// beyond its timeout. A mean over the whole capture would hide a surge.
 package bounds
--- a/internal/capacity/bounds/plans.go
+++ b/internal/capacity/bounds/plans.go
@@ -6,10 +6,10 @@
 	"weirhaven/internal/pb"
 )
 
-// minimumRate keeps a division by a rate or a sum of units defined.
+// minimumRate is the least divisor where a rate or a sum of units may be 0.
 const minimumRate = 1e-12
 
-// addPlanQuotas finds, for each plan with a quota, the volume that comes nearest to it.
+// addPlanQuotas adds, for each plan with a quota, the limit of the volume nearest to that quota.
 func (a *analysis) addPlanQuotas() {
 	for _, plan := range a.Fleet.Plan {
 		if plan.Limit <= 0 {
@@ -21,7 +21,8 @@
 	}
 }
 
-// nearestVolume counts the token bucket's depth as additional rate: it lets a surge through, the less so the longer the window.
+// nearestVolume returns the limit of the volume nearest to the quota of its plan. The depth of the token bucket, which admits a surge, counts as
+// additional rate, spread over the window.
 func (a *analysis) nearestVolume(plan *pb.Plan) Limit {
 	capacity := plan.Limit + plan.Depth/a.usage.window.Seconds()
 	nearest := Limit{Factor: math.Inf(1)}
@@ -39,7 +40,7 @@
 	return nearest
 }
 
-// addReservations compares the work that all reservations together promise with what the fleet can do.
+// addReservations compares the work that all reservations guarantee together with the capacity of the fleet.
 func (a *analysis) addReservations() {
 	promised, subject := a.reserved()
 	if promised <= 0 {
--- a/internal/capacity/bounds/speed.go
+++ b/internal/capacity/bounds/speed.go
@@ -6,34 +6,34 @@
 	"weirhaven/internal/pb"
 )
 
-// Speeds returns a function that gives an endpoint's capacity in core seconds a second, pauses taken off. A speed learnt for the
-// endpoint counts before the one stated for its kind; where there is neither, a core has speed 1.
+// Speeds returns a function that returns an endpoint's capacity in core seconds per second, without the time it is paused. The speed learnt
+// for the endpoint takes precedence over the one configured for its kind; without either, a core has speed 1.
 func Speeds(f *pb.CapacityFleet, m *pb.CapacityModel) func(endpoint *pb.Server) float64 {
 	learnt := map[string]float64{}
 	for _, endpoint := range m.Brick {
 		learnt[endpoint.Name+" "+endpoint.Kind] = endpoint.Speed
 	}
-	cores, stated := map[string]float64{}, map[string]float64{}
+	cores, configured := map[string]float64{}, map[string]float64{}
 	for _, kind := range f.Kind {
-		cores[kind.Name], stated[kind.Name] = math.Max(float64(kind.Cores), 1), kind.Speed
+		cores[kind.Name], configured[kind.Name] = math.Max(float64(kind.Cores), 1), kind.Speed
 	}
 	uptime := uptimes(m)
 	return func(endpoint *pb.Server) float64 {
 		speed := learnt[endpoint.Name+" "+endpoint.Kind]
 		if speed == 0 {
 			speed = 1
-			if _, known := uptime[endpoint.Kind]; !known && stated[endpoint.Kind] > 0 {
-				speed = stated[endpoint.Kind]
+			if _, known := uptime[endpoint.Kind]; !known && configured[endpoint.Kind] > 0 {
+				speed = configured[endpoint.Kind]
 			}
 		}
-		if part := uptime[endpoint.Kind]; part > 0 {
-			speed *= part
+		if share := uptime[endpoint.Kind]; share > 0 {
+			speed *= share
 		}
 		return speed * cores[endpoint.Kind]
 	}
 }
 
-// uptimes is the part of the time that an endpoint of each learnt kind isn't paused.
+// uptimes returns, for each learnt kind, the share of the time that its endpoints are not paused.
 func uptimes(m *pb.CapacityModel) map[string]float64 {
 	uptime := map[string]float64{}
 	for _, kind := range m.Kind {
--- a/internal/capacity/bounds/usage.go
+++ b/internal/capacity/bounds/usage.go
@@ -7,13 +7,13 @@
 	"weirhaven/internal/pb"
 )
 
-// seriesKey names a series whose peak is of interest: what one endpoint, zone, gateway or volume is asked for.
+// seriesKey identifies a series: the load over time of one endpoint, zone, gateway or volume.
 type seriesKey struct {
 	kind    Kind // KindEndpoint, KindZone, KindGateway; KindPlanQuota for a volume
 	subject string
 }
 
-// usage is what the load asks of each resource.
+// usage is the demand of the load on each resource.
 type usage struct {
 	window    time.Duration
 	fleet     *windowPeak               // core seconds
@@ -29,7 +29,7 @@
 		volumes: map[string]string{}, planUnits: map[string]float64{}, planWork: map[string]float64{}}
 }
 
-// measure adds up the whole load.
+// measure adds up the load by resource.
 func measure(in Input, byShard map[int][]*pb.Server) *usage {
 	u := newUsage(Window(in.Fleet))
 	cost := place.CostOf(in.Model, in.Fleet)
@@ -43,14 +43,14 @@
 		u.add(KindPlanQuota, request.Volume, request.Arrival, request.Units)
 		u.add(KindGateway, request.Gateway, request.Arrival, float64(max(request.Attempts, 1)))
 		if request.Shard < 0 {
-			continue // a new object goes where there is room: it counts against the fleet only
+			continue // a new object may be placed on any shard: it counts against the fleet only
 		}
 		u.addShard(byShard[request.Shard], request.Arrival, work)
 	}
 	return u
 }
 
-// addShard shares work out evenly over the endpoints that hold a shard.
+// addShard divides work evenly among the endpoints that hold a shard.
 func (u *usage) addShard(holders []*pb.Server, now time.Duration, work float64) {
 	if len(holders) == 0 {
 		u.unplaced += work
@@ -71,7 +71,7 @@
 	p.add(now, value)
 }
 
-// peak is a resource's rate a second in its worst window.
+// peak returns the mean rate of a resource in its worst window.
 func (u *usage) peak(kind Kind, subject string) peakRate {
 	return u.series[seriesKey{kind, subject}].rate()
 }
--- a/internal/capacity/bounds/window.go
+++ b/internal/capacity/bounds/window.go
@@ -7,7 +7,7 @@
 	"weirhaven/internal/settings"
 )
 
-// Window returns the length of the window that the bounds look at: the longest request timeout, at least a second.
+// Window returns the length of the window that bounds are evaluated over: the longest request timeout, at least 1 s.
 func Window(f *pb.CapacityFleet) time.Duration {
 	window := time.Second
 	for _, class := range f.QueueType {
@@ -16,15 +16,15 @@
 	return window
 }
 
-// windowPeak finds the greatest sum of a series within any window, and where that window begins. Values come in order of time.
+// windowPeak tracks the greatest sum of a series within any window, and the start of that window. Values must be added in order of time.
 type windowPeak struct {
 	window time.Duration
 	times  []time.Duration
 	values []float64
 	oldest int // index of the first value still in the window
 	sum    float64
-	most   float64
-	start  time.Duration
+	max    float64       // greatest sum so far
+	start  time.Duration // of the window with that sum
 }
 
 func (p *windowPeak) add(now time.Duration, value float64) {
@@ -34,21 +34,21 @@
 		p.sum -= p.values[p.oldest]
 		p.oldest++
 	}
-	if p.sum > p.most {
-		p.most, p.start = p.sum, p.times[p.oldest]
+	if p.sum > p.max {
+		p.max, p.start = p.sum, p.times[p.oldest]
 	}
 }
 
-// peakRate is the mean rate a second within the worst window, and that window's begin.
+// peakRate is the mean rate per second within the worst window, and the start of that window.
 type peakRate struct {
 	rate  float64
 	start time.Duration
 }
 
-// rate is zero for a series that had no value.
+// rate returns the peak of the series; zero if it has no values.
 func (p *windowPeak) rate() peakRate {
 	if p == nil {
 		return peakRate{}
 	}
-	return peakRate{rate: p.most / p.window.Seconds(), start: p.start}
+	return peakRate{rate: p.max / p.window.Seconds(), start: p.start}
 }
--- a/internal/capacity/place/cost.go
+++ b/internal/capacity/place/cost.go
@@ -6,10 +6,11 @@
 	"weirhaven/internal/pb"
 )
 
-// Cost is the mean work of a request on a core of speed 1, in seconds.
+// Cost returns the mean work of a request, in core seconds at speed 1.
 type Cost func(request *demand.Request) float64
 
-// CostOf reads the cost off a model: by the first kind that knows the queue type, else by the mean unit over all that was learnt.
+// CostOf returns the cost function of a model. It uses the first kind that has samples of the request class, else the mean cost per unit over
+// all samples.
 func CostOf(m *pb.CapacityModel, _ *pb.CapacityFleet) Cost {
 	meanUnit := meanUnitCost(m)
 	return func(request *demand.Request) float64 {
@@ -22,7 +23,7 @@
 	}
 }
 
-// meanUnitCost is the work of a request of one unit, weighted by the samples of each queue type; 0 where nothing was learnt.
+// meanUnitCost returns the work of a request of one unit, weighted by the samples of each request class; 0 if there are none.
 func meanUnitCost(m *pb.CapacityModel) float64 {
 	work, samples := 0.0, 0.0
 	for _, kind := range m.Kind {
--- a/internal/capacity/place/fleet.go
+++ b/internal/capacity/place/fleet.go
@@ -10,12 +10,12 @@
 	"weirhaven/internal/pb"
 )
 
-// ErrNoEndpoint is returned where a resized fleet would have no endpoint at all.
+// ErrNoEndpoint is returned if a resized fleet would have no endpoint.
 var ErrNoEndpoint = errors.New("no brick would be left")
 
-// ResizeFleet returns a copy of the fleet with n endpoints of a kind. More are copies of those there, in their zones by turns, each
-// with a shard of its own; fewer leave out the last. It fails for a kind of which the fleet has no endpoint, and with
-// ErrNoEndpoint.
+// ResizeFleet returns a copy of the fleet with n endpoints of the given kind. Additional endpoints take the zones of the present ones in turn,
+// each with a shard of its own; the last endpoints are left out to shrink the fleet. It fails if the fleet has no endpoint of the kind, and
+// with ErrNoEndpoint if no endpoint would be left.
 func ResizeFleet(f *pb.CapacityFleet, kind string, n int) (*pb.CapacityFleet, error) {
 	var present []*pb.Server
 	lastShard := uint32(0)
--- a/internal/capacity/place/relocate.go
+++ b/internal/capacity/place/relocate.go
@@ -8,22 +8,22 @@
 	"weirhaven/internal/pb"
 )
 
-// Relocate returns the load laid out over another fleet; the argument stays as it is. speed gives an endpoint's capacity in core
-// seconds a second.
+// Relocate returns the load distributed over another fleet. It doesn't modify load. speed returns an endpoint's capacity in core seconds per
+// second.
 //
-//   - A volume whose shards the other fleet states lies there.
-//   - A volume that lay on several shards lies on as many more as there are more endpoints, its requests by their objects.
-//   - A volume that lay on one shard stays whole on one endpoint.
+//   - A volume whose shards the other fleet configures is placed on these.
+//   - A volume on several shards is spread over a number of shards in proportion to the number of endpoints; its requests are divided by object.
+//   - A volume on one shard stays whole on one endpoint.
 //
-// The largest parts are placed first, each on the endpoint that is least loaded with it, no two parts of a volume on one shard
-// while there is another.
+// The largest parts are placed first, each on the endpoint that is least loaded once it has the part. Two parts of a volume share an endpoint
+// only if every endpoint has one already.
 func Relocate(load []demand.Request, from, to *pb.CapacityFleet, cost Cost, speed func(endpoint *pb.Server) float64) []demand.Request {
 	p := placer{from: from, to: to, cost: cost, parts: map[string][]*part{}, current: VolumeShards(load, from)}
 	if from != to {
-		p.stated = statedShards(to)
+		p.configured = configuredShards(to)
 	}
 	relocated := slices.Clone(load)
-	assigned := make([]*part, len(relocated)) // nil: it has its shard already
+	assigned := make([]*part, len(relocated)) // nil: the request keeps the shard it has
 	for i := range relocated {
 		assigned[i] = p.assign(&relocated[i])
 	}
@@ -36,7 +36,7 @@
 	return relocated
 }
 
-// part is what of a volume lies on one shard of the other fleet.
+// part is the part of a volume on one shard of the other fleet.
 type part struct {
 	volume string
 	index  int
@@ -45,22 +45,23 @@
 }
 
 type placer struct {
-	from, to *pb.CapacityFleet
-	cost     Cost
-	current  map[string][]int // shards of each volume in the load
-	stated   map[string][]int // shards of each volume, as the other fleet states them
-	parts    map[string][]*part
-	order    []*part // all parts; by work once they are placed
+	from, to   *pb.CapacityFleet
+	cost       Cost
+	current    map[string][]int // shards of each volume in the load
+	configured map[string][]int // shards of each volume that the other fleet configures
+	parts      map[string][]*part
+	order      []*part // all parts; sorted by work in place
 }
 
-// assign gives a request its part, or at once its shard where that is stated; nil: there is nothing to place.
+// assign adds a request to its part and returns the part. It returns nil if there is nothing to place; if the other fleet configures the
+// shards of the volume, it sets the request's shard.
 func (p *placer) assign(request *demand.Request) *part {
 	n := p.partCount(request.Volume)
 	if request.Shard < 0 || n == 0 {
 		return nil
 	}
-	if stated := p.stated[request.Volume]; len(stated) > 0 {
-		request.Shard = stated[partOf(request, len(stated))]
+	if configured := p.configured[request.Volume]; len(configured) > 0 {
+		request.Shard = configured[partOf(request, len(configured))]
 		return nil
 	}
 	if p.parts[request.Volume] == nil {
@@ -71,7 +72,7 @@
 	return assigned
 }
 
-// partCount keeps the share of the fleet that a volume lies on, rounded; a volume on one shard stays on one.
+// partCount returns the number of parts that keeps a volume on the same share of the fleet, rounded. A volume on one shard has one part.
 func (p *placer) partCount(volume string) int {
 	n := len(p.current[volume])
 	if n <= 1 {
@@ -88,7 +89,7 @@
 	}
 }
 
-// place gives each part its shard, the largest first.
+// place assigns a shard to each part, the largest first.
 func (p *placer) place(speed func(endpoint *pb.Server) float64) {
 	slices.SortStableFunc(p.order, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.work, a.work), cmp.Compare(a.volume, b.volume), cmp.Compare(a.index, b.index))
@@ -103,7 +104,8 @@
 	}
 }
 
-// leastLoaded is the endpoint that takes least time for what it has and the part, of those that don't hold the volume yet.
+// leastLoaded returns the index of the endpoint that needs the least time for its load and the part, among endpoints that don't hold the volume
+// yet.
 func (p *placer) leastLoaded(placed *part, load []float64, used []int, speed func(endpoint *pb.Server) float64) int {
 	best := -1
 	for i, endpoint := range p.to.Brick {
--- a/internal/capacity/place/shards.go
+++ b/internal/capacity/place/shards.go
@@ -7,16 +7,16 @@
 	"weirhaven/internal/pb"
 )
 
-// VolumeShards returns the shards on which a load shows each volume, in order. Volumes that the fleet places itself are as it says.
+// VolumeShards returns the sorted shards of each volume: those that the fleet configures for it, else those of its requests in the load.
 func VolumeShards(load []demand.Request, f *pb.CapacityFleet) map[string][]int {
-	shards := statedShards(f)
-	stated := map[string]bool{}
+	shards := configuredShards(f)
+	configured := map[string]bool{}
 	for _, volume := range f.Volume {
-		stated[volume.Name] = len(volume.Cell) > 0
+		configured[volume.Name] = len(volume.Cell) > 0
 	}
 	for i := range load {
 		request := &load[i]
-		if request.Shard >= 0 && !stated[request.Volume] && !slices.Contains(shards[request.Volume], request.Shard) {
+		if request.Shard >= 0 && !configured[request.Volume] && !slices.Contains(shards[request.Volume], request.Shard) {
 			shards[request.Volume] = append(shards[request.Volume], request.Shard)
 		}
 	}
@@ -26,8 +26,8 @@
 	return shards
 }
 
-// statedShards are the shards that the fleet states for its volumes, in its order.
-func statedShards(f *pb.CapacityFleet) map[string][]int {
+// configuredShards returns the shards that the fleet configures for its volumes, in the order of the configuration.
+func configuredShards(f *pb.CapacityFleet) map[string][]int {
 	shards := map[string][]int{}
 	for _, volume := range f.Volume {
 		for _, shard := range volume.Cell {
@@ -37,10 +37,10 @@
 	return shards
 }
 
-// fibonacciHash is 2^64 over the golden ratio: it spreads object numbers that follow one another.
+// fibonacciHash is 2^64 divided by the golden ratio: it spreads consecutive object numbers evenly.
 const fibonacciHash = 0x9E3779B97F4A7C15
 
-// partOf shares the objects of a shard out over n parts. An object is always on the same part.
+// partOf returns the part, of n, that holds the request's object. All requests for an object have the same part.
 func partOf(request *demand.Request, n int) int {
 	return int((request.Object*fibonacciHash>>20)+uint64(request.Shard)*7) % n
 }
