--- a/internal/capacity/bounds/plans.go
+++ b/internal/capacity/bounds/plans.go
@@ -42,17 +42,17 @@
 
 // addReservations compares the work that all reservations guarantee together with the capacity of the fleet.
 func (a *analysis) addReservations() {
-	promised, subject := a.reserved()
-	if promised <= 0 {
+	guaranteed, subject := a.reserved()
+	if guaranteed <= 0 {
 		return
 	}
-	a.add(Limit{Kind: KindReservation, Subject: subject, Factor: a.capacity / promised, Used: promised, Capacity: a.capacity, Unit: "cores promised",
+	a.add(Limit{Kind: KindReservation, Subject: subject, Factor: a.capacity / guaranteed, Used: guaranteed, Capacity: a.capacity, Unit: "cores promised",
 		Condition: "all volumes with a reservation use it at once"})
 }
 
-// reserved sums up what all reservations promise, in cores, by what a unit of each plan costs in this load. A plan that the load
-// doesn't show costs the mean. It also names the plan that promises most.
-func (a *analysis) reserved() (promised float64, subject string) {
+// reserved returns the cores that all reservations guarantee together, at the unit cost of each plan in this load. A plan without requests in
+// the load has the mean unit cost. It also names the plan that guarantees most.
+func (a *analysis) reserved() (guaranteed float64, subject string) {
 	count := a.volumesByPlan()
 	meanCost := a.meanUnitCost()
 	greatest := 0.0
@@ -62,15 +62,15 @@
 			unitCost = a.usage.planWork[plan.Name] / units
 		}
 		cores := plan.Reservation * float64(count[plan.Name]) * unitCost
-		promised += cores
+		guaranteed += cores
 		if cores > greatest {
 			greatest, subject = cores, "plan "+plan.Name+" and others"
 		}
 	}
-	return promised, subject
+	return guaranteed, subject
 }
 
-// volumesByPlan counts the volumes that the fleet names, and those that only the load shows.
+// volumesByPlan returns the number of volumes of each plan: those that the fleet names, and those that only occur in the load.
 func (a *analysis) volumesByPlan() map[string]int {
 	count := map[string]int{}
 	named := map[string]bool{}
@@ -86,7 +86,7 @@
 	return count
 }
 
-// meanUnitCost is the work of a unit over all plans, in core seconds.
+// meanUnitCost returns the mean work of a unit over all plans, in core seconds.
 func (a *analysis) meanUnitCost() float64 {
 	work, units := 0.0, 0.0
 	for plan := range a.usage.planUnits {
--- a/internal/capacity/demand/demand_test.go
+++ b/internal/capacity/demand/demand_test.go
@@ -8,21 +8,21 @@
 	"weirhaven/internal/pb"
 )
 
-func line(at int, object uint64, final pb.CapturedCommand_Final, took int) *pb.Captured {
+func record(at int, object uint64, final pb.CapturedCommand_Final, took int) *pb.Captured {
 	return &pb.Captured{At: 1e15 + int64(at)*1e6, What: &pb.Captured_Command{Command: &pb.CapturedCommand{Volume: "v", Plan: "p", QueueType: "read",
 		Units: 1, Object: object, Timeout: 1e9, Took: int64(took) * 1e6, Final: final, Host: "h"}}}
 }
 
-// On an overloaded day most of what is captured are retries: each request stands once, with when its client first asked.
+// Under overload most captured requests are retries. FoldRetries must return each request once, with the arrival of its first attempt.
 func TestFoldRetries(t *testing.T) {
 	rejected, done := pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_COMPLETED
 	all, c := FoldRetries([]*pb.Captured{
-		line(0, 1, rejected, 1), line(100, 1, rejected, 1), line(300, 1, done, 50), // one request with two retries
-		line(310, 2, done, 5), line(320, 2, done, 5), // two: the first had succeeded
-		line(400, 3, rejected, 1), line(1500, 3, done, 5), // two: the timeout of the first is over
-		line(1600, 0, rejected, 1), line(1700, 0, done, 5), // two: without an object nothing says that they are the same
-		line(2000, 4, rejected, 500), line(2100, 4, done, 5), // two: the first had not been rejected yet
-		line(2200, 5, pb.CapturedCommand_LEFT, 40),
+		record(0, 1, rejected, 1), record(100, 1, rejected, 1), record(300, 1, done, 50), // one request with two retries
+		record(310, 2, done, 5), record(320, 2, done, 5), // two requests: the first had succeeded
+		record(400, 3, rejected, 1), record(1500, 3, done, 5), // two requests: the timeout of the first is over
+		record(1600, 0, rejected, 1), record(1700, 0, done, 5), // two requests: without an object they can't be matched
+		record(2000, 4, rejected, 500), record(2100, 4, done, 5), // two requests: the first had not been rejected yet
+		record(2200, 5, pb.CapturedCommand_LEFT, 40),
 	})
 	if len(all) != 10 || all[0].Attempts != 3 || all[1].Arrival != 310*time.Millisecond || all[9].CancelAfter != 40*time.Millisecond {
 		t.Errorf("%d: %+v", len(all), all)
@@ -35,7 +35,7 @@
 	}
 }
 
-// A load is scaled by whole and by broken factors. The number of requests follows within chance, and arrivals stay in order.
+// Scale must return the expected number of requests, within random variation, for whole and fractional factors, sorted by arrival.
 func TestScale(t *testing.T) {
 	all := make([]Request, 1000)
 	for i := range all {
@@ -48,7 +48,7 @@
 		}
 		for i := 1; i < len(out); i++ {
 			if out[i].Arrival < out[i-1].Arrival {
-				t.Fatal("not by time")
+				t.Fatal("requests are not sorted by arrival")
 			}
 		}
 	}
--- a/internal/capacity/demand/fold.go
+++ b/internal/capacity/demand/fold.go
@@ -7,43 +7,44 @@
 	"weirhaven/internal/pb"
 )
 
-// FoldRetries finds the requests behind a capture, and how clients retry and cancel. Lines come in order of time.
+// FoldRetries folds the retries in a capture into the requests that they repeat, and returns these requests and how clients retry and cancel.
+// Records must be in order of time.
 //
-// A captured request is a retry if an earlier one like it (volume, queue type, object, units, shard) ended without success before
-// this one came, and the earlier one's timeout is not over; it must also be marked as a retry or name an object, since nothing else
-// says that two requests without an object are the same. What is marked but has no first (the capture began later, or lost it)
-// counts as a request of its own.
-func FoldRetries(lines []*pb.Captured) ([]Request, *pb.CapacityModel_ClientModel) {
+// A captured request is a retry of an earlier one if both have the same volume, request class, object, units and shard, and the earlier one
+// ended without success before this one was received, but its timeout is not over. The later one must also be marked as a retry or name an
+// object, since nothing else shows that two requests without an object are the same. A marked retry without a first request (the capture
+// began later, or lost it) counts as a request of its own.
+func FoldRetries(records []*pb.Captured) ([]Request, *pb.CapacityModel_ClientModel) {
 	f := folder{unfinished: map[identity]unfinished{}}
-	for _, line := range lines {
-		if captured := line.GetCommand(); captured != nil {
-			f.add(time.Duration(line.At), captured)
+	for _, record := range records {
+		if captured := record.GetCommand(); captured != nil {
+			f.add(time.Duration(record.At), captured)
 		}
 	}
 	return f.load, f.clients()
 }
 
-// identity is what a request and its retries have in common.
+// identity holds the properties that a request and its retries have in common.
 type identity struct {
-	volume, queueType string
-	object            uint64
-	units             float64
-	shard             int64
+	volume, class string
+	object        uint64
+	units         float64
+	shard         int64
 }
 
-// unfinished is a request without success: what comes like it may be its retry.
+// unfinished is a request that has not succeeded: a later one of the same identity may be its retry.
 type unfinished struct {
-	index    int           // in the load
-	deadline time.Duration // a client retries no later
-	ended    time.Duration // when its client learned that the last attempt had failed
+	index    int           // in folder.load
+	deadline time.Duration // after which the client doesn't retry
+	ended    time.Duration // when the client received the last failure
 }
 
 type folder struct {
 	load                       []Request
-	begin                      time.Duration // of the capture's first request
+	begin                      time.Duration // arrival of the first request of the capture
 	unfinished                 map[identity]unfinished
 	failed, retries, cancelled int
-	backoffs                   []time.Duration // from a failure until its retry
+	backoffs                   []time.Duration // times from a failure to its retry
 }
 
 func (f *folder) add(now time.Duration, captured *pb.CapturedCommand) {
@@ -80,8 +81,8 @@
 	case pb.CapturedCommand_BUSY_REPLIED, pb.CapturedCommand_ABORTED:
 		f.failed++
 	case pb.CapturedCommand_LEFT:
-		// Its client may retry at another gateway after a lost connection. That retry is folded, but a cancellation is not counted
-		// as a failure that clients retry after.
+		// The client may retry at another gateway after it lost the connection. That retry is folded, but the cancellation doesn't count
+		// as a failure in the share of failures that clients retry.
 		r.CancelAfter = time.Duration(captured.Took)
 		f.cancelled++
 	default:
@@ -93,7 +94,7 @@
 	f.unfinished[id] = unfinished{index: len(f.load) - 1, deadline: now + r.Timeout, ended: now + time.Duration(captured.Took)}
 }
 
-// clients sums up how clients retry and cancel.
+// clients returns how clients retry and cancel.
 func (f *folder) clients() *pb.CapacityModel_ClientModel {
 	c := &pb.CapacityModel_ClientModel{Folded: uint32(f.retries), Firsts: uint32(len(f.load))}
 	if f.failed > 0 {
--- a/internal/capacity/demand/scale.go
+++ b/internal/capacity/demand/scale.go
@@ -7,30 +7,29 @@
 	"time"
 )
 
-// jitter is the stretch around its original within which a copy arrives, so that copies don't come all at once.
+// jitter is the length of the interval around the original in which copies arrive, so that they don't arrive at once.
 const jitter = time.Second
 
-// requestClass is what a copy has in common with its original.
-type requestClass struct{ volume, queueType string }
+// copyGroup holds the properties that a copy has in common with its original.
+type copyGroup struct{ volume, class string }
 
-// Scale returns the load made the given times as large: each request stands so many times, the last one by chance. A copy comes
-// within half a second of its original and asks for what another request of the same volume and queue type asked for: copies for
-// the same object would make batches that no client makes. Volumes stay the same ones, each asking for more. At 1 it returns the
-// load itself.
-func Scale(load []Request, times float64, rng *rand.Rand) []Request {
-	if times == 1 {
+// Scale returns the load multiplied by factor. Each request occurs as often as the integer part says, and once more with the probability of the
+// fractional part. A copy arrives within half a second of its original and repeats a random request of the same volume and class: copies for the same object would form
+// batches that no client sends. The set of volumes stays the same. If factor is 1, Scale returns the load itself.
+func Scale(load []Request, factor float64, rng *rand.Rand) []Request {
+	if factor == 1 {
 		return load
 	}
-	classes, last := classify(load)
+	groups, last := groupRequests(load)
 	var scaled []Request
 	for _, original := range load {
-		for remaining := times; remaining > 0; remaining-- {
+		for remaining := factor; remaining > 0; remaining-- {
 			if remaining < 1 && rng.Float64() >= remaining {
 				break
 			}
 			r := original
-			if remaining != times {
-				r = copyOf(original, load, classes[requestClass{original.Volume, original.Class}], last, rng)
+			if remaining != factor {
+				r = copyOf(original, load, groups[copyGroup{original.Volume, original.Class}], last, rng)
 			}
 			scaled = append(scaled, r)
 		}
@@ -39,20 +38,20 @@
 	return scaled
 }
 
-// classify returns the indexes of the requests of each class, and the last arrival.
-func classify(load []Request) (classes map[requestClass][]int, last time.Duration) {
-	classes = map[requestClass][]int{}
+// groupRequests returns the indexes of the requests of each group, and the last arrival.
+func groupRequests(load []Request) (groups map[copyGroup][]int, last time.Duration) {
+	groups = map[copyGroup][]int{}
 	for i, r := range load {
-		class := requestClass{r.Volume, r.Class}
-		classes[class] = append(classes[class], i)
+		group := copyGroup{r.Volume, r.Class}
+		groups[group] = append(groups[group], i)
 		last = max(last, r.Arrival)
 	}
-	return classes, last
+	return groups, last
 }
 
-// copyOf draws a request of the same class, and when it arrives.
-func copyOf(original Request, load []Request, class []int, last time.Duration, rng *rand.Rand) Request {
-	r := load[class[rng.Intn(len(class))]]
+// copyOf returns a random request of the same group with a random arrival near the original's.
+func copyOf(original Request, load []Request, group []int, last time.Duration, rng *rand.Rand) Request {
+	r := load[group[rng.Intn(len(group))]]
 	arrival := original.Arrival + time.Duration(rng.Int63n(int64(jitter))) - jitter/2
 	r.Arrival = min(max(arrival, 0), last)
 	return r
--- a/internal/capacity/learn/model.go
+++ b/internal/capacity/learn/model.go
@@ -57,7 +57,7 @@
 		m.Brick = append(m.Brick, speeds...)
 	}
 	if len(m.Kind) == 0 {
-		return nil, fmt.Errorf("nothing to learn from: the capture has fewer than %d completed dispatches to any kind of brick", minSamples)
+		return nil, fmt.Errorf("nothing to learn from: the capture has fewer than %d completed attempts to any kind of endpoint", minSamples)
 	}
 	return m, nil
 }
@@ -76,7 +76,7 @@
 		}
 		class, ok := classes[request.QueueType]
 		if !ok {
-			return nil, fmt.Errorf("the capture has commands of queue type %q, which the fleet does not describe", request.QueueType)
+			return nil, fmt.Errorf("the capture has requests of class %q, which the fleet does not describe", request.QueueType)
 		}
 		for n, d := range request.Dispatch {
 			start := time.Duration(record.At + d.After)
--- a/internal/capacity/place/fleet.go
+++ b/internal/capacity/place/fleet.go
@@ -11,7 +11,7 @@
 )
 
 // ErrNoEndpoint is returned if a resized fleet would have no endpoint.
-var ErrNoEndpoint = errors.New("no brick would be left")
+var ErrNoEndpoint = errors.New("no endpoint would be left")
 
 // ResizeFleet returns a copy of the fleet with n endpoints of the given kind. Additional endpoints take the zones of the present ones in turn,
 // each with a shard of its own; the last endpoints are left out to shrink the fleet. It fails if the fleet has no endpoint of the kind, and
@@ -26,7 +26,7 @@
 		}
 	}
 	if len(present) == 0 {
-		return nil, fmt.Errorf("the fleet has no brick of kind %q", kind)
+		return nil, fmt.Errorf("the fleet has no endpoint of kind %q", kind)
 	}
 	resized := proto.Clone(f).(*pb.CapacityFleet)
 	if n < len(present) {
--- a/internal/capacity/sample/sample_test.go
+++ b/internal/capacity/sample/sample_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The heaviest stretch is always there; weights stand for all stretches; none overlap.
+// Choose must return the heaviest interval, weights that add up to the number of intervals, and no overlaps.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		work := rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 400).Draw(t, "work")
@@ -30,7 +30,7 @@
 			t.Fatalf("%d heaviest, weights add up to %.1f of %d", heaviest, weight, most)
 		}
 	})
-	work := make([]float64, 3600) // a surge of a minute in an hour
+	work := make([]float64, 3600) // 1 h with a surge of 1 min
 	for i := range work {
 		if work[i] = 1; i >= 3000 && i < 3060 {
 			work[i] = 9
