--- a/internal/capacity/demand/scale.go
+++ b/internal/capacity/demand/scale.go
@@ -14,8 +14,9 @@
 type copyGroup struct{ volume, class string }
 
 // Scale returns the load multiplied by factor. Each request occurs as often as the integer part says, and once more with the probability of the
-// fractional part. A copy arrives within half a second of its original and repeats a random request of the same volume and class: copies for the same object would form
-// batches that no client sends. The set of volumes stays the same. If factor is 1, Scale returns the load itself.
+// fractional part. A copy arrives within half a second of its original and repeats a random request of the same volume and class: copies
+// for the same object would form batches that no client sends. The set of volumes stays the same. If factor is 1, Scale returns the load
+// itself.
 func Scale(load []Request, factor float64, rng *rand.Rand) []Request {
 	if factor == 1 {
 		return load
--- a/internal/capture/align/align.go
+++ b/internal/capture/align/align.go
@@ -1,5 +1,5 @@
-// Package align finds by how much the clocks of gateways differ, from what each says about the same events: when an endpoint was started. A
-// gateway notes that on its own clock, late by what the notification took. The package has no I/O and no clock.
+// Package align estimates the differences between the clocks of gateways from events that several of them recorded: the starts of endpoints. Each
+// gateway records a start on its own clock, later by the delay of the notification. The package has no I/O and no clock.
 package align
 
 import (
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Marks are the events that one gateway knows: a name, and when it happened on that gateway's clock.
+// Marks holds the events that one gateway recorded: the time of each on that gateway's clock, by name.
 type Marks map[string]time.Duration
 
-// Offset is what to add to a gateway's times, so that they are on the clock of the first gateway.
+// Offset is the difference between the clock of a gateway and that of the first gateway.
 type Offset struct {
 	Gateway string
-	Add     time.Duration
-	Spread  time.Duration // how far off Add may be: half the range of what single marks say, without the outer quarters
-	Marks   int           // shared, of the link with the fewest on the way to the first gateway; 0: it is the first, or not aligned
+	Add     time.Duration // to a time of the gateway, gives the time on the first gateway's clock
+	Spread  time.Duration // uncertainty of Add: half the interquartile range of the differences at single marks
+	Marks   int           // fewest shared marks of a link on the path to the first gateway; 0: it is the first, or not aligned
 }
 
-// Offsets aligns gateways to the first of them by name, and returns their offsets by name. They are joined one by one to a spanning tree: the
-// next link is that between a joined and another gateway with most marks in common, and of several such that with the least spread. A
-// link is a median, so that a single wrong mark moves nothing. Gateways that can't be reached by shared marks have Add 0 and are named
-// in the error.
+// Offsets aligns gateways to the first of them by name, and returns their offsets sorted by name. It joins the gateways one by one to a spanning
+// tree. The next link is the one between a joined gateway and another that has the most shared marks and, among equals, the least spread.
+// The offset of a link is the median over its marks, which a single wrong mark hardly changes. Gateways that share no marks with the tree
+// have Add 0, and the error names them.
 func Offsets(gateways map[string]Marks) ([]Offset, error) {
 	names := make([]string, 0, len(gateways))
 	for name := range gateways {
@@ -43,12 +43,12 @@
 	return t.offsets()
 }
 
-// link aligns the gateway to with the gateway from.
+// link is the clock difference between two gateways that share marks.
 type link struct {
 	from, to string
-	median   time.Duration // to be added to the times of to
+	median   time.Duration // to add to the times of gateway to, for the clock of gateway from
 	spread   time.Duration
-	shared   int // marks
+	shared   int // number of shared marks
 }
 
 // newLink returns the link between two gateways; ok is false if they share no mark.
@@ -76,15 +76,15 @@
 	return l.spread < other.spread
 }
 
-// tree is the spanning tree while it grows.
+// tree is the spanning tree under construction.
 type tree struct {
 	names    []string // of all gateways, sorted
 	gateways map[string]Marks
 	joined   map[string]Offset
-	best     map[string]link // the best link from the tree to each gateway that is not joined
+	best     map[string]link // best link from the tree to each gateway that is not joined
 }
 
-// findLinks considers the links from a gateway that has just been joined.
+// findLinks updates the best links with those from a gateway that was just joined.
 func (t *tree) findLinks(from string) {
 	for _, name := range t.names {
 		if _, joined := t.joined[name]; joined {
@@ -100,7 +100,7 @@
 	}
 }
 
-// joinNext joins the gateway with the best link, the first by name of equals; ok is false if there is none.
+// joinNext joins the gateway with the best link, among equals the first by name; ok is false if no link is left.
 func (t *tree) joinNext() (gateway string, ok bool) {
 	for _, name := range t.names {
 		if l, linked := t.best[name]; linked && (!ok || l.betterThan(t.best[gateway])) {
@@ -132,7 +132,7 @@
 		offsets = append(offsets, offset)
 	}
 	if len(unaligned) > 0 {
-		return offsets, fmt.Errorf("gateways %v know no endpoint's start that the others know too: their clocks can't be aligned", unaligned)
+		return offsets, fmt.Errorf("clocks of gateways %v can't be aligned: they recorded no endpoint start that other gateways recorded too", unaligned)
 	}
 	return offsets, nil
 }
--- a/internal/capture/align/align_test.go
+++ b/internal/capture/align/align_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The clocks of gateways differ by any amount. They are aligned to within the delay of their notifications, although one mark is wrong and not
-// every pair of gateways shares an endpoint.
+// Offsets must align clocks that differ by up to an hour to within 20 ms, although notifications are delayed, one mark is wrong and not every pair
+// of gateways shares an endpoint.
 func TestOffsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "hosts")
@@ -37,8 +37,8 @@
 	})
 }
 
-// One of three gateways shares no mark with the others: it keeps its clock, and the error names it.
-func TestNothingShared(t *testing.T) {
+// A gateway that shares no mark with the others must keep its clock and cause an error.
+func TestNoSharedMarks(t *testing.T) {
 	all, err := Offsets(map[string]Marks{"a": {"x": 1}, "b": {"x": 3}, "c": {"y": 1}})
 	if err == nil || len(all) != 3 || all[1].Add != -2 || all[2].Add != 0 {
 		t.Errorf("%v %v", all, err)
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -1,11 +1,11 @@
-// Package capture keeps the load of a gateway on disk and reads it back: requests, their attempts and the states of endpoints.
+// Package capture records the load of a gateway on disk and reads it back: requests, their attempts and the states of endpoints.
 //
-// A capture is a ring of segment files of bounded size. A segment is a row of blocks, each compressed (Zstandard, RFC 8878) and checksummed
-// by itself; the first record of a segment is its head. Records are length-delimited protobuf (proto/capture.proto), where a request is
+// A capture is a ring of segment files of bounded total size. A segment is a sequence of blocks, each compressed (Zstandard, RFC 8878) and
+// checksummed on its own; the first record of a segment is its head. Records are length-delimited protobuf (proto/capture.proto), where a request is
 // called a command, an endpoint a brick and a gateway a host.
 //
 // Invariants: a Writer never blocks the engine; records that could not be written are counted, and the capture itself holds the count. A
-// reader gets every block that is whole, wherever the capture is torn. Names of objects are never written, only keyed hashes of them.
+// reader returns every intact block, wherever the capture is damaged. Names of objects are never written, only keyed hashes of them.
 package capture
 
 import (
@@ -18,15 +18,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Version is that of the form; a reader rejects captures of a later one.
+// Version is the version of the file format; a reader rejects captures of a later version.
 const Version = 1
 
 // A block is a header and its compressed content. The header is the magic, the sizes of the compressed and of the plain content in bytes, and
 // the CRC-32C of the compressed content: 4 bytes each, little-endian.
 const (
 	headerBytes   = 16
-	maxBlockBytes = 8 << 20   // of either content; what claims more is torn
-	blockBytes    = 128 << 10 // of plain content, from which on a block is written
+	maxBlockBytes = 8 << 20   // of compressed or plain content; a header with a larger size is invalid
+	blockBytes    = 128 << 10 // size of the plain content at which a block is full
 )
 
 var (
@@ -35,18 +35,18 @@
 )
 
 type blockHeader struct {
-	packedBytes, plainBytes uint32
-	sum                     uint32 // of the packed content
+	compressedBytes, plainBytes uint32
+	checksum                    uint32 // CRC-32C of the compressed content
 }
 
 // parseHeader parses the headerBytes at the beginning of a block; ok is false if no block begins there.
 func parseHeader(header []byte) (h blockHeader, ok bool) {
-	h = blockHeader{packedBytes: binary.LittleEndian.Uint32(header[4:]), plainBytes: binary.LittleEndian.Uint32(header[8:]),
-		sum: binary.LittleEndian.Uint32(header[12:])}
-	return h, bytes.Equal(header[:4], magic[:]) && h.packedBytes <= maxBlockBytes && h.plainBytes <= maxBlockBytes
+	h = blockHeader{compressedBytes: binary.LittleEndian.Uint32(header[4:]), plainBytes: binary.LittleEndian.Uint32(header[8:]),
+		checksum: binary.LittleEndian.Uint32(header[12:])}
+	return h, bytes.Equal(header[:4], magic[:]) && h.compressedBytes <= maxBlockBytes && h.plainBytes <= maxBlockBytes
 }
 
-// blockBuilder makes blocks of records.
+// blockBuilder encodes records into blocks.
 type blockBuilder struct {
 	encoder *zstd.Encoder
 	plain   bytes.Buffer
@@ -65,10 +65,10 @@
 	return err
 }
 
-// full reports whether the block should be written.
+// full reports whether the block has reached its size and should be written.
 func (b *blockBuilder) full() bool { return b.plain.Len() >= blockBytes }
 
-// finish returns the block of all that was added since the last one. It is valid until the next call.
+// finish returns a block of all records added since the last call. The block is valid until the next call.
 func (b *blockBuilder) finish() []byte {
 	b.out = append(b.out[:0], make([]byte, headerBytes)...)
 	b.out = b.encoder.EncodeAll(b.plain.Bytes(), b.out)
@@ -81,5 +81,5 @@
 	return b.out
 }
 
-// close frees the builder's memory.
-func (b *blockBuilder) close() { _ = b.encoder.Close() } // it has no file to fail on
+// close releases the encoder.
+func (b *blockBuilder) close() { _ = b.encoder.Close() } // can't fail: the encoder has no writer
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -44,14 +44,14 @@
 	return w
 }
 
-// A gateway captures 2000 requests. Each is read back with its attempts and the gateway's name; requests for one object are known by its
-// hash, and no object's name is on disk.
+// 2000 captured requests must be read back, each with its attempts and its gateway. Requests for the same object must have the same hash, and no
+// object name may be on disk.
 func TestWriteAndRead(t *testing.T) {
 	dir := t.TempDir()
 	w := openWriter(t, Config{Folder: dir, QueueSize: 5000})
-	w.EndpointChanged(engine.EndpointChange{Endpoint: "b1", Zone: "north", Shard: 4, Serving: true, StartedAt: 55, ChangedAt: 60}) // before Start: it is needed all the same
+	w.EndpointChanged(engine.EndpointChange{Endpoint: "b1", Zone: "north", Shard: 4, Serving: true, StartedAt: 55, ChangedAt: 60}) // before Start: the capture needs it
 	if w.Enabled() {
-		t.Error("on before Start")
+		t.Error("enabled before Start")
 	}
 	w.Start()
 	for i := range 2000 {
@@ -67,19 +67,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	commands, objects, started := 0, map[uint64]bool{}, int64(0)
+	requests, objects, started := 0, map[uint64]bool{}, int64(0)
 	for _, c := range load.Records {
 		started = max(started, c.GetBrick().GetStarted())
 		if x := c.GetCommand(); x != nil {
-			if x.Host != "host-0" || c.At != int64(commands)*1e6 || x.Dispatch[0].How != int32(policy.ErrorResponse) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
-				t.Fatalf("%d: %v", commands, c)
+			if x.Host != "host-0" || c.At != int64(requests)*1e6 || x.Dispatch[0].How != int32(policy.ErrorResponse) || x.Dispatch[0].After != 5 || x.Timeout != 1e9 {
+				t.Fatalf("%d: %v", requests, c)
 			}
 			objects[x.Object] = true
-			commands++
+			requests++
 		}
 	}
-	if commands != 2000 || len(objects) != 5 || started != 55 {
-		t.Errorf("%d requests, %d objects, started %d", commands, len(objects), started)
+	if requests != 2000 || len(objects) != 5 || started != 55 {
+		t.Errorf("%d requests, %d objects, started %d", requests, len(objects), started)
 	}
 	all, _ := filepath.Glob(dir + "/*")
 	for _, f := range all {
@@ -89,8 +89,8 @@
 	}
 }
 
-// A segment is cut off at each of its bytes in turn, as a gateway leaves it that is killed: all whole blocks before the cut are read, and the
-// torn one is counted. A flipped byte in the middle costs its block. A file that is no segment, or of a later version, is an error.
+// A gateway that is killed leaves a segment that ends at an arbitrary byte. Wherever it ends, the reader must return all whole blocks before the
+// end and count the torn one. A flipped byte must cost only its block. A file that is not a segment, or of a later version, must be an error.
 func TestTornSegments(t *testing.T) {
 	dir := t.TempDir()
 	w := openWriter(t, Config{Folder: dir})
@@ -98,7 +98,7 @@
 	for i := range 300 {
 		w.RequestEnded(testRecord(i))
 		if i%100 == 99 {
-			w.Stop() // a block
+			w.Stop() // ends a block
 			w.Start()
 		}
 	}
@@ -108,7 +108,7 @@
 	if err != nil || len(all) != 1 {
 		t.Fatal(err, all)
 	}
-	readCommands := func(b []byte) (n int, torn Torn, err error) {
+	readRequests := func(b []byte) (n int, torn Torn, err error) {
 		_, torn, err = ReadSegment(bytes.NewReader(b), func(c *pb.Captured) error {
 			if c.GetCommand() != nil {
 				n++
@@ -119,34 +119,34 @@
 	}
 	last := 0
 	for cut := range len(whole) {
-		n, torn, err := readCommands(whole[:cut])
+		n, torn, err := readRequests(whole[:cut])
 		if err == nil && (n%100 != 0 || n < last) || n != 300 && err == nil && n < 300 && torn.Blocks == 0 && n%100 != 0 {
 			t.Fatalf("cut at %d: %d requests, %+v, %v", cut, n, torn, err)
 		}
 		last = n
 	}
-	if n, torn, err := readCommands(whole); n != 300 || torn.Blocks != 0 || err != nil {
+	if n, torn, err := readRequests(whole); n != 300 || torn.Blocks != 0 || err != nil {
 		t.Fatal(n, torn, err)
 	}
 	corrupted := bytes.Clone(whole)
 	middle := bytes.LastIndex(corrupted, magic[:])
-	middle = bytes.LastIndex(corrupted[:middle], magic[:]) // the second block of requests
+	middle = bytes.LastIndex(corrupted[:middle], magic[:]) // the second block with requests
 	corrupted[middle+20] ^= 0xff
-	if n, torn, err := readCommands(corrupted); n != 200 || torn.Blocks != 1 || err != nil {
+	if n, torn, err := readRequests(corrupted); n != 200 || torn.Blocks != 1 || err != nil {
 		t.Errorf("%d requests, %+v, %v", n, torn, err)
 	}
-	if _, _, err := readCommands([]byte("something else altogether, and long enough")); err == nil {
+	if _, _, err := readRequests([]byte("something else altogether, and long enough")); err == nil {
 		t.Error("a foreign file was read")
 	}
 	p, _ := newBlockBuilder()
 	p.add(&pb.CaptureHead{Version: Version + 1})
-	if _, _, err := readCommands(p.finish()); err == nil || !strings.Contains(err.Error(), "form 2") {
+	if _, _, err := readRequests(p.finish()); err == nil || !strings.Contains(err.Error(), "capture format 2 is not supported") {
 		t.Error(err)
 	}
 }
 
-// Three runs of a gateway write far more than the ring may hold. It stays within its size, nothing is lost on the way, and it ends with the
-// newest request.
+// Three gateway processes write far more than the ring may hold. The ring must stay within its size limit and end with the newest request, and no
+// record may be lost on the way.
 func TestRingIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	for life := range 3 {
@@ -182,7 +182,7 @@
 	}
 }
 
-// fakeFile is a segment on a disk that is blocked, or full: half of each block fits then.
+// fakeFile is a segment on a disk that blocks until unblocked is closed or, if full, takes only half of each block.
 type fakeFile struct {
 	mu        sync.Mutex
 	unblocked chan bool
@@ -190,25 +190,25 @@
 	content   bytes.Buffer
 }
 
-func (g *fakeFile) Write(b []byte) (int, error) {
-	<-g.unblocked
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.full {
-		n, _ := g.content.Write(b[:len(b)/2])
+func (f *fakeFile) Write(b []byte) (int, error) {
+	<-f.unblocked
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.full {
+		n, _ := f.content.Write(b[:len(b)/2])
 		return n, syscall.ENOSPC
 	}
-	return g.content.Write(b)
+	return f.content.Write(b)
 }
-func (g *fakeFile) Close() error { return nil }
+func (f *fakeFile) Close() error { return nil }
 
-// The disk blocks for ever while 20,000 requests end. The engine is never held up: requests beyond the queue are dropped and counted. Once the
-// disk works again, the capture itself says how many.
+// While the disk blocks, RequestEnded must not block: records beyond the queue must be dropped and counted. Once the disk works again, the capture
+// must hold the number of lost records.
 func TestSlowDisk(t *testing.T) {
 	file := &fakeFile{unblocked: make(chan bool)}
 	w := openWriter(t, Config{Folder: t.TempDir(), QueueSize: 100, Create: func(string) (io.WriteCloser, error) { return file, nil }})
 	w.Start()
-	for i := range 20000 { // must not block although nothing is written; on the way, a block is full
+	for i := range 20000 { // must not block although nothing is written; a block fills up meanwhile
 		w.RequestEnded(testRecord(i))
 	}
 	lost := w.State().Lost
@@ -229,7 +229,7 @@
 	}
 }
 
-// The disk is full. The records of blocks that don't fit are lost and counted. Once there is space again, the capture goes on in a new segment.
+// While the disk is full, records that don't fit must be counted as lost. Once there is space again, the capture must continue in a new segment.
 func TestFullDisk(t *testing.T) {
 	var files []*fakeFile
 	full := true
@@ -268,8 +268,8 @@
 	}
 }
 
-// The clocks of two gateways differ by an hour. Merged, their requests are in the order in which they happened; a cut of them keeps the
-// records of endpoints, without which the requests can't be understood.
+// The clocks of two gateways differ by an hour. Once aligned and merged, their requests must be in the order in which they were received, and a cut
+// must keep the records of endpoints, which are needed to interpret the requests.
 func TestMergedClocks(t *testing.T) {
 	dir := t.TempDir()
 	for gateway, offset := range []time.Duration{0, time.Hour} {
@@ -320,7 +320,7 @@
 	}
 }
 
-// Whatever bytes a segment has, it is read without a panic, and no more is torn than there is.
+// FuzzSegment checks that arbitrary bytes never make ReadSegment panic or report more torn bytes than there are.
 func FuzzSegment(f *testing.F) {
 	p, _ := newBlockBuilder()
 	p.add(&pb.CaptureHead{Version: 1, Host: "h"})
@@ -335,8 +335,8 @@
 	})
 }
 
-// BenchmarkOver measures what a request costs the engine, and the bytes that it takes on disk.
-func BenchmarkOver(b *testing.B) {
+// BenchmarkRequestEnded measures the time that capturing a request takes the engine, and the bytes per record on disk.
+func BenchmarkRequestEnded(b *testing.B) {
 	w := openWriter(b, Config{Folder: b.TempDir(), QueueSize: 1 << 20})
 	w.Start()
 	for i := 0; b.Loop(); i++ {
--- a/internal/capture/load.go
+++ b/internal/capture/load.go
@@ -14,17 +14,17 @@
 	"weirhaven/internal/pb"
 )
 
-// Load is what was captured, by one gateway or by several.
+// Load is the captured load of one or several gateways.
 type Load struct {
-	Heads   []*pb.CaptureHead // one for each run of a gateway
-	Records []*pb.Captured    // records by time; those of requests and endpoints name their gateway
-	Lost    uint64            // records that gateways could not write, as the captures say
+	Heads   []*pb.CaptureHead // one for each gateway process
+	Records []*pb.Captured    // in order of time; records of requests and endpoints name their gateway
+	Lost    uint64            // records that gateways could not write, according to the captures
 	Torn    Torn
-	Files   int            // that were read
-	Offsets []align.Offset // by which Align moved the times of the gateways
+	Files   int            // number of files read
+	Offsets []align.Offset // that Align added to the times of the gateways
 }
 
-// Span returns when the first and the last request were received, in ns since 1970; 0 if there is none.
+// Span returns the times when the first and the last request were received, since 1970; 0 if there are no requests.
 func (l *Load) Span() (from, to time.Duration) {
 	for _, record := range l.Records {
 		if record.GetCommand() != nil {
@@ -37,11 +37,11 @@
 	return from, to
 }
 
-// Read reads captures: folders, segments or merged files. It fails if none of the files can be read; if only some can't, each of these counts
-// as a torn block.
+// Read reads captures from folders, segments or merged files. It fails if no file can be read; if only some can't be read, each of these
+// counts as a torn block.
 func Read(paths ...string) (*Load, error) {
 	load := &Load{}
-	runs := map[string]bool{}
+	processes := map[string]bool{}
 	var unreadable []error
 	for _, path := range paths {
 		files, err := segmentsOf(path)
@@ -49,7 +49,7 @@
 			return nil, err
 		}
 		for _, file := range files {
-			if err := load.readFile(file, runs); err != nil {
+			if err := load.readFile(file, processes); err != nil {
 				unreadable = append(unreadable, fmt.Errorf("%s: %w", file, err))
 			}
 		}
@@ -62,7 +62,7 @@
 	return load, nil
 }
 
-// segmentsOf returns the segments of a folder by name, or the file itself.
+// segmentsOf returns the segments of a folder, sorted by name, or the file itself.
 func segmentsOf(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -71,7 +71,7 @@
 	if !info.IsDir() {
 		return []string{path}, nil
 	}
-	files, _ := filepath.Glob(filepath.Join(path, "*"+Suffix)) // fails for a malformed pattern only: none is found then
+	files, _ := filepath.Glob(filepath.Join(path, "*"+Suffix)) // fails only for a malformed pattern, and finds no files then
 	slices.Sort(files)
 	return files, nil
 }
@@ -80,13 +80,13 @@
 	slices.SortStableFunc(l.Records, func(a, b *pb.Captured) int { return cmp.Compare(a.At, b.At) })
 }
 
-// readFile adds a file. runs are the runs of gateways whose heads were added already.
-func (l *Load) readFile(name string, runs map[string]bool) error {
+// readFile adds the records of a file. processes holds the gateway processes whose heads have been added.
+func (l *Load) readFile(name string, processes map[string]bool) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // was only read
 	before := len(l.Records)
 	head, torn, err := ReadSegment(file, func(record *pb.Captured) error {
 		l.add(record)
@@ -101,8 +101,8 @@
 	for _, record := range l.Records[before:] {
 		setGateway(record, head.Host)
 	}
-	if run := fmt.Sprint(head.Host, head.Life); !runs[run] {
-		runs[run] = true
+	if process := fmt.Sprint(head.Host, head.Life); !processes[process] {
+		processes[process] = true
 		l.Heads = append(l.Heads, head)
 	}
 	return nil
@@ -118,7 +118,7 @@
 	}
 }
 
-// setGateway names the gateway of a record, unless it does already, as records of merged files do.
+// setGateway sets the gateway of a record if it has none. Records of merged files have one.
 func setGateway(record *pb.Captured, gateway string) {
 	if request := record.GetCommand(); request != nil && request.Host == "" {
 		request.Host = gateway
--- a/internal/capture/merge.go
+++ b/internal/capture/merge.go
@@ -10,8 +10,8 @@
 	"weirhaven/internal/pb"
 )
 
-// Align moves the times of all gateways to the clock of the first by name, by the starts of endpoints that several gateways know. Gateways
-// that share none stay as they are, and the error names them.
+// Align converts the times of all gateways to the clock of the first gateway by name, by means of endpoint starts that several gateways
+// recorded. The times of gateways that share no start with the others stay unchanged, and the error names these gateways.
 func (l *Load) Align() error {
 	offsets, err := align.Offsets(l.endpointStarts())
 	l.Offsets = offsets
@@ -34,7 +34,7 @@
 	return err
 }
 
-// endpointStarts returns when endpoints were started, the last start of each, on the clock of each gateway that wrote a head.
+// endpointStarts returns, for each gateway that wrote a head, the time of the last start of each endpoint on that gateway's clock.
 func (l *Load) endpointStarts() map[string]align.Marks {
 	starts := map[string]align.Marks{}
 	for _, head := range l.Heads {
@@ -50,7 +50,7 @@
 	return starts
 }
 
-// Cut returns the requests that were received from one time until before another, counted from the first request, and all records of endpoints.
+// Cut returns the requests received at from or later and before to, relative to the first request, and all records of endpoints.
 func (l *Load) Cut(from, to time.Duration) *Load {
 	begin, _ := l.Span()
 	cut := *l
@@ -64,7 +64,7 @@
 	return &cut
 }
 
-// Write writes the load as one segment. Its head is that of the first gateway, with the name "merged" if there are several.
+// Write writes the load as one segment. The head is that of the first gateway, with the gateway name "merged" if there are several.
 func (l *Load) Write(out io.Writer) error {
 	block, err := newBlockBuilder()
 	if err != nil {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -24,7 +24,7 @@
 	return &pb.Captured{At: int64(request.ReceivedAt), What: &pb.Captured_Command{Command: captured}}
 }
 
-// objectHash is a keyed hash of an object's name: enough to know the object again, no more. 0 stands for no name.
+// objectHash returns a keyed hash of an object's name, by which requests for the same object can be matched; 0 if there is no name.
 func (w *Writer) objectHash(object string) uint64 {
 	if object == "" {
 		return 0
--- a/internal/capture/ring.go
+++ b/internal/capture/ring.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// Suffix ends the names of segments: GATEWAY.NUMBER.wcap.
+// Suffix is the suffix of segment file names: GATEWAY.NUMBER.wcap.
 const Suffix = ".wcap"
 
-// ringSegments is the number of segments of a full ring; each is at most that part of Config.MaxBytes.
+// ringSegments is the number of segments of a full ring. Each has at most Config.MaxBytes / ringSegments.
 const ringSegments = 8
 
 func (w *Writer) maxSegmentBytes() int64 { return w.config.MaxBytes / ringSegments }
@@ -22,18 +22,18 @@
 	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 }
 
-// segmentPrefix begins the names of this gateway's segments.
+// segmentPrefix returns the prefix of the file names of this gateway's segments.
 func (w *Writer) segmentPrefix() string { return w.config.Head.Host + "." }
 
 // ownSegments returns this gateway's segments, oldest first.
 func (w *Writer) ownSegments() []string {
-	// Glob fails for a malformed pattern only; no segment is found, and none removed, then.
+	// Glob fails only for a malformed pattern. It finds no segments then, so that none is removed.
 	files, _ := filepath.Glob(filepath.Join(w.config.Folder, w.segmentPrefix()+"[0-9]*"+Suffix))
 	slices.Sort(files)
 	return files
 }
 
-// lastSegmentNumber returns the highest number of the segments on disk; 0: there is none.
+// lastSegmentNumber returns the highest number of this gateway's segments on disk; 0 if there are none.
 func (w *Writer) lastSegmentNumber() (last int) {
 	for _, file := range w.ownSegments() {
 		var number int
@@ -44,7 +44,7 @@
 	return last
 }
 
-// write writes a block to the current segment, or to a new one where that is full or there is none.
+// write writes a block to the current segment, or to a new one if the current segment is full or there is none.
 func (w *Writer) write(block []byte) error {
 	if w.segment != nil && w.segmentBytes+int64(len(block)) > w.maxSegmentBytes() {
 		err := w.segment.Close()
@@ -66,15 +66,15 @@
 	return err
 }
 
-// abandonSegment gives the current segment up after a failure.
+// abandonSegment closes the current segment after a failed write.
 func (w *Writer) abandonSegment() {
 	if w.segment != nil {
-		_ = w.segment.Close() // its failure is noted already
+		_ = w.segment.Close() // the failed write has been reported
 		w.segment = nil
 	}
 }
 
-// openSegment creates a segment with the head and the last records of all endpoints, so that it can be read without those before it.
+// openSegment creates a segment with the head and the last record of each endpoint, so that it can be read without the earlier segments.
 func (w *Writer) openSegment() error {
 	kept, keptBytes, err := w.trimRing()
 	if err != nil {
@@ -95,7 +95,7 @@
 		return err
 	}
 	defer block.close()
-	_ = block.add(w.config.Head) // what can't be encoded is left out, here and below: a capture must not end for it
+	_ = block.add(w.config.Head) // records that can't be encoded are left out, here and below, so that the capture continues
 	for _, endpoint := range w.endpointNames() {
 		_ = block.add(w.endpoints[endpoint])
 	}
@@ -113,7 +113,7 @@
 	return names
 }
 
-// trimRing removes the oldest segments until a new one fits in, and returns how many are kept, and their bytes.
+// trimRing removes the oldest segments until there is space for a new one. It returns the number of segments kept, and their bytes.
 func (w *Writer) trimRing() (kept int, keptBytes int64, err error) {
 	files := w.ownSegments()
 	sizes := make([]int64, len(files))
@@ -125,7 +125,7 @@
 	}
 	for len(files) > 0 && keptBytes > w.config.MaxBytes-w.maxSegmentBytes() {
 		if err := os.Remove(files[0]); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return 0, 0, fmt.Errorf("room for the capture: %w", err)
+			return 0, 0, fmt.Errorf("remove oldest capture segment: %w", err)
 		}
 		keptBytes -= sizes[0]
 		files, sizes = files[1:], sizes[1:]
--- a/internal/capture/segment.go
+++ b/internal/capture/segment.go
@@ -14,18 +14,18 @@
 	"weirhaven/internal/pb"
 )
 
-// Torn counts what a reader had to leave out.
+// Torn counts the damaged blocks and bytes that a reader skipped.
 type Torn struct {
 	Blocks int
 	Bytes  int64
 }
 
-// ReadSegment reads a segment and calls visit with each record; an error of visit ends it. Torn blocks are left out and counted. The error is
-// that of visit, or says that no head could be read, or that the segment is of a later version.
+// ReadSegment reads a segment and calls visit with each record; an error of visit ends it. Torn blocks are skipped and counted. It returns the
+// error of visit, or an error if no head could be read or the segment is of a later version.
 //
-// It guards against captures that are torn: a gateway that was killed, or whose disk was full, leaves a part of a block at the end or, if it
-// went on, in the middle; a disk may flip bits. Without a guard, what follows would be parsed as nonsense. It holds since a block counts
-// only if its checksum and its sizes fit, and behind anything else the reader looks byte by byte for the next magic.
+// A gateway that was killed, or whose disk was full, leaves a partial block at the end of a segment or, if it continued, in the middle; a disk
+// may flip bits. To avoid parsing garbage, the reader accepts a block only if its checksum and its sizes match. After an invalid header it
+// searches byte by byte for the next magic; after a block with an invalid content it continues with the next block.
 func ReadSegment(r io.Reader, visit func(*pb.Captured) error) (head *pb.CaptureHead, torn Torn, err error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
 	if err != nil {
@@ -60,10 +60,10 @@
 	in       *bufio.Reader
 	decoder  *zstd.Decoder
 	torn     Torn
-	skipping bool // behind torn bytes: no block has begun yet
+	skipping bool // whether the reader is searching for the next block
 }
 
-// nextBlock returns the plain content of the next whole block; ok is false at the end of the segment.
+// nextBlock returns the plain content of the next intact block; ok is false at the end of the segment.
 func (s *segmentReader) nextBlock() (content []byte, ok bool) {
 	for {
 		header, err := s.in.Peek(headerBytes)
@@ -79,16 +79,16 @@
 			s.skipByte()
 			continue
 		}
-		_, _ = s.in.Discard(headerBytes) // peeked: it is there
-		packed := make([]byte, h.packedBytes)
-		n, err := io.ReadFull(s.in, packed)
+		_, _ = s.in.Discard(headerBytes) // can't fail: the bytes were peeked
+		compressed := make([]byte, h.compressedBytes)
+		n, err := io.ReadFull(s.in, compressed)
 		if err != nil { // cut off within a block
 			s.addTorn(headerBytes + n)
 			return nil, false
 		}
 		s.skipping = false
-		content, err := s.decoder.DecodeAll(packed, nil)
-		if err == nil && crc32.Checksum(packed, castagnoli) == h.sum && len(content) == int(h.plainBytes) {
+		content, err := s.decoder.DecodeAll(compressed, nil)
+		if err == nil && crc32.Checksum(compressed, castagnoli) == h.checksum && len(content) == int(h.plainBytes) {
 			return content, true
 		}
 		s.addTorn(headerBytes + n)
@@ -100,14 +100,14 @@
 	s.torn.Bytes += int64(n)
 }
 
-// skipByte skips a byte at which no block begins; a row of them counts as one torn block.
+// skipByte skips a byte at which no block begins. Consecutive skipped bytes count as one torn block.
 func (s *segmentReader) skipByte() {
 	if !s.skipping {
 		s.torn.Blocks++
 	}
 	s.skipping = true
 	s.torn.Bytes++
-	_, _ = s.in.Discard(1) // peeked: it is there
+	_, _ = s.in.Discard(1) // can't fail: the bytes were peeked
 }
 
 func readHead(records *bufio.Reader) (*pb.CaptureHead, error) {
@@ -116,12 +116,12 @@
 		return nil, errors.New("no capture: its first block holds no head")
 	}
 	if head.Version > Version {
-		return nil, fmt.Errorf("form %d of a capture; this program reads up to %d: use the program that wrote it", head.Version, Version)
+		return nil, fmt.Errorf("capture format %d is not supported; this program reads up to format %d: use the program that wrote it", head.Version, Version)
 	}
 	return head, nil
 }
 
-// visitRecords visits the records of a block. One that can't be parsed ends the block, which counts as torn then.
+// visitRecords visits the records of a block. If one can't be parsed, the rest of the block is skipped and the block counts as torn.
 func (s *segmentReader) visitRecords(records *bufio.Reader, visit func(*pb.Captured) error) error {
 	for {
 		record := &pb.Captured{}
--- a/internal/capture/stored_data_test.go
+++ b/internal/capture/stored_data_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	storedMoment = 1_790_000_000 * time.Second // when the sample's first request was received, since 1970
-	storedKey    = "stored data test key"      // by which objects are hashed
-	storedDigest = "0c0421bdc1aa25fa"          // of that key
+	storedMoment = 1_790_000_000 * time.Second // when the first stored request was received, since 1970
+	storedKey    = "stored data test key"      // key of the hash of object names
+	storedDigest = "0c0421bdc1aa25fa"          // digest of storedKey
 	storedBridge = 0x405cedf306751f93          // hash of the object "drawings/bridge.dwg"
 	storedTunnel = 0xb3f26edb1e34cce5          // hash of the object "drawings/tunnel.dwg"
 )
@@ -29,20 +29,20 @@
 		Plan: []*pb.Plan{{Name: "basic", Nominal: 14, Limit: 24, Depth: 40, Slack: 8, Weight: 1, Importance: 0.8}}}
 }
 
-// storedBricks are the records of endpoints. They are in the first block, behind the head.
-func storedBricks() []*pb.Captured {
+// storedEndpoints returns the records of endpoints. They are in the first block, after the head.
+func storedEndpoints() []*pb.Captured {
 	started := int64(storedMoment - 48*time.Hour)
-	brick := func(at time.Duration, b *pb.CapturedBrick) *pb.Captured {
+	endpoint := func(at time.Duration, b *pb.CapturedBrick) *pb.Captured {
 		b.Host = "edge-a"
 		return &pb.Captured{At: int64(at), What: &pb.Captured_Brick{Brick: b}}
 	}
 	return []*pb.Captured{
-		brick(storedMoment-2*time.Second, &pb.CapturedBrick{Name: "brick-1", Zone: "north", Cell: 3, Serving: true, Started: started}),
-		brick(storedMoment-time.Second, &pb.CapturedBrick{Name: "brick-2", Zone: "south", Cell: 4, Started: started + 5}),
+		endpoint(storedMoment-2*time.Second, &pb.CapturedBrick{Name: "brick-1", Zone: "north", Cell: 3, Serving: true, Started: started}),
+		endpoint(storedMoment-time.Second, &pb.CapturedBrick{Name: "brick-2", Zone: "south", Cell: 4, Started: started + 5}),
 	}
 }
 
-// storedRequests are the requests as the engine passed them on.
+// storedRequests returns the requests as the engine passed them to the writer.
 func storedRequests() []*engine.RequestRecord {
 	return []*engine.RequestRecord{
 		{Volume: "volume-1", Plan: "basic", Class: "read", Object: "drawings/bridge.dwg", Shard: 3, BodyBytes: 64, Units: 2.5, ReceivedAt: storedMoment,
@@ -64,25 +64,25 @@
 	}
 }
 
-// storedCommands are the same requests as they are read: two blocks of two.
-func storedCommands() []*pb.Captured {
-	command := func(at time.Duration, c *pb.CapturedCommand) *pb.Captured {
+// storedRequestRecords returns the records of the same requests as they are read: two blocks of two.
+func storedRequestRecords() []*pb.Captured {
+	request := func(at time.Duration, c *pb.CapturedCommand) *pb.Captured {
 		c.Host, c.Plan = "edge-a", "basic"
 		return &pb.Captured{At: int64(at), What: &pb.Captured_Command{Command: c}}
 	}
 	return []*pb.Captured{
-		command(storedMoment, &pb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 2.5, Cell: 3, Object: storedBridge, Timeout: 1_000_000_000,
+		request(storedMoment, &pb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 2.5, Cell: 3, Object: storedBridge, Timeout: 1_000_000_000,
 			Took: 12_000_000, Final: pb.CapturedCommand_COMPLETED, Body: 64, Dispatch: []*pb.CapturedDispatch{
 				{Brick: "brick-2", After: 5, Took: 1_000_000, How: 1}, {Brick: "brick-1", After: 2_000_000, Took: 9_000_000, How: 0}}}),
-		command(storedMoment+time.Millisecond, &pb.CapturedCommand{Volume: "volume-2", QueueType: "order", Units: 1, Cell: -1, Repeat: true,
+		request(storedMoment+time.Millisecond, &pb.CapturedCommand{Volume: "volume-2", QueueType: "order", Units: 1, Cell: -1, Repeat: true,
 			Timeout: 1_200_000_000, Took: 1_000_000_000, Final: pb.CapturedCommand_BUSY_REPLIED, Dispatch: []*pb.CapturedDispatch{
 				{Brick: "brick-1", After: 1_000_000, Took: 3, How: 2}, {Brick: "brick-1", After: 2_000_000, Took: 4, How: 3},
 				{Brick: "brick-1", After: 3_000_000, Took: 5, How: 4}}}),
-		command(storedMoment+2*time.Millisecond, &pb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 8, Cell: 4, Object: storedTunnel,
+		request(storedMoment+2*time.Millisecond, &pb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 8, Cell: 4, Object: storedTunnel,
 			Timeout: 1_000_000_000, Took: 7, Final: pb.CapturedCommand_ABORTED, Dispatch: []*pb.CapturedDispatch{
 				{Brick: "brick-2", After: 1_000_000, Took: 6, How: 5}, {Brick: "brick-2", After: 2_000_000, Took: 7, How: 6},
 				{Brick: "brick-2", After: 3_000_000, How: 7}}}),
-		command(storedMoment+3*time.Millisecond, &pb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 1, Cell: 3, Object: storedBridge,
+		request(storedMoment+3*time.Millisecond, &pb.CapturedCommand{Volume: "volume-1", QueueType: "read", Units: 1, Cell: 3, Object: storedBridge,
 			Timeout: 1_000_000_000, Took: 8, Final: pb.CapturedCommand_LEFT}),
 	}
 }
@@ -110,8 +110,8 @@
 	}
 }
 
-// A gateway of version a32f63c captured its load; the disk was full at first, which cost three records. Every later version must read the
-// head and each record, in their order, with nothing lost or torn but what the capture itself says.
+// A gateway of version a32f63c wrote this capture. Its disk was full at first, so that three records were lost. Every later version must read the
+// head and all records in order, report the three lost records, and report nothing torn.
 func TestStoredCaptureIsRead(t *testing.T) {
 	load := readStored(t, stored("whole"))
 	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) {
@@ -120,43 +120,43 @@
 	if load.Files != 1 || load.Torn != (Torn{}) || load.Lost != 3 {
 		t.Errorf("%d files, torn %+v, %d lost", load.Files, load.Torn, load.Lost)
 	}
-	checkEqual(t, load.Records, append(storedBricks(), storedCommands()...))
+	checkEqual(t, load.Records, append(storedEndpoints(), storedRequestRecords()...))
 	if from, to := load.Span(); from != storedMoment || to != storedMoment+3*time.Millisecond {
 		t.Errorf("from %v to %v", from, to)
 	}
 }
 
-// The same capture, torn in the middle of its last block, as a gateway that was killed leaves it. Every later version must read all
-// whole blocks and count the torn one.
+// The same capture ends in the middle of its last block, as if the gateway had been killed. Every later version must read all whole blocks and
+// count the torn one.
 func TestStoredCaptureCutOffIsRead(t *testing.T) {
 	load := readStored(t, stored("cut-off.wcap"))
 	if load.Torn != (Torn{Blocks: 1, Bytes: 84}) {
 		t.Errorf("torn: %+v", load.Torn)
 	}
-	checkEqual(t, load.Records, append(storedBricks(), storedCommands()[:2]...))
+	checkEqual(t, load.Records, append(storedEndpoints(), storedRequestRecords()[:2]...))
 }
 
-// The same capture with a flipped byte in the middle of its second block. Every later version must leave out just that block and read those
-// before and after it.
+// The same capture has a flipped byte in the middle of its second block. Every later version must skip only that block and read the blocks before
+// and after it.
 func TestStoredCorruptedCaptureIsRead(t *testing.T) {
 	load := readStored(t, stored("spoilt.wcap"))
 	if load.Torn != (Torn{Blocks: 1, Bytes: 228}) {
 		t.Errorf("torn: %+v", load.Torn)
 	}
-	checkEqual(t, load.Records, append(storedBricks(), storedCommands()[2:]...))
+	checkEqual(t, load.Records, append(storedEndpoints(), storedRequestRecords()[2:]...))
 }
 
-// Version a32f63c wrote the capture again as one merged file, by its command line. Every later version must find the same records in it.
+// The command line of version a32f63c merged the capture into one file. Every later version must read the same records from it.
 func TestStoredMergedCaptureIsRead(t *testing.T) {
 	load := readStored(t, stored("merged.wcap"))
 	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) || load.Torn != (Torn{}) || load.Lost != 3 {
 		t.Errorf("heads %v, torn %+v, %d lost", load.Heads, load.Torn, load.Lost)
 	}
-	checkEqual(t, load.Records, append(storedBricks(), storedCommands()...))
+	checkEqual(t, load.Records, append(storedEndpoints(), storedRequestRecords()...))
 }
 
-// A later version continues the capture in the folder that version a32f63c wrote: its segment has the next number, and with the same key the
-// same objects have the same hashes.
+// A later version that continues the capture in the folder of version a32f63c must give its segment the next number and, with the same key, give
+// the same objects the same hashes.
 func TestStoredCaptureIsContinued(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(stored("whole"))); err != nil {
@@ -164,8 +164,8 @@
 	}
 	w := openWriter(t, Config{Folder: dir, Key: []byte(storedKey), Head: storedHead()})
 	w.Start()
-	for _, p := range storedRequests() {
-		w.RequestEnded(p)
+	for _, request := range storedRequests() {
+		w.RequestEnded(request)
 	}
 	w.Close()
 	for _, name := range []string{"edge-a.000002.wcap", "edge-a.000003.wcap"} {
@@ -177,8 +177,8 @@
 	if len(load.Heads) != 1 || !proto.Equal(load.Heads[0], storedHead()) {
 		t.Errorf("heads %v\nwanted %v", load.Heads, storedHead())
 	}
-	checkEqual(t, load.Records, storedCommands())
-	if both := readStored(t, dir); both.Files != 2 || len(both.Records) != len(storedBricks())+2*len(storedCommands()) {
+	checkEqual(t, load.Records, storedRequestRecords())
+	if both := readStored(t, dir); both.Files != 2 || len(both.Records) != len(storedEndpoints())+2*len(storedRequestRecords()) {
 		t.Errorf("%d files, %d lines", both.Files, len(both.Records))
 	}
 }
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -23,38 +23,37 @@
 const (
 	defaultMaxBytes  = 256 << 20
 	defaultQueueSize = 8192
-	flushInterval    = time.Second // after which records are written although their block is not full
+	flushInterval    = time.Second // interval at which a block is written even if it is not full
 
-	minKeyBytes   = 16
-	drawnKeyBytes = 32
+	minKeyBytes    = 16
+	randomKeyBytes = 32
 )
 
 // Config configures a Writer.
 type Config struct {
-	Folder    string          // is created if it does not exist
-	MaxBytes  int64           // of all segments; 0: 256 MiB
-	QueueSize int             // records that wait for the disk; 0: 8192
-	Key       []byte          // by which names of objects are hashed
-	Head      *pb.CaptureHead // of each segment; the writer sets its version and key
+	Folder    string          // created if it does not exist
+	MaxBytes  int64           // limit for all segments together; 0: 256 MiB
+	QueueSize int             // records that may wait to be written; 0: 8192
+	Key       []byte          // key of the hash of object names
+	Head      *pb.CaptureHead // head of each segment; the writer sets its version and key
 	Log       *slog.Logger
-	// Create creates a segment file; nil: on disk, failing if it exists.
+	// Create creates a segment file; nil: creates it on disk and fails if it exists.
 	Create func(name string) (io.WriteCloser, error)
 }
 
-// State is what a Writer has done so far.
+// State is the state of a Writer and its counters.
 type State struct {
 	Enabled         bool
-	Written, Lost   int64 // records written, and not written
-	Bytes, MaxBytes int64 // of all segments
+	Written, Lost   int64 // records written, and records lost
+	Bytes, MaxBytes int64 // size of all segments, and its limit
 	Segments        int
-	Since           time.Duration // when the capture was started, in ns since 1970; 0: never
+	Since           time.Duration // when the capture was last started, since 1970; 0: never
 	Folder          string
-	LastError       string // of the last block; empty: it was written
+	LastError       string // error of the last write; empty: it succeeded
 }
 
-// Writer writes what an engine notifies it of. It is an engine's observer: its methods RequestEnded and EndpointChanged never block, and drop
-// and count records if the disk is too slow. All methods may be called by many goroutines at once. A goroutine of its own, which Close
-// ends, writes the files.
+// Writer writes the records of an engine to disk. It is an observer of the engine: RequestEnded and EndpointChanged never block, and drop and
+// count records if the disk is too slow. All methods are safe for concurrent use. A goroutine, which Close ends, writes the files.
 type Writer struct {
 	config  Config
 	queue   chan message
@@ -65,31 +64,31 @@
 	done    chan struct{} // closed by run
 
 	mu    sync.Mutex
-	state State // but for On, Lines and Lost
+	state State // without Enabled, Written and Lost, which State fills in
 
-	// Used by run alone.
+	// The fields below are used by run only.
 	block         *blockBuilder
 	mac           hash.Hash
-	recordedLost  int64 // of lost, what the capture holds
+	recordedLost  int64 // part of lost that the capture holds already
 	segment       io.WriteCloser
 	segmentBytes  int64
-	segmentNumber int                     // of the last one
-	failed        bool                    // the last block could not be written
-	endpoints     map[string]*pb.Captured // the last record of each endpoint, repeated in each segment
+	segmentNumber int                     // number of the last segment
+	failed        bool                    // whether the last write failed
+	endpoints     map[string]*pb.Captured // last record of each endpoint, written at the start of each segment
 }
 
-// message is one of: a request that ended, a record of an endpoint, a flush, after which flushed is closed.
+// message is a request that ended, a record of an endpoint, or a request to flush; flushed is closed once that is done.
 type message struct {
 	request  *engine.RequestRecord
 	endpoint *pb.Captured
 	flushed  chan struct{}
 }
 
-// ReadKey reads the key by which names of objects are hashed; if file is empty, it draws one. The same key makes the same object known again
-// in another capture.
+// ReadKey reads the key of the hash of object names from a file; if file is empty, it generates a random key. With the same key, an object has
+// the same hash in all captures.
 func ReadKey(file string) ([]byte, error) {
 	if file == "" {
-		key := make([]byte, drawnKeyBytes)
+		key := make([]byte, randomKeyBytes)
 		_, err := rand.Read(key)
 		return key, err
 	}
@@ -129,7 +128,7 @@
 	return w, nil
 }
 
-// keyDigest tells captures with the same key, and doesn't give the key away.
+// keyDigest returns a digest that identifies the key without disclosing it.
 func keyDigest(key []byte) string {
 	digest := sha256.Sum256(append([]byte("weirhaven capture key "), key...))
 	return hex.EncodeToString(digest[:8])
@@ -143,7 +142,7 @@
 	w.on.Store(true)
 }
 
-// Stop ends a capture. It returns once all records that were queued are written, or lost.
+// Stop ends a capture. It returns once all queued records are written or lost.
 func (w *Writer) Stop() {
 	w.on.Store(false)
 	flushed := make(chan struct{})
@@ -158,7 +157,7 @@
 	}
 }
 
-// State returns what the writer has done so far.
+// State returns the state of the writer.
 func (w *Writer) State() State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -167,25 +166,26 @@
 	return state
 }
 
-// Close writes all records that are queued and ends the writer. Call it once.
+// Close writes all queued records and ends the writer. It must be called only once.
 func (w *Writer) Close() {
 	w.on.Store(false)
 	close(w.stop)
 	<-w.done
 }
 
-// Enabled reports whether requests are captured; the engine records none otherwise.
+// Enabled reports whether requests are captured. If not, the engine doesn't record them.
 func (w *Writer) Enabled() bool { return w.on.Load() }
 
-// RequestEnded queues a request that ended. The writer keeps request.
+// RequestEnded queues a request that ended. The caller must not modify request afterwards.
 func (w *Writer) RequestEnded(request *engine.RequestRecord) { w.enqueue(message{request: request}) }
 
-// EndpointChanged queues the state of an endpoint. It is kept also while the writer is off: a capture that begins later needs it.
+// EndpointChanged queues the state of an endpoint, also while no capture runs: a capture that starts later begins with the states of all
+// endpoints.
 func (w *Writer) EndpointChanged(change engine.EndpointChange) {
 	w.enqueue(message{endpoint: endpointRecord(change)})
 }
 
-// enqueue never blocks.
+// enqueue queues a message. If the queue is full, it drops the message and counts it as lost.
 func (w *Writer) enqueue(m message) {
 	select {
 	case w.queue <- m:
@@ -194,7 +194,7 @@
 	}
 }
 
-// run writes what is queued, until Close.
+// run handles queued messages until Close.
 func (w *Writer) run() {
 	defer close(w.done)
 	ticker := time.NewTicker(flushInterval)
@@ -212,7 +212,7 @@
 	}
 }
 
-// finish writes what is still queued.
+// finish handles the messages that are still queued and closes the segment.
 func (w *Writer) finish() {
 	for {
 		select {
@@ -225,7 +225,7 @@
 	}
 	w.flush()
 	if w.segment != nil {
-		_ = w.segment.Close() // nobody is left to be notified
+		_ = w.segment.Close() // the writer ends: there is nowhere to report it
 	}
 }
 
@@ -244,7 +244,8 @@
 	}
 }
 
-// rememberEndpoint keeps the last record of an endpoint that is not removed; its start time, if the new record has none.
+// rememberEndpoint stores the last record of an endpoint, or deletes it once the endpoint is removed. A record without a start time takes that
+// of the record before it.
 func (w *Writer) rememberEndpoint(record *pb.Captured) {
 	endpoint := record.GetBrick()
 	if endpoint.Gone {
@@ -268,14 +269,14 @@
 	}
 }
 
-// flush writes the current block. If that fails, its records are lost and counted, and the next block goes to a new segment: behind a torn
-// block, a reader would have to find its place again.
+// flush writes the current block. If that fails, its records are lost and counted, and the next block goes to a new segment, since a reader
+// would have to resynchronize after a torn block.
 func (w *Writer) flush() {
 	if w.block.records == 0 {
 		return
 	}
 	if lost := w.lost.Load(); lost > w.recordedLost {
-		_ = w.block.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.recordedLost)}}) // the count is in State, too
+		_ = w.block.add(&pb.Captured{At: time.Now().UnixNano(), What: &pb.Captured_Lost{Lost: uint64(lost - w.recordedLost)}}) // on failure, State still has the count
 		w.recordedLost = lost
 	}
 	records := int64(w.block.records)
@@ -286,11 +287,11 @@
 		w.lost.Add(records)
 		w.abandonSegment()
 	}
-	w.noteResult(err)
+	w.recordResult(err)
 }
 
-// noteResult notes the result of a write in State, and logs where it changed.
-func (w *Writer) noteResult(err error) {
+// recordResult stores the result of a write in State, and logs a change between success and failure.
+func (w *Writer) recordResult(err error) {
 	w.mu.Lock()
 	w.state.LastError = ""
 	if err != nil {
