--- a/internal/capacity/learn/learn_test.go
+++ b/internal/capacity/learn/learn_test.go
@@ -66,8 +66,8 @@
 func TestRecoversParameters(t *testing.T) {
 	k := &pb.CapacityModel_KindModel{Way: 0.001, Remembers: 3, Saves: 0.4, Deferred: 0.3, Flush: 0.9, Work: []*pb.CapacityModel_Work{
 		{QueueType: "read", Base: 0.001, Unit: 0.003, Vary: 0.3, Samples: 1}, {QueueType: "write", Base: 0.0005, Unit: 0.004, Vary: 0.3, Samples: 1}}}
-	lines := append(simulate("a0", k, 1, 1, 70, 6000, 1), simulate("a1", k, 1, 1.3, 70, 6000, 2)...)
-	m, err := Model(lines, fleet, nil)
+	records := append(simulate("a0", k, 1, 1, 70, 6000, 1), simulate("a1", k, 1, 1.3, 70, 6000, 2)...)
+	m, err := Model(records, fleet, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,11 +122,11 @@
 		t.Error(err)
 	}
 	// All attempts are lost.
-	lines := simulate("a0", &pb.CapacityModel_KindModel{Work: []*pb.CapacityModel_Work{{QueueType: "read", Unit: 0.001, Samples: 1}}}, 1, 1, 50, 100, 1)
-	for _, l := range lines {
+	records := simulate("a0", &pb.CapacityModel_KindModel{Work: []*pb.CapacityModel_Work{{QueueType: "read", Unit: 0.001, Samples: 1}}}, 1, 1, 50, 100, 1)
+	for _, l := range records {
 		l.GetCommand().Dispatch[0].How = int32(policy.ConnectionReset)
 	}
-	if m, err := Model(lines, fleet, nil); err == nil {
+	if m, err := Model(records, fleet, nil); err == nil {
 		t.Error(m)
 	}
 }
--- a/internal/capture/stored_data_test.go
+++ b/internal/capture/stored_data_test.go
@@ -101,7 +101,7 @@
 func checkEqual(t *testing.T, got, want []*pb.Captured) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("%d lines, wanted %d: %v", len(got), len(want), got)
+		t.Fatalf("%d records, wanted %d: %v", len(got), len(want), got)
 	}
 	for i := range want {
 		if !proto.Equal(got[i], want[i]) {
@@ -179,6 +179,6 @@
 	}
 	checkEqual(t, load.Records, storedRequestRecords())
 	if both := readStored(t, dir); both.Files != 2 || len(both.Records) != len(storedEndpoints())+2*len(storedRequestRecords()) {
-		t.Errorf("%d files, %d lines", both.Files, len(both.Records))
+		t.Errorf("%d files, %d records", both.Files, len(both.Records))
 	}
 }
