--- a/internal/capacity/forecast/forecast.go
+++ b/internal/capacity/forecast/forecast.go
@@ -220,7 +220,7 @@
 	index       int // in the fleet description
 	name        string
 	address     string
-	model       *model.Brick
+	model       *model.Endpoint
 	up          bool
 	started     time.Duration
 	roundTrip   time.Duration // network and processing time beside the work
@@ -229,8 +229,8 @@
 	doneFor     map[*gateway]map[string]float64 // units served for a gateway, by volume
 	done        map[string]float64              // units served, by volume
 	wakeAt      time.Duration
-	sampledBusy time.Duration // model.Busy at the last sample
-	sampledDone time.Duration // model.Done at the last sample
+	sampledBusy time.Duration // model.BusyTime at the last sample
+	sampledDone time.Duration // model.WarmBusyTime at the last sample
 	unannounced bool          // its failure is missing from endpoint lists
 }
 
@@ -273,7 +273,7 @@
 		sim.addCounts(gw)
 	}
 	for _, ep := range sim.endpoints {
-		sim.result.Pressure, sim.result.Rejected = math.Max(sim.result.Pressure, ep.model.Pressure), sim.result.Rejected+ep.model.Turned
+		sim.result.Pressure, sim.result.Rejected = math.Max(sim.result.Pressure, ep.model.PeakColdLoad), sim.result.Rejected+ep.model.Rejected
 	}
 	keep := int(s.Requests[len(s.Requests)-1].Arrival/sim.scenario.BlockLength) + 1 // utilization is reported until the last arrival
 	for i := range sim.result.Endpoints {
@@ -403,12 +403,12 @@
 		}
 	}
 	f := sim.scenario.Fleet.Rules
-	c := model.Config{Name: name, Zone: l.Zone, Cell: int(l.Cell), Kind: k, Cores: int(server.Cores), Queue: int(server.Queue), Speed: speed,
-		Cancel: server.Cancel, DropsExpired: server.DropsExpired, Writes: sim.writes, FallMultiple: f.FallMultiple, Seed: sim.rng.Int63(), Start: sim.now,
-		MeanWork: sim.meanWork}
+	c := model.Config{Name: name, Zone: l.Zone, Shard: int(l.Cell), Kind: k, Cores: int(server.Cores), QueueLimit: int(server.Queue), Speed: speed,
+		CancelMode: server.Cancel, DropsExpired: server.DropsExpired, Writes: sim.writes, OverloadMultiple: f.FallMultiple, Seed: sim.rng.Int63(), Start: sim.now,
+		MeanUnitWork: sim.meanWork}
 	started := time.Duration(0)
 	if cold {
-		c.ColdFrom, c.ColdFor, c.FallAfter = f.ColdFrom, settings.Duration(f.ColdFor, 0), settings.Duration(f.FallAfter, 0)
+		c.SlowStartInitial, c.SlowStartDuration, c.OverloadWindow = f.ColdFrom, settings.Duration(f.ColdFor, 0), settings.Duration(f.FallAfter, 0)
 		started = sim.now
 	}
 	sim.endpointsStarted++
@@ -531,8 +531,8 @@
 				return
 			}
 			replacement.sampledBusy, replacement.sampledDone = old.sampledBusy, old.sampledDone
-			replacement.model.Busy, replacement.model.Done = old.sampledBusy, old.sampledDone
-			sim.result.Pressure, sim.result.Rejected = math.Max(sim.result.Pressure, old.model.Pressure), sim.result.Rejected+old.model.Turned
+			replacement.model.BusyTime, replacement.model.WarmBusyTime = old.sampledBusy, old.sampledDone
+			sim.result.Pressure, sim.result.Rejected = math.Max(sim.result.Pressure, old.model.PeakColdLoad), sim.result.Rejected+old.model.Rejected
 			sim.endpoints[i] = replacement
 		}
 		sim.announceList()
@@ -543,8 +543,8 @@
 // crash takes an endpoint down and ends its attempts with a connection reset.
 func (sim *simulation) crash(ep *endpoint) {
 	ep.up = false
-	for _, j := range ep.model.Held() {
-		sim.endAttempt(ep, sim.gateways[j.Host], j.ID, policy.ConnectionReset)
+	for _, j := range ep.model.Attempts() {
+		sim.endAttempt(ep, sim.gateways[j.Gateway], j.ID, policy.ConnectionReset)
 	}
 }
 
@@ -561,9 +561,9 @@
 func (sim *simulation) sample() {
 	for i, ep := range sim.endpoints {
 		cores := float64(ep.model.Config().Cores) * sim.scenario.BlockLength.Seconds()
-		sim.result.Endpoints[i].Utilization = append(sim.result.Endpoints[i].Utilization, (ep.model.Busy-ep.sampledBusy).Seconds()/cores)
-		sim.result.Endpoints[i].WorkDone = append(sim.result.Endpoints[i].WorkDone, (ep.model.Done-ep.sampledDone).Seconds()/cores)
-		ep.sampledBusy, ep.sampledDone = ep.model.Busy, ep.model.Done
+		sim.result.Endpoints[i].Utilization = append(sim.result.Endpoints[i].Utilization, (ep.model.BusyTime-ep.sampledBusy).Seconds()/cores)
+		sim.result.Endpoints[i].WorkDone = append(sim.result.Endpoints[i].WorkDone, (ep.model.WarmBusyTime-ep.sampledDone).Seconds()/cores)
+		ep.sampledBusy, ep.sampledDone = ep.model.BusyTime, ep.model.WarmBusyTime
 	}
 	for i, gw := range sim.gateways {
 		x := 0.0
@@ -616,7 +616,7 @@
 	if gw == nil {
 		gw = v.gateways[int(hash(x.Gateway+x.Volume)%uint64(len(v.gateways)))]
 	}
-	r := &clientRequest{demand: x, start: sim.now, deadline: sim.now + x.Timeout, gateway: gw, tally: sim.tally(sim.now, Key{x.Plan, x.QueueType})}
+	r := &clientRequest{demand: x, start: sim.now, deadline: sim.now + x.Timeout, gateway: gw, tally: sim.tally(sim.now, Key{x.Plan, x.Class})}
 	r.tally.Requests++
 	if x.CancelAfter > 0 {
 		sim.at(sim.now+x.CancelAfter, func() {
@@ -658,7 +658,7 @@
 	x, gw := r.demand, r.gateway
 	gw.received++
 	shard := x.Shard
-	r.submission = &engine.Request{Volume: x.Volume, Class: x.QueueType, Object: fmt.Sprintf("%x", x.Object), Shard: shard, Units: x.Units,
+	r.submission = &engine.Request{Volume: x.Volume, Class: x.Class, Object: fmt.Sprintf("%x", x.Object), Shard: shard, Units: x.Units,
 		Timeout: r.deadline - sim.now, Retry: r.submitted > 1 && sim.scenario.Fleet.Rules.ClientsMarkRepeats}
 	r.submission.Respond = func(a engine.Response) { sim.respond(r, a) }
 	gw.do(func(c *engine.Core) {
@@ -719,7 +719,7 @@
 	r.finished = true
 	latency := sim.now - r.start
 	switch {
-	case result == engine.Served && latency <= sim.objectives[r.demand.QueueType]:
+	case result == engine.Served && latency <= sim.objectives[r.demand.Class]:
 		r.tally.InTarget++
 	case result == engine.Served:
 		r.tally.Late++
@@ -762,7 +762,7 @@
 		})
 		return
 	}
-	j := &model.Job{ID: id, Host: gw.index, Queue: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Until: sim.now + left}
+	j := &model.Attempt{ID: id, Gateway: gw.index, Class: t.Class, Volume: t.Volume, Units: t.Units, Object: object(t.Object), First: n == 0, Deadline: sim.now + left}
 	sim.at(sim.now+ep.roundTrip/2, func() {
 		if !ep.up {
 			sim.endAttempt(ep, gw, id, policy.ConnectionReset)
@@ -773,7 +773,7 @@
 		case ep.errorRate > 0 && sim.rng.Float64() < ep.errorRate:
 			sim.endAttempt(ep, gw, id, policy.ErrorResponse)
 		case !ep.model.Arrive(j, sim.now):
-			if ep.model.Fell {
+			if ep.model.Crashed {
 				sim.result.Overloaded++
 				sim.crash(ep)
 				sim.announceList()
@@ -809,9 +809,9 @@
 
 // advance runs the endpoint's model up to now and schedules the responses of completed attempts.
 func (sim *simulation) advance(ep *endpoint) {
-	ep.model.Advance(sim.now, func(j *model.Job, at time.Duration) {
+	ep.model.Advance(sim.now, func(j *model.Attempt, at time.Duration) {
 		ep.done[j.Volume] += j.Units
-		gw := sim.gateways[j.Host]
+		gw := sim.gateways[j.Gateway]
 		if ep.doneFor[gw] == nil {
 			ep.doneFor[gw], ep.reported[gw] = map[string]float64{}, map[string]float64{}
 		}
@@ -841,7 +841,7 @@
 
 // scheduleWake schedules the endpoint's next completion, unless an earlier wake-up is pending.
 func (sim *simulation) scheduleWake(ep *endpoint) {
-	at, ok := ep.model.Next()
+	at, ok := ep.model.NextCompletion()
 	if !ok || ep.wakeAt >= sim.now && ep.wakeAt <= at && ep.wakeAt > 0 {
 		return
 	}
--- a/internal/capacity/forecast/forecast_test.go
+++ b/internal/capacity/forecast/forecast_test.go
@@ -39,7 +39,7 @@
 			return all
 		}
 		v := rng.Intn(4 * endpoints)
-		w := demand.Request{Arrival: at, Volume: fmt.Sprint("v", v), Plan: []string{"basic", "priority"}[v%2], QueueType: "read", Units: 1,
+		w := demand.Request{Arrival: at, Volume: fmt.Sprint("v", v), Plan: []string{"basic", "priority"}[v%2], Class: "read", Units: 1,
 			Shard: (v + rng.Intn(2)) % endpoints, Object: rng.Uint64()%50 + 1, Timeout: time.Second, Gateway: fmt.Sprint("h", (v+rng.Intn(2))%gateways)}
 		if rng.Intn(4) == 0 {
 			w.Class, w.Timeout = "post", 1500*time.Millisecond
--- a/internal/capacity/study/bench_test.go
+++ b/internal/capacity/study/bench_test.go
@@ -69,7 +69,7 @@
 		b.Fatal(err)
 	}
 	sortByTime(lines)
-	l := &capture.Load{Heads: []*pb.CaptureHead{{Version: capture.Version, Host: "h"}}, Lines: lines}
+	l := &capture.Load{Heads: []*pb.CaptureHead{{Version: capture.Version, Host: "h"}}, Records: lines}
 	var file bytes.Buffer
 	if err := l.Write(&file); err != nil {
 		b.Fatal(err)
--- a/internal/capacity/study/loss.go
+++ b/internal/capacity/study/loss.go
@@ -120,7 +120,7 @@
 		{Name: phaseSlowStart, From: t.restored, To: t.warm}, {Name: phaseAfter, From: t.warm, To: t.end}}
 }
 
-func (s *Study) heaviest() sample.Stretch {
+func (s *Study) heaviest() sample.Interval {
 	for _, stretch := range s.stretches {
 		if stretch.Heaviest {
 			return stretch
--- a/internal/capacity/study/shares.go
+++ b/internal/capacity/study/shares.go
@@ -24,7 +24,7 @@
 	units := map[string]float64{} // by volume, so far: the first units of a volume are reserved
 	for i := range load {
 		r := &load[i]
-		plan, class := plans[r.Plan], classes[r.QueueType]
+		plan, class := plans[r.Plan], classes[r.Class]
 		if int(r.Arrival/time.Second) != worst || plan == nil || class == nil {
 			continue
 		}
@@ -34,9 +34,9 @@
 			unreachable += work
 			continue
 		}
-		key := forecast.Key{Plan: r.Plan, Class: r.QueueType}
+		key := forecast.Key{Plan: r.Plan, Class: r.Class}
 		if sums[key] == nil {
-			sums[key] = &decide.Share{Plan: r.Plan, Class: r.QueueType, Weight: math.Max(plan.Importance, minImportance) * math.Max(class.Importance, minImportance)}
+			sums[key] = &decide.Share{Plan: r.Plan, Class: r.Class, Weight: math.Max(plan.Importance, minImportance) * math.Max(class.Importance, minImportance)}
 		}
 		sum := sums[key]
 		sum.Work += work
--- a/internal/capacity/study/study.go
+++ b/internal/capacity/study/study.go
@@ -38,7 +38,7 @@
 	Progress func(line string)
 
 	Captured  bounds.Input // ExtraAttempts, Requests, HoldTime and Span as captured
-	stretches []sample.Stretch
+	stretches []sample.Interval
 	cost      place.Cost
 	speed     func(*pb.Server) float64
 }
--- a/internal/capacity/study/study_test.go
+++ b/internal/capacity/study/study_test.go
@@ -49,7 +49,7 @@
 		w := demand.Request{Arrival: at, Volume: fmt.Sprint(plan, v), Plan: plan, Class: "read", Units: 1, Shard: (v + rng.Intn(3)) % 6, Object: rng.Uint64() | 1,
 			Timeout: time.Second, Gateway: fmt.Sprint("h", (v+rng.Intn(2))%3), Attempts: 1}
 		if rng.Intn(4) == 0 {
-			w.QueueType, w.Timeout = "post", 1500*time.Millisecond
+			w.Class, w.Timeout = "post", 1500*time.Millisecond
 			if rng.Float64() < newObjects {
 				w.Shard = -1
 			}
