--- a/internal/capacity/verify/naive.go
+++ b/internal/capacity/verify/naive.go
@@ -11,20 +11,21 @@
 	"weirhaven/internal/settings"
 )
 
-// naive is what a mean rate over a mean work says: one queue for all endpoints (M/M/c by its utilization, waits exponential).
+// naive estimates the figures from the mean load alone: one queue for all endpoints (M/M/c by its utilization), with exponentially
+// distributed latency.
 func naive(f *pb.CapacityFleet, m *pb.CapacityModel, load []demand.Request) Figures {
 	speed, capacity := bounds.Speeds(f, m), 0.0
 	for _, endpoint := range f.Brick {
 		capacity += speed(endpoint)
 	}
-	objectives := map[string]float64{} // latency objective by queue type, seconds
+	objectives := map[string]float64{} // latency objective by request class, seconds
 	for _, q := range f.QueueType {
 		objectives[q.Name] = settings.Duration(q.ServiceTarget, 0).Seconds()
 	}
 	cost, work, objective := place.CostOf(m, f), 0.0, 0.0
 	for i := range load {
 		work += cost(&load[i])
-		objective += objectives[load[i].QueueType] / float64(len(load))
+		objective += objectives[load[i].Class] / float64(len(load))
 	}
 	span := load[len(load)-1].Arrival.Seconds()
 	utilization := math.Min(work/span/capacity, 1)
--- a/internal/capture/merge.go
+++ b/internal/capture/merge.go
@@ -10,8 +10,8 @@
 	"weirhaven/internal/pb"
 )
 
-// Align moves the times of all gateways to the clock of the first by name, by the starts of endpoints that several gateways know. Gateways
-// that share none stay as they are, and the error names them.
+// Align converts the times of all gateways to the clock of the first gateway by name, by means of endpoint starts that several gateways
+// recorded. The times of gateways that share no start with the others stay unchanged, and the error names these gateways.
 func (l *Load) Align() error {
 	offsets, err := align.Offsets(l.endpointStarts())
 	l.Offsets = offsets
@@ -19,7 +19,7 @@
 	for _, offset := range offsets {
 		add[offset.Gateway] = int64(offset.Add)
 	}
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if request := record.GetCommand(); request != nil {
 			record.At += add[request.Host]
 		}
@@ -34,7 +34,7 @@
 	return err
 }
 
-// endpointStarts returns when endpoints were started, the last start of each, on the clock of each gateway that wrote a head.
+// endpointStarts returns, for each gateway that wrote a head, the time of the last start of each endpoint on that gateway's clock.
 func (l *Load) endpointStarts() map[string]align.Marks {
 	starts := map[string]align.Marks{}
 	for _, head := range l.Heads {
@@ -42,7 +42,7 @@
 			starts[head.Host] = align.Marks{}
 		}
 	}
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if endpoint := record.GetBrick(); endpoint != nil && endpoint.Started > 0 && starts[endpoint.Host] != nil {
 			starts[endpoint.Host][endpoint.Name] = time.Duration(endpoint.Started)
 		}
@@ -50,21 +50,21 @@
 	return starts
 }
 
-// Cut returns the requests that were received from one time until before another, counted from the first request, and all records of endpoints.
+// Cut returns the requests received at from or later and before to, relative to the first request, and all records of endpoints.
 func (l *Load) Cut(from, to time.Duration) *Load {
 	begin, _ := l.Span()
 	cut := *l
-	cut.Lines = nil
-	for _, record := range l.Lines {
+	cut.Records = nil
+	for _, record := range l.Records {
 		received := time.Duration(record.At) - begin
 		if record.GetBrick() != nil || received >= from && received < to {
-			cut.Lines = append(cut.Lines, record)
+			cut.Records = append(cut.Records, record)
 		}
 	}
 	return &cut
 }
 
-// Write writes the load as one segment. Its head is that of the first gateway, with the name "merged" if there are several.
+// Write writes the load as one segment. The head is that of the first gateway, with the gateway name "merged" if there are several.
 func (l *Load) Write(out io.Writer) error {
 	block, err := newBlockBuilder()
 	if err != nil {
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	for _, record := range l.Lines {
+	for _, record := range l.Records {
 		if err := block.add(record); err != nil {
 			return err
 		}
--- a/internal/scenario/objects.go
+++ b/internal/scenario/objects.go
@@ -18,28 +18,28 @@
 	"weirhaven/internal/settings"
 )
 
-// ObjectCounts is what came of a drill's objects.
+// ObjectCounts counts the object requests of a run and the wrong results.
 type ObjectCounts struct {
 	Puts, Gets, Ranges, Deletes, Uploads int
-	Failed                               int // requests that were answered with an error, or not
-	Wrong                                int // reads that gave other bytes than any that may be there
-	Lost                                 int // names that were answered and are not there
-	Checked                              int // names looked at once all was over
+	Failed                               int // requests that got an error or no response
+	Wrong                                int // reads whose bytes match no possible content
+	Lost                                 int // reads that found no object although every possible content is one
+	Checked                              int // names read after the workers ended
 	FirstError                           string
 }
 
-// Requests is the number of requests sent.
+// Requests returns the number of requests sent.
 func (o ObjectCounts) Requests() int { return o.Puts + o.Gets + o.Ranges + o.Deletes + o.Uploads }
 
-// Good reports whether no object had a wrong byte and none was lost.
+// Good reports whether no read returned wrong bytes and no object was lost.
 func (o ObjectCounts) Good() bool { return o.Wrong == 0 && o.Lost == 0 }
 
 func (o ObjectCounts) String() string {
-	return fmt.Sprintf("%d puts, %d in parts, %d reads, %d of ranges, %d deletes; %d failed; %d names looked at in the end; %d wrong, %d lost %s", o.Puts, o.Uploads, o.Gets,
+	return fmt.Sprintf("%d puts, %d of them in parts, %d reads, %d range reads, %d deletes; %d failed; %d names checked after the run; %d wrong, %d lost %s", o.Puts, o.Uploads, o.Gets,
 		o.Ranges, o.Deletes, o.Failed, o.Checked, o.Wrong, o.Lost, o.FirstError)
 }
 
-// content is an object's bytes, made anew from its seed.
+// content is an object's content, generated from a seed.
 type content struct {
 	seed int64
 	size int
@@ -54,124 +54,125 @@
 	return b
 }
 
-// named is what may stand under a name: nothing (nil), or one of some contents: after a write that may have happened there are two.
-type named struct {
+// object is a name with the contents that a read may return; nil stands for no object. After a write whose outcome is unknown there
+// is more than one.
+type object struct {
 	volume, name string
-	may          []*content
+	candidates   []*content
 }
 
-// objectWorks are a drill's object clients.
-type objectWorks struct {
-	r      *runner
-	mu     sync.Mutex
-	sum    ObjectCounts
-	names  [][]*named
-	client []*client.Client
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
+// objectClients sends object requests over HTTP and checks the responses.
+type objectClients struct {
+	r       *runner
+	mu      sync.Mutex
+	totals  ObjectCounts
+	objects [][]*object
+	clients []*client.Client
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
 }
 
-// objectPorts gives each host an address for objects that it keeps.
-func (r *runner) objectPorts() error {
-	for _, p := range r.hosts {
+// reserveObjectPorts chooses for each gateway the address of its object API, which it keeps over restarts.
+func (r *runner) reserveObjectPorts() error {
+	for _, p := range r.gateways {
 		l, err := net.Listen("tcp", r.ip+":0")
 		if err != nil {
 			return err
 		}
 		defer func() { _ = l.Close() }()
-		p.objects = l.Addr().String()
+		p.objectAddress = l.Addr().String()
 	}
 	return nil
 }
 
-func (r *runner) startObjects(ctx context.Context) *objectWorks {
-	o := &objectWorks{r: r}
+func (r *runner) startObjectClients(ctx context.Context) *objectClients {
+	o := &objectClients{r: r}
 	ctx, o.stop = context.WithCancel(ctx)
 	volumes := 0
-	for _, g := range r.d.Volumes {
+	for _, g := range r.scenario.Volumes {
 		volumes += int(g.Count)
 	}
-	for i := range int(r.d.Objects.Workers) {
-		c, err := client.New(client.Config{Endpoint: "http://" + r.hosts[i%len(r.hosts)].objects, Repeats: 4, Wait: time.Second,
+	for i := range int(r.scenario.Objects.Workers) {
+		c, err := client.New(client.Config{Endpoint: "http://" + r.gateways[i%len(r.gateways)].objectAddress, Repeats: 4, Wait: time.Second,
 			HTTP: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}})
 		if err != nil {
 			continue
 		}
-		var own []*named
-		for n := range int(r.d.Objects.Names) {
+		var objects []*object
+		for n := range int(r.scenario.Objects.Names) {
 			at := (i*7 + n) % volumes
-			own = append(own, &named{volume: volumeName(r.planOf(at), at), name: fmt.Sprintf("worker %d/%d", i, n), may: []*content{nil}})
+			objects = append(objects, &object{volume: volumeName(r.planOfVolume(at), at), name: fmt.Sprintf("worker %d/%d", i, n), candidates: []*content{nil}})
 		}
-		o.client, o.names = append(o.client, c), append(o.names, own)
+		o.clients, o.objects = append(o.clients, c), append(o.objects, objects)
 		seed := r.rng.Int63()
 		o.wg.Add(1)
 		go func() {
 			defer o.wg.Done()
-			o.work(ctx, c, own, rand.New(rand.NewSource(seed)))
+			o.run(ctx, c, objects, rand.New(rand.NewSource(seed)))
 		}()
 	}
 	return o
 }
 
-func (r *runner) planOf(no int) string {
-	for _, g := range r.d.Volumes {
-		if no < int(g.Count) {
+func (r *runner) planOfVolume(number int) string {
+	for _, g := range r.scenario.Volumes {
+		if number < int(g.Count) {
 			return g.Plan
 		}
-		no -= int(g.Count)
+		number -= int(g.Count)
 	}
 	return ""
 }
 
-func (o *objectWorks) count(f func(s *ObjectCounts)) {
+func (o *objectClients) count(f func(s *ObjectCounts)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	f(&o.sum)
+	f(&o.totals)
 }
 
-func (o *objectWorks) counts() ObjectCounts {
+func (o *objectClients) counts() ObjectCounts {
 	if o == nil {
 		return ObjectCounts{}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.sum
+	return o.totals
 }
 
-func (o *objectWorks) work(ctx context.Context, c *client.Client, own []*named, rng *rand.Rand) {
-	l := o.r.d.Objects
+func (o *objectClients) run(ctx context.Context, c *client.Client, objects []*object, rng *rand.Rand) {
+	l := o.r.scenario.Objects
 	pause := settings.Duration(l.Pause, 10*time.Millisecond)
 	for ctx.Err() == nil {
-		n := own[rng.Intn(len(own))]
+		n := objects[rng.Intn(len(objects))]
 		switch x := rng.Float64(); {
 		case x < 0.4:
 			o.put(ctx, c, n, content{rng.Int63(), int(math.Exp(rng.Float64() * math.Log(float64(l.Largest))))}, rng.Float64() < l.Parts)
 		case x < 0.45:
 			o.count(func(s *ObjectCounts) { s.Deletes++ })
 			err := c.Delete(ctx, n.volume, n.name)
-			o.after(n, nil, err)
+			o.writeEnded(n, nil, err)
 		case x < 0.7:
 			o.get(ctx, c, n, 0, 0)
 		default:
 			from := rng.Int63n(int64(l.Largest))
 			o.get(ctx, c, n, from, 1+rng.Int63n(64<<10))
 		}
-		wait(ctx, time.Now().Add(pause))
+		waitUntil(ctx, time.Now().Add(pause))
 	}
 }
 
-// after notes what may stand under a name once a write ended.
-func (o *objectWorks) after(n *named, now *content, err error) {
+// writeEnded updates the possible contents of a name after a write.
+func (o *objectClients) writeEnded(n *object, written *content, err error) {
 	if err == nil {
-		n.may = []*content{now}
+		n.candidates = []*content{written}
 		return
 	}
-	// Also where the last attempt cannot have run: one before it may have.
+	// The write may have happened even if the last attempt can't have run, because an earlier one may have.
 	o.count(func(s *ObjectCounts) { s.Failed++ })
-	n.may = append(n.may, now)
+	n.candidates = append(n.candidates, written)
 }
 
-func (o *objectWorks) put(ctx context.Context, c *client.Client, n *named, x content, parts bool) {
+func (o *objectClients) put(ctx context.Context, c *client.Client, n *object, x content, parts bool) {
 	options := client.PutOptions{}
 	if parts {
 		x.size = 5<<20 + x.size%(1<<20)
@@ -181,11 +182,11 @@
 	o.count(func(s *ObjectCounts) { s.Puts++ })
 	b := x.bytes()
 	_, err := c.Put(ctx, n.volume, n.name, bytes.NewReader(b), int64(len(b)), options)
-	o.after(n, &x, err)
+	o.writeEnded(n, &x, err)
 }
 
-// get reads, and judges what came: it must be, whole, one of what may be there.
-func (o *objectWorks) get(ctx context.Context, c *client.Client, n *named, from, size int64) {
+// get reads an object, or a range of it if size is above 0, and verifies the result.
+func (o *objectClients) get(ctx context.Context, c *client.Client, n *object, from, size int64) {
 	if size > 0 {
 		o.count(func(s *ObjectCounts) { s.Ranges++ })
 	} else {
@@ -194,7 +195,7 @@
 	_, body, err := c.Get(ctx, n.volume, n.name, from, size)
 	var e *client.Error
 	if client.NotFound(err) {
-		o.judge(n, nil, false, from, size)
+		o.verify(n, nil, false, from, size)
 		return
 	}
 	if errors.As(err, &e) && e.Status == http.StatusRequestedRangeNotSatisfiable {
@@ -204,7 +205,7 @@
 		defer func() { _ = body.Close() }()
 		var b []byte
 		if b, err = io.ReadAll(body); err == nil {
-			o.judge(n, b, true, from, size)
+			o.verify(n, b, true, from, size)
 			return
 		}
 	}
@@ -213,11 +214,12 @@
 	}
 }
 
-func (o *objectWorks) judge(n *named, got []byte, there bool, from, size int64) {
-	for _, x := range n.may {
+// verify counts a read result that matches none of the object's possible contents as wrong or lost.
+func (o *objectClients) verify(n *object, got []byte, found bool, from, size int64) {
+	for _, x := range n.candidates {
 		switch {
-		case x == nil && !there:
-		case x == nil || !there:
+		case x == nil && !found:
+		case x == nil || !found:
 			continue
 		default:
 			want := x.bytes()
@@ -234,34 +236,34 @@
 		return
 	}
 	o.count(func(s *ObjectCounts) {
-		if there {
+		if found {
 			s.Wrong++
 		} else {
 			s.Lost++
 		}
 		if s.FirstError == "" {
-			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes from %d of %d, there %v, %d may be)", n.volume, n.name, len(got), from, size, there, len(n.may))
+			s.FirstError = fmt.Sprintf("(first: %s/%s, %d bytes read from offset %d, range length %d, found %v, %d possible contents)", n.volume, n.name, len(got), from, size, found, len(n.candidates))
 		}
 	})
 }
 
-// finish ends the workers, then looks at every name.
-func (o *objectWorks) finish(ctx context.Context) {
+// finish ends the workers, then reads every name.
+func (o *objectClients) finish(ctx context.Context) {
 	if o == nil {
 		return
 	}
 	o.stop()
 	o.wg.Wait()
 	var wg sync.WaitGroup
-	for i, own := range o.names {
+	for i, objects := range o.objects {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for _, n := range own {
-				for range 20 { // bricks may be cold yet
+			for _, n := range objects {
+				for range 20 { // endpoints may still be in slow start
 					before := o.counts().Failed
-					o.get(ctx, o.client[i], n, 0, 0)
-					if o.counts().Failed == before || !wait(ctx, time.Now().Add(100*time.Millisecond)) {
+					o.get(ctx, o.clients[i], n, 0, 0)
+					if o.counts().Failed == before || !waitUntil(ctx, time.Now().Add(100*time.Millisecond)) {
 						break
 					}
 				}
